--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,5 @@
-"""What each role costs at a size: `measure` writes a result file, `render` puts its tables into `docs/CAPACITY.md`.
+"""What each role costs at a size: `measure` writes a result file, `render` puts its tables into
+`docs/CAPACITY.md`.
 
 Not in CI. Usage: python bench/capacity.py measure --json bench/capacity.json; python bench/capacity.py render
 """
@@ -60,7 +61,9 @@
     try:
         sizes = tuple(sorted({int(part) for part in text.split(",")}))
     except ValueError:
-        raise click.UsageError(f"{option}: must be whole numbers with commas between, is {text[:60]!r}") from None
+        raise click.UsageError(
+            f"{option}: must be whole numbers with commas between, is {text[:60]!r}"
+        ) from None
     if len(sizes) < 4:
         raise click.UsageError(f"{option}: at least four are needed for a fit, got {len(sizes)}")
     if sizes[0] < least or sizes[-1] > most:
@@ -87,8 +90,12 @@
 @main.command()
 @click.option("--sizes", default="100,190,425,850,1700,3400", help="Engines.")
 @click.option("--hosts", default="25,50,100,200,350", help="Hosts of a controller.")
-@click.option("--json", "path", required=True, type=click.Path(dir_okay=False, path_type=Path), help="The result file.")
-@click.option("--before", default="", help="Package folder of another router, measured beside the program's own.")
+@click.option(
+    "--json", "path", required=True, type=click.Path(dir_okay=False, path_type=Path), help="The result file."
+)
+@click.option(
+    "--before", default="", help="Package folder of another router, measured beside the program's own."
+)
 def measure(sizes: str, hosts: str, path: Path, before: str) -> None:
     """Measure every role and write the result file."""
     set_up(json_lines=False, quiet=True)
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,7 +1,7 @@
 """Time of one decision (`Router.handle` with one event) at a given number of servers, by kind of event.
 
-In process, against engines that answer after drawn times; not in CI. Usage: python bench/decisions.py [--servers 190]
-"""
+In process, against engines that answer after drawn times; not in CI. Usage: python bench/decisions.py
+[--servers 190]"""
 
 from __future__ import annotations
 
@@ -43,7 +43,10 @@
         roles=(Role.READ, Role.WRITE),
         may_cancel=True,
         max_attempts=5,
-        classes=(RequestClass("question", 1.0, 1_200_000, 5_000_000), RequestClass("summary", 2.0, 2_500_000, 12_000_000)),
+        classes=(
+            RequestClass("question", 1.0, 1_200_000, 5_000_000),
+            RequestClass("summary", 2.0, 2_500_000, 12_000_000),
+        ),
         tenants=(Tenant("a", 0.5, 4 * per_s), Tenant("b", 0.5, 4 * per_s)),
         report_fields=("in_flight", "memory_share", "tokens_waiting_k"),
         prompt_bytes=6.0,
@@ -52,7 +55,9 @@
         zone_budgets=(ZoneBudget(1e7, 1e8, 1e5),) if zones else (),
     )
     router = Router(settings, 1)
-    fleet = tuple(Server(n, n % 2, cell=n // 8, zone=n // 2 % zones if zones else 0) for n in range(1, servers + 1))
+    fleet = tuple(
+        Server(n, n % 2, cell=n // 8, zone=n // 2 % zones if zones else 0) for n in range(1, servers + 1)
+    )
     took: dict[str, list[float]] = defaultdict(list)
     queue: list[tuple[int, int, object]] = [(1_000_000, 0, FleetChange(ListKind.FULL, 1, fleet))]
     tie = itertools.count(1)
@@ -98,7 +103,9 @@
                     (
                         now + lag,
                         next(tie),
-                        Outcome(action.id, attempt, action.server, Status.READ, lag, kept_tokens=2000, load=load),
+                        Outcome(
+                            action.id, attempt, action.server, Status.READ, lag, kept_tokens=2000, load=load
+                        ),
                     ),
                 )
             else:
@@ -109,7 +116,15 @@
                     (
                         now + lag + 3_000_000,
                         next(tie),
-                        Outcome(action.id, attempt, action.server, Status.OK, lag + 3_000_000, over=True, load=load),
+                        Outcome(
+                            action.id,
+                            attempt,
+                            action.server,
+                            Status.OK,
+                            lag + 3_000_000,
+                            over=True,
+                            load=load,
+                        ),
                     ),
                 )
     click.echo(f"{servers} servers, {requests} requests at {per_s:g} a second; actions {dict(ends)}")
--- a/bench/fronts.py
+++ b/bench/fronts.py
@@ -1,8 +1,8 @@
-"""CPU of the node for each token and each request, by front: the first, v2 stream and unary, REST events and whole.
+"""CPU of the node for each token and each request, by front: the first, v2 stream and unary, REST events and
+whole.
 
-One node, one set of engines, the forms in turn within one run; the first front stands in each round, and ratios are to it.
-Not in CI. Usage: python bench/fronts.py [--streams 30] [--tokens 200] [--rounds 5]
-"""
+One node, one set of engines, the forms in turn within one run; the first front stands in each round, and
+ratios are to it. Not in CI. Usage: python bench/fronts.py [--streams 30] [--tokens 200] [--rounds 5]"""
 
 from __future__ import annotations
 
@@ -45,7 +45,11 @@
 
 def first(tokens: int) -> Callable[[int], bytes]:
     return lambda n: pb.GenerateRequest(
-        request_class="question", session=f"s{n}", prompt=f"b{n} " + "x" * 200, prompt_tokens=50, max_tokens=tokens
+        request_class="question",
+        session=f"s{n}",
+        prompt=f"b{n} " + "x" * 200,
+        prompt_tokens=50,
+        max_tokens=tokens,
     ).SerializeToString()
 
 
@@ -67,7 +71,12 @@
         host, _, port = address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         body = json.dumps(
-            {"text_input": f"b{n} " + "x" * 200, "session": f"s{n}", "prompt_tokens": 50, "max_tokens": tokens}
+            {
+                "text_input": f"b{n} " + "x" * 200,
+                "session": f"s{n}",
+                "prompt_tokens": 50,
+                "max_tokens": tokens,
+            }
         ).encode()
         writer.write(
             b"POST /v2/models/m/%b HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: %d\r\n\r\n"
@@ -104,7 +113,9 @@
                 forms |= {
                     f"first front, a {kind}": (
                         many * size,
-                        lambda m=many, s=size: by_grpc(at, m, s, "/tuliptrack.v1.Generation/Generate", first(s)),
+                        lambda m=many, s=size: by_grpc(
+                            at, m, s, "/tuliptrack.v1.Generation/Generate", first(s)
+                        ),
                     ),
                     f"v2 stream, a {kind}": (
                         many * size,
@@ -130,7 +141,9 @@
                     asyncio.run(act())  # type: ignore[arg-type]
                     if number:  # the first round warms up
                         rows[name].append((cpu(node.pid) - before) / units * 1e6)
-            click.echo(f"{streams} streams of {tokens} tokens, {streams * 10} requests of one; CPU us, {rounds} rounds")
+            click.echo(
+                f"{streams} streams of {tokens} tokens, {streams * 10} requests of one; CPU us, {rounds} rounds"
+            )
             for name, found in rows.items():
                 base = rows["first front, a " + name.rpartition(" ")[2]]
                 ratio = statistics.median(a / b for a, b in zip(found, base, strict=True))
--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -1,4 +1,5 @@
-"""The ledger's rates: parts a second, time of a commit, recovery, bytes a part; structures beside plain ones. Not in CI.
+"""The ledger's rates: parts a second, time of a commit, recovery, bytes a part; structures beside plain ones.
+Not in CI.
 
 Usage: python bench/ledger.py [--parts 1000000] [--batch 1000]
 """
@@ -93,7 +94,9 @@
                 if due.get(key) == when:
                     del due[key]
 
-    click.echo(f"{count} timers, half moved: wheel {timed(by_wheel):.2f} s, heap with dead entries {timed(by_heap):.2f} s")
+    click.echo(
+        f"{count} timers, half moved: wheel {timed(by_wheel):.2f} s, heap with dead entries {timed(by_heap):.2f} s"
+    )
     names = [f"t{int(100_000 * chance.random() ** 3)}" for _ in range(count)]
     sketch, plain = Sketch(2_048), Counter[str]()
     took = timed(lambda: [sketch.add(name, 10) for name in names])
--- a/bench/passthrough.py
+++ b/bench/passthrough.py
@@ -18,7 +18,9 @@
 
 async def main(reader: str, writers: list[str]) -> None:
     read = grpc.aio.insecure_channel(reader).unary_unary("/tuliptrack.v1.Engine/Read")
-    turns = itertools.cycle([grpc.aio.insecure_channel(w).unary_stream("/tuliptrack.v1.Engine/Write") for w in writers])
+    turns = itertools.cycle(
+        [grpc.aio.insecure_channel(w).unary_stream("/tuliptrack.v1.Engine/Write") for w in writers]
+    )
     numbers = itertools.count()
 
     async def generate(data: bytes, context: grpc.aio.ServicerContext):  # type: ignore[no-untyped-def, type-arg]
@@ -32,7 +34,9 @@
             prompt_tokens=asked.prompt_tokens,
             max_tokens=asked.max_tokens,
         )
-        state = engine_pb2.ReadResponse.FromString(await read(engine_pb2.ReadRequest(work=work).SerializeToString()))
+        state = engine_pb2.ReadResponse.FromString(
+            await read(engine_pb2.ReadRequest(work=work).SerializeToString())
+        )
         write = engine_pb2.WriteRequest(work=work)
         write.state.state_id, write.state.address = state.state_id, reader
         async for token in next(turns)(write.SerializeToString()):
@@ -40,7 +44,9 @@
 
     server = grpc.aio.server()
     handler = grpc.unary_stream_rpc_method_handler(generate)
-    server.add_generic_rpc_handlers((grpc.method_handlers_generic_handler("tuliptrack.v1.Generation", {"Generate": handler}),))
+    server.add_generic_rpc_handlers(
+        (grpc.method_handlers_generic_handler("tuliptrack.v1.Generation", {"Generate": handler}),)
+    )
     port = server.add_insecure_port("127.0.0.1:0")
     await server.start()
     print(json.dumps({"address": f"127.0.0.1:{port}"}), flush=True)
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,8 +1,9 @@
-"""CPU of the node for each streamed token, beside a pass-through proxy on grpc.aio; memory with many open streams.
+"""CPU of the node for each streamed token, beside a pass-through proxy on grpc.aio; memory with many open
+streams.
 
-Same client, same engines, the two in turn within one run; figures are the processes' own CPU time as the kernel
-accounts it. Not in CI. Usage: python bench/relay.py [--streams 10,100,1000] [--tokens 200] [--rounds 3]
-"""
+Same client, same engines, the two in turn within one run; figures are the processes' own CPU time as the
+kernel accounts it. Not in CI. Usage: python bench/relay.py [--streams 10,100,1000] [--tokens 200] [--rounds
+3]"""
 
 from __future__ import annotations
 
@@ -44,13 +45,18 @@
 
 
 def start(*command: str) -> tuple[subprocess.Popen[bytes], str]:
-    process = subprocess.Popen([sys.executable, *command], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, cwd=ROOT)
+    process = subprocess.Popen(
+        [sys.executable, *command], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, cwd=ROOT
+    )
     assert process.stdout
     return process, json.loads(process.stdout.readline())["address"]
 
 
-def start_engines(folder: str, tokens: int, step_ms: int, processes: list[subprocess.Popen[bytes]]) -> tuple[Path, list[str]]:
-    """A reader and two writers that answer with so many tokens; the file that lists them, and their addresses."""
+def start_engines(
+    folder: str, tokens: int, step_ms: int, processes: list[subprocess.Popen[bytes]]
+) -> tuple[Path, list[str]]:
+    """A reader and two writers that answer with so many tokens; the file that lists them, and their
+    addresses."""
     engines = []
     for role, name in (("READ", "r"), ("WRITE", "w0"), ("WRITE", "w1")):
         model = Path(folder) / f"{name}.model"
@@ -65,7 +71,8 @@
     listing.write_text(
         "version: 1 "
         + " ".join(
-            f'servers {{ id: {n + 1} address: "{a}" kind: "{"writer" if n else "reader"}" }}' for n, a in enumerate(engines)
+            f'servers {{ id: {n + 1} address: "{a}" kind: "{"writer" if n else "reader"}" }}'
+            for n, a in enumerate(engines)
         )
     )
     return listing, engines
@@ -88,10 +95,17 @@
             await asyncio.sleep(0.02)  # A thousand prompts at once are an overload: the node would say so.
         over: asyncio.Future[End] = loop.create_future()
         request = pb.GenerateRequest(
-            request_class="question", session=f"s{n}", prompt=f"b{n} " + "x" * 200, prompt_tokens=50, max_tokens=tokens
+            request_class="question",
+            session=f"s{n}",
+            prompt=f"b{n} " + "x" * 200,
+            prompt_tokens=50,
+            max_tokens=tokens,
         )
         channel.call(
-            "/tuliptrack.v1.Generation/Generate", message=request.SerializeToString(), on_message=got, on_end=over.set_result
+            "/tuliptrack.v1.Generation/Generate",
+            message=request.SerializeToString(),
+            on_message=got,
+            on_end=over.set_result,
         )
         overs.append(over)
     for over in overs:
@@ -118,8 +132,12 @@
             proxy, proxy_at = start("bench/passthrough.py", *engines)
             processes += [node, proxy]
             time.sleep(0.5)
-            click.echo(f"{tokens} tokens a stream, {rounds} rounds, medians; CPU microseconds of the process for each token")
-            click.echo(f"{'streams':>8} {'node':>8} {'grpc.aio':>9} {'ratio':>6} {'node tok/s':>11} {'node MB':>8}")
+            click.echo(
+                f"{tokens} tokens a stream, {rounds} rounds, medians; CPU microseconds of the process for each token"
+            )
+            click.echo(
+                f"{'streams':>8} {'node':>8} {'grpc.aio':>9} {'ratio':>6} {'node tok/s':>11} {'node MB':>8}"
+            )
             for count in map(int, streams.split(",")):
                 rows: dict[str, list[float]] = {"node": [], "proxy": [], "speed": []}
                 for _ in range(rounds):
--- a/bench/structures.py
+++ b/bench/structures.py
@@ -1,7 +1,7 @@
 """The indexes of the decisions beside plain ones and, where they are installed, libraries of the registry.
 
-In process; not in CI. Usage: python bench/structures.py [--members 2550]; pip install sortedcontainers numpy for all rows.
-"""
+In process; not in CI. Usage: python bench/structures.py [--members 2550]; pip install sortedcontainers numpy
+for all rows."""
 
 from __future__ import annotations
 
@@ -136,7 +136,9 @@
         if name in ("numpy", "sortedcontainers") and not library(name):
             continue
         command = [sys.executable, "-c", line]
-        rows[name] = min(timeit.repeat(lambda command=command: subprocess.run(command), number=1, repeat=5)) * 1e3
+        rows[name] = (
+            min(timeit.repeat(lambda command=command: subprocess.run(command), number=1, repeat=5)) * 1e3
+        )
     return rows
 
 
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -1,10 +1,9 @@
 """Worth served against bytes that cross zones, at 190 nodes and 66 engines, in process; not in CI.
 
-The routers are real, the engines are drawn: readers read first come first, writers have slots and steps. A calm day with
-traffic that is uneven over zones, and one on which a zone's engines are dark for a while. Beside the router with budgets
-of 100 to 0 % of the free choice's crossings stand two baselines: zones ignored (free), and no server of another zone
-known (never).
-Usage: python bench/zones.py [--seconds 40] [--plot FILE]
+The routers are real, the engines are drawn: readers read first come first, writers have slots and steps. A
+calm day with traffic that is uneven over zones, and one on which a zone's engines are dark for a while.
+Beside the router with budgets of 100 to 0 % of the free choice's crossings stand two baselines: zones ignored
+(free), and no server of another zone known (never). Usage: python bench/zones.py [--seconds 40] [--plot FILE]
 """
 
 from __future__ import annotations
@@ -39,8 +38,8 @@
 
 NODES, ENGINES, ZONES = 190, 66, 3
 Day = tuple[str, float, tuple[float, ...], tuple[float, float] | None, float]
-"""Name, requests a second, the zones' shares of them, from when to when zone 0 is dark (seconds), and the part of a zone's
-traffic that comes to a tenth of its nodes."""
+"""Name, requests a second, the zones' shares of them, from when to when zone 0 is dark (seconds), and the
+part of a zone's traffic that comes to a tenth of its nodes."""
 READ_US, SLOTS, STEP_US = 30.0, 40, 15_000  # a token read; a writer's slots; a token written
 PROMPT_B, STATE_B, ANSWER_B = 6.0, 16.0, 24.0
 CLASSES = (
@@ -59,7 +58,9 @@
         self.dark = False
 
 
-def run(name: str, budget: float | None, seconds: float, day: Day, by_traffic: float = 0.0, seed: int = 1) -> dict[str, Any]:
+def run(
+    name: str, budget: float | None, seconds: float, day: Day, by_traffic: float = 0.0, seed: int = 1
+) -> dict[str, Any]:
     """One day; `budget` in bytes a second for all nodes (None: zones ignored; -1: other zones unknown)."""
     chance = random.Random(seed)
     _, rate, shares, dark, skew = day
@@ -123,7 +124,9 @@
             moment = start + int(begin * 1e6)
             heapq.heappush(queue, (moment, next(tie), -1, state))
             change = FleetChange(
-                ListKind.DELTA, 2, tuple(Server(s.id, s.kind, state, cell=s.cell, zone=s.zone) for s in servers if s.zone == 0)
+                ListKind.DELTA,
+                2,
+                tuple(Server(s.id, s.kind, state, cell=s.cell, zone=s.zone) for s in servers if s.zone == 0),
             )
             for node in range(NODES):
                 heapq.heappush(queue, (moment + 1_000_000, next(tie), node, change))
@@ -159,7 +162,12 @@
             if engine.dark:
                 heapq.heappush(
                     queue,
-                    (now + 2_000, next(tie), node, Outcome(ask.id, attempt, action.server, Status.CONNECT_FAILED, 2_000)),
+                    (
+                        now + 2_000,
+                        next(tie),
+                        node,
+                        Outcome(ask.id, attempt, action.server, Status.CONNECT_FAILED, 2_000),
+                    ),
                 )
                 continue
             answer = int(20 + chance.expovariate(1 / 60))
@@ -187,12 +195,16 @@
                     ),
                 )
             else:
-                size += ANSWER_B * answer * (zone != home) + STATE_B * ask.prompt_tokens * (held[ask.id] != zone)
+                size += ANSWER_B * answer * (zone != home) + STATE_B * ask.prompt_tokens * (
+                    held[ask.id] != zone
+                )
                 slot = min(range(SLOTS), key=engine.free.__getitem__)
                 first = max(engine.free[slot], now) + STEP_US
                 engine.free[slot] = first + answer * STEP_US
                 busy = sum(f > now for f in engine.free)
-                heapq.heappush(queue, (first, next(tie), node, Started(ask.id, attempt, action.server, first - now)))
+                heapq.heappush(
+                    queue, (first, next(tie), node, Started(ask.id, attempt, action.server, first - now))
+                )
                 heapq.heappush(
                     queue,
                     (
@@ -244,7 +256,13 @@
     days: list[Day] = [
         ("calm", 420.0, (0.42, 0.33, 0.25), None, 0.0),
         ("zone 0 overfull", 600.0, (0.72, 0.16, 0.12), None, 0.0),
-        (f"zone 0 dark from 10 to {seconds * 0.75:g} s", 420.0, (0.42, 0.33, 0.25), (10.0, seconds * 0.75), 0.0),
+        (
+            f"zone 0 dark from 10 to {seconds * 0.75:g} s",
+            420.0,
+            (0.42, 0.33, 0.25),
+            (10.0, seconds * 0.75),
+            0.0,
+        ),
         ("zone 0 overfull, uneven nodes", 600.0, (0.72, 0.16, 0.12), None, 0.8),
     ]
     for day in days:
@@ -252,11 +270,16 @@
         with ProcessPoolExecutor(7) as pool:
             free = run("free", None, seconds, day)
             parts = (1.0, 0.3, 0.1, 0.03, 0.0)
-            jobs = [("never cross", -1.0, 0.0)] + [(f"{p:.0%} of free", p * free["crossed"], 0.0) for p in parts]
+            jobs = [("never cross", -1.0, 0.0)] + [
+                (f"{p:.0%} of free", p * free["crossed"], 0.0) for p in parts
+            ]
             jobs += [(f"{p:.0%} by traffic", p * free["crossed"], 1.0) for p in parts[:3] if day[4]]
             found = [free] + [
                 row.result()
-                for row in [pool.submit(run, name, budget, seconds, day, by_traffic) for name, budget, by_traffic in jobs]
+                for row in [
+                    pool.submit(run, name, budget, seconds, day, by_traffic)
+                    for name, budget, by_traffic in jobs
+                ]
             ]
         click.echo(
             f"\n{title}\n{'':15} {'in time':>8} {'KB/s crossed':>13} {'of it forced':>13} {'worst s of bound':>17}  by zone"
@@ -275,7 +298,9 @@
 
         figure, axes = pyplot.subplots(figsize=(7, 4))
         for name, found in shades:
-            axes.plot([r["crossed"] / 1000 for r in found], [r["in time"] * 100 for r in found], "o", label=name)
+            axes.plot(
+                [r["crossed"] / 1000 for r in found], [r["in time"] * 100 for r in found], "o", label=name
+            )
             for row in found:
                 axes.annotate(row["name"], (row["crossed"] / 1000, row["in time"] * 100), fontsize=6)
         axes.legend()
--- a/deploy/sites/apply.py
+++ b/deploy/sites/apply.py
@@ -1,9 +1,9 @@
 """Make another customer's site out of a given one: `python deploy/sites/apply.py OVERRIDES SITE OUT`.
 
 OVERRIDES is a TOML file with what differs. A table changes the fields that it names, a value replaces the
-site's value, and a list of tables replaces the site's list, where an entry with `like = N` starts as a copy of
-the site's entry N. OUT is a folder: the new site is written there, beside copies of the files that the bench
-reads next to a site. Exits with status 2 and one line on standard error where something can't be used.
+site's value, and a list of tables replaces the site's list, where an entry with `like = N` starts as a copy
+of the site's entry N. OUT is a folder: the new site is written there, beside copies of the files that the
+bench reads next to a site. Exits with status 2 and one line on standard error where something can't be used.
 """
 
 from __future__ import annotations
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,5 @@
-"""The command line as a user meets it: processes on loopback, exit codes, what is printed and what never is."""
+"""The command line as a user meets it: processes on loopback, exit codes, what is printed and what never
+is."""
 
 from __future__ import annotations
 
@@ -23,7 +24,9 @@
 def process(*command: str, stderr: Path) -> Iterator[tuple[subprocess.Popen[bytes], str]]:
     """A command that tells its address; ended by SIGTERM, and it must end well."""
     with stderr.open("wb") as file:
-        one = subprocess.Popen([sys.executable, "-m", "tuliptrack", *command], stdout=subprocess.PIPE, stderr=file)
+        one = subprocess.Popen(
+            [sys.executable, "-m", "tuliptrack", *command], stdout=subprocess.PIPE, stderr=file
+        )
         try:
             assert one.stdout
             yield one, json.loads(one.stdout.readline())["address"]
@@ -41,7 +44,9 @@
     logs = tmp_path / "log"
     with (
         process("lab", "engine", "--role", "READ", stderr=tmp_path / "r") as (_, reader),
-        process("lab", "engine", "--role", "WRITE", "--log", str(tmp_path / "seen"), stderr=tmp_path / "w") as (_, writer),
+        process(
+            "lab", "engine", "--role", "WRITE", "--log", str(tmp_path / "seen"), stderr=tmp_path / "w"
+        ) as (_, writer),
     ):
         (tmp_path / "servers").write_text(
             f'version: 1 servers {{ id: 1 address: "{reader}" kind: "r" }} servers {{ id: 2 address: "{writer}" kind: "w" }}'
@@ -70,7 +75,9 @@
 def test_a_node_that_cant_listen_or_read_its_settings_says_so_and_ends(tmp_path: Path) -> None:
     bad = tmp_path / "bad"
     bad.write_text("node { slot: 3 }")
-    done = subprocess.run([sys.executable, "-m", "tuliptrack", "serve", str(bad)], capture_output=True, text=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "tuliptrack", "serve", str(bad)], capture_output=True, text=True, timeout=60
+    )
     assert done.returncode == 2 and "node.slot" in done.stderr and "Traceback" not in done.stderr
     good = Path(__file__).parents[2] / "examples" / "node.textproto"
     with socket.create_server(("127.0.0.1", 0)) as holder:
@@ -78,6 +85,9 @@
         taken = tmp_path / "taken"
         taken.write_text(good.read_text().replace("127.0.0.1:7400", address).replace("/tmp/", f"{tmp_path}/"))
         done = subprocess.run(
-            [sys.executable, "-m", "tuliptrack", "serve", str(taken)], capture_output=True, text=True, timeout=60
+            [sys.executable, "-m", "tuliptrack", "serve", str(taken)],
+            capture_output=True,
+            text=True,
+            timeout=60,
         )
     assert done.returncode == 1 and address in done.stderr and "Traceback" not in done.stderr
--- a/tests/config/test_node_config.py
+++ b/tests/config/test_node_config.py
@@ -93,7 +93,10 @@
         + """zones { name: "a" name: "b" budget { bytes_per_s: 1000 burst_bytes: 90000 request_class: "a" }
       budget { bytes_per_s: 5 burst_bytes: 50000 quantum_bytes: 30000 } }"""
     )
-    assert [(b.quantum, b.classes) for b in found.settings.zone_budgets] == [(9000.0, frozenset({0})), (30000.0, frozenset())]
+    assert [(b.quantum, b.classes) for b in found.settings.zone_budgets] == [
+        (9000.0, frozenset({0})),
+        (30000.0, frozenset()),
+    ]
     assert found.zones.names == ("a", "b") and found.settings.state_bytes == 16
     assert problems(
         GOOD
@@ -159,7 +162,11 @@
     bad = tmp_path / "bad"
     bad.write_text(GOOD + "node { slot: 9 }\nlimits { tokens: -1 }")
     told = CliRunner().invoke(main, ["config", "check", str(bad)])
-    assert told.exit_code == 2 and f"{bad}:5: node.slot:" in told.output and f"{bad}:6: limits.tokens:" in told.output
+    assert (
+        told.exit_code == 2
+        and f"{bad}:5: node.slot:" in told.output
+        and f"{bad}:6: limits.tokens:" in told.output
+    )
     none = CliRunner().invoke(main, ["config", "check", str(tmp_path / "none")])
     assert none.exit_code == 2 and "can't be read" in none.output
     (tmp_path / "latin").write_bytes(b"node {\n# \xff\n}")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,10 +1,10 @@
-"""`KNOWN-RED.txt` at the root: tests that fail for a real fault that is known and not mended yet, three at most, a line each:
+"""`KNOWN-RED.txt` at the root: tests that fail for a real fault that is known and not mended yet, three at
+most, a line each:
 
     test id | cause | issue
 
-Only these may fail. Each is printed with its cause, and one that passes is printed as ready to be taken out. A line with a
-part missing, a fourth line, or an id that names no test fails the run.
-"""
+Only these may fail. Each is printed with its cause, and one that passes is printed as ready to be taken out.
+A line with a part missing, a fourth line, or an id that names no test fails the run."""
 
 from __future__ import annotations
 
@@ -30,7 +30,8 @@
 
 
 def known_red(root: Path) -> dict[str, KnownRed]:
-    """The file's lines by test; none where there is no file. pytest.UsageError names a line that can't be used."""
+    """The file's lines by test; none where there is no file. pytest.UsageError names a line that can't be
+    used."""
     file = root / NAME
     lines = file.read_text().splitlines() if file.exists() else []
     found: dict[str, KnownRed] = {}
@@ -50,7 +51,8 @@
 
 @pytest.fixture(autouse=True)
 def no_invariant_is_violated() -> Iterator[list[str]]:
-    """What nodes in this process count as a broken invariant fails the test; one that means to break it empties the list."""
+    """What nodes in this process count as a broken invariant fails the test; one that means to break it
+    empties the list."""
     broken: list[str] = []
     Counters.watchers.append(broken.append)
     yield broken
@@ -80,7 +82,9 @@
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     collected = {item.nodeid: item for item in items}
     files = {nodeid.partition("::")[0] for nodeid in collected}
-    chosen = any("::" in arg for arg in config.args)  # Single tests were asked for: others of their file aren't collected.
+    chosen = any(
+        "::" in arg for arg in config.args
+    )  # Single tests were asked for: others of their file aren't collected.
     for test, known in known_red(config.rootpath).items():
         file = test.partition("::")[0]
         if item := collected.get(test):
@@ -91,7 +95,10 @@
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
     known = known_red(config.rootpath)
-    for outcome, says in (("xfailed", "KNOWN RED, fails"), ("xpassed", "KNOWN RED, passes: ready to be taken out")):
+    for outcome, says in (
+        ("xfailed", "KNOWN RED, fails"),
+        ("xpassed", "KNOWN RED, passes: ready to be taken out"),
+    ):
         for report in terminalreporter.stats.get(outcome, []):
             if one := known.get(report.nodeid):
                 terminalreporter.write_line(f"{says}: {one.test} | {one.cause} | {one.issue}")
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -13,7 +13,9 @@
 
 @examples(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(st.one_of(WHO, st.integers(0, 30)), max_size=120))
-def test_no_count_passes_its_limit_and_what_ends_gives_back_its_place(steps: list[tuple[str, int] | int]) -> None:
+def test_no_count_passes_its_limit_and_what_ends_gives_back_its_place(
+    steps: list[tuple[str, int] | int],
+) -> None:
     admission, held, now = Admission(AdmissionLimits(8, 5, 3)), list[tuple[str, int]](), 0
     for step in steps:
         now += 1000
--- a/tests/decisions/test_bills.py
+++ b/tests/decisions/test_bills.py
@@ -1,4 +1,5 @@
-"""Bills are a function of the set of parts: order, doubling and merging change nothing, and nothing is billed twice."""
+"""Bills are a function of the set of parts: order, doubling and merging change nothing, and nothing is billed
+twice."""
 
 from __future__ import annotations
 
@@ -14,7 +15,9 @@
 PRICE = Price(2, 1, 10)
 
 
-def part(node: str, number: int, first: int = 0, next_: int = 0, outcome: int = SERVED, at: int = 0, **more: object) -> Part:
+def part(
+    node: str, number: int, first: int = 0, next_: int = 0, outcome: int = SERVED, at: int = 0, **more: object
+) -> Part:
     return Part(node, number, "a", "w", at, 100, 40, first, next_, outcome, price=PRICE, **more)  # type: ignore[arg-type]
 
 
@@ -92,13 +95,19 @@
     twice = fold([part("n1", 1, 0, 20, at=1), part("n2", 1, 0, 20, at=2)])[0]
     assert twice.amount == fold([part("n1", 1, 0, 20, at=1)])[0].amount
     assert fold([part("n1", 1, 0, 0, NOTHING, lost_read=100)])[0].amount == 0
-    assert fold([Part("n1", 1, "b", "w", 0, 100, 0, 0, 5, SERVED, price=PRICE), part("n1", 2, 0, 5)])[1].tenant == "b"  # the
+    assert (
+        fold([Part("n1", 1, "b", "w", 0, 100, 0, 0, 5, SERVED, price=PRICE), part("n1", 2, 0, 5)])[1].tenant
+        == "b"
+    )  # the
     # same name of work at two tenants is two works
 
 
 def test_the_price_is_that_of_the_earliest_part_of_each_token() -> None:
     dear = Price(0, 0, 100)
-    early, late = part("n1", 1, 0, 10, CUT, at=1), Part("n2", 1, "a", "w", 9, 100, 0, 5, 20, SERVED, price=dear)
+    early, late = (
+        part("n1", 1, 0, 10, CUT, at=1),
+        Part("n2", 1, "a", "w", 9, 100, 0, 5, 20, SERVED, price=dear),
+    )
     assert fold([late, early])[0].amount == 60 * 2 + 40 + 10 * 10 + 10 * 100
 
 
@@ -106,5 +115,10 @@
     states = [part("n1", 1, 0, 3, OPEN), part("n1", 1, 0, 9, OPEN), part("n1", 1, 0, 6, OPEN)]
     assert fold(states)[0].written == 9 and not fold(states)[0].whole
     assert fold([*states, part("n1", 1, 0, 12, SERVED)])[0].written == 12
-    sums = totals(fold([*states, Part("n1", 2, "a", "other", 86_400_000_000, 10, 0, 0, 1, SERVED, price=PRICE)]))
-    assert [(key, total.works, total.written) for key, total in sorted(sums.items())] == [(("a", 0), 1, 9), (("a", 1), 1, 1)]
+    sums = totals(
+        fold([*states, Part("n1", 2, "a", "other", 86_400_000_000, 10, 0, 0, 1, SERVED, price=PRICE)])
+    )
+    assert [(key, total.works, total.written) for key, total in sorted(sums.items())] == [
+        (("a", 0), 1, 9),
+        (("a", 1), 1, 1),
+    ]
--- a/tests/decisions/test_budgets.py
+++ b/tests/decisions/test_budgets.py
@@ -1,4 +1,5 @@
-"""Token budgets: their bound over all nodes, what is learnt of answers, what is lent, and what ends come to."""
+"""Token budgets: their bound over all nodes, what is learnt of answers, what is lent, and what ends come
+to."""
 
 from __future__ import annotations
 
@@ -16,7 +17,15 @@
 
 
 def budgets(windows: Mapping[str, tuple[Window, ...]], now: int = 100 * S, **more: object) -> Budgets:
-    made: dict[str, object] = {"replicas": 1, "windows": windows, "read": 1, "kept": 0, "written": 1, "lend": False, **more}
+    made: dict[str, object] = {
+        "replicas": 1,
+        "windows": windows,
+        "read": 1,
+        "kept": 0,
+        "written": 1,
+        "lend": False,
+        **more,
+    }
     return Budgets(BudgetSettings(**made), now)  # type: ignore[arg-type]
 
 
@@ -30,7 +39,9 @@
 
 
 MOVES = st.lists(
-    st.tuples(st.integers(0, 300_000), st.integers(0, 9), st.integers(1, 900), st.integers(0, 100)), min_size=1, max_size=120
+    st.tuples(st.integers(0, 300_000), st.integers(0, 9), st.integers(1, 900), st.integers(0, 100)),
+    min_size=1,
+    max_size=120,
 )
 
 
@@ -39,9 +50,13 @@
 def test_all_nodes_together_stay_within_the_window_and_a_turn_and_reservations_always_settle(
     replicas: int, units: int, turns: int, lend: bool, moves: list[tuple[int, int, int, int]]
 ) -> None:
-    """Whatever is asked where; with lending, tenants together stay within what theirs add up to, moved by LEND_US."""
+    """Whatever is asked where; with lending, tenants together stay within what theirs add up to, moved by
+    LEND_US."""
     window = Window(S, units, units // turns)
-    nodes = [budgets({"a": (window,), "b": (window,)}, replicas=replicas, slot=slot, lend=lend) for slot in range(replicas)]
+    nodes = [
+        budgets({"a": (window,), "b": (window,)}, replicas=replicas, slot=slot, lend=lend)
+        for slot in range(replicas)
+    ]
     now, used = 100 * S, list[tuple[int, str, int]]()
     for number, (gap, who, prompt, part) in enumerate(moves):
         now += gap
@@ -58,8 +73,14 @@
             inside = [(t, u) for at, t, u in used if start <= at <= end]
             if not lend:
                 for tenant in "ab":
-                    assert sum(u for t, u in inside if t == tenant) <= units * (end - start) / S + units + units // turns + 1
-            assert sum(u for _, u in inside) <= 2 * (units * (end - start + LEND_US) / S + units + units // turns) + 2
+                    assert (
+                        sum(u for t, u in inside if t == tenant)
+                        <= units * (end - start) / S + units + units // turns + 1
+                    )
+            assert (
+                sum(u for _, u in inside)
+                <= 2 * (units * (end - start + LEND_US) / S + units + units // turns) + 2
+            )
 
 
 def test_every_window_must_have_room_and_the_time_of_return_is_true() -> None:
@@ -132,7 +153,9 @@
         for n in range(4000):
             now = 101 * S + n * 5_000
             for who, tenant in enumerate("ab"):
-                if (tenant == "a" or (owner_busy and n % 20 == 0)) and not let_in(one, now, 2 * n + who, tenant, 100, 0).over:
+                if (tenant == "a" or (owner_busy and n % 20 == 0)) and not let_in(
+                    one, now, 2 * n + who, tenant, 100, 0
+                ).over:
                     one.settle(now, 2 * n + who, 0, 0, False)
                     counts[who] += 1
         return counts[0], counts[1]
@@ -156,7 +179,9 @@
     assert not let_in(again, DAY + 10 * S, 2, prompt=1000, most=0).over  # the next day
     again.settle(DAY + 10 * S, 2, 0, 0, False)
     assert again.tenants["a"].days[0].used == 1000
-    assert again._number(day["a"][0], 100 * S)[0] == 1  # a clock that steps back over midnight starts no new day
+    assert (
+        again._number(day["a"][0], 100 * S)[0] == 1
+    )  # a clock that steps back over midnight starts no new day
 
 
 def test_windows_that_mean_nothing_are_turned_down() -> None:
--- a/tests/decisions/test_models.py
+++ b/tests/decisions/test_models.py
@@ -20,7 +20,9 @@
 
 
 def change(
-    labels: dict[int, tuple[int, Model]], kind: ListKind = ListKind.FULL, state: ServerState = ServerState.READY
+    labels: dict[int, tuple[int, Model]],
+    kind: ListKind = ListKind.FULL,
+    state: ServerState = ServerState.READY,
 ) -> tuple[FleetChange, dict[int, Model]]:
     servers = tuple(server(i, k, state=state) for i, (k, _) in labels.items())
     return FleetChange(kind, 1, servers), {i: m for i, (_, m) in labels.items()}
@@ -68,7 +70,9 @@
     sessions = [f"s{n}" for n in range(2000)]
     went: list[list[str]] = []
     for new in range(11):
-        labels = {n: (READ if n % 2 else WRITE, Model("m", "2" if n <= 2 * new else "1")) for n in range(1, 21)}
+        labels = {
+            n: (READ if n % 2 else WRITE, Model("m", "2" if n <= 2 * new else "1")) for n in range(1, 21)
+        }
         made = catalog(labels)
         went.append([made.choose("m", "", s).version for s in sessions])
         assert went[-1].count("2") == pytest.approx(200 * new, abs=90)
@@ -79,7 +83,11 @@
 def test_models_past_the_bound_are_left_out_and_told_and_come_in_when_there_is_room() -> None:
     labels = {n: (READ, Model(f"m{n}")) for n in range(1, MOST_MODELS + 4)}
     made = catalog(labels)
-    assert len(made.listed()) == MOST_MODELS and made.left_out == {MOST_MODELS + 1, MOST_MODELS + 2, MOST_MODELS + 3}
+    assert len(made.listed()) == MOST_MODELS and made.left_out == {
+        MOST_MODELS + 1,
+        MOST_MODELS + 2,
+        MOST_MODELS + 3,
+    }
     del labels[1]
     made.split(*change(labels))
     assert len(made.listed()) == MOST_MODELS and len(made.left_out) == 2
@@ -89,7 +97,10 @@
     st.sampled_from(list(ListKind)[:2]),
     st.lists(
         st.tuples(
-            st.integers(1, 6), st.sampled_from([READ, WRITE]), st.sampled_from([A, B, B2]), st.sampled_from(list(ServerState))
+            st.integers(1, 6),
+            st.sampled_from([READ, WRITE]),
+            st.sampled_from([A, B, B2]),
+            st.sampled_from(list(ServerState)),
         ),
         max_size=6,
         unique_by=lambda e: e[0],
@@ -109,12 +120,16 @@
         if kind is ListKind.FULL:
             wanted.clear()
         wanted.update({i: (m, state) for i, _, m, state in entries})
-        for model, part in made.split(FleetChange(kind, 1, servers), {i: m for i, _, m, _ in entries}).items():
+        for model, part in made.split(
+            FleetChange(kind, 1, servers), {i: m for i, _, m, _ in entries}
+        ).items():
             held = seen.setdefault(model, {})
             if part.kind is ListKind.FULL:
                 held.clear()
             held.update({s.id: s.state for s in part.servers})
-        ready = {(m, i) for m, held in seen.items() for i, state in held.items() if state is ServerState.READY}
+        ready = {
+            (m, i) for m, held in seen.items() for i, state in held.items() if state is ServerState.READY
+        }
         assert ready == {(m, i) for i, (m, state) in wanted.items() if state is ServerState.READY}
 
 
@@ -124,7 +139,9 @@
     second = Router(kept, 2, first)
     for router, base in ((first, 10), (second, 20)):
         router.handle(S, [FleetChange(ListKind.FULL, 1, (server(base, READ), server(base + 1, WRITE)), 0.5)])
-    assert first.quotas == second.quotas == 501.0  # half of what the tenants have: the engines are half of the fleet
+    assert (
+        first.quotas == second.quotas == 501.0
+    )  # half of what the tenants have: the engines are half of the fleet
     said = []
     for number in range(14):  # the second tenant has two a second, whichever model it asks for
         router = (first, second)[number % 2]
--- a/tests/decisions/test_register.py
+++ b/tests/decisions/test_register.py
@@ -1,4 +1,5 @@
-"""The register that a majority holds: three controllers, five agents, messages in any order, lost and doubled."""
+"""The register that a majority holds: three controllers, five agents, messages in any order, lost and
+doubled."""
 
 from __future__ import annotations
 
@@ -65,14 +66,17 @@
             c.refused(rest[0])
 
     def check(self) -> None:
-        """What was settled is built on everything that was settled before it: nothing is lost, nothing forks."""
+        """What was settled is built on everything that was settled before it: nothing is lost, nothing
+        forks."""
         chain = [value for _, value in sorted(self.settled)]
         for one, two in pairwise(chain):
             assert two.startswith(one), f"{two!r} is settled after {one!r} and forgets it"
 
 
 def world(controllers: int = 2, agents: tuple[str, ...] = AGENTS) -> World:
-    return World([Proposer(i, frozenset(agents)) for i in range(controllers)], {a: Acceptor() for a in agents})
+    return World(
+        [Proposer(i, frozenset(agents)) for i in range(controllers)], {a: Acceptor() for a in agents}
+    )
 
 
 def random_world(seed: int, steps: int = 400) -> World:
--- a/tests/decisions/test_rollout.py
+++ b/tests/decisions/test_rollout.py
@@ -1,4 +1,5 @@
-"""Rolling changes decided over a small fleet in process: what is found, what is not blamed, and how many are ever out."""
+"""Rolling changes decided over a small fleet in process: what is found, what is not blamed, and how many are
+ever out."""
 
 from __future__ import annotations
 
@@ -9,7 +10,17 @@
 
 import pytest
 
-from tuliptrack.decisions.rollout import Command, Phase, Plan, PlanError, Record, Release, Report, Rollout, Stage
+from tuliptrack.decisions.rollout import (
+    Command,
+    Phase,
+    Plan,
+    PlanError,
+    Record,
+    Release,
+    Report,
+    Rollout,
+    Stage,
+)
 from tuliptrack.decisions.sequential_test import Baseline, Row, Wager
 
 S = 1_000_000
@@ -31,7 +42,9 @@
 class Hosts:
     """Hosts that carry a record out: a change takes two windows, and then they serve."""
 
-    def __init__(self, seed: int, rates: Rates, new_starts: bool = True, traffic: dict[str, float] | None = None) -> None:
+    def __init__(
+        self, seed: int, rates: Rates, new_starts: bool = True, traffic: dict[str, float] | None = None
+    ) -> None:
         self.random, self.rates, self.new_starts = Random(seed), rates, new_starts
         self.runs: dict[str, Release] = dict.fromkeys(HOSTS, OLD)
         self.ready_at = dict.fromkeys(HOSTS, -100)
@@ -56,7 +69,10 @@
         for host, zone in HOSTS.items():
             up, n = host not in out, round(self.random.gauss(1, 0.1) * self.traffic[host])
             rates = self.rates(host, self.runs[host] == NEW, self.windows)
-            bad = {m: sum(self.random.random() < min(p * self.kin[host], 1) for _ in range(n)) for m, p in rates.items()}
+            bad = {
+                m: sum(self.random.random() < min(p * self.kin[host], 1) for _ in range(n))
+                for m, p in rates.items()
+            }
             died = self.died.pop(host, 0)
             if host not in self.silent:
                 told.append(
@@ -78,11 +94,16 @@
 
 
 def worse(**more: float) -> Rates:
-    return lambda host, new, window: {m: p + (more.get(m, 0.0) if new else 0.0) for m, p in usual(host, new, 0).items()}
+    return lambda host, new, window: {
+        m: p + (more.get(m, 0.0) if new else 0.0) for m, p in usual(host, new, 0).items()
+    }
 
 
 def play(
-    hosts: Hosts, plan: Plan = PLAN, windows: int = 400, each: Callable[[int, Rollout, Hosts], Record | None] = lambda *_: None
+    hosts: Hosts,
+    plan: Plan = PLAN,
+    windows: int = 400,
+    each: Callable[[int, Rollout, Hosts], Record | None] = lambda *_: None,
 ) -> Rollout:
     """Learn for a while, begin the plan, and go on until it has ended."""
     rollout, now = Rollout(), 0
@@ -108,13 +129,19 @@
         assert set(hosts.runs.values()) == {NEW} and hosts.most_out <= PLAN.most_out
 
 
-@pytest.mark.parametrize(("measure", "more"), [("refused", 0.15), ("failed", 0.1), ("broken", 0.08), ("late", 0.3)])
+@pytest.mark.parametrize(
+    ("measure", "more"), [("refused", 0.15), ("failed", 0.1), ("broken", 0.08), ("late", 0.3)]
+)
 def test_a_defect_is_named_and_taken_back_before_the_second_stage(measure: str, more: float) -> None:
     for seed in range(6):
         hosts = Hosts(seed, worse(**{measure: more}))
         rollout = play(hosts)
         assert rollout.record.phase is Phase.TAKEN_BACK and measure in rollout.record.reason, rollout.record
-        assert set(hosts.runs.values()) == {OLD} and hosts.most_out <= PLAN.most_out and rollout.record.stage == 0
+        assert (
+            set(hosts.runs.values()) == {OLD}
+            and hosts.most_out <= PLAN.most_out
+            and rollout.record.stage == 0
+        )
 
 
 def test_a_release_that_never_starts_is_taken_back_and_costs_no_more_hosts_than_may_be_out() -> None:
@@ -198,7 +225,9 @@
 
     hosts = Hosts(6, usual)
     rollout = play(hosts, each=say)
-    assert rollout.record.phase is Phase.TAKEN_BACK and set(hosts.runs.values()) == {OLD} and hosts.most_out <= 2
+    assert (
+        rollout.record.phase is Phase.TAKEN_BACK and set(hosts.runs.values()) == {OLD} and hosts.most_out <= 2
+    )
     with pytest.raises(PlanError, match="taken back"):
         rollout.command(Command.PAUSE)
 
@@ -248,8 +277,8 @@
 
 
 def test_the_wager_stands_on_nodes_and_not_on_requests() -> None:
-    """A burst that all nodes of a stratum share is no evidence, however many requests it spoils; a stratum without an old
-    node says nothing."""
+    """A burst that all nodes of a stratum share is no evidence, however many requests it spoils; a stratum
+    without an old node says nothing."""
     usual, wager = Baseline(), Wager()
     rows = [Row(f"n{i}", ("z", "c"), 100, 2) for i in range(6)]
     for _ in range(60):
@@ -261,7 +290,9 @@
         wager.add([replace(r, bad=90, new=True) for r in rows], usual)
     assert wager.count == 50 * 200
     for _ in range(50):
-        wager.add([replace(r, bad=30 if r.node == "n0" else 2, new=r.node in ("n0", "n1")) for r in rows], usual)
+        wager.add(
+            [replace(r, bad=30 if r.node == "n0" else 2, new=r.node in ("n0", "n1")) for r in rows], usual
+        )
     assert wager.evidence > 7
     usual.forget({"n1"})
     assert {node for node, _ in usual.nodes} == {"n1"}
--- a/tests/decisions/test_zones.py
+++ b/tests/decisions/test_zones.py
@@ -68,7 +68,8 @@
     births: list[int],
     epoch: int,
 ) -> None:
-    """Whatever is asked where and when, with nodes that start again in between, and clocks with offsets of their own."""
+    """Whatever is asked where and when, with nodes that start again in between, and clocks with offsets of
+    their own."""
     budget = ZoneBudget(rate_kb * 1000.0, float(quantum * turns), float(quantum))
     offsets = [epoch + 1_000 * slot for slot in range(replicas)]  # each node's own clock starts elsewhere
     nodes = [crossings(replicas, slot, budget, offsets[slot]) for slot in range(replicas)]
@@ -104,7 +105,13 @@
     st.integers(-(10**15), 10**15),
 )
 def test_what_traffic_earns_stays_within_its_part_and_a_quantum_a_node_also_with_clocks_that_are_years_off(
-    replicas: int, rate_kb: int, quantum: int, turns: int, part: float, moves: list[tuple[int, int, int, int]], skew: int
+    replicas: int,
+    rate_kb: int,
+    quantum: int,
+    turns: int,
+    part: float,
+    moves: list[tuple[int, int, int, int]],
+    skew: int,
 ) -> None:
     budget = ZoneBudget(rate_kb * 1000.0, float(quantum * turns), float(quantum), by_traffic=part)
     each = part * budget.bytes_per_s / 100
@@ -112,7 +119,11 @@
     nodes = [
         Crossings(
             settings(
-                replicas=replicas, slot=slot, zone_budgets=(budget,), epoch_offset=offset, tenants=(Tenant("a", 1.0, 100.0),)
+                replicas=replicas,
+                slot=slot,
+                zone_budgets=(budget,),
+                epoch_offset=offset,
+                tenants=(Tenant("a", 1.0, 100.0),),
             )
         )
         for slot, offset in enumerate(offsets)
@@ -129,7 +140,9 @@
     for start, _ in sent:
         for end in (start + 100_000, start + 2_000_000, at):
             earned = each * sum(start - life <= t <= end for t in came) + budget.quantum * replicas
-            by_turns = (1 - part) * (budget.bytes_per_s * (end - start) / 1e6 + budget.burst) + budget.quantum * replicas
+            by_turns = (1 - part) * (
+                budget.bytes_per_s * (end - start) / 1e6 + budget.burst
+            ) + budget.quantum * replicas
             assert sum(s for t, s in sent if start <= t <= end) <= earned + by_turns + 1
 
 
@@ -139,7 +152,9 @@
     for part in (0.0, 1.0):
         budget = ZoneBudget(1_000_000.0, 5_000_000.0, 50_000.0, by_traffic=part)
         nodes = [
-            Crossings(settings(replicas=20, slot=slot, zone_budgets=(budget,), tenants=(Tenant("a", 1.0, 100.0),)))
+            Crossings(
+                settings(replicas=20, slot=slot, zone_budgets=(budget,), tenants=(Tenant("a", 1.0, 100.0),))
+            )
             for slot in range(20)
         ]
         chance = random.Random(3)
@@ -149,11 +164,14 @@
             node = nodes[chance.randrange(2) if chance.random() < 0.9 else chance.randrange(20)]
             node.arrived(at)
             used[part] += node.reserve(at, number, 0, 50_000.0, retry=False) is Cause.BUDGET
-    assert used[0.0] < 0.55 * 600 and 0.9 * 600 < used[1.0] <= 600 + 100 + 20, used  # 600 quanta accrue, 100 may be saved
+    assert used[0.0] < 0.55 * 600 and 0.9 * 600 < used[1.0] <= 600 + 100 + 20, (
+        used
+    )  # 600 quanta accrue, 100 may be saved
 
 
 def test_many_nodes_share_a_budget_of_less_than_a_request_each_and_none_is_starved() -> None:
-    """190 nodes, one request of 20,000 bytes every 100 ms for all of them: each gets its turn, none gets two."""
+    """190 nodes, one request of 20,000 bytes every 100 ms for all of them: each gets its turn, none gets
+    two."""
     budget = ZoneBudget(200_000.0, 40_000.0, 20_000.0)
     nodes = [crossings(190, slot, budget) for slot in range(190)]
     used = [0] * 190
@@ -228,7 +246,9 @@
             sent, send = out.pop(chance.randrange(len(out)))
             lag = w.now - sent + 20 * MS
             if w.router.seats[send.server].role.value == "read":
-                said = w.tell(Outcome(send.id, w.tries[send.id], send.server, Status.READ, lag, load=(1.0, 0.2)))
+                said = w.tell(
+                    Outcome(send.id, w.tries[send.id], send.server, Status.READ, lag, load=(1.0, 0.2))
+                )
             elif chance.random() < 0.1:
                 said = w.tell(Outcome(send.id, w.tries[send.id], send.server, Status.FULL, lag))
             else:
@@ -303,7 +323,9 @@
         written = only(Send, w.end(read.id, 10, Status.READ))
         assert written.server == 11
         w.start(read.id, 11)
-        w.end(read.id, 11, Status.OK, over=True, load=(3.0, 0.4))  # two fifths held: clearly above nothing told
+        w.end(
+            read.id, 11, Status.OK, over=True, load=(3.0, 0.4)
+        )  # two fifths held: clearly above nothing told
 
 
 def test_a_jam_at_home_tells_nothing_of_another_zone() -> None:
@@ -314,7 +336,10 @@
         server(30, WRITE),
         server(31, WRITE, zone=1),
     ]
-    w = world(pool, **{**BUDGET, "replicas": 100, "report_fields": ("in_flight", "memory_share", "tokens_waiting_k")})
+    w = world(
+        pool,
+        **{**BUDGET, "replicas": 100, "report_fields": ("in_flight", "memory_share", "tokens_waiting_k")},
+    )
     servers = []
     for _ in range(30):
         _, said = w.ask(after=30 * MS, prefix=0)
@@ -339,7 +364,10 @@
     begin = 10 * S + DARK_US
     assert (1, "read servers coming back") in returns.note(begin, [key] * 2)
     draws = [n / 100 for n in range(100)]
-    parts = [sum(returns.admits(begin + RETURN_US * n // 4, 1, Role.READ, d) for d in draws) / 100 for n in range(5)]
+    parts = [
+        sum(returns.admits(begin + RETURN_US * n // 4, 1, Role.READ, d) for d in draws) / 100
+        for n in range(5)
+    ]
     assert parts == sorted(parts) and parts[0] == pytest.approx(RETURN_FROM, abs=0.01) and parts[-1] == 1.0
     assert not returns.back
     returns.note(100 * S, [])  # a zone that stays dark is taken for closed in the end
@@ -348,7 +376,8 @@
 
 
 def _return(w: World, near: list[Server], busy: bool) -> list[int]:
-    """Its zone is told gone, and ready again 5 s later; in which half-seconds after it was read at home how often."""
+    """Its zone is told gone, and ready again 5 s later; in which half-seconds after it was read at home how
+    often."""
     w.list(*(replace(s, state=ServerState.GONE) for s in near))
     w.now += 5 * S
     said = w.list(*near)
@@ -375,7 +404,9 @@
 
 
 def test_a_servers_zone_may_change_while_it_works() -> None:
-    w = world([server(10, READ), server(11, WRITE), server(20, READ, zone=1), server(21, WRITE, zone=1)], **BUDGET)
+    w = world(
+        [server(10, READ), server(11, WRITE), server(20, READ, zone=1), server(21, WRITE, zone=1)], **BUDGET
+    )
     _, said = w.ask(after=S)
     assert only(Send, said).server == 10
     w.list(server(10, READ, zone=1), server(20, READ))  # they change places, with a state at one of them
--- a/tests/deploy/test_sites.py
+++ b/tests/deploy/test_sites.py
@@ -52,7 +52,9 @@
 
 
 def apply(*arguments: object) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, str(SITES / "apply.py"), *map(str, arguments)], capture_output=True, text=True)
+    return subprocess.run(
+        [sys.executable, str(SITES / "apply.py"), *map(str, arguments)], capture_output=True, text=True
+    )
 
 
 def made(given: Path, overrides: str) -> dict[str, Any]:
@@ -129,12 +131,18 @@
 
 
 def test_the_variants_differ_as_they_are_meant_to(given: Path) -> None:
-    """One has a connect time-out longer than its release time, a keyed class with a short window and an unsafe one; one has
-    a single class. The settings of both are in the files; the rest comes from the site that they are applied to."""
-    notes, archive = (tomllib.loads((SITES / f"{name}.toml").read_text()) for name in ("clinic-notes", "press-archive"))
+    """One has a connect time-out longer than its release time, a keyed class with a short window and an
+    unsafe one; one has a single class. The settings of both are in the files; the rest comes from the site
+    that they are applied to."""
+    notes, archive = (
+        tomllib.loads((SITES / f"{name}.toml").read_text()) for name in ("clinic-notes", "press-archive")
+    )
     assert notes["tier"][0]["conn"]["connect_timeout_ms"] > notes["fam"]["release_ms"]
     effects = {one["effect"]: one for one in notes["class"]}
-    assert set(effects) == {"safe", "keyed", "unsafe"} and effects["keyed"]["window_ms"] < effects["keyed"]["deadline_ms"]
+    assert (
+        set(effects) == {"safe", "keyed", "unsafe"}
+        and effects["keyed"]["window_ms"] < effects["keyed"]["deadline_ms"]
+    )
     assert len(archive["class"]) == len(archive["fam"]["class"]) == 1
     for variant in (notes, archive):
         assert len(variant["class"]) == len(variant["fam"]["class"])
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -1,4 +1,5 @@
-"""An agent's promises over its restarts, a full disk and old orders; its node is a small program of the test."""
+"""An agent's promises over its restarts, a full disk and old orders; its node is a small program of the
+test."""
 
 from __future__ import annotations
 
@@ -22,7 +23,9 @@
 
 ONE, TWO = Release("one", "conf"), Release("two", "conf")
 NODE = f"#!{sys.executable}\nimport json, time\nprint(json.dumps({{'address': '127.0.0.1:9'}}), flush=True)\ntime.sleep(600)\n"
-STUBBORN = NODE.replace("import json, time", "import json, signal, time; signal.signal(signal.SIGTERM, signal.SIG_IGN)")
+STUBBORN = NODE.replace(
+    "import json, time", "import json, signal, time; signal.signal(signal.SIGTERM, signal.SIG_IGN)"
+)
 
 
 def host(root: Path, one: str = NODE) -> Path:
@@ -51,7 +54,9 @@
         await self.agent.stop()
 
     async def promise(self, epoch: int) -> pb.AgentAnswer:
-        return await ask(self.channel, "Agent/Promise", pb.PromiseRequest(epoch=epoch), pb.AgentAnswer, 2_000_000)
+        return await ask(
+            self.channel, "Agent/Promise", pb.PromiseRequest(epoch=epoch), pb.AgentAnswer, 2_000_000
+        )
 
     async def accept(self, epoch: int, number: int, value: bytes) -> pb.AgentAnswer:
         request = pb.AcceptRequest(mark=pb.Mark(epoch=epoch, number=number), value=value)
@@ -80,14 +85,22 @@
             assert a.agent.changes == 1 and a.agent.died == 0
             assert not (await a.order(64, 9, ONE)).obeyed and not (await a.order(65, 0, ONE)).obeyed
             assert (await a.promise(130)).agreed
-            assert not (await a.order(65, 2, ONE)).obeyed, "an epoch that was promised shuts the older one out"
-        async with Asking(tmp_path / "h") as a:  # Another life of the agent: node, promises and record are still there.
+            assert not (await a.order(65, 2, ONE)).obeyed, (
+                "an epoch that was promised shuts the older one out"
+            )
+        async with Asking(
+            tmp_path / "h"
+        ) as a:  # Another life of the agent: node, promises and record are still there.
             try:
                 held = await a.promise(1)
                 assert (held.agreed, held.promised, held.value) == (False, 130, b"record")
-                assert not (await a.order(65, 9, ONE)).obeyed and a.agent.running == TWO and a.agent.changes == 1
+                assert (
+                    not (await a.order(65, 9, ONE)).obeyed and a.agent.running == TWO and a.agent.changes == 1
+                )
                 command = ["agent", "h", str(tmp_path / "h"), "--program", "one", "--settings", "conf"]
-                second = subprocess.run([sys.executable, "-m", "tuliptrack", *command], capture_output=True, text=True)
+                second = subprocess.run(
+                    [sys.executable, "-m", "tuliptrack", *command], capture_output=True, text=True
+                )
                 assert second.returncode == 1 and "another agent has this host" in second.stderr
             finally:
                 a.kill_node()
@@ -95,7 +108,9 @@
     run(go, 60)
 
 
-def test_a_full_disk_promises_nothing_and_loses_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_disk_promises_nothing_and_loses_nothing(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def go() -> None:
         async with Asking(host(tmp_path)) as a:
             await until(lambda: a.agent.ready_at)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,5 +1,6 @@
-"""Rolling changes by real processes: three controllers, three agents and their nodes, engines, clients that go on asking, and
-controllers that are killed, paused or cut short in between. Judged by what clients and processes show."""
+"""Rolling changes by real processes: three controllers, three agents and their nodes, engines, clients that
+go on asking, and controllers that are killed, paused or cut short in between. Judged by what clients and
+processes show."""
 
 from __future__ import annotations
 
@@ -184,7 +185,10 @@
         found = set()
         for entry in Path("/proc").iterdir():
             try:
-                if entry.name.isdigit() and f"TULIPTRACK_HOST={self.folder}".encode() in (entry / "environ").read_bytes():
+                if (
+                    entry.name.isdigit()
+                    and f"TULIPTRACK_HOST={self.folder}".encode() in (entry / "environ").read_bytes()
+                ):
                     found.add(int(entry.name))
             except OSError:
                 continue
@@ -205,7 +209,9 @@
         for host in HOSTS:
             root = folder / host
             (root / "settings").mkdir(parents=True)
-            (root / "settings" / CONF).write_text(f'{SETTINGS} servers {{ feed: "{feed}" cache: "{root / "list"}" }}')
+            (root / "settings" / CONF).write_text(
+                f'{SETTINGS} servers {{ feed: "{feed}" cache: "{root / "list"}" }}'
+            )
             for program, text in PROGRAMS.items():
                 (root / "programs" / program).mkdir(parents=True)
                 (root / "programs" / program / "run").write_text(f"#!{sys.executable}\nimport sys\n{text}")
@@ -267,10 +273,16 @@
                 await f.ask("Begin", f.plan(BAD, stages=[{"hosts": ["h9"]}]))
             await f.ask("Begin", f.plan(BAD))
             record = await f.until_phase("taken back", "done", "held")
-            assert record["phase"] == "taken back" and "'refused'" in record["reason"] and record["stage"] == 0
+            assert (
+                record["phase"] == "taken back" and "'refused'" in record["reason"] and record["stage"] == 0
+            )
             reports = await f.look()
-            assert {r.release.program for r in reports.values()} == {GOOD} and all(r.ready for r in reports.values())
-            assert [reports[h].changes for h in HOSTS] == [2, 0, 0], "there and back, each once; nobody else touched"
+            assert {r.release.program for r in reports.values()} == {GOOD} and all(
+                r.ready for r in reports.values()
+            )
+            assert [reports[h].changes for h in HOSTS] == [2, 0, 0], (
+                "there and back, each once; nobody else touched"
+            )
             assert f.most_out <= 1
 
     run(go, 120)
@@ -313,7 +325,9 @@
                 if all(r.ready for r in after.values()):
                     break
                 await asyncio.sleep(0.05)
-            assert f.pids() == nodes and {h: r.address for h, r in after.items()} == {h: r.address for h, r in before.items()}
+            assert f.pids() == nodes and {h: r.address for h, r in after.items()} == {
+                h: r.address for h, r in before.items()
+            }
             assert not any(r.died for r in after.values())
 
     run(go, 120)
@@ -338,7 +352,10 @@
             f.wires["h0"].set(Cut.BACK)
             while not f.hosts or f.hosts["h0"]["heard"]:
                 await f.record()
-            await f.ask("Begin", f.plan(GOOD + "b", stages=[{"hosts": ["h1"], "shortest": 0}, {"hosts": ["h0", "h2"]}]))
+            await f.ask(
+                "Begin",
+                f.plan(GOOD + "b", stages=[{"hosts": ["h1"], "shortest": 0}, {"hosts": ["h0", "h2"]}]),
+            )
             for _ in range(40):
                 reports = await f.look()
                 assert reports["h1"].changes == reports["h2"].changes == 0 and f.most_out <= 1
@@ -352,7 +369,9 @@
     run(go, 120)
 
 
-def test_the_acting_controller_dies_while_a_host_changes_and_the_defect_is_still_found(tmp_path: Path) -> None:
+def test_the_acting_controller_dies_while_a_host_changes_and_the_defect_is_still_found(
+    tmp_path: Path,
+) -> None:
     async def go() -> None:
         async with fleet(tmp_path) as f:
             await f.ask("Begin", f.plan(BAD))
--- a/tests/fronts/test_kserve.py
+++ b/tests/fronts/test_kserve.py
@@ -1,4 +1,5 @@
-"""The v2 protocol's hard cases on real sockets: streams of many requests, models and versions, slow and broken clients."""
+"""The v2 protocol's hard cases on real sockets: streams of many requests, models and versions, slow and
+broken clients."""
 
 from __future__ import annotations
 
@@ -26,7 +27,9 @@
 
 def request(prompt: str, id_: str = "", model: str = "", **parameters: Any) -> pb.ModelInferRequest:
     made = pb.ModelInferRequest(model_name=model, id=id_)
-    made.inputs.add(name="text_input", datatype="BYTES", shape=[1]).contents.bytes_contents.append(prompt.encode())
+    made.inputs.add(name="text_input", datatype="BYTES", shape=[1]).contents.bytes_contents.append(
+        prompt.encode()
+    )
     for name, value in parameters.items():
         kind = {bool: "bool_param", int: "int64_param", str: "string_param"}[type(value)]
         setattr(made.parameters[name], kind, value)
@@ -42,7 +45,9 @@
         self.errors: dict[str, str] = {}
         self.facts: dict[str, dict[str, Any]] = {}
         self.ends: list[End] = []
-        self.call: ClientCall = w.channel.call(SERVICE + "ModelStreamInfer", on_message=self.message, on_end=self.ends.append)
+        self.call: ClientCall = w.channel.call(
+            SERVICE + "ModelStreamInfer", on_message=self.message, on_end=self.ends.append
+        )
 
     def message(self, data: bytes) -> None:
         got = pb.ModelStreamInferResponse.FromString(data)
@@ -51,7 +56,9 @@
             self.errors[response.id] = got.error_message
         for raw in response.raw_output_contents:
             self.text.setdefault(response.id, []).append(raw[4:].decode())
-        facts = {k: getattr(v, v.WhichOneof("parameter_choice") or "") for k, v in response.parameters.items()}
+        facts = {
+            k: getattr(v, v.WhichOneof("parameter_choice") or "") for k, v in response.parameters.items()
+        }
         self.facts[response.id] = facts
         self.finals[response.id] = self.finals.get(response.id, 0) + facts.get("triton_final_response", False)
 
@@ -73,7 +80,10 @@
             w.node.admission.limits = type(w.node.admission.limits)(2, 20, 20)  # no room for the third
             stream.ask("3")
             await until(lambda: "3" in stream.errors)
-            assert stream.errors["3"].startswith("refused: too many requests") and "harmless" in stream.errors["3"]
+            assert (
+                stream.errors["3"].startswith("refused: too many requests")
+                and "harmless" in stream.errors["3"]
+            )
             assert stream.facts["3"]["error"] == "REFUSED" and stream.facts["3"]["retry_after_ms"] > 0
             w.node.admission.limits = type(w.node.admission.limits)(1000, 1000, 1000)
             stream.ask("4")
@@ -82,7 +92,9 @@
                 w.engines[name].apply(lab_pb2.Trouble(lose_after=1.0, lose_after_tokens=5))
             stream.ask("5")
             await until(lambda: "5" in stream.errors)
-            assert "it can go on from token 5" in stream.errors["5"] and stream.facts["5"]["error"] == "BROKEN"
+            assert (
+                "it can go on from token 5" in stream.errors["5"] and stream.facts["5"]["error"] == "BROKEN"
+            )
             for name in ("w0", "w1"):
                 w.engines[name].apply(lab_pb2.Trouble())
             for n in ("6", "7", "8", "9", "10"):
@@ -96,7 +108,11 @@
             assert stream.finals["3"] == stream.finals["5"] == 1
             gone = {row["request"] for row in w.seen("gone", kind="write")}
             assert len(gone) >= 5  # the fifth, and those that the client left
-            assert w.node.admission.open == 0 and not w.node.admission.tenants and not w.node.admission.connections
+            assert (
+                w.node.admission.open == 0
+                and not w.node.admission.tenants
+                and not w.node.admission.connections
+            )
 
     run(go, virtual=True)
 
@@ -211,7 +227,9 @@
         async with world(settings=KSERVE) as w:
             for message, field, words in cases:
                 ends: list[End] = []
-                w.channel.call(SERVICE + "ModelInfer", message=message.SerializeToString(), on_end=ends.append)
+                w.channel.call(
+                    SERVICE + "ModelInfer", message=message.SerializeToString(), on_end=ends.append
+                )
                 await until(lambda ends=ends: ends)  # type: ignore[misc]
                 status = ends[0].status
                 bad = next(d for d in status.parsed() if d.DESCRIPTOR.name == "BadRequest")
@@ -231,14 +249,26 @@
     run(go, virtual=True)
 
 
-MODELS = {"r0": ("tulip", "1"), "w0": ("tulip", "1"), "r1": ("tulip", "2"), "w1": ("tulip", "2"), "m0": ("rose", "1")}
+MODELS = {
+    "r0": ("tulip", "1"),
+    "w0": ("tulip", "1"),
+    "r1": ("tulip", "2"),
+    "w1": ("tulip", "2"),
+    "m0": ("rose", "1"),
+}
 
 
-async def infer(w: World, prompt: str, model: str, version: str = "", **parameters: Any) -> tuple[End, pb.ModelInferResponse]:
+async def infer(
+    w: World, prompt: str, model: str, version: str = "", **parameters: Any
+) -> tuple[End, pb.ModelInferResponse]:
     made, got, ends = request(prompt, model=model, **parameters), list[bytes](), list[End]()
     made.model_version = version
     w.channel.call(
-        SERVICE + "ModelInfer", message=made.SerializeToString(), on_message=got.append, on_end=ends.append, timeout=10_000_000
+        SERVICE + "ModelInfer",
+        message=made.SerializeToString(),
+        on_message=got.append,
+        on_end=ends.append,
+        timeout=10_000_000,
     )
     await until(lambda: ends)
     return ends[0], pb.ModelInferResponse.FromString(got[0] if got else b"")
@@ -263,10 +293,15 @@
                 used.setdefault(f"s{n % 10}", set()).update(row["model"] for row in w.seen("call")[before:])
             assert all(len(models) == 1 for models in used.values())
             assert set.union(*used.values()) == {"tulip:1", "tulip:2"}
-            for model, version, field in (("lily", "", "model"), ("tulip", "3", "model_version"), ("", "", "model")):
+            for model, version, field in (
+                ("lily", "", "model"),
+                ("tulip", "3", "model_version"),
+                ("", "", "model"),
+            ):
                 end, _ = await infer(w, "q", model, version)
                 assert end.status.code is Code.NOT_FOUND and end.status.message.startswith(field)
-            # A failure of one model says nothing of the other: the rose's server is blamed in its own router alone.
+            # A failure of one model says nothing of the other: the rose's server is blamed in its own router
+            # alone.
             w.engines["m0"].apply(lab_pb2.Trouble(lose_before=1.0))
             await infer(w, "q9", "rose", timeout=400_000)
             assert (await infer(w, "q1", "tulip"))[0].status.code is Code.OK
@@ -285,13 +320,18 @@
             w.feed.change(w.entry("m0", fleet_pb2.ServerEntry.DRAINING))
             await until(lambda: not w.node.models.ready("rose"))
             end, _ = await infer(w, "q8", "rose")  # known, but nothing is ready: it may come back
-            assert end.status.code is Code.UNAVAILABLE and "no engines of 'rose' are ready" in end.status.message
+            assert (
+                end.status.code is Code.UNAVAILABLE and "no engines of 'rose' are ready" in end.status.message
+            )
             w.feed.change(w.entry("m0", fleet_pb2.ServerEntry.GONE))
             await until(lambda: "rose" not in {m.name for m in w.node.models.listed()})
             end, _ = await infer(w, "q9", "rose")
             assert end.status.code is Code.NOT_FOUND
             for end, _ in await asyncio.gather(*waits):
-                assert end.status.code in (Code.DEADLINE_EXCEEDED, Code.UNAVAILABLE) and end.how.value == "status"
+                assert (
+                    end.status.code in (Code.DEADLINE_EXCEEDED, Code.UNAVAILABLE)
+                    and end.how.value == "status"
+                )
             assert (await infer(w, "q1", "tulip"))[0].status.code is Code.OK
             # Its router goes with the next list, as nothing of it is open any more.
             w.feed.change(w.entry("r0"))
@@ -356,12 +396,20 @@
             one.generate("q2 what?", max_tokens=3, id="two")
             assert (await one.answer())[1]["text_output"] == answer("q1")
             status, got = await one.answer()
-            assert (status, got["id"], got["completion_tokens"], got["finish_reason"]) == (200, "two", 3, "length")
+            assert (status, got["id"], got["completion_tokens"], got["finish_reason"]) == (
+                200,
+                "two",
+                3,
+                "length",
+            )
             one.generate("q3 what?", stream=True, parameters={"priority": 1})
             status, headers = await one.head()
             assert status == 200 and headers["content-type"] == "text/event-stream"
             events = [event async for event in one.events()]
-            assert "".join(e["text_output"] for e in events) == answer("q3") and events[-1]["finish_reason"] == "stop"
+            assert (
+                "".join(e["text_output"] for e in events) == answer("q3")
+                and events[-1]["finish_reason"] == "stop"
+            )
             assert [e["index"] for e in events] == list(range(len(events)))
             assert {row["cls"] for row in w.seen("call") if row["tag"] == "q3"} == {"summary"}
             for path, status in (("/v2/models/m/huh", 404), ("/v3", 404), ("/v2/models/m/generate", 405)):
@@ -378,7 +426,11 @@
             ):
                 one.send("POST", "/v2/models/m/generate", body)
                 status, got = await one.answer()
-                assert status == 400 and got["field"].startswith(("parameters", "body", "text_input")), (body[:30], got, field)
+                assert status == 400 and got["field"].startswith(("parameters", "body", "text_input")), (
+                    body[:30],
+                    got,
+                    field,
+                )
 
     run(go, virtual=True)
 
@@ -407,7 +459,12 @@
     async def go() -> None:
         limits = "limits { message_bytes: 20000 answer_bytes: 4096 client_stall_ms: 400 body_bytes: 30000 }"
         model = "answer_least: 30000 answer_most: 30000 step_ms: 0.2 per_answer_ms: 0"
-        async with world(settings=KSERVE + limits, model=model) as w, rest(w) as slow, rest(w) as big, rest(w) as deaf:
+        async with (
+            world(settings=KSERVE + limits, model=model) as w,
+            rest(w) as slow,
+            rest(w) as big,
+            rest(w) as deaf,
+        ):
             slow.writer.write(HEAD + b"content-length: 100\r\n\r\n{")
             big.send("POST", "/v2/models/m/generate", b"")
             assert (await big.answer())[0] == 400
@@ -415,7 +472,9 @@
             assert (await big.answer())[0] == 413  # without a byte of the body
             async with rest(w) as chunked:  # nor is a body without a length read past the limit
                 chunked.writer.write(HEAD + b"transfer-encoding: chunked\r\n\r\n")
-                chunked.writer.write(b"4000\r\n" + b" " * 0x4000 + b"\r\n" + b"4000\r\n" + b" " * 0x4000 + b"\r\n")
+                chunked.writer.write(
+                    b"4000\r\n" + b" " * 0x4000 + b"\r\n" + b"4000\r\n" + b" " * 0x4000 + b"\r\n"
+                )
                 assert (await chunked.answer())[0] == 413
             async with rest(w) as held:  # others' bodies that are still arriving leave no room for this one
                 held.writer.write(HEAD + b"content-length: 19000\r\n\r\n{")
@@ -451,7 +510,9 @@
                 actions = handle(now, events)
                 for event in events:
                     if type(event).__name__ == "Request":
-                        names = "cls prompt_tokens prefix_tokens max_tokens session prefix tenant repeat resumed"
+                        names = (
+                            "cls prompt_tokens prefix_tokens max_tokens session prefix tenant repeat resumed"
+                        )
                         facts = {name: getattr(event, name) for name in names.split()}
                         seen.append(("asked", facts))
                 seen.extend(("send", a.server) for a in actions if isinstance(a, Send))
--- a/tests/fronts/test_kserve_peers.py
+++ b/tests/fronts/test_kserve_peers.py
@@ -1,4 +1,5 @@
-"""The v2 protocol as its stock clients speak it: Triton's gRPC client (streams included) and its HTTP client."""
+"""The v2 protocol as its stock clients speak it: Triton's gRPC client (streams included) and its HTTP
+client."""
 
 from __future__ import annotations
 
@@ -44,8 +45,13 @@
         assert one["live"] and one["ready"] and one["model ready"] == [True, False, False]
         assert one["metadata"]["name"] == "tuliptrack" and "generate" in one["metadata"]["extensions"]
         assert one["model"]["versions"] == ["1"] and one["model"]["inputs"][0]["name"] == "text_input"
-        assert "text_input: is required" in one["no text"] and "'rose' is not served here" in one["unknown model"]
-    assert grpc["unknown model"].startswith("StatusCode.NOT_FOUND") and http["unknown model"].startswith("404")
+        assert (
+            "text_input: is required" in one["no text"]
+            and "'rose' is not served here" in one["unknown model"]
+        )
+    assert grpc["unknown model"].startswith("StatusCode.NOT_FOUND") and http["unknown model"].startswith(
+        "404"
+    )
     assert grpc["no text"].startswith("StatusCode.INVALID_ARGUMENT") and http["no text"].startswith("400")
     assert "parameters.huh" in grpc["bad parameter"] and "UNIMPLEMENTED" in grpc["config"]
     assert grpc["infer"] == {"id": "one", "text": whole("q1", 5), "finish": "length"}
--- a/tests/fronts/test_tensors.py
+++ b/tests/fronts/test_tensors.py
@@ -1,4 +1,5 @@
-"""Tensors of the v2 protocol: what is written comes back, and garbage is told, never raised past `TensorError`."""
+"""Tensors of the v2 protocol: what is written comes back, and garbage is told, never raised past
+`TensorError`."""
 
 from __future__ import annotations
 
@@ -14,7 +15,15 @@
 from tuliptrack.fronts.kserve.grpc import infer_of as grpc_infer
 from tuliptrack.fronts.kserve.rest import generate_of
 from tuliptrack.fronts.kserve.rest import infer_of as rest_infer
-from tuliptrack.fronts.kserve.tensors import DATATYPES, Tensor, TensorError, from_contents, from_json, from_raw, to_raw
+from tuliptrack.fronts.kserve.tensors import (
+    DATATYPES,
+    Tensor,
+    TensorError,
+    from_contents,
+    from_json,
+    from_raw,
+    to_raw,
+)
 from tuliptrack.fronts.port import AskError
 from tuliptrack.proto import kserve_pb2 as pb
 
@@ -28,16 +37,24 @@
         return st.booleans()
     if datatype[0] in "IU":
         bits = int(datatype.lstrip("UINT"))
-        return st.integers(0, (1 << bits) - 1) if datatype[0] == "U" else st.integers(-(1 << bits - 1), (1 << bits - 1) - 1)
+        return (
+            st.integers(0, (1 << bits) - 1)
+            if datatype[0] == "U"
+            else st.integers(-(1 << bits - 1), (1 << bits - 1) - 1)
+        )
     width: Any = {"FP16": 16, "FP32": 32, "FP64": 64}[datatype]
     return st.floats(width=width, allow_nan=False, allow_infinity=False)
 
 
 @examples(max_examples=200, deadline=None, derandomize=True)
 @given(st.data(), st.sampled_from(sorted(DATATYPES)), SHAPES)
-def test_every_datatype_and_shape_survives_each_form(data: st.DataObject, datatype: str, shape: list[int]) -> None:
+def test_every_datatype_and_shape_survives_each_form(
+    data: st.DataObject, datatype: str, shape: list[int]
+) -> None:
     count = math.prod(shape)
-    one = Tensor("t", datatype, tuple(shape), data.draw(st.lists(values(datatype), min_size=count, max_size=count)))
+    one = Tensor(
+        "t", datatype, tuple(shape), data.draw(st.lists(values(datatype), min_size=count, max_size=count))
+    )
     raw = from_raw("t", datatype, shape, to_raw(one))
     assert list(raw.values) == list(one.values) and raw.shape == one.shape
     if datatype != "BYTES":
@@ -57,7 +74,11 @@
 
 
 @examples(max_examples=300, deadline=None, derandomize=True)
-@given(st.sampled_from([*sorted(DATATYPES), "HUH"]), st.lists(st.integers(-2, 1 << 40), max_size=3), st.binary(max_size=60))
+@given(
+    st.sampled_from([*sorted(DATATYPES), "HUH"]),
+    st.lists(st.integers(-2, 1 << 40), max_size=3),
+    st.binary(max_size=60),
+)
 def test_raw_garbage_is_told(datatype: str, shape: list[int], data: bytes) -> None:
     try:
         found = from_raw("t", datatype, shape, data)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -38,8 +38,26 @@
     base = Settings(
         replicas=2,
         classes=(
-            RequestClass("plain", 1.0, 1 * S, 5 * S, effect=effect, key_scope=scope, dedup_window=3 * S, token_aim=60_000.0),
-            RequestClass("dear", 3.0, 1 * S, 5 * S, effect=effect, key_scope=scope, dedup_window=3 * S, token_aim=60_000.0),
+            RequestClass(
+                "plain",
+                1.0,
+                1 * S,
+                5 * S,
+                effect=effect,
+                key_scope=scope,
+                dedup_window=3 * S,
+                token_aim=60_000.0,
+            ),
+            RequestClass(
+                "dear",
+                3.0,
+                1 * S,
+                5 * S,
+                effect=effect,
+                key_scope=scope,
+                dedup_window=3 * S,
+                token_aim=60_000.0,
+            ),
         ),
         roles=(Role.READ, Role.WRITE, Role.BOTH),
         memory_tokens=(200_000.0, 200_000.0, 200_000.0),
@@ -91,12 +109,21 @@
     def ask(self, after: int = 0, **changes: object) -> tuple[int, list[Action]]:
         self.ids += 1
         request = Request(
-            self.ids, 0, 5 * S, prompt_tokens=1000.0, prefix_tokens=800.0, max_tokens=200.0, session=self.ids, prefix=77
+            self.ids,
+            0,
+            5 * S,
+            prompt_tokens=1000.0,
+            prefix_tokens=800.0,
+            max_tokens=200.0,
+            session=self.ids,
+            prefix=77,
         )
         request = replace(request, **changes)  # type: ignore[arg-type]
         return request.id, self.tell(request, after=after)
 
-    def end(self, request: int, at: int, status: Status, after: int = 50 * MS, **more: object) -> list[Action]:
+    def end(
+        self, request: int, at: int, status: Status, after: int = 50 * MS, **more: object
+    ) -> list[Action]:
         outcome = Outcome(request, self.tries[request], at, status, after)
         return self.tell(replace(outcome, **more), after=after)  # type: ignore[arg-type]
 
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -27,7 +27,9 @@
     line = of([7 + 3 * size for size in SIZES])
     assert line.form is Form.LINE and line.at(1_000) == pytest.approx(3_007) and line.residual < 1e-9
     power = of([5 * size**0.5 for size in SIZES])
-    assert power.form is Form.POWER and power.b == pytest.approx(0.5) and power.at(10_000) == pytest.approx(500)
+    assert (
+        power.form is Form.POWER and power.b == pytest.approx(0.5) and power.at(10_000) == pytest.approx(500)
+    )
     assert power.extrapolated(10_000) and not power.extrapolated(300)
     bent = of([1.0, 1.0, 1.0, 40.0])
     assert bent.form is Form.BENT
@@ -75,7 +77,14 @@
 
 def test_the_page_names_a_carrier_or_what_is_missing_and_every_budget_is_judged() -> None:
     results = Results.read(ROOT / "bench" / "capacity.json")
-    assert {row.role for row in ROWS} == {"node", "agent", "controller", "record holder", "discovery's agent", "engine"}
+    assert {row.role for row in ROWS} == {
+        "node",
+        "agent",
+        "controller",
+        "record holder",
+        "discovery's agent",
+        "engine",
+    }
     for row in ROWS:
         assert row.mechanism and all(value >= 0 for value in row.values(results)), row.what
         assert (row.ratio(results) is None) == (row.budget is None)
@@ -106,7 +115,8 @@
 
 
 def test_a_small_fleet_of_hollow_nodes_hears_of_every_change(tmp_path: Path) -> None:
-    """Real discovery clients, lists and decisions in processes; judged by what the list servers and the nodes counted."""
+    """Real discovery clients, lists and decisions in processes; judged by what the list servers and the nodes
+    counted."""
     path = tmp_path / "fleet.json"
     done = CliRunner().invoke(
         main,
@@ -136,7 +146,9 @@
     phases = {phase["name"]: phase for phase in told["phases"]}
     assert phases["start of all"]["whole_lists"] == 6, "one whole list for each node, and no more after it"
     assert all(phase["whole_lists"] == 0 for name, phase in phases.items() if name != "start of all")
-    assert all(spread < 6.0 for phase in phases.values() for spread in phase["spread_s"]), "told within six seconds"
+    assert all(spread < 6.0 for phase in phases.values() for spread in phase["spread_s"]), (
+        "told within six seconds"
+    )
     assert phases["a zone lost"]["entries"] == phases["the zone back, cold"]["entries"] == 8
     assert phases["half of the readers become writers"]["entries"] == 16
     assert told["processes"] == 4 and told["requests"] > 50 and told["cold_most_of_budget"] <= 1.0
--- a/tests/lab/test_day.py
+++ b/tests/lab/test_day.py
@@ -40,7 +40,9 @@
     assert "every rule was kept" in as_text(verdict)
 
 
-def test_a_dark_zone_is_served_by_its_neighbours_at_no_cost_to_them_and_takes_its_traffic_back(tmp_path: Path) -> None:
+def test_a_dark_zone_is_served_by_its_neighbours_at_no_cost_to_them_and_takes_its_traffic_back(
+    tmp_path: Path,
+) -> None:
     day = scenario("three-zones.textproto")
     day.length_ms = 17_000
     day.happening[0].at_ms, day.happening[0].for_ms, day.happening[0].told_after_ms = 3_000, 3_000, 500
@@ -88,7 +90,9 @@
         ('engines { name: "x" count: 1 kind: "huh" }', "engines[3].kind"),
     ],
 )
-def test_a_scenario_that_cant_be_played_is_turned_down_before_anything_starts(change: str, field: str) -> None:
+def test_a_scenario_that_cant_be_played_is_turned_down_before_anything_starts(
+    change: str, field: str
+) -> None:
     from google.protobuf import text_format
 
     day = scenario("bad-day.textproto")
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,4 +1,5 @@
-"""The soak: its schedules, its judge, which finds each invariant broken, and one short seed with real processes."""
+"""The soak: its schedules, its judge, which finds each invariant broken, and one short seed with real
+processes."""
 
 from __future__ import annotations
 
@@ -34,7 +35,16 @@
 def served(call_id: str = "a", effect: str = "free") -> list[Record]:
     """A request that went well."""
     return [
-        {"t": 1.0, "who": "c0", "event": "sent", "id": call_id, "node": "n0", "effect": effect, "budget": 2.0, "kept": False},
+        {
+            "t": 1.0,
+            "who": "c0",
+            "event": "sent",
+            "id": call_id,
+            "node": "n0",
+            "effect": effect,
+            "budget": 2.0,
+            "kept": False,
+        },
         {"t": 1.01, "who": "p-r0", "event": "bytes", "id": call_id, "budget": 1.98},
         {"t": 1.01, "who": "r0", "event": "taken", "id": call_id, "budget": 1.98},
         {"t": 1.05, "who": "r0", "event": "read", "id": call_id},
@@ -54,13 +64,40 @@
 
 BROKEN: dict[str, list[Record]] = {
     "answer": [
-        {"t": 1.0, "who": "c0", "event": "sent", "id": "b", "node": "n0", "effect": "free", "budget": 1.0, "kept": False},
+        {
+            "t": 1.0,
+            "who": "c0",
+            "event": "sent",
+            "id": "b",
+            "node": "n0",
+            "effect": "free",
+            "budget": 1.0,
+            "kept": False,
+        },
         {"t": 5.0, "who": "c0", "event": "answer", "id": "b", "status": -1, "whole": False, "after": 4.0},
     ],
     "stream": [
-        {"t": 1.0, "who": "c0", "event": "sent", "id": "b", "node": "n0", "effect": "free", "budget": 1.0, "kept": False},
+        {
+            "t": 1.0,
+            "who": "c0",
+            "event": "sent",
+            "id": "b",
+            "node": "n0",
+            "effect": "free",
+            "budget": 1.0,
+            "kept": False,
+        },
         {"t": 1.1, "who": "w1", "event": "taken", "id": "b", "budget": 0.9},
-        {"t": 5.0, "who": "c0", "event": "answer", "id": "b", "status": 200, "whole": False, "after": 4.0, "given_up": True},
+        {
+            "t": 5.0,
+            "who": "c0",
+            "event": "answer",
+            "id": "b",
+            "status": 200,
+            "whole": False,
+            "after": 4.0,
+            "given_up": True,
+        },
     ],
     "held state": [
         {"t": 2.0, "who": "r0", "event": "read", "id": "b"},
@@ -73,7 +110,14 @@
     ],
     "deadline": [{"t": 2.0, "who": "p-w1", "event": "bytes", "id": "a", "budget": 1.5}],
     "drain": [
-        {"t": 1.1, "who": "agent", "event": "list changed", "engine": "w1", "phase": "Terminating", "silent": False},
+        {
+            "t": 1.1,
+            "who": "agent",
+            "event": "list changed",
+            "engine": "w1",
+            "phase": "Terminating",
+            "silent": False,
+        },
         {"t": 1.9, "who": "p-w1", "event": "bytes", "id": "a", "budget": 1.0},
     ],
     "event held back": [{**served("b")[-1], "held_back": 0.5}, {**served("b")[0]}],
@@ -87,8 +131,19 @@
             "until": 1.3,
             "amount": 0.0,
         },
-        {"t": 1.5, "who": "agent", "event": "list changed", "engine": "w1", "phase": "Ready", "start_ms": 5, "silent": False},
-        *({"t": 1.7 + n / 100, "who": "p-w1", "event": "bytes", "id": f"x{n}", "budget": 1.0} for n in range(30)),
+        {
+            "t": 1.5,
+            "who": "agent",
+            "event": "list changed",
+            "engine": "w1",
+            "phase": "Ready",
+            "start_ms": 5,
+            "silent": False,
+        },
+        *(
+            {"t": 1.7 + n / 100, "who": "p-w1", "event": "bytes", "id": f"x{n}", "budget": 1.0}
+            for n in range(30)
+        ),
     ],
     "stalled client": [{"t": 9.0, "who": "c0", "event": "stalled", "id": "s", "node": "n0", "after": 3.5}],
 }
@@ -132,7 +187,10 @@
 
 
 def test_nothing_can_be_let_go_while_no_engine_can_be_reached() -> None:
-    held = [{"t": 2.0, "who": "r0", "event": "read", "id": "a"}, {"t": 4.0, "who": "w1", "event": "released", "id": "a"}]
+    held = [
+        {"t": 2.0, "who": "r0", "event": "read", "id": "a"},
+        {"t": 4.0, "who": "w1", "event": "released", "id": "a"},
+    ]
     silence: Record = {"t": 1.9, "who": "runner", "event": "fault", "kind": "silence a machine", "until": 3.9}
     everywhere = [{**silence, "target": engine} for engine in SCHEDULE.engines]
     assert rules([*served(), *held]) == {"held state"}
@@ -191,14 +249,19 @@
         proxy = await FaultProxy(f"127.0.0.1:{server.sockets[0].getsockname()[1]}").start()
         host, _, port = proxy.address.rpartition(":")
 
-        async def says(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, text: bytes, within: float) -> bytes:
+        async def says(
+            reader: asyncio.StreamReader, writer: asyncio.StreamWriter, text: bytes, within: float
+        ) -> bytes:
             writer.write(text)
             try:
                 return await asyncio.wait_for(reader.read(100), within)
             except TimeoutError:
                 return b"-"
 
-        one, two = await asyncio.open_connection(host, int(port)), await asyncio.open_connection(host, int(port))
+        one, two = (
+            await asyncio.open_connection(host, int(port)),
+            await asyncio.open_connection(host, int(port)),
+        )
         assert await says(*one, b"a", 5) == b"a"
         proxy.fail_open_connections(Fault.HOLD)
         assert await says(*one, b"b", 0.05) == b"-"
@@ -242,11 +305,15 @@
     assert result.requests > 30 and result.processes >= 10
 
 
-def test_restarts_of_one_engine_that_overlap_leave_one_process_of_it(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_restarts_of_one_engine_that_overlap_leave_one_process_of_it(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     started: list[asyncio.subprocess.Process] = []
 
     async def spawn(soak: runner._Soak, key: str, module: list[str], environment: dict[str, str]) -> None:
-        soak.processes[key] = await asyncio.create_subprocess_exec(sys.executable, "-c", "import time; time.sleep(60)")
+        soak.processes[key] = await asyncio.create_subprocess_exec(
+            sys.executable, "-c", "import time; time.sleep(60)"
+        )
         started.append(soak.processes[key])
 
     async def go() -> None:
--- a/tests/lab/test_twin.py
+++ b/tests/lab/test_twin.py
@@ -1,4 +1,5 @@
-"""Half-blind nodes by the dozen, engines with caches and a change in the middle, in process on a seeded clock."""
+"""Half-blind nodes by the dozen, engines with caches and a change in the middle, in process on a seeded
+clock."""
 
 from __future__ import annotations
 
@@ -15,7 +16,8 @@
 
 
 def way(fleet: Fleet) -> float:
-    """How far of the way from the blind policy's service to the late-seeing one's, after the change, over all seeds."""
+    """How far of the way from the blind policy's service to the late-seeing one's, after the change, over all
+    seeds."""
 
     def served(policy: object) -> float:
         played = [Twin(fleet, seed, policy).play() for seed in SEEDS]  # type: ignore[arg-type]
@@ -44,7 +46,8 @@
 
 
 def test_what_a_node_believes_to_be_out_is_out_at_every_event() -> None:
-    """Through a release with restarts: the attempts in a node's books are those under way at the engines, no others."""
+    """Through a release with restarts: the attempts in a node's books are those under way at the engines, no
+    others."""
     fleet = replace(ROLL, nodes=20, readers=5, writers=6, rate=40.0, ends=9 * S)
     twin, seen = Twin(fleet, 3), 0
 
@@ -58,4 +61,6 @@
 
     twin.watch = look
     twin.play()
-    assert seen > 500 and not any(seat.open or seat.running for router in twin.nodes for seat in router.seats.values())  # type: ignore[attr-defined]
+    assert seen > 500 and not any(
+        seat.open or seat.running for router in twin.nodes for seat in router.seats.values()
+    )  # type: ignore[attr-defined]
--- a/tests/node/test_attempt_state.py
+++ b/tests/node/test_attempt_state.py
@@ -30,7 +30,9 @@
 
 def test_an_attempt_begins_only_for_a_request_that_waits_at_a_server_that_is_ready() -> None:
     assert may_send(False, False, False, ServerState.READY)
-    for ended, left, in_flight, server in itertools.product((False, True), (False, True), (False, True), (None, *ServerState)):
+    for ended, left, in_flight, server in itertools.product(
+        (False, True), (False, True), (False, True), (None, *ServerState)
+    ):
         wanted = not (ended or left or in_flight) and server is ServerState.READY
         assert bool(may_send(ended, left, in_flight, server)) is wanted
     assert may_send(True, True, True, None) is Verdict.ENDED
--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -1,7 +1,7 @@
-"""Every order of endings against the core: clients that leave, attempts that end in all ways, drains, releases, cancels and
-the node's end, each also twice. Hypothesis plays them on a clock of its own; a model of the engines knows what is really held
-and what has really run, and checks the five rules. Machines without one of the core's guards have to be found out.
-"""
+"""Every order of endings against the core: clients that leave, attempts that end in all ways, drains,
+releases, cancels and the node's end, each also twice. Hypothesis plays them on a clock of its own; a model of
+the engines knows what is really held and what has really run, and checks the five rules. Machines without one
+of the core's guards have to be found out."""
 
 from __future__ import annotations
 
@@ -15,7 +15,14 @@
 from hypothesis import HealthCheck, Phase
 from hypothesis import settings as examples
 from hypothesis import strategies as st
-from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule, run_state_machine_as_test
+from hypothesis.stateful import (
+    RuleBasedStateMachine,
+    initialize,
+    invariant,
+    precondition,
+    rule,
+    run_state_machine_as_test,
+)
 
 from tuliptrack import interface as io
 from tuliptrack.decisions.admission import AdmissionLimits
@@ -29,7 +36,13 @@
 
 US = 1_000_000
 SLACK_US = 300_000  # what the platform allows past the settings' time for a held state
-SERVERS = (io.Server(1, READ), io.Server(2, READ), io.Server(3, WRITE), io.Server(4, WRITE), io.Server(5, BOTH))
+SERVERS = (
+    io.Server(1, READ),
+    io.Server(2, READ),
+    io.Server(3, WRITE),
+    io.Server(4, WRITE),
+    io.Server(5, BOTH),
+)
 BUDGETS_US = (300_000, 1_500_000, 4_000_000)
 
 
@@ -165,7 +178,9 @@
         return True
 
     def begin(self, record: Record, attempt: Attempt, timeout: int) -> Call:
-        assert not any(call.record is record and not call.over for call in self.calls), "rule 2: two attempts at once"
+        assert not any(call.record is record and not call.over for call in self.calls), (
+            "rule 2: two attempts at once"
+        )
         assert timeout <= max(record.due - self.now, 1), "an attempt outlives its client's deadline"
         call = Call(self, record, attempt)
         self.calls.append(call)
@@ -216,7 +231,9 @@
     def waits(self, request: int) -> bool:
         """Whether an attempt at a writer waits for the request's state."""
         return any(
-            not call.over and call.reached and not call.attempt.reading for call in self.calls if call.record.id == request
+            not call.over and call.reached and not call.attempt.reading
+            for call in self.calls
+            if call.record.id == request
         )
 
     def let_go(self, request: int) -> None:
@@ -256,7 +273,9 @@
         super().__init__()
         self.loop = VirtualLoop()
         self.errors: list[Any] = []
-        self.loop.set_exception_handler(lambda loop, context: self.errors.append(context.get("exception") or context))
+        self.loop.set_exception_handler(
+            lambda loop, context: self.errors.append(context.get("exception") or context)
+        )
         self.patch = pytest.MonkeyPatch()
         self.patch.setattr(core_module, "now_us", lambda: round(self.loop.moment * US))
 
@@ -264,14 +283,26 @@
         """A machine without one of the core's guards takes it out here."""
 
     @initialize(
-        effect=st.sampled_from(list(io.Effect)), may_cancel=st.booleans(), connect_timeout=st.sampled_from([250_000, 700_000])
+        effect=st.sampled_from(list(io.Effect)),
+        may_cancel=st.booleans(),
+        connect_timeout=st.sampled_from([250_000, 700_000]),
     )
     def start(self, effect: io.Effect, may_cancel: bool, connect_timeout: int) -> None:
         base = settings(
-            effect=effect, may_cancel=may_cancel, connect_timeout=connect_timeout, release_within=300_000, report_fields=()
+            effect=effect,
+            may_cancel=may_cancel,
+            connect_timeout=connect_timeout,
+            release_within=300_000,
+            report_fields=(),
         )
         classes = tuple(replace(one, dedup_window=200_000) for one in base.classes)
-        self.core = Core(replace(base, classes=classes), 7, "n", CoreLimits(answer_ahead=20_000), AdmissionLimits(64, 64, 64))
+        self.core = Core(
+            replace(base, classes=classes),
+            7,
+            "n",
+            CoreLimits(answer_ahead=20_000),
+            AdmissionLimits(64, 64, 64),
+        )
         self.engines = Engines(self.core)
         self.core.engines, self.core.source = self.engines, Source()
         self.tickets: dict[int, Any] = {}
@@ -285,7 +316,11 @@
 
     def raise_errors(self) -> None:
         if self.errors:
-            raise self.errors[0] if isinstance(self.errors[0], BaseException) else AssertionError(self.errors[0])
+            raise (
+                self.errors[0]
+                if isinstance(self.errors[0], BaseException)
+                else AssertionError(self.errors[0])
+            )
 
     def one(self, number: int, among: list[Any]) -> Any:
         return among[number % len(among)]
@@ -333,17 +368,27 @@
     def ask_and_read(self, budget: int, prefix: int) -> None:
         """A request whose prompt is read at once, so that many get as far as a writer."""
         self.ask(budget, prefix)
-        call = next((call for call in self.out(sent=False, reading=True) if call.record.id == max(self.engines.lives)), None)
+        call = next(
+            (
+                call
+                for call in self.out(sent=False, reading=True)
+                if call.record.id == max(self.engines.lives)
+            ),
+            None,
+        )
         if call:
             self.do(self.engines.send, call, True)
             self.read_ends(call, False)
 
     @rule(prefix=st.integers(1, 3))
     def a_read_breaks_and_the_next_connection_comes_up_late(self, prefix: int) -> None:
-        """What may have run is tried anew, on a connection that comes up when the window for repeats is over."""
+        """What may have run is tried anew, on a connection that comes up when the window for repeats is
+        over."""
         self.ask(BUDGETS_US[-1], prefix)
         for breaks in (True, False):
-            call = next((call for call in self.out(sent=False) if call.record.id == max(self.engines.lives)), None)
+            call = next(
+                (call for call in self.out(sent=False) if call.record.id == max(self.engines.lives)), None
+            )
             if call is None:
                 return
             if not breaks:
@@ -372,7 +417,9 @@
         for call in self.engines.calls:
             if call.over and call.record.id == request:
                 self.do(call.cancel, io.Status.CANCELLED)
-                self.do(self.core.attempt_over, call.record, call.attempt, Ended(io.Status.RESET, "once more"))
+                self.do(
+                    self.core.attempt_over, call.record, call.attempt, Ended(io.Status.RESET, "once more")
+                )
         if life.answer.ends or life.left_at:
             self.do(self.core._release, io.Release(request))
 
@@ -473,7 +520,9 @@
             assert len(life.answer.ends) <= 1, f"rule 1: {number} was answered {life.answer.ends}"
             if "refused" in life.answer.ends and life.ran_at:
                 scope = self.core.settings.classes[0].key_scope
-                harmless = life.effect is io.Effect.SAFE or (life.effect is io.Effect.KEYED and scope is io.KeyScope.ALL)
+                harmless = life.effect is io.Effect.SAFE or (
+                    life.effect is io.Effect.KEYED and scope is io.KeyScope.ALL
+                )
                 assert harmless, f"rule 2: {number} was refused though it may have run"
 
     def nothing_is_held_too_long(self) -> None:
@@ -488,14 +537,18 @@
                 self.loop.advance(10.0, self.nothing_is_held_too_long)
                 self.raise_errors()
                 for number, life in self.engines.lives.items():
-                    assert life.answer.ends or life.left_at or life.answer.begun, f"rule 1: {number} has no answer"
+                    assert life.answer.ends or life.left_at or life.answer.begun, (
+                        f"rule 1: {number} has no answer"
+                    )
                 self.do(self.core.end)
                 self.do(self.core.end)
                 self.loop.advance(1.0, self.nothing_is_held_too_long)
                 self.raise_errors()
                 assert not self.core.table.open and not self.core.router.flights, "requests left"
                 assert not self.core._due and not self.core._timers, "timers left"
-                assert not any(seat.open or seat.running for seat in self.core.router.seats.values()), "books left open"
+                assert not any(seat.open or seat.running for seat in self.core.router.seats.values()), (
+                    "books left open"
+                )
                 assert not any(life.holds for life in self.engines.lives.values()), "states left"
         finally:
             self.patch.undo()
--- a/tests/node/test_held_states.py
+++ b/tests/node/test_held_states.py
@@ -63,9 +63,13 @@
     return cast(Record, made)
 
 
-@pytest.mark.parametrize("status", [Status.FULL, Status.ERROR, Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED])
+@pytest.mark.parametrize(
+    "status", [Status.FULL, Status.ERROR, Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED]
+)
 @pytest.mark.parametrize("reading", [True, False], ids=["a read", "a write"])
-def test_a_lease_that_an_arrival_has_stopped_begins_anew_with_the_attempts_end(status: Status, reading: bool) -> None:
+def test_a_lease_that_an_arrival_has_stopped_begins_anew_with_the_attempts_end(
+    status: Status, reading: bool
+) -> None:
     """Before a read there may be what an earlier one left, before a write what the read left."""
 
     async def go() -> None:
--- a/tests/node/test_line_file.py
+++ b/tests/node/test_line_file.py
@@ -1,4 +1,5 @@
-"""A file of whole lines: no half line stays, whatever failed or was killed, and what was told to be there is."""
+"""A file of whole lines: no half line stays, whatever failed or was killed, and what was told to be there
+is."""
 
 from __future__ import annotations
 
@@ -78,7 +79,9 @@
 def test_a_writer_killed_at_any_moment_has_left_what_it_had_told_of(tmp_path: Path) -> None:
     random, path = Random(3), tmp_path / "report"
     for _ in range(8):
-        child = subprocess.Popen([sys.executable, "-c", _WRITER, str(path)], stdout=subprocess.PIPE, text=True)
+        child = subprocess.Popen(
+            [sys.executable, "-c", _WRITER, str(path)], stdout=subprocess.PIPE, text=True
+        )
         assert child.stdout
         before = path.read_text().count("\n") if path.exists() else 0
         for _ in range(random.randrange(1, 30)):
--- a/tests/node/test_silent_connections_on_grpc.py
+++ b/tests/node/test_silent_connections_on_grpc.py
@@ -1,4 +1,5 @@
-"""Connections to engines of the gRPC node that fall silent with no error: states are let go in time, requests are served."""
+"""Connections to engines of the gRPC node that fall silent with no error: states are let go in time, requests
+are served."""
 
 from __future__ import annotations
 
@@ -24,7 +25,9 @@
 async def proxied(engines: str, settings: str) -> AsyncIterator[tuple[World, Proxies]]:
     """A world with a proxy before each engine, and connections to all of them."""
     async with world(engines, settings=settings) as w:
-        proxies = {name: await FaultProxy(engine.server.address).start() for name, engine in w.engines.items()}
+        proxies = {
+            name: await FaultProxy(engine.server.address).start() for name, engine in w.engines.items()
+        }
         try:
             await w.list_at({name: proxy.address for name, proxy in proxies.items()})
             for _ in range(20):
@@ -62,8 +65,8 @@
 
 
 def longest_held(w: World, since: int) -> int:
-    """For how many microseconds a state was held at most, of those read since a moment: until it was let go, or an attempt
-    that came for it had reached a writer."""
+    """For how many microseconds a state was held at most, of those read since a moment: until it was let go,
+    or an attempt that came for it had reached a writer."""
     rows = [row for row in w.seen() if row["t"] >= since]
 
     def settled(kept: dict[str, Any]) -> int:
--- a/tests/node/test_zone_account.py
+++ b/tests/node/test_zone_account.py
@@ -84,7 +84,9 @@
     assert sum(row[0] for row in books.total.values()) == 142
 
 
-def test_a_move_that_makes_room_for_another_is_booked_as_it_stands(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_move_that_makes_room_for_another_is_booked_as_it_stands(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(zones, "MOST_MOVES", 2)
     books = account(tmp_path / "report")
     for size in (1, 10, 100):
--- a/tests/oracle/__init__.py
+++ b/tests/oracle/__init__.py
@@ -1,1 +1,2 @@
-"""The decisions as they were before the indexes, scanning every server: what `tuliptrack.brain` is compared with."""
+"""The decisions as they were before the indexes, scanning every server: what `tuliptrack.brain` is compared
+with."""
--- a/tests/oracle/state.py
+++ b/tests/oracle/state.py
@@ -9,7 +9,16 @@
 from random import Random
 from typing import Any, TypeVar
 
-from tuliptrack.interface import FleetChange, ListKind, Request, RequestClass, Role, Server, ServerState, Status
+from tuliptrack.interface import (
+    FleetChange,
+    ListKind,
+    Request,
+    RequestClass,
+    Role,
+    Server,
+    ServerState,
+    Status,
+)
 
 _MASK = (1 << 64) - 1
 SIZE_UNIT = 2**30  # sizes are added up as whole multiples of its inverse
@@ -27,8 +36,8 @@
 
 
 def median_low(values: Iterable[float]) -> float:
-    """The middle one of these, the lower of two; ValueError where there are none. Its namesake in the standard library costs
-    a process a twentieth of the time in which it gets ready."""
+    """The middle one of these, the lower of two; ValueError where there are none. Its namesake in the
+    standard library costs a process a twentieth of the time in which it gets ready."""
     ordered = sorted(values)
     if not ordered:
         raise ValueError("no median of nothing")
@@ -93,7 +102,9 @@
         """The pace that only a quarter of its last answers were quicker than; 0 where there were none."""
         return sorted(self.paces)[len(self.paces) // 4] if self.paces else 0.0
 
-    def answered(self, flight: Flight, latency: int, waiting: float, weight: float, read: bool, now: int) -> None:
+    def answered(
+        self, flight: Flight, latency: int, waiting: float, weight: float, read: bool, now: int
+    ) -> None:
         """Bring the averages up to an answer. The time per token is a ratio of two averages: a prompt that is
         nearly all kept has a few tokens of its own and would swamp an average of ratios."""
         self.work += weight * (flight.work - self.work)
@@ -125,7 +136,8 @@
     info: Server
     role: Role
     kind: Kind = field(init=False)
-    """What its role has shown, in its part of the fleet; set by the decision module at each change of the list."""
+    """What its role has shown, in its part of the fleet; set by the decision module at each change of the
+    list."""
     depth: float = 0.0
     """Requests in flight by the last report; 0 where none came."""
     told_at: int = 0
@@ -236,8 +248,9 @@
     """Servers that turned this request away or failed it."""
 
     def tried_at(self, seat: Seat, status: Status, again: bool, writers: int) -> None:
-        """Note where an attempt has ended, for the choice of the next server. Once its prompt has been read, it may go to any
-        of the writers but those that gave no answer, if there are others; `again`: it may go to the same server once more."""
+        """Note where an attempt has ended, for the choice of the next server. Once its prompt has been read,
+        it may go to any of the writers but those that gave no answer, if there are others; `again`: it may go
+        to the same server once more."""
         no_answer = seat.role is not Role.READ and status in (Status.TIMEOUT, Status.CONNECT_FAILED)
         if no_answer and seat.info.id not in self.unanswering:
             self.unanswering.append(seat.info.id)
@@ -267,8 +280,8 @@
         self._means: dict[Role, float] = {}
 
     def apply(self, change: FleetChange) -> list[int]:
-        """Take a change, or a whole list, in which what isn't named has gone. Returns the servers forgotten: those gone
-        the longest, with nothing of this node's there, past `GONE_KEPT`."""
+        """Take a change, or a whole list, in which what isn't named has gone. Returns the servers forgotten:
+        those gone the longest, with nothing of this node's there, past `GONE_KEPT`."""
         self.orders.clear()
         self._ready.clear()
         self._parts.clear()
@@ -290,7 +303,11 @@
             seat.info = info
         for role in (Role.READ, Role.WRITE):
             self._most[role] = max(self._most[role], len(self.ready(role)))
-        gone = [s.info.id for s in self.seats.values() if s.info.state is ServerState.GONE and not (s.open or s.running)]
+        gone = [
+            s.info.id
+            for s in self.seats.values()
+            if s.info.state is ServerState.GONE and not (s.open or s.running)
+        ]
         forgotten = gone[:-GONE_KEPT]
         for server in forgotten:
             del self.seats[server]
@@ -303,7 +320,9 @@
         """The servers that take this role's work, mixed ones too."""
         if role not in self._ready:
             self._ready[role] = [
-                s for _, s in sorted(self.seats.items()) if s.info.state is ServerState.READY and s.role in (role, Role.BOTH)
+                s
+                for _, s in sorted(self.seats.items())
+                if s.info.state is ServerState.READY and s.role in (role, Role.BOTH)
             ]
         return self._ready[role]
 
@@ -335,8 +354,8 @@
 
 
 class Asked:
-    """What this node was asked: mean tokens of prompt to read and of answer, by class and in all, and how much of it each
-    prefix was lately. Bound: `PREFIXES_KEPT`; the one not asked for longest is forgotten."""
+    """What this node was asked: mean tokens of prompt to read and of answer, by class and in all, and how
+    much of it each prefix was lately. Bound: `PREFIXES_KEPT`; the one not asked for longest is forgotten."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -360,10 +379,10 @@
         self.by_class[cls] = _toward(self.by_class.get(cls, new), new, weight)
 
     def part(self, prefix: int, weight: float) -> float:
-        """The part of what was asked lately that had this prefix, 0 to 1; `weight` as in `note`. The first request with one
-        says nothing of how many there are, so only those that came again count; as many requests as the fading spans are
-        taken to have come before the first, each with another prefix, so that a node that has seen little does not call
-        hot what came twice."""
+        """The part of what was asked lately that had this prefix, 0 to 1; `weight` as in `note`. The first
+        request with one says nothing of how many there are, so only those that came again count; as many
+        requests as the fading spans are taken to have come before the first, each with another prefix, so
+        that a node that has seen little does not call hot what came twice."""
         seen, at = self._prefixes.get(prefix, (0.0, 0))
         again = max(seen * (1 - weight) ** (self.count - at) - 1, 0.0)
         return again * weight / (2 - (1 - weight) ** self.count)
--- a/tests/peers/triton.py
+++ b/tests/peers/triton.py
@@ -1,4 +1,5 @@
-"""Triton's own clients against a node, in an environment of their own; one JSON object out. Arguments: gRPC, REST address."""
+"""Triton's own clients against a node, in an environment of their own; one JSON object out. Arguments: gRPC,
+REST address."""
 
 import json
 import queue
@@ -56,14 +57,19 @@
         }
         found["unknown model"] = error(lambda: client.infer("rose", [text(tgrpc, "q")]))
         found["no text"] = error(lambda: client.infer("tulip", [count(tgrpc, 5)]))
-        found["bad parameter"] = error(lambda: client.infer("tulip", [text(tgrpc, "q")], parameters={"huh": "x"}))
+        found["bad parameter"] = error(
+            lambda: client.infer("tulip", [text(tgrpc, "q")], parameters={"huh": "x"})
+        )
         found["config"] = error(lambda: client.get_model_config("tulip"))
         got = queue.Queue()
         client.start_stream(lambda result, error: got.put((result, error)))
         names = [f"q{n} what?" for n in range(4)]
         for n, name in enumerate(names):
             client.async_stream_infer(
-                "rose" if n == 2 else "tulip", [text(tgrpc, name)], request_id=str(n), enable_empty_final_response=n == 3
+                "rose" if n == 2 else "tulip",
+                [text(tgrpc, name)],
+                request_id=str(n),
+                enable_empty_final_response=n == 3,
             )
         streams = {str(n): {"text": "", "responses": 0, "finals": 0} for n in range(4)}
         over = 0
@@ -102,7 +108,10 @@
                 outputs=[thttp.InferRequestedOutput("text_output", binary_data=binary)],
             )
             out = whole.as_numpy("text_output")[0]
-            found[name] = {"id": whole.get_response()["id"], "text": out.decode() if isinstance(out, bytes) else out}
+            found[name] = {
+                "id": whole.get_response()["id"],
+                "text": out.decode() if isinstance(out, bytes) else out,
+            }
         found["unknown model"] = error(lambda: client.infer("rose", [text(thttp, "q")]))
         found["no text"] = error(lambda: client.infer("tulip", [count(thttp, 5)]))
     return found
--- a/tests/relay/test_corroboration.py
+++ b/tests/relay/test_corroboration.py
@@ -1,4 +1,5 @@
-"""Attempts that bring no word for longer than a lease: those that surely wait at their engine, and those that never came."""
+"""Attempts that bring no word for longer than a lease: those that surely wait at their engine, and those that
+never came."""
 
 from __future__ import annotations
 
@@ -47,7 +48,11 @@
         """The writer lets requests wait for `JAM_S` before it begins an answer."""
         self.read_at = 0.0
         self.released_at: list[float] = []
-        self.by_name: dict[str, Proxied] = {"r0": Proxied(self.reader), "r1": Proxied(self.reader), "w0": Proxied(self.writer)}
+        self.by_name: dict[str, Proxied] = {
+            "r0": Proxied(self.reader),
+            "r1": Proxied(self.reader),
+            "w0": Proxied(self.writer),
+        }
 
     @property
     def scripts(self) -> dict[str, Script | Peer]:
@@ -74,7 +79,8 @@
             self.released_at.append(now())
 
     async def warm_up(self, p: Platform) -> None:
-        """Have a request that has been served, and one kept connection to each engine that was asked, which has rested."""
+        """Have a request that has been served, and one kept connection to each engine that was asked, which
+        has rested."""
         for _ in range(4):
             await p.ask()
             await asyncio.sleep(0.1)
@@ -171,7 +177,9 @@
         engines = Engines()
         async with platform(PATIENT, **engines.scripts) as p:
             await engines.warm_up(p)
-            engines.by_name["w0"].proxy.delay_s = 0.015  # each way, and so within the time that a kept one has to answer
+            engines.by_name[
+                "w0"
+            ].proxy.delay_s = 0.015  # each way, and so within the time that a kept one has to answer
             engines.jammed = True
             await p.say(request("watched"))
             assert engines.released_at and engines.released_at[0] - engines.read_at <= IN_TIME_S
--- a/tests/relay/test_counters.py
+++ b/tests/relay/test_counters.py
@@ -25,7 +25,9 @@
             assert counted["requests_served"] == 1 and counted["releases_beside_attempts"] == 1
             assert counted["connections_made"] >= 2 and counted["open_requests"] == 0
             assert not any(name.startswith("violations_") for name in counted)
-            assert (await p.say(b"PUT /-/counters HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")).status == 405
+            assert (
+                await p.say(b"PUT /-/counters HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
+            ).status == 405
 
     run(go, virtual=True)
     told = capsys.readouterr()
--- a/tests/relay/test_deadlines.py
+++ b/tests/relay/test_deadlines.py
@@ -1,4 +1,5 @@
-"""The deadline that an attempt tells its engine is at most what its client has left, on further attempts too."""
+"""The deadline that an attempt tells its engine is at most what its client has left, on further attempts
+too."""
 
 from __future__ import annotations
 
@@ -20,14 +21,19 @@
         self.deadlines: list[tuple[str, float, float]] = []
 
     def breaks_late(self, script: Script, failures: int, after: float) -> Script:
-        """An engine that breaks the connection of its first requests `after` seconds, and then plays `script`."""
+        """An engine that breaks the connection of its first requests `after` seconds, and then plays
+        `script`."""
         left = failures
 
         async def noting(one: Seen, writer: asyncio.StreamWriter) -> None:
             nonlocal left
             if one.method == "POST":
                 self.deadlines.append(
-                    (one.call_id, float(one.head["x-budget"]), BUDGET_S - (asyncio.get_running_loop().time() - self.began))
+                    (
+                        one.call_id,
+                        float(one.head["x-budget"]),
+                        BUDGET_S - (asyncio.get_running_loop().time() - self.began),
+                    )
                 )
                 if left:
                     left -= 1
@@ -66,7 +72,9 @@
     async def go() -> None:
         told = Told()
         async with platform(r0=told.breaks_late(reads, 0, 0.0), w0=told.breaks_late(writes, 0, 0.0)) as p:
-            delay_connections(monkeypatch, lambda port: 0.2 if port in (p.engines["r0"].port, p.engines["w0"].port) else 0)
+            delay_connections(
+                monkeypatch, lambda port: 0.2 if port in (p.engines["r0"].port, p.engines["w0"].port) else 0
+            )
             assert await told.ask(p) == 200
             assert told.excess() < SLACK_S
 
--- a/tests/relay/test_descriptors.py
+++ b/tests/relay/test_descriptors.py
@@ -1,5 +1,5 @@
-"""Clients that say nothing may fill the descriptors while discovery is down: engines, the list, the settings and those who ask
-have what they need, under the system's own limit too. One node as a process."""
+"""Clients that say nothing may fill the descriptors while discovery is down: engines, the list, the settings
+and those who ask have what they need, under the system's own limit too. One node as a process."""
 
 from __future__ import annotations
 
@@ -21,7 +21,9 @@
 
 
 @pytest.mark.parametrize("descriptors", [LEAST_SOCKETS, 96])
-def test_idle_clients_beyond_the_descriptors_while_discovery_is_down(descriptors: int, tmp_path: Path) -> None:
+def test_idle_clients_beyond_the_descriptors_while_discovery_is_down(
+    descriptors: int, tmp_path: Path
+) -> None:
     async def go() -> None:
         async with platform(r0=reads, r1=reads, w0=writes, w1=writes) as p:
             path = tmp_path / "config.json"
@@ -52,7 +54,9 @@
                 flood.append(await node.connect())
                 if number % 3:
                     flood[-1][1].write(b"POST /v1/chat/completions HTTP/1.1\r\nX-A: " + b"b" * (number % 3))
-            assert (await ask(earlier)).status == 200, "an earlier client is served, on the connection that it has kept"
+            assert (await ask(earlier)).status == 200, (
+                "an earlier client is served, on the connection that it has kept"
+            )
             latest = await node.connect()
             assert (await ask(latest)).status == 200, "and a new one"
             assert node.descriptors <= descriptors
@@ -72,7 +76,9 @@
             assert was == [len(p.engines[name].asked()) for name in ("r0", "w0")]
             for _, writer in flood:
                 writer.close()
-            await until(lambda: others() <= before + 2)  # The new client, and perhaps one more call for the list.
+            await until(
+                lambda: others() <= before + 2
+            )  # The new client, and perhaps one more call for the list.
             assert not [line for line in node.log if "Too many open files" in line or "resource" in line]
             assert not [line for line in node.log if "suspect" in line], "no engine is blamed"
             for _, writer in (earlier, latest):
--- a/tests/relay/test_discovery.py
+++ b/tests/relay/test_discovery.py
@@ -1,5 +1,5 @@
-"""A change of the list is heeded within 6 s of the moment from which its agent has it and can be reached, whatever calls came
-to nothing before, by what engines and the agent saw on their sockets."""
+"""A change of the list is heeded within 6 s of the moment from which its agent has it and can be reached,
+whatever calls came to nothing before, by what engines and the agent saw on their sockets."""
 
 from __future__ import annotations
 
@@ -235,12 +235,24 @@
         return [server.state for server in change.servers]
 
     members = Members(("reads",), ("z",))
-    members.take({"revision": 5, "complete": True, "members": [entry("a"), entry("b"), entry("c"), entry("d")]})
-    members.take({"revision": 6, "complete": False, "members": [entry("a", "Terminating"), entry("d", "Terminating")]})
     members.take(
-        {"revision": 7, "complete": True, "members": [entry("a", "Terminating"), entry("c"), entry("d", "Terminating")]}
+        {"revision": 5, "complete": True, "members": [entry("a"), entry("b"), entry("c"), entry("d")]}
     )
-    old = {"revision": 4, "complete": True, "members": [entry("a"), entry("b"), entry("c"), entry("d", since=1_000)]}
+    members.take(
+        {"revision": 6, "complete": False, "members": [entry("a", "Terminating"), entry("d", "Terminating")]}
+    )
+    members.take(
+        {
+            "revision": 7,
+            "complete": True,
+            "members": [entry("a", "Terminating"), entry("c"), entry("d", "Terminating")],
+        }
+    )
+    old = {
+        "revision": 4,
+        "complete": True,
+        "members": [entry("a"), entry("b"), entry("c"), entry("d", since=1_000)],
+    }
     assert members.take(old) is None
     taken = members.take(old, anew=True)
     assert states(taken) == [ServerState.DRAINING, ServerState.GONE, ServerState.READY, ServerState.READY]
@@ -249,7 +261,9 @@
     assert states(members.take(told)) == [ServerState.READY] * 2
 
 
-def test_what_is_remembered_of_servers_is_bounded_and_lists_go_on_past_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_what_is_remembered_of_servers_is_bounded_and_lists_go_on_past_it(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(discovery, "MOST_MEMBERS", 4)
     members = Members(("reads",), ("z",))
 
@@ -259,7 +273,13 @@
                 "revision": revision,
                 "complete": whole,
                 "members": [
-                    {"id": name, "host_port": "127.0.0.1:1", "locality": "z", "flavor": "reads", "phase": "Ready"}
+                    {
+                        "id": name,
+                        "host_port": "127.0.0.1:1",
+                        "locality": "z",
+                        "flavor": "reads",
+                        "phase": "Ready",
+                    }
                     for name in names
                 ],
             }
--- a/tests/relay/test_endings.py
+++ b/tests/relay/test_endings.py
@@ -1,4 +1,5 @@
-"""What is owed in the instant in which something ends: a request, a connection, a node. Each test forces one crossing."""
+"""What is owed in the instant in which something ends: a request, a connection, a node. Each test forces one
+crossing."""
 
 from __future__ import annotations
 
@@ -40,7 +41,9 @@
 
 
 @pytest.mark.parametrize(("effect", "status"), [("free", 503), ("single_shot", 502)])
-def test_a_read_that_is_out_as_the_node_ends_is_refused_only_where_it_may_run_twice(effect: str, status: int) -> None:
+def test_a_read_that_is_out_as_the_node_ends_is_refused_only_where_it_may_run_twice(
+    effect: str, status: int
+) -> None:
     """Its engine hangs and has the whole request: whatever becomes of the connection, it may run yet."""
 
     async def go() -> None:
@@ -140,7 +143,9 @@
     run(go, virtual=True)
 
 
-def test_signals_that_come_again_while_the_node_ends_change_nothing(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+def test_signals_that_come_again_while_the_node_ends_change_nothing(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
     async def go() -> None:
         async with platform(r0=reads, w0=writes) as p:
             path = tmp_path / "config.json"
--- a/tests/relay/test_floods.py
+++ b/tests/relay/test_floods.py
@@ -1,5 +1,5 @@
-"""Clients that send hundreds at once, drip their heads, read a byte now and then or say nothing, all together: others are
-served as without them, and what the node keeps is bounded. One node as a process."""
+"""Clients that send hundreds at once, drip their heads, read a byte now and then or say nothing, all
+together: others are served as without them, and what the node keeps is bounded. One node as a process."""
 
 from __future__ import annotations
 
@@ -66,7 +66,9 @@
     async def go() -> None:
         async with platform(r0=reads, r1=reads, w0=writes, w1=writes) as p:
             node = await start_node(
-                p.agent.address, tmp_path / "config.json", known={"revision": 1, "complete": True, "members": p.members()}
+                p.agent.address,
+                tmp_path / "config.json",
+                known={"revision": 1, "complete": True, "members": p.members()},
             )
             ids = itertools.count()
 
@@ -86,7 +88,9 @@
                 return sum(await asyncio.gather(*(client(20) for _ in range(6))))
 
             alone, before = await load(), memory(node)
-            floods = [asyncio.ensure_future(one(node)) for one in (pipelines, drips, reads_slowly) for _ in range(8)]
+            floods = [
+                asyncio.ensure_future(one(node)) for one in (pipelines, drips, reads_slowly) for _ in range(8)
+            ]
             floods.append(asyncio.ensure_future(silent(node)))
             await asyncio.sleep(0.3)
             began = time.monotonic()
@@ -109,7 +113,9 @@
     async def go() -> None:
         async with platform(r0=reads, r1=reads, w0=writes, w1=writes) as p:
             node = await start_node(
-                p.agent.address, tmp_path / "config.json", known={"revision": 1, "complete": True, "members": p.members()}
+                p.agent.address,
+                tmp_path / "config.json",
+                known={"revision": 1, "complete": True, "members": p.members()},
             )
             reader, writer = await node.connect()
             generation = 0
--- a/tests/relay/test_gone.py
+++ b/tests/relay/test_gone.py
@@ -1,5 +1,6 @@
-"""A client that has ended its sending, or reset its connection, has gone: no attempt for it begins more than 0.1 s later,
-wherever its request is just then, and however late the node reads that it has. Judged by what engines saw."""
+"""A client that has ended its sending, or reset its connection, has gone: no attempt for it begins more than
+0.1 s later, wherever its request is just then, and however late the node reads that it has. Judged by what
+engines saw."""
 
 from __future__ import annotations
 
@@ -11,7 +12,17 @@
 from collections.abc import Callable
 
 import pytest
-from relay_world import SETTINGS, Platform, Seen, Vanished, delay_connections, platform, reads, request, writes
+from relay_world import (
+    SETTINGS,
+    Platform,
+    Seen,
+    Vanished,
+    delay_connections,
+    platform,
+    reads,
+    request,
+    writes,
+)
 from world import run, until
 
 GONE_S = 0.1  # the platform's
@@ -80,7 +91,9 @@
             go_on.set()
             await settled(p)
             assert not p.engines["w0"].asked(), "no further attempt, and none for what was sent ahead"
-            assert any(one.target == "/bootstrap/rooms/leaves" for one in p.saw("DELETE")), "what was read is let go"
+            assert any(one.target == "/bootstrap/rooms/leaves" for one in p.saw("DELETE")), (
+                "what was read is let go"
+            )
             assert not any(seat.blamed or seat.breaks for seat in p.relay.router.seats.values())
             with contextlib.suppress(OSError):
                 sock.close()
@@ -164,12 +177,15 @@
 
 
 def test_an_attempt_given_up_before_it_was_sent_never_ran() -> None:
-    """Its engine took no connection until the node's patience ended: though not to be repeated, it goes elsewhere."""
+    """Its engine took no connection until the node's patience ended: though not to be repeated, it goes
+    elsewhere."""
 
     async def go() -> None:
         keyed = {**SETTINGS["classes"][0], "effect": "guarded", "keyScope": "zone", "dedupWindow": 1}
         limits = {**SETTINGS["limits"], "connectTimeout": 4_000_000}
-        async with platform({"settings": {"classes": [keyed], "limits": limits}}, m0=Vanished(), m1=writes) as p:
+        async with platform(
+            {"settings": {"classes": [keyed], "limits": limits}}, m0=Vanished(), m1=writes
+        ) as p:
             p.tell(m1="Terminating")
             await until(lambda: p.relay.members.revision == p.revision)
             asking = asyncio.ensure_future(p.ask())
--- a/tests/relay/test_late_releases.py
+++ b/tests/relay/test_late_releases.py
@@ -1,4 +1,5 @@
-"""An engine that hangs through a request and ends its read later is asked itself to let go, and does so in time."""
+"""An engine that hangs through a request and ends its read later is asked itself to let go, and does so in
+time."""
 
 from __future__ import annotations
 
@@ -16,7 +17,8 @@
 
 @dataclass
 class StoppedReader:
-    """A reader whose process is stopped: what reached it is taken up as it goes on, also what was given up meanwhile."""
+    """A reader whose process is stopped: what reached it is taken up as it goes on, also what was given up
+    meanwhile."""
 
     goes_on: asyncio.Event = field(default_factory=asyncio.Event)
     read_at: dict[str, float] = field(default_factory=dict)
@@ -28,7 +30,9 @@
             self._tasks.append(asyncio.ensure_future(self._end_read(one.call_id)))
         await self.goes_on.wait()
         if one.method == "DELETE":
-            self.released_at.setdefault(one.target.rpartition("/")[2], []).append(asyncio.get_running_loop().time())
+            self.released_at.setdefault(one.target.rpartition("/")[2], []).append(
+                asyncio.get_running_loop().time()
+            )
         await reads(one, writer)
 
     async def _end_read(self, call_id: str) -> None:
@@ -67,7 +71,9 @@
         reader = StoppedReader()
         async with platform(r0=reader, w0=writes) as p:
             await given_up(p, reader, "hung")
-            await until(lambda: any(one.target.endswith("/hung") for one in p.engines["r0"].asked("DELETE")), 2.0)
+            await until(
+                lambda: any(one.target.endswith("/hung") for one in p.engines["r0"].asked("DELETE")), 2.0
+            )
             reader.goes_on.set()
             await until(lambda: len(reader.released_at.get("hung", [])) >= late_releases.ROUNDS, 2.0)
 
--- a/tests/relay/test_process_failures.py
+++ b/tests/relay/test_process_failures.py
@@ -1,4 +1,5 @@
-"""A node's own process: its log, settings' file, listening socket and signals, where the system fails for a while."""
+"""A node's own process: its log, settings' file, listening socket and signals, where the system fails for a
+while."""
 
 from __future__ import annotations
 
@@ -117,7 +118,9 @@
             port = free_port()
             with LOGS[log]() as standard_error:
                 process = await spawn_node(
-                    tmp_path / "config.json", told(p.agent.address, listen=f"127.0.0.1:{port}", known=known(p)), standard_error
+                    tmp_path / "config.json",
+                    told(p.agent.address, listen=f"127.0.0.1:{port}", known=known(p)),
+                    standard_error,
                 )
                 try:
                     await serves(process, port)
@@ -138,7 +141,9 @@
 
 
 @asynccontextmanager
-async def starting(path: Path, text: str, shim: str = "", **environment: str) -> AsyncIterator[asyncio.subprocess.Process]:
+async def starting(
+    path: Path, text: str, shim: str = "", **environment: str
+) -> AsyncIterator[asyncio.subprocess.Process]:
     """A node's process that has begun, whose log nobody wants."""
     with open(os.devnull, "wb") as unread:
         process = await spawn_node(path, text, unread.fileno(), shim, environment)
@@ -158,7 +163,9 @@
         async with platform(r0=reads, w0=writes) as p:
             port = free_port()
             text = told(p.agent.address, listen=f"127.0.0.1:{port}", known=known(p))
-            async with starting(tmp_path / "config.json", text, FAILING_OPEN, FAILS_WITH=str(number)) as process:
+            async with starting(
+                tmp_path / "config.json", text, FAILING_OPEN, FAILS_WITH=str(number)
+            ) as process:
                 await serves(process, port)
 
     run(go)
@@ -183,7 +190,9 @@
     return "tuliptrack.relay" in Path(f"/proc/{process.pid}/cmdline").read_text().split("\0")
 
 
-def test_signals_for_new_settings_that_come_while_a_node_starts_end_nothing_and_are_heeded(tmp_path: Path) -> None:
+def test_signals_for_new_settings_that_come_while_a_node_starts_end_nothing_and_are_heeded(
+    tmp_path: Path,
+) -> None:
     async def go() -> None:
         async with platform(r0=reads, w0=writes) as p:
             other = await Peer(p.answers).start()
@@ -191,7 +200,9 @@
             changes = {"listen": f"127.0.0.1:{port}", "known": known(p)}
             async with starting(path, told(p.agent.address, **changes)) as process:
                 await until(lambda: program_has_begun(process))
-                for _ in range(20):  # From the program's first instruction on, through its imports and its start.
+                for _ in range(
+                    20
+                ):  # From the program's first instruction on, through its imports and its start.
                     process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.01)
                 write_whole(path, told(other.address, **changes))
--- a/tests/relay/test_ready.py
+++ b/tests/relay/test_ready.py
@@ -1,5 +1,5 @@
-"""How soon a node that was started serves: all of a fleet at once, on a part of a core each, and never so early that what it
-is asked first is lost."""
+"""How soon a node that was started serves: all of a fleet at once, on a part of a core each, and never so
+early that what it is asked first is lost."""
 
 from __future__ import annotations
 
@@ -44,7 +44,9 @@
                 after = resource.getrusage(resource.RUSAGE_CHILDREN)
                 interpreter = after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime
                 node = await start_node(
-                    p.agent.address, tmp_path / "config.json", known={"revision": 1, "complete": True, "members": p.members()}
+                    p.agent.address,
+                    tmp_path / "config.json",
+                    known={"revision": 1, "complete": True, "members": p.members()},
                 )
                 ratios.append(cpu(node.process.pid) / interpreter)
                 reader, writer = await node.connect()
@@ -71,7 +73,9 @@
             began = time.monotonic()
             starting = [
                 asyncio.ensure_future(
-                    start_node(p.agent.address, path, known={"revision": 1, "complete": True, "members": p.members()})
+                    start_node(
+                        p.agent.address, path, known={"revision": 1, "complete": True, "members": p.members()}
+                    )
                 )
                 for path in paths
             ]
@@ -90,7 +94,9 @@
 
 
 @pytest.mark.parametrize("agent", ["speaks late", "silent"])
-def test_a_node_that_knows_no_engine_is_ready_with_its_first_list_or_a_little_later(agent: str, tmp_path: Path) -> None:
+def test_a_node_that_knows_no_engine_is_ready_with_its_first_list_or_a_little_later(
+    agent: str, tmp_path: Path
+) -> None:
     async def go() -> None:
         async with platform(r0=reads, w0=writes) as p:
             late = await Peer(hangs).start()
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -43,7 +43,9 @@
                 assert one.call_id == "call-1" and 0 < float(one.head["x-budget"]) < 4.8
             assert first in p.engines["r0"].seen and second in p.engines["w0"].seen
             seats = {s.role.value: s for s in p.relay.router.seats.values()}
-            assert seats["read"].depth == 2.0 and seats["write"].memory == 0.25  # the reports, at its head and at its end
+            assert (
+                seats["read"].depth == 2.0 and seats["write"].memory == 0.25
+            )  # the reports, at its head and at its end
             assert not p.saw("DELETE")
 
     run(go, virtual=True)
@@ -69,7 +71,12 @@
                 )
             )
             assert reply.status == 200 and reply.whole
-            sent = {"idempotency-key": "k-77", "accept-language": "de, en", "x-name": "J\u00c3\u00b6rg", "cookie": "a=1"}
+            sent = {
+                "idempotency-key": "k-77",
+                "accept-language": "de, en",
+                "x-name": "J\u00c3\u00b6rg",
+                "cookie": "a=1",
+            }
             for one in p.saw():
                 assert {name: one.head.get(name) for name in sent} == sent
                 assert not {"x-hop", "te", "keep-alive", "connection", "accept-encoding"} & one.head.keys()
@@ -137,7 +144,8 @@
     "lengths that are none": request("x9", X_Call_Info="prompt_len=-3"),
     "not JSON": request("x10", b"{never"),
     "a head without end": b"POST / HTTP/1.1\r\nX-A: " + b"b" * 100_000,
-    "60 MB in chunks": request("x11", b"", Transfer_Encoding="chunked", Content_Length="") + chunk(b"{" * 60_000) * 40,
+    "60 MB in chunks": request("x11", b"", Transfer_Encoding="chunked", Content_Length="")
+    + chunk(b"{" * 60_000) * 40,
 }
 
 
@@ -182,7 +190,9 @@
             assert (await p.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200
             head = await p.say(b"HEAD /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             assert head.status == 200 and head.head["content-length"] != "0"
-            assert (await p.say(b"PUT /-/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")).status == 405
+            assert (
+                await p.say(b"PUT /-/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+            ).status == 405
             handle = p.relay.router.handle
 
             def refuses(now: int, events: list[Event]) -> list[Action]:
@@ -220,7 +230,8 @@
 
 
 def test_what_may_have_run_is_not_refused_as_the_node_ends() -> None:
-    """Its prompt is being read anew, after an attempt at a writer that broke: a refusal would say that it never ran."""
+    """Its prompt is being read anew, after an attempt at a writer that broke: a refusal would say that it
+    never ran."""
 
     async def go() -> None:
         async def breaks(one: Seen, writer: asyncio.StreamWriter) -> None:
@@ -247,11 +258,15 @@
     run(go, virtual=True)
 
 
-def test_an_engine_that_began_to_drain_while_its_connection_came_up_is_sent_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_engine_that_began_to_drain_while_its_connection_came_up_is_sent_nothing(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def go() -> None:
         limits = {**SETTINGS["limits"], "connectTimeout": 2_000_000}
         obligations = {**SETTINGS["obligations"], "drainGrace": 200_000}
-        async with platform({"settings": {"limits": limits, "obligations": obligations}}, r0=reads, w0=writes) as p:
+        async with platform(
+            {"settings": {"limits": limits, "obligations": obligations}}, r0=reads, w0=writes
+        ) as p:
             p.engines["r1"] = await Peer(reads).start()
             connecting = asyncio.Event()
 
@@ -272,7 +287,9 @@
     run(go, virtual=True)
 
 
-def test_no_repeat_is_sent_after_its_window_when_its_connection_comes_up_late(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_repeat_is_sent_after_its_window_when_its_connection_comes_up_late(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """The first attempt breaks within the window; the second one's connection comes up after it."""
 
     async def go() -> None:
@@ -280,7 +297,9 @@
             await asyncio.sleep(0.1)
             writer.transport.abort()
 
-        held_up = HELD_UP_US / 1e6  # A node may be held up for so long before it writes: its window is that much shorter.
+        held_up = (
+            HELD_UP_US / 1e6
+        )  # A node may be held up for so long before it writes: its window is that much shorter.
         window = 0.4
         keyed = {
             **SETTINGS["classes"][0],
@@ -291,7 +310,9 @@
         limits = {**SETTINGS["limits"], "connectTimeout": 2_000_000}
         loop = asyncio.get_running_loop()
         for late in (0.0, window + 0.2):
-            async with platform({"settings": {"classes": [keyed], "limits": limits}}, m0=breaks, m1=breaks) as p:
+            async with platform(
+                {"settings": {"classes": [keyed], "limits": limits}}, m0=breaks, m1=breaks
+            ) as p:
                 waits = iter((0.0, *[late] * 9))
                 ports = [engine.port for engine in p.engines.values()]
 
@@ -312,7 +333,10 @@
 def test_an_entry_that_cant_be_used_is_left_out_and_old_lists_change_nothing() -> None:
     members = Members(("reads",), ("z",))
     good = {"id": "a", "host_port": "127.0.0.1:1", "locality": "z", "flavor": "reads", "phase": "Ready"}
-    odd: list[Any] = [{**good, "id": "b", field: "no such"} for field in ("locality", "flavor", "phase", "host_port", "size")]
+    odd: list[Any] = [
+        {**good, "id": "b", field: "no such"}
+        for field in ("locality", "flavor", "phase", "host_port", "size")
+    ]
     change = members.take({"revision": 5, "complete": True, "members": [*odd, 7, good]})
     assert change and len(change.servers) == 1 and list(members.names.values()) == ["a"]
     assert members.take({"revision": 4, "complete": True, "members": []}) is None and members.names
--- a/tests/relay/test_releases.py
+++ b/tests/relay/test_releases.py
@@ -43,7 +43,8 @@
         await reads(one, writer)
 
     async def deaf_to_releases(self, one: Seen, writer: asyncio.StreamWriter) -> None:
-        """A reader whose machine is cut off once it has read: a release to it is never answered and does not count."""
+        """A reader whose machine is cut off once it has read: a release to it is never answered and does not
+        count."""
         if one.method == "DELETE":
             await hangs(one, writer)
         await self.reader(one, writer)
@@ -63,7 +64,8 @@
 
 
 class Mute(Peer):
-    """An engine whose machine has fallen silent: connections come up, most of what is written to them is never confirmed."""
+    """An engine whose machine has fallen silent: connections come up, most of what is written to them is
+    never confirmed."""
 
     def __init__(self) -> None:
         super().__init__(hangs)
@@ -91,7 +93,9 @@
         line = Timeline()
         async with platform(r0=line.reader, w0=line.reader) as p:
             release(p, "again", "r0", unsure=True)
-            await until(lambda: line.released_at.get("again") and p.relay.channels.releases.resting("again"), 2.0)
+            await until(
+                lambda: line.released_at.get("again") and p.relay.channels.releases.resting("again"), 2.0
+            )
             asked_at = now()
             release(p, "again", "r0", unsure=True)
             await until(lambda: len(line.released_at["again"]) == 2, 2.0)
@@ -113,7 +117,8 @@
 
 
 def test_an_attempt_that_has_brought_no_word_goes_on_and_what_it_may_have_left_is_let_go_in_time() -> None:
-    """That its bytes were confirmed tells nothing of its engine, so the state is let go beside it; the engine spares it."""
+    """That its bytes were confirmed tells nothing of its engine, so the state is let go beside it; the engine
+    spares it."""
 
     async def go() -> None:
         line = Timeline()
@@ -148,7 +153,11 @@
             asked = 0
             while not broke_at:  # The first reader is chosen by the prefix.
                 asked += 1
-                await p.say(request(f"left-{asked}", X_Call_Info=f"prefix={asked},prompt_len=9,prefix_len=4,max_out=20"))
+                await p.say(
+                    request(
+                        f"left-{asked}", X_Call_Info=f"prefix={asked},prompt_len=9,prefix_len=4,max_out=20"
+                    )
+                )
             await until(lambda: f"left-{asked}" in line.released_at, 2.0)
             assert line.released_at[f"left-{asked}"][0] - broke_at[0] <= IN_TIME_S
 
@@ -197,7 +206,8 @@
 
 
 def test_no_release_is_made_while_another_attempt_of_the_request_goes_on() -> None:
-    """The first read is given up on, the second one's state goes to a writer, whose first token frees whatever was held."""
+    """The first read is given up on, the second one's state goes to a writer, whose first token frees
+    whatever was held."""
 
     async def go() -> None:
         line = Timeline()
@@ -238,7 +248,8 @@
             await until(lambda: bool(p.engines["r0"].asked()))
             left_at = now()
             writer.close()
-            # The first release may be there before the read has ended: what that left is let go by a second one.
+            # The first release may be there before the read has ended: what that left is let go by a second
+            # one.
             await until(lambda: len(line.released_at.get("crossing", [])) == 2, 2.0)
             assert line.released_at["crossing"][1] - left_at <= IN_TIME_S
 
@@ -287,7 +298,10 @@
     "changes",
     [
         pytest.param({}, id="attempts may be called off"),
-        pytest.param({"settings": {"limits": {**SETTINGS["limits"], "cancel": False}}}, id="attempts may not be called off"),
+        pytest.param(
+            {"settings": {"limits": {**SETTINGS["limits"], "cancel": False}}},
+            id="attempts may not be called off",
+        ),
     ],
 )
 def test_what_is_held_as_the_node_ends_is_let_go_before_it_is_gone(changes: dict[str, Any]) -> None:
--- a/tests/relay/test_restarts.py
+++ b/tests/relay/test_restarts.py
@@ -42,7 +42,9 @@
             node = await start_node(p.agent.address, path)
             process, address = node.process, node.address
             children = Path(f"/proc/{process.pid}/task/{process.pid}/children")
-            assert "tuliptrack.relay" in Path(f"/proc/{process.pid}/cmdline").read_text(), "the shell has become the node"
+            assert "tuliptrack.relay" in Path(f"/proc/{process.pid}/cmdline").read_text(), (
+                "the shell has become the node"
+            )
             assert not children.exists() or not children.read_text().strip(), "one process"
             host, _, port = address.rpartition(":")
             other = await Peer(p.answers).start()
@@ -69,7 +71,8 @@
             endless_writer.write(request("endless"))
             reply = await asyncio.wait_for(read_reply(endless_reader), 3.5)
             assert (reply.status, reply.whole) == (200, False)
-            # From then on it takes nothing new, but no connection is closed on a request that may be on its way.
+            # From then on it takes nothing new, but no connection is closed on a request that may be on its
+            # way.
             late_writer.write(request("last"))
             reply = await asyncio.wait_for(read_reply(late_reader), 3.5)
             assert (reply.status, reply.whole, reply.head.get("connection")) == (503, True, "close")
@@ -82,9 +85,14 @@
 
 
 def test_two_nodes_restarted_in_turn_under_load_answer_all_that_they_take(tmp_path: Path) -> None:
-    """Slow readers, and a writer that hangs, then all of them; each node is killed as soon after SIGTERM as the platform may.
-    Clients keep their connections for as long as these stay open, and come again at once."""
-    deadline, load, hanging = 2.0, 6, 1.4  # seconds; clients; seconds before the kill from which on all writers hang
+    """Slow readers, and a writer that hangs, then all of them; each node is killed as soon after SIGTERM as
+    the platform may. Clients keep their connections for as long as these stay open, and come again at
+    once."""
+    deadline, load, hanging = (
+        2.0,
+        6,
+        1.4,
+    )  # seconds; clients; seconds before the kill from which on all writers hang
     killed = deadline + 0.7  # the platform's: the longest deadline, and so much more
 
     async def go() -> None:
@@ -130,7 +138,9 @@
                         reply = await asyncio.wait_for(read_reply(reader), 2 * deadline)
                         if reply.status or fresh:
                             break
-                        crossed += 1  # A kept connection closed just then: the platform's clients send once more.
+                        crossed += (
+                            1  # A kept connection closed just then: the platform's clients send once more.
+                        )
                         writer.close()
                         reader, writer = await connect(number + turn + again)
                         fresh = True
@@ -148,7 +158,9 @@
             for number in (0, 1):
                 process, address = nodes[number].process, nodes[number].address
                 process.send_signal(signal.SIGTERM)
-                await asyncio.sleep(killed - hanging)  # What comes now is to be answered before the kill all the same.
+                await asyncio.sleep(
+                    killed - hanging
+                )  # What comes now is to be answered before the kill all the same.
                 for name in ("w0", "w1"):
                     p.engines[name].script = hung
                 await asyncio.sleep(hanging)
--- a/tests/relay/test_silent_connections.py
+++ b/tests/relay/test_silent_connections.py
@@ -1,8 +1,8 @@
 """Connections and machines that fall silent with no error, before a node that runs as a process.
 
-Judged by what reached the engines, never by what the node believes: a read state has to be taken by a request, or let go by a
-release, whose last byte has come to a running engine within the settings' time and what the platform adds to it.
-"""
+Judged by what reached the engines, never by what the node believes: a read state has to be taken by a
+request, or let go by a release, whose last byte has come to a running engine within the settings' time and
+what the platform adds to it."""
 
 from __future__ import annotations
 
@@ -118,7 +118,9 @@
 @contextlib.asynccontextmanager
 async def world(folder: Path) -> AsyncIterator[World]:
     journal = Journal()
-    scripts = {f"r{n}": journal.reader for n in range(READERS)} | {f"w{n}": journal.writer for n in range(WRITERS)}
+    scripts = {f"r{n}": journal.reader for n in range(READERS)} | {
+        f"w{n}": journal.writer for n in range(WRITERS)
+    }
     peers = {name: await Peer(script).start() for name, script in scripts.items()}
     proxies = {name: await FaultProxy(peer.address).start() for name, peer in peers.items()}
     kinds = {"r": "reads", "w": "writes"}
@@ -263,7 +265,11 @@
                 free = [one for one in results if one.effect == "free"]
                 failed = [one for one in free if not (one.reply.status == 200 and one.reply.whole)]
                 if silence.others_work and len(free) - len(failed) < SERVED * len(free):
-                    wrong[f"{silence.name}: served"] = [f"{len(free) - len(failed)} of {len(free)}", failed, troubles(w.node)]
+                    wrong[f"{silence.name}: served"] = [
+                        f"{len(free) - len(failed)} of {len(free)}",
+                        failed,
+                        troubles(w.node),
+                    ]
         assert not wrong, "\n".join(f"{title}: {value}" for title, value in wrong.items())
 
     run(go, 60)
--- a/tests/relay/test_spoilt_answers.py
+++ b/tests/relay/test_spoilt_answers.py
@@ -44,7 +44,15 @@
         (b"HTTP/1.1 100 Continue\r\n\r\n" * 40,),
         (OPENING + b"0\r\n\r\n",),
     ],
-    ids=["noise", "head without end", "chunk size", "chunk that does not fit", "event without end", "1xx for ever", "empty"],
+    ids=[
+        "noise",
+        "head without end",
+        "chunk size",
+        "chunk that does not fit",
+        "event without end",
+        "1xx for ever",
+        "empty",
+    ],
 )
 def test_a_stream_spoilt_before_its_first_event_is_tried_elsewhere(parts: tuple[bytes, ...]) -> None:
     async def go() -> None:
--- a/tests/relay/test_streams_in_time.py
+++ b/tests/relay/test_streams_in_time.py
@@ -1,4 +1,5 @@
-"""Events are passed on as they come, from an engine to a client, beside slow readers, silent engines and floods."""
+"""Events are passed on as they come, from an engine to a client, beside slow readers, silent engines and
+floods."""
 
 from __future__ import annotations
 
@@ -94,7 +95,8 @@
         async def by_kind(one: Seen, writer: asyncio.StreamWriter) -> None:
             await (large_writer if one.call_id.startswith("slow") else timed_writer)(one, writer)
 
-        # All come at once to a process that plays the engines too: with a short aim some are refused, and rightly so.
+        # All come at once to a process that plays the engines too: with a short aim some are refused, and
+        # rightly so.
         patient = {**SETTINGS["classes"][0], "promise": 600_000_000}
         async with platform(
             {"limits": {"cores": 1.0, "memory_mb": 128, "sockets": 512}, "settings": {"classes": [patient]}},
--- a/tests/relay/test_view.py
+++ b/tests/relay/test_view.py
@@ -1,5 +1,5 @@
-"""What the router's books say is out, the node's table, and the connections on which something is out: the same at every
-event, while engines break, hang, drain and are replaced and clients leave."""
+"""What the router's books say is out, the node's table, and the connections on which something is out: the
+same at every event, while engines break, hang, drain and are replaced and clients leave."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
         async def unsteady(one: Seen, writer: asyncio.StreamWriter) -> None:
             if one.method == "DELETE" or (lot := random.random()) < 0.5:
                 await asyncio.sleep(random.random() / 30)
-                await (reads if one.method == "DELETE" or one.head.get("host") in readers else writes)(one, writer)
+                await (reads if one.method == "DELETE" or one.head.get("host") in readers else writes)(
+                    one, writer
+                )
             elif lot < 0.6:
                 writer.transport.abort()
             elif lot < 0.7:
@@ -48,12 +50,20 @@
             def same() -> None:
                 nonlocal looked, most
                 router = core.router
-                books = {(number, seat.info.id) for seat in router.seats.values() for number in (*seat.open, *seat.running)}
+                books = {
+                    (number, seat.info.id)
+                    for seat in router.seats.values()
+                    for number in (*seat.open, *seat.running)
+                }
                 out = {record.id: record.out for record in core.table.open.values() if record.out}
                 pools = engines.pools.all()
                 on_links = {link.exchange for pool in pools for link in pool.links if link.exchange}
                 coming_up = {borrow.exchange for pool in pools for borrow in pool.borrows}
-                carried = {exchange for exchange in on_links | coming_up if exchange.open and exchange.method == "POST"}
+                carried = {
+                    exchange
+                    for exchange in on_links | coming_up
+                    if exchange.open and exchange.method == "POST"
+                }
                 calls = {call.exchange for a in out.values() if isinstance(call := a.call, _Attempt)}
                 if carried != calls or books != {(number, attempt.server) for number, attempt in out.items()}:
                     differ.append((len(books), len(out), len(calls), len(carried)))
@@ -81,7 +91,12 @@
             phases = ("Ready", "Terminating", "Gone")
             while not all(one.done() for one in clients):
                 await asyncio.sleep(0.05)
-                p.tell(**{name: phases[random.randrange(3)] if random.random() < 0.3 else "Ready" for name in names})
+                p.tell(
+                    **{
+                        name: phases[random.randrange(3)] if random.random() < 0.3 else "Ready"
+                        for name in names
+                    }
+                )
             await asyncio.gather(*clients)
             await until(lambda: not core.table.open)
             same()
--- a/tests/relay_node.py
+++ b/tests/relay_node.py
@@ -84,11 +84,14 @@
     environment: Mapping[str, str] | None = None,
     descriptors: int = 0,
 ) -> asyncio.subprocess.Process:
-    """A node's process with these settings, which may not serve yet. `standard_error`: a descriptor, PIPE or CLOSED; `shim`:
-    what else is run as it starts; `descriptors`: the system's limit on them, 0 for the usual one."""
+    """A node's process with these settings, which may not serve yet. `standard_error`: a descriptor, PIPE or
+    CLOSED; `shim`: what else is run as it starts; `descriptors`: the system's limit on them, 0 for the usual
+    one."""
     path.write_text(settings)
     (path.parent / "sitecustomize.py").write_text(REFUSED + shim)
-    line = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"].replace(".venv/bin/python", sys.executable)
+    line = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"].replace(
+        ".venv/bin/python", sys.executable
+    )
     limit = f"ulimit -n {descriptors}; " if descriptors else ""
     closed = standard_error == CLOSED
     return await asyncio.create_subprocess_exec(
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -1,4 +1,5 @@
-"""A platform to test the relay against: discovery, engines and clients on raw sockets, which note what they saw."""
+"""A platform to test the relay against: discovery, engines and clients on raw sockets, which note what they
+saw."""
 
 from __future__ import annotations
 
@@ -19,7 +20,14 @@
 
 SETTINGS: dict[str, Any] = {
     "classes": [
-        {"name": "plain", "importance": 1.0, "promise": 1_000_000, "deadline": 5_000_000, "effect": "free", "stream": True}
+        {
+            "name": "plain",
+            "importance": 1.0,
+            "promise": 1_000_000,
+            "deadline": 5_000_000,
+            "effect": "free",
+            "stream": True,
+        }
     ],
     "discovery": "automatic",
     "failureDomains": ["z"],
@@ -46,10 +54,18 @@
     "replicasOfMe": 1,
     "slotNo": 0,
     "reporting": {"fields": ["inflight", "x0"], "how": "piggyback"},
-    "specifics": {"dutyByKind": ["read", "write", "both"], "letGoBy": 300_000, "resume": True, "writersRead": True},
+    "specifics": {
+        "dutyByKind": ["read", "write", "both"],
+        "letGoBy": 300_000,
+        "resume": True,
+        "writersRead": True,
+    },
 }
 OPENING = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
-TOKENS = [b'data: {"choices":[{"index":0,"delta":{"content":"t%d"},"finish_reason":null}]}\n\n' % n for n in range(4)]
+TOKENS = [
+    b'data: {"choices":[{"index":0,"delta":{"content":"t%d"},"finish_reason":null}]}\n\n' % n
+    for n in range(4)
+]
 LAST = [
     b'data: {"choices":[],"usage":{"prompt_tokens":9,"prompt_tokens_details":{"cached_tokens":4}}}\n\n',
     b"data: [DONE]\n\n",
@@ -105,7 +121,9 @@
             while head := await reader.readuntil(b"\r\n\r\n"):
                 lines = head.decode("latin-1").split("\r\n")
                 method, target, _ = lines[0].split(" ")
-                fields = dict((k.lower(), v.strip()) for k, _, v in (x.partition(":") for x in lines[1:] if x))
+                fields = dict(
+                    (k.lower(), v.strip()) for k, _, v in (x.partition(":") for x in lines[1:] if x)
+                )
                 body = await reader.readexactly(int(fields.get("content-length", 0)))
                 one = Seen(method, target, fields, body)
                 self.seen.append(one)
@@ -188,7 +206,8 @@
         return
     body = b'{"cached_tokens":3}'
     writer.write(
-        b'HTTP/1.1 202 Accepted\r\nx-load-report: {"inflight":2,"x0":0.5}\r\ncontent-length: %d\r\n\r\n%b' % (len(body), body)
+        b'HTTP/1.1 202 Accepted\r\nx-load-report: {"inflight":2,"x0":0.5}\r\ncontent-length: %d\r\n\r\n%b'
+        % (len(body), body)
     )
 
 
@@ -336,9 +355,13 @@
 
 
 @contextlib.asynccontextmanager
-async def platform(changes: dict[str, Any] | None = None, **scripts: Script | Peer) -> AsyncIterator[Platform]:
+async def platform(
+    changes: dict[str, Any] | None = None, **scripts: Script | Peer
+) -> AsyncIterator[Platform]:
     """A relay before these engines: `r…` read, `w…` write, `m…` do both."""
-    engines = {name: await (one if isinstance(one, Peer) else Peer(one)).start() for name, one in scripts.items()}
+    engines = {
+        name: await (one if isinstance(one, Peer) else Peer(one)).start() for name, one in scripts.items()
+    }
     made = Platform(engines, Peer(hangs))
     made.agent.script = made.answers
     await made.agent.start()
--- a/tests/rpc/test_arrival.py
+++ b/tests/rpc/test_arrival.py
@@ -1,4 +1,5 @@
-"""Proofs of arrival by a clock of the test's own: when the peer is pinged, what its answer proves, when it is doubted."""
+"""Proofs of arrival by a clock of the test's own: when the peer is pinged, what its answer proves, when it is
+doubted."""
 
 from __future__ import annotations
 
--- a/tests/rpc/test_core.py
+++ b/tests/rpc/test_core.py
@@ -55,7 +55,9 @@
     def ask(self, stream: int = 1, headers: dict[str, str] | None = None, end: bool = False) -> None:
         named = {k.replace("_", "-"): v for k, v in (headers or {}).items()}
         kept: list[tuple[str, str]] = [(k, v) for k, v in HEADERS if k.strip(":") not in named]
-        own: list[tuple[str, str]] = [(f":{k}" if k in ("method", "path") else k, v) for k, v in named.items()]
+        own: list[tuple[str, str]] = [
+            (f":{k}" if k in ("method", "path") else k, v) for k, v in named.items()
+        ]
         both: list[tuple[str, str]] = sorted([*kept, *own], key=lambda kv: not kv[0].startswith(":"))
         self.h2.send_headers(stream, both, end_stream=end)
 
@@ -97,14 +99,24 @@
     ("data", "headers", "code"),
     [
         (message(b"x" * 3000), {}, Code.RESOURCE_EXHAUSTED),
-        (message(zlib.compress(b"\0" * 5_000_000)), {"grpc_encoding": "deflate", "flag": "1"}, Code.RESOURCE_EXHAUSTED),
+        (
+            message(zlib.compress(b"\0" * 5_000_000)),
+            {"grpc_encoding": "deflate", "flag": "1"},
+            Code.RESOURCE_EXHAUSTED,
+        ),
         (message(b"no gzip"), {"grpc_encoding": "gzip", "flag": "1"}, Code.INTERNAL),
-        (message(zlib.compress(b"cut off here")[:-3]), {"grpc_encoding": "deflate", "flag": "1"}, Code.INTERNAL),
+        (
+            message(zlib.compress(b"cut off here")[:-3]),
+            {"grpc_encoding": "deflate", "flag": "1"},
+            Code.INTERNAL,
+        ),
         (message(b"x", 1), {}, Code.INTERNAL),
         (message(b"x", 7), {"grpc_encoding": "gzip"}, Code.INTERNAL),
     ],
 )
-def test_messages_that_are_wrong_end_their_call_and_no_other(data: bytes, headers: dict[str, str], code: Code) -> None:
+def test_messages_that_are_wrong_end_their_call_and_no_other(
+    data: bytes, headers: dict[str, str], code: Code
+) -> None:
     peer = Peer(Limits(max_message_bytes=2000))
     headers = dict(headers)
     if headers.pop("flag", ""):
@@ -246,7 +258,9 @@
     crossing = client.start("/x.Y/Z")  # on its way while the server says that it goes away
     here, there = exchange()
     assert [e for e in here if isinstance(e, GoAway)] and client.room() == 0
-    assert any(isinstance(e, CallStarted) and e.stream == crossing for e in there)  # the first step allows for it
+    assert any(
+        isinstance(e, CallStarted) and e.stream == crossing for e in there
+    )  # the first step allows for it
     server.send(first, b"still")
     server.finish(first, Status(Code.OK))
     here, _ = exchange()
@@ -265,11 +279,14 @@
     assert [(e.stream, e.unprocessed) for e in events if isinstance(e, CallEnded)] == [(two, True)]
     assert list(client.calls) == [one]
     events = client.lost("closed")
-    assert [(e.stream, e.unprocessed, e.reset) for e in events if isinstance(e, CallEnded)] == [(one, False, True)]
+    assert [(e.stream, e.unprocessed, e.reset) for e in events if isinstance(e, CallEnded)] == [
+        (one, False, True)
+    ]
 
 
 @pytest.mark.parametrize(
-    ("us", "text"), [(1, "1u"), (99_999_999, "99999999u"), (100_000_000, "100000m"), (360_000_000_000_000, "6000000M")]
+    ("us", "text"),
+    [(1, "1u"), (99_999_999, "99999999u"), (100_000_000, "100000m"), (360_000_000_000_000, "6000000M")],
 )
 def test_timeouts_take_the_finest_unit_that_fits(us: int, text: str) -> None:
     assert encode_timeout(us) == text.encode()
--- a/tests/rpc/test_failing_calls.py
+++ b/tests/rpc/test_failing_calls.py
@@ -1,4 +1,5 @@
-"""System calls that fail for a while, in each way that Linux documents, at a listener and at connections to engines."""
+"""System calls that fail for a while, in each way that Linux documents, at a listener and at connections to
+engines."""
 
 from __future__ import annotations
 
@@ -24,7 +25,15 @@
 from tuliptrack.rpc.loop_errors import log_loop_errors
 from tuliptrack.rpc.server import Server
 
-ACCEPT = (errno.ECONNABORTED, errno.EPROTO, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPERM)
+ACCEPT = (
+    errno.ECONNABORTED,
+    errno.EPROTO,
+    errno.ENFILE,
+    errno.EMFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EPERM,
+)
 OWN_LACK = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
 OWN_NETWORK = (errno.EADDRNOTAVAIL, errno.ENETUNREACH)
 HTTP2_PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + bytes(3) + b"\x04" + bytes(5)
@@ -47,7 +56,14 @@
 def faults(monkeypatch: pytest.MonkeyPatch) -> Iterator[CallFaults]:
     """What fails; nothing yet."""
     made = CallFaults(
-        create=(), accept=(), connect=(), broken=(), close=(), shutdown=(), interrupts=False, random=random.Random(3)
+        create=(),
+        accept=(),
+        connect=(),
+        broken=(),
+        close=(),
+        shutdown=(),
+        interrupts=False,
+        random=random.Random(3),
     )
     monkeypatch.setattr(FaultySocket, "faults", made)
     monkeypatch.setattr(socket, "socket", FaultySocket)
@@ -146,8 +162,11 @@
     run(go)
 
 
-async def exchange_while(pool: Pool, faults: CallFaults, call: str, number: int, seconds: float) -> tuple[How, bool, int]:
-    """How an exchange ends whose connection can't be opened for so long, as this call fails; whether it was alone; tries."""
+async def exchange_while(
+    pool: Pool, faults: CallFaults, call: str, number: int, seconds: float
+) -> tuple[How, bool, int]:
+    """How an exchange ends whose connection can't be opened for so long, as this call fails; whether it was
+    alone; tries."""
     setattr(faults, call, (number,))
     faults.share, faults.failed = 1.0, 0
     asyncio.get_running_loop().call_later(seconds, lambda: setattr(faults, "share", 0.0))
@@ -160,10 +179,14 @@
     return how, exchange.lone, faults.failed
 
 
-OPENING = [("create", number) for number in OWN_LACK] + [("connect", number) for number in (*OWN_LACK, *OWN_NETWORK)]
+OPENING = [("create", number) for number in OWN_LACK] + [
+    ("connect", number) for number in (*OWN_LACK, *OWN_NETWORK)
+]
 
 
-@pytest.mark.parametrize(("call", "number"), OPENING, ids=[f"{call} {errno.errorcode[n]}" for call, n in OPENING])
+@pytest.mark.parametrize(
+    ("call", "number"), OPENING, ids=[f"{call} {errno.errorcode[n]}" for call, n in OPENING]
+)
 def test_what_this_machine_lacks_for_a_moment_costs_no_attempt_and_later_blames_no_engine(
     call: str, number: int, faults: CallFaults
 ) -> None:
@@ -184,7 +207,9 @@
 
 
 @pytest.mark.parametrize("number", [errno.ETIMEDOUT, errno.EHOSTUNREACH], ids=["ETIMEDOUT", "EHOSTUNREACH"])
-def test_a_connection_that_breaks_in_an_unusual_way_ends_its_exchange(number: int, faults: CallFaults) -> None:
+def test_a_connection_that_breaks_in_an_unusual_way_ends_its_exchange(
+    number: int, faults: CallFaults
+) -> None:
     async def go() -> None:
         taken = asyncio.Event()
         server = HttpServer(lambda call: taken.set(), lambda call: None, HttpLimits(), ByteBudget(1 << 20))
@@ -206,7 +231,9 @@
 
 
 @pytest.mark.parametrize("number", [errno.EINTR, errno.EIO], ids=["EINTR", "EIO"])
-def test_a_close_that_fails_has_closed_all_the_same(number: int, faults: CallFaults, caplog: pytest.LogCaptureFixture) -> None:
+def test_a_close_that_fails_has_closed_all_the_same(
+    number: int, faults: CallFaults, caplog: pytest.LogCaptureFixture
+) -> None:
     async def go() -> None:
         server = await serve()
         pool = Pool(server.address, ClientOptions(), Connections(4))
--- a/tests/rpc/test_http1.py
+++ b/tests/rpc/test_http1.py
@@ -1,4 +1,5 @@
-"""The HTTP/1 shell at arbitrary chunking and with garbage: the same answers however bytes come, and nothing stops it."""
+"""The HTTP/1 shell at arbitrary chunking and with garbage: the same answers however bytes come, and nothing
+stops it."""
 
 from __future__ import annotations
 
@@ -83,7 +84,11 @@
         server = HttpServer(echo, early, HttpLimits(), meter)
         await server.listen()
         whole = without_dates(await talk(server, [REQUESTS]))
-        assert whole.count(b"HTTP/1.1 200") == 4 and b'["/a", "hello"]' in whole and b'["/b", "abcdefg"]' in whole
+        assert (
+            whole.count(b"HTTP/1.1 200") == 4
+            and b'["/a", "hello"]' in whole
+            and b'["/b", "abcdefg"]' in whole
+        )
         assert b"9\r\ndata: 2\n\n\r\n0\r\n\r\n" in whole
         assert without_dates(await talk(server, cut(REQUESTS, places))) == whole
         await server.stop()
@@ -97,7 +102,9 @@
 def test_garbage_ends_its_own_connection_and_nothing_else(places: list[int], junk: bytes, at: int) -> None:
     async def go() -> None:
         meter = ByteBudget(10_000)
-        server = HttpServer(echo, early, HttpLimits(body_bytes=3_000, header_bytes=500, request_within=300_000), meter)
+        server = HttpServer(
+            echo, early, HttpLimits(body_bytes=3_000, header_bytes=500, request_within=300_000), meter
+        )
         await server.listen()
         await talk(server, cut(REQUESTS[:at] + junk + REQUESTS[at:], places))
         assert (await talk(server, [REQUESTS])).count(b"HTTP/1.1 200") == 4
@@ -112,7 +119,10 @@
     async def go() -> None:
         server = HttpServer(echo, early, HttpLimits(connections=2, header_bytes=500))
         await server.listen()
-        told = await talk(server, [b"POST /never HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\nexpect: 100-continue\r\n\r\n"])
+        told = await talk(
+            server,
+            [b"POST /never HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\nexpect: 100-continue\r\n\r\n"],
+        )
         assert told.startswith(b"HTTP/1.1 503") and b"100 Continue" not in told
         assert (await talk(server, [b"GET /" + b"x" * 1000])).startswith(b"HTTP/1.1 431")
         gone.clear()
@@ -122,7 +132,9 @@
         for _, writer in waiting:
             writer.write(b"GET /wait HTTP/1.1\r\nhost: x\r\n\r\n")
         await until(lambda: len([k for k in server.links if k.call]) == 2)
-        assert await talk(server, [b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"]) == b""  # a third connection is closed at once
+        assert (
+            await talk(server, [b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"]) == b""
+        )  # a third connection is closed at once
         waiting[0][1].close()
         await until(lambda: len(gone) == 1)
         await server.stop(0.0)
@@ -220,7 +232,9 @@
     run(go)
 
 
-def test_a_request_that_comes_as_its_connection_is_closed_is_not_acted_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_comes_as_its_connection_is_closed_is_not_acted_on(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(http1, "_LINGER_S", 0.3)
     handled: list[str] = []
 
@@ -265,7 +279,9 @@
         ahead = b"".join(head + b"z" * 1_000 for head in heads)
         await asyncio.wait_for(loop.sock_sendall(sock, ahead), 10)
         (link,) = server.links
-        assert link.side.ahead < 65_536 + 262_144 + 1_100  # the bound, and what one read from the socket brings
+        assert (
+            link.side.ahead < 65_536 + 262_144 + 1_100
+        )  # the bound, and what one read from the socket brings
         answered = 0
         while server.links and answered < 3_000:
             await until(lambda answered=answered: len(calls) > answered or not server.links)  # type: ignore[misc]
@@ -302,8 +318,11 @@
     run(go)
 
 
-def test_a_connection_with_a_request_that_was_not_read_yet_makes_no_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The request comes in the instant in which its connection, idle for longest, would be closed for a new one."""
+def test_a_connection_with_a_request_that_was_not_read_yet_makes_no_room(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The request comes in the instant in which its connection, idle for longest, would be closed for a new
+    one."""
 
     async def go() -> None:
         server = HttpServer(echo, early, HttpLimits(connections=2))
@@ -334,7 +353,8 @@
 
 
 def test_a_connection_with_a_request_that_was_read_and_waits_for_its_turn_makes_no_room() -> None:
-    """Its client has sent many requests at once; a new connection comes while some of them wait in the node."""
+    """Its client has sent many requests at once; a new connection comes while some of them wait in the
+    node."""
     asks, spares = 40, []
 
     async def go() -> None:
@@ -359,7 +379,8 @@
 
 
 def test_nothing_is_sent_on_a_kept_connection_whose_peer_has_just_closed_it() -> None:
-    """Its end has come, but the loop has not read it: what is sent there would end as a reset, which may have run."""
+    """Its end has come, but the loop has not read it: what is sent there would end as a reset, which may have
+    run."""
 
     async def go() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/rpc/test_stock_peers.py
+++ b/tests/rpc/test_stock_peers.py
@@ -1,4 +1,5 @@
-"""The stock gRPC client against our server, and a stock server against our channel: peers that nobody here wrote."""
+"""The stock gRPC client against our server, and a stock server against our channel: peers that nobody here
+wrote."""
 
 from __future__ import annotations
 
@@ -24,7 +25,9 @@
 
 def stub(channel: grpc.aio.Channel) -> Any:
     return channel.unary_stream(
-        METHOD, request_serializer=pb.GenerateRequest.SerializeToString, response_deserializer=pb.GenerateResponse.FromString
+        METHOD,
+        request_serializer=pb.GenerateRequest.SerializeToString,
+        response_deserializer=pb.GenerateResponse.FromString,
     )
 
 
@@ -32,7 +35,8 @@
     async def go() -> None:
         async with world() as w, grpc.aio.insecure_channel(w.address) as channel:
             check = channel.unary_unary(
-                "/grpc.health.v1.Health/Check", response_deserializer=health_pb2.HealthCheckResponse.FromString
+                "/grpc.health.v1.Health/Check",
+                response_deserializer=health_pb2.HealthCheckResponse.FromString,
             )
             for service, good in (("", True), ("tuliptrack.v1.Generation", True), ("no.Such", False)):
                 request = health_pb2.HealthCheckRequest(service=service).SerializeToString()
@@ -56,25 +60,39 @@
                 answers = [a async for a in reflect(iter(asks))]
                 names = [s.name for s in answers[0].list_services_response.service]
                 assert "tuliptrack.v1.Generation" in names
-                assert any(b"GenerateRequest" in f for f in answers[1].file_descriptor_response.file_descriptor_proto)
+                assert any(
+                    b"GenerateRequest" in f for f in answers[1].file_descriptor_response.file_descriptor_proto
+                )
                 assert answers[2].error_response.error_code == int(Code.NOT_FOUND)
-            request = pb.GenerateRequest(request_class="question", tenant="north", prompt="q1 what?", prompt_tokens=100)
+            request = pb.GenerateRequest(
+                request_class="question", tenant="north", prompt="q1 what?", prompt_tokens=100
+            )
             for compression in (grpc.Compression.NoCompression, grpc.Compression.Gzip):
                 tokens = [t async for t in stub(channel)(request, timeout=8, compression=compression)]
-                assert tokens[-1].finish_reason == pb.STOP and [t.index for t in tokens] == list(range(len(tokens)))
+                assert tokens[-1].finish_reason == pb.STOP and [t.index for t in tokens] == list(
+                    range(len(tokens))
+                )
             for wrong, field in (
                 (pb.GenerateRequest(request_class="huh", tenant="north", prompt="x"), "request_class"),
                 (pb.GenerateRequest(request_class="question", tenant="?", prompt="x"), "tenant"),
                 (pb.GenerateRequest(request_class="question", tenant="north"), "prompt"),
-                (pb.GenerateRequest(request_class="question", tenant="north", prompt="x", max_tokens=-1), "max_tokens"),
                 (
-                    pb.GenerateRequest(request_class="question", tenant="north", prompt="x", prompt_tokens=2**50),
+                    pb.GenerateRequest(request_class="question", tenant="north", prompt="x", max_tokens=-1),
+                    "max_tokens",
+                ),
+                (
+                    pb.GenerateRequest(
+                        request_class="question", tenant="north", prompt="x", prompt_tokens=2**50
+                    ),
                     "prompt_tokens",
                 ),
             ):
                 with pytest.raises(grpc.aio.AioRpcError) as caught:
                     [t async for t in stub(channel)(wrong, timeout=8)]
-                assert caught.value.code() is grpc.StatusCode.INVALID_ARGUMENT and field in caught.value.details()
+                assert (
+                    caught.value.code() is grpc.StatusCode.INVALID_ARGUMENT
+                    and field in caught.value.details()
+                )
                 assert caught.value.details().startswith(field)
                 assert rpc_status.from_call(caught.value) is not None
             unknown = channel.unary_unary("/tuliptrack.v1.Generation/Nothing")
@@ -104,7 +122,9 @@
                 sent = (("x-a", "plain"), ("x-b-bin", b"\0\xfe" * 2000))
                 for tokens in (0, 2):  # trailers-only, and trailers behind messages
                     call = stub(channel)(
-                        pb.GenerateRequest(prompt_tokens=int(code), max_tokens=tokens, prompt="p"), metadata=sent, timeout=8
+                        pb.GenerateRequest(prompt_tokens=int(code), max_tokens=tokens, prompt="p"),
+                        metadata=sent,
+                        timeout=8,
                     )
                     try:
                         assert len([t async for t in call]) == tokens
@@ -174,7 +194,9 @@
                 yield data
 
         async def status(data: bytes, context: Any) -> bytes:
-            context.set_trailing_metadata((("x-trail-bin", b"\0\xff"), ("x-saw", dict(context.invocation_metadata())["x-me"])))
+            context.set_trailing_metadata(
+                (("x-trail-bin", b"\0\xff"), ("x-saw", dict(context.invocation_metadata())["x-me"]))
+            )
             await context.abort(next(c for c in grpc.StatusCode if c.value[0] == data[0]), "why % ü")
             return b""
 
@@ -207,7 +229,9 @@
         assert end.how is How.TIMEOUT and got == [b"begun"]
         over: asyncio.Future[End] = asyncio.get_running_loop().create_future()
         begun = asyncio.Event()
-        call = channel.call("/t.S/Sleep", message=b"", on_message=lambda _: begun.set(), on_end=over.set_result)
+        call = channel.call(
+            "/t.S/Sleep", message=b"", on_message=lambda _: begun.set(), on_end=over.set_result
+        )
         await begun.wait()
         call.cancel()
         assert (await over).how is How.CANCELLED
@@ -225,10 +249,13 @@
 
 
 def test_a_thousand_streams_on_one_connection() -> None:
-    """Each is served, on a slow machine too: their class waits as long as it takes, so that none is refused for overload."""
+    """Each is served, on a slow machine too: their class waits as long as it takes, so that none is refused
+    for overload."""
 
     async def go() -> None:
-        model = "slots: 600 queue: 600 memory_tokens: 100000000 read_per_s: 1e9 answer_least: 12 answer_most: 12"
+        model = (
+            "slots: 600 queue: 600 memory_tokens: 100000000 read_per_s: 1e9 answer_least: 12 answer_most: 12"
+        )
         settings = """
             request_class { name: "patient" worth: 1 aim_ms: 86400000 deadline_ms: 86400000 }
             engines { connect_timeout_ms: 20000 }
@@ -250,7 +277,8 @@
 
 
 def test_pings_for_proofs_do_not_make_a_stock_server_end_the_connection() -> None:
-    """It does after a few that come with no data between. Calls that wait long, one after another, ask for many proofs."""
+    """It does after a few that come with no data between. Calls that wait long, one after another, ask for
+    many proofs."""
 
     async def go() -> None:
         answer = asyncio.Event()
--- a/tests/scale/test_costs.py
+++ b/tests/scale/test_costs.py
@@ -1,4 +1,5 @@
-"""What decisions and list changes cost as the fleet grows, by counts of operations: the same on every machine."""
+"""What decisions and list changes cost as the fleet grows, by counts of operations: the same on every
+machine."""
 
 from __future__ import annotations
 
@@ -48,7 +49,8 @@
 
 
 def test_a_request_at_ten_times_the_engines_costs_no_more_than_its_streams_ask_for() -> None:
-    """Ten times the engines spread a node's streams over more of them, which is what the growth left is for."""
+    """Ten times the engines spread a node's streams over more of them, which is what the growth left is
+    for."""
     assert request_cost(Router, LARGE) < 1.6 * request_cost(Router, SMALL)
 
 
@@ -80,7 +82,8 @@
         changes = [FleetChange(ListKind.DELTA, 2 + n, tuple(part)) for n, part in enumerate(parts)]
         work = [count_operations(lambda c=c, one=one: one.router.handle(one.now, [c])) for c in changes]  # type: ignore[misc]
         cost[engines] = sum(work) / len(gone)
-    # Gone servers that are still known, so that they keep their blame and turn, are looked through: 128 at most.
+    # Gone servers that are still known, so that they keep their blame and turn, are looked through: 128 at
+    # most.
     assert cost[LARGE] < 2.5 * cost[SMALL]
 
 
@@ -121,5 +124,7 @@
     assert [s.state for s in change.servers if s.weight == 2.0] == [ServerState.DRAINING]
     members.take({"revision": 3, "complete": False, "members": [population.member(7, phase="Gone")]})
     assert len(members.addresses) == len(members.names) == len(members._entries) == 63
-    back = members.take({"revision": 4, "complete": False, "members": [population.member(7, up_since_ms=1_000)]})
+    back = members.take(
+        {"revision": 4, "complete": False, "members": [population.member(7, up_since_ms=1_000)]}
+    )
     assert back and back.servers[0].started_at > 0 and back.servers[0].state is ServerState.READY
--- a/tests/scale/test_zone_back.py
+++ b/tests/scale/test_zone_back.py
@@ -1,4 +1,5 @@
-"""A zone's engines are back cold, at once or one after another, before 350 nodes: together these keep within the budget."""
+"""A zone's engines are back cold, at once or one after another, before 350 nodes: together these keep within
+the budget."""
 
 from __future__ import annotations
 
--- a/tests/sources/test_lists.py
+++ b/tests/sources/test_lists.py
@@ -31,21 +31,31 @@
     # The same start told again, with the wall clock set back by an hour: the same time.
     again = roster.take(
         pb.ServerList(
-            version=2, servers=[entry(2, started_unix_us=DAY, state=pb.ServerEntry.DRAINING)], kind=pb.ServerList.DELTA
+            version=2,
+            servers=[entry(2, started_unix_us=DAY, state=pb.ServerEntry.DRAINING)],
+            kind=pb.ServerList.DELTA,
         ),
         60_000_000,
         wall=DAY - 3_600_000_000,
     )
-    assert (again.change.servers[0].started_at, again.change.servers[0].state) == (47_000_000, ServerState.DRAINING)
+    assert (again.change.servers[0].started_at, again.change.servers[0].state) == (
+        47_000_000,
+        ServerState.DRAINING,
+    )
     # A later start under the same id is a new one, and never in the future.
     third = roster.take(
-        pb.ServerList(version=3, servers=[entry(2, started_unix_us=DAY + 9_000_000)], kind=pb.ServerList.DELTA),
+        pb.ServerList(
+            version=3, servers=[entry(2, started_unix_us=DAY + 9_000_000)], kind=pb.ServerList.DELTA
+        ),
         61_000_000,
         wall=DAY + 5_000_000,
     )
     assert third.change.servers[0].started_at == 61_000_000
     assert sorted(roster.held) == [1, 2]
-    roster.take(pb.ServerList(version=4, kind=pb.ServerList.DELTA, servers=[entry(1, state=pb.ServerEntry.GONE)]), 62_000_000)
+    roster.take(
+        pb.ServerList(version=4, kind=pb.ServerList.DELTA, servers=[entry(1, state=pb.ServerEntry.GONE)]),
+        62_000_000,
+    )
     assert sorted(roster.held) == [2]
     failed = roster.take(pb.ServerList(kind=pb.ServerList.FAILED), 63_000_000)
     assert failed.change.kind is ListKind.FAILED and sorted(roster.held) == [2]
@@ -124,7 +134,9 @@
         assert got[0].kind == pb.ServerList.FULL
         feed.change(entry(2))
         await until(lambda: len(got) == 2)
-        feed.push(pb.ServerList(kind=pb.ServerList.DELTA, version=1, servers=[entry(1, state=pb.ServerEntry.GONE)]))
+        feed.push(
+            pb.ServerList(kind=pb.ServerList.DELTA, version=1, servers=[entry(1, state=pb.ServerEntry.GONE)])
+        )
         feed.set_silent(True)
         feed.change(entry(3))
         source.fetch()  # asked for, the whole list comes all the same
--- a/tests/store/test_billing_machine.py
+++ b/tests/store/test_billing_machine.py
@@ -1,4 +1,5 @@
-"""Nodes that serve, break, resume, commit, die and start again, in any order: bills over all their ledgers stay honest."""
+"""Nodes that serve, break, resume, commit, die and start again, in any order: bills over all their ledgers
+stay honest."""
 
 from __future__ import annotations
 
@@ -20,7 +21,8 @@
 
 
 class Billing(RuleBasedStateMachine):
-    """Two nodes with a ledger each, three works of eight tokens. What clients have got is kept beside them."""
+    """Two nodes with a ledger each, three works of eight tokens. What clients have got is kept beside
+    them."""
 
     @initialize()
     def start(self) -> None:
@@ -64,7 +66,12 @@
         self.ledgers[node].add(made)
         return made
 
-    @rule(work=st.integers(0, WORKS - 1), node=st.integers(0, NODES - 1), count=st.integers(1, 4), back=st.integers(0, 3))
+    @rule(
+        work=st.integers(0, WORKS - 1),
+        node=st.integers(0, NODES - 1),
+        count=st.integers(1, 4),
+        back=st.integers(0, 3),
+    )
     def stream(self, work: int, node: int, count: int, back: int) -> None:
         """Some tokens reach every client that waits for some, and one more comes."""
         self.begin(node, work, back)
@@ -80,7 +87,9 @@
         for part in list(self.running[node].values()):
             if breaks or part.next == LENGTH:
                 whole = part.next == LENGTH
-                self.change(node, part, outcome=SERVED if whole else CUT if part.next > part.first else NOTHING)
+                self.change(
+                    node, part, outcome=SERVED if whole else CUT if part.next > part.first else NOTHING
+                )
                 del self.running[node][part.number]
 
     @rule(node=st.integers(0, NODES - 1))
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -1,4 +1,5 @@
-"""The ledger: killed at any moment, damaged, full, folded together. What is committed stays, and nothing counts twice."""
+"""The ledger: killed at any moment, damaged, full, folded together. What is committed stays, and nothing
+counts twice."""
 
 from __future__ import annotations
 
@@ -42,7 +43,9 @@
 """
 
 
-def part(number: int, next_: int = 5, outcome: int = SERVED, at: int = 0, tenant: str = "a", work: str = "") -> Part:
+def part(
+    number: int, next_: int = 5, outcome: int = SERVED, at: int = 0, tenant: str = "a", work: str = ""
+) -> Part:
     return Part("n", number, tenant, work or f"w{number}", at, 100, 0, 0, next_, outcome, price=PRICE)
 
 
@@ -60,7 +63,9 @@
     path, chance = tmp_path / "ledger", random.Random(5)
     promised: dict[str, int] = {}
     for life in range(int(os.environ.get("TULIPTRACK_KILLS", "8"))):
-        writer = subprocess.Popen([sys.executable, "-c", WRITER, str(path), f"life{life}"], stdout=subprocess.PIPE, text=True)
+        writer = subprocess.Popen(
+            [sys.executable, "-c", WRITER, str(path), f"life{life}"], stdout=subprocess.PIPE, text=True
+        )
         assert writer.stdout
         told = [writer.stdout.readline()]
         for _ in range(chance.randrange(1, 40)):
@@ -75,7 +80,9 @@
         bills = {bill.work: bill.written for bill in fold(read_parts(str(path)))}
         assert all(bills[work] >= tokens for work, tokens in promised.items())
         # No more than the one commit that it had not told of: at most four works a step further.
-        more = {work: bills[work] - promised.get(work, 0) for work in bills if bills[work] != promised.get(work)}
+        more = {
+            work: bills[work] - promised.get(work, 0) for work in bills if bills[work] != promised.get(work)
+        }
         assert len(more) <= 4 and all(0 < tokens <= 6 for tokens in more.values())
         promised |= {work: bills[work] for work in more}
         assert verify(str(path))[1] == []
@@ -144,7 +151,11 @@
         change(tmp_path / name, act)
         count, problems = verify(str(tmp_path / name))
         assert count == {"drop": 5, "double": 7}.get(name, 6)
-        assert (not problems) if not words else any(p.sequence == sequence and words in p.reason for p in problems), problems
+        assert (
+            (not problems)
+            if not words
+            else any(p.sequence == sequence and words in p.reason for p in problems)
+        ), problems
     with pytest.raises(LedgerError, match="batch 3"):
         list(read_parts(str(tmp_path / "flip")))
     with pytest.raises(LedgerError, match="no ledger"):
@@ -177,7 +188,9 @@
 
 def test_compaction_keeps_every_sum_and_touches_no_work_that_goes_on(tmp_path: Path) -> None:
     ledger = filled(tmp_path, 6, 5)
-    ledger.add(replace(part(100, 3, CUT, at=0, work="w12"), node="other", first=5))  # a work of the third batch goes on
+    ledger.add(
+        replace(part(100, 3, CUT, at=0, work="w12"), node="other", first=5)
+    )  # a work of the third batch goes on
     ledger.commit()
     ledger.close()
     before = totals(fold(read_parts(str(tmp_path))))[("a", 0)]
@@ -255,8 +268,12 @@
 """
 
 
-def test_what_could_not_be_written_for_a_while_is_written_once_when_the_disk_is_well_again(tmp_path: Path) -> None:
-    done = subprocess.run([sys.executable, "-c", FULL_FOR_A_WHILE, str(tmp_path)], capture_output=True, text=True, check=True)
+def test_what_could_not_be_written_for_a_while_is_written_once_when_the_disk_is_well_again(
+    tmp_path: Path,
+) -> None:
+    done = subprocess.run(
+        [sys.executable, "-c", FULL_FOR_A_WHILE, str(tmp_path)], capture_output=True, text=True, check=True
+    )
     assert done.stdout.split() == ["100", *["LedgerError"] * 6, "300"]
     assert verify(str(tmp_path)) == (2, [])
     assert sorted(p.number for p in read_parts(str(tmp_path))) == list(range(400))
@@ -271,7 +288,9 @@
     @contextmanager
     def begin(self, write: bool = False) -> Iterator[lmdb.Transaction]:
         if self.failed:
-            raise lmdb.PanicError("mdb_txn_begin: MDB_PANIC: Update of meta page failed or environment had fatal error")
+            raise lmdb.PanicError(
+                "mdb_txn_begin: MDB_PANIC: Update of meta page failed or environment had fatal error"
+            )
         self.failed = True
         txn = self.env.begin(write=write)
         yield txn
@@ -282,8 +301,12 @@
         self.env.close()
 
 
-@pytest.mark.parametrize("written", [False, True], ids=["the commit is lost", "the commit stands there all the same"])
-def test_after_an_error_on_its_root_the_ledger_is_opened_anew_and_nothing_stands_twice(tmp_path: Path, written: bool) -> None:
+@pytest.mark.parametrize(
+    "written", [False, True], ids=["the commit is lost", "the commit stands there all the same"]
+)
+def test_after_an_error_on_its_root_the_ledger_is_opened_anew_and_nothing_stands_twice(
+    tmp_path: Path, written: bool
+) -> None:
     ledger = filled(tmp_path, batches=1, size=2)
     ledger.env = cast(Any, FailingRoot(ledger.env, written))
     ledger.add(part(10, 3, OPEN))
