--- a/tests/store/test_sealed.py
+++ b/tests/store/test_sealed.py
@@ -1,4 +1,5 @@
-"""A sealed file: whole or as it was, whatever byte its writer died at, and never taken for empty when it is damaged."""
+"""A sealed file: whole or as it was, whatever byte its writer died at, and never taken for empty when it is
+damaged."""
 
 from __future__ import annotations
 
@@ -26,10 +27,14 @@
 """
 
 
-def test_a_writer_that_is_killed_leaves_one_whole_value_no_older_than_what_it_had_told(tmp_path: Path) -> None:
+def test_a_writer_that_is_killed_leaves_one_whole_value_no_older_than_what_it_had_told(
+    tmp_path: Path,
+) -> None:
     random, path = Random(5), tmp_path / "state"
     for _ in range(12):
-        child = subprocess.Popen([sys.executable, "-c", _WRITER, str(path)], stdout=subprocess.PIPE, text=True)
+        child = subprocess.Popen(
+            [sys.executable, "-c", _WRITER, str(path)], stdout=subprocess.PIPE, text=True
+        )
         assert child.stdout
         told = 0
         for _ in range(random.randrange(1, 40)):
--- a/tests/structures/test_indexes.py
+++ b/tests/structures/test_indexes.py
@@ -33,7 +33,9 @@
             plain.pop(key, None)
         ordered = [plain[key] for key in sorted(plain)]
         assert list(members) == ordered == [members[place] for place in range(len(members))]
-        assert set(members.keys()) == plain.keys() and all((key in members) == (key in plain) for key in range(13))
+        assert set(members.keys()) == plain.keys() and all(
+            (key in members) == (key in plain) for key in range(13)
+        )
 
 
 def plain_low_median(values: list[float]) -> float:
@@ -86,7 +88,9 @@
         scores = [rendezvous_score(key, number, size) for number, size in zip(numbers, sizes, strict=True)]
         plain = sorted(range(members), key=scores.__getitem__, reverse=True)
         ranking = column.ranking(key)
-        assert [member for member, _ in zip(ranking, range(3), strict=False)] == plain[:3], "the first ones alone"
+        assert [member for member, _ in zip(ranking, range(3), strict=False)] == plain[:3], (
+            "the first ones alone"
+        )
         assert list(ranking) == plain and len(ranking) == members
 
 
--- a/tests/structures/test_structures.py
+++ b/tests/structures/test_structures.py
@@ -14,9 +14,17 @@
 
 STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just("set"), st.integers(0, 12), st.one_of(*(st.integers(0, most) for most in (5_000, 10**9, 10**15)))),
+        st.tuples(
+            st.just("set"),
+            st.integers(0, 12),
+            st.one_of(*(st.integers(0, most) for most in (5_000, 10**9, 10**15))),
+        ),
         st.tuples(st.just("drop"), st.integers(0, 12), st.just(0)),
-        st.tuples(st.just("go"), st.just(0), st.one_of(st.integers(0, 3_000), st.integers(0, 10**8), st.integers(0, 10**12))),
+        st.tuples(
+            st.just("go"),
+            st.just(0),
+            st.one_of(st.integers(0, 3_000), st.integers(0, 10**8), st.integers(0, 10**12)),
+        ),
     ),
     max_size=60,
 )
@@ -24,7 +32,9 @@
 
 @examples(max_examples=400, deadline=None, derandomize=True)
 @given(STEPS, st.integers(0, 10**12), st.sampled_from([1, 7, 1000]))
-def test_a_wheel_gives_out_what_a_sorted_list_would(steps: list[tuple[str, int, int]], start: int, tick: int) -> None:
+def test_a_wheel_gives_out_what_a_sorted_list_would(
+    steps: list[tuple[str, int, int]], start: int, tick: int
+) -> None:
     wheel: Wheel[int] = Wheel(start, tick)
     now, plain = start, dict[int, int]()
     for what, key, value in steps:
@@ -57,7 +67,9 @@
 
 @examples(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(1, 1000)), max_size=300), st.integers(1, 15))
-def test_a_sketch_is_never_too_low_and_too_high_by_a_bounded_part(adds: list[tuple[int, int]], size: int) -> None:
+def test_a_sketch_is_never_too_low_and_too_high_by_a_bounded_part(
+    adds: list[tuple[int, int]], size: int
+) -> None:
     sketch, plain = Sketch(size), Counter[str]()
     for number, amount in adds:
         sketch.add(str(number), amount)
@@ -65,7 +77,9 @@
     assert len(sketch.counts) <= size and len(sketch._heap) == len(sketch.counts)
     found = {h.name: h for h in sketch.top(size)}
     for name, heavy in found.items():
-        assert heavy.amount - heavy.error <= plain[name] <= heavy.amount and heavy.error <= sketch.total / size
+        assert (
+            heavy.amount - heavy.error <= plain[name] <= heavy.amount and heavy.error <= sketch.total / size
+        )
     for name, amount in plain.items():
         assert name in found or amount <= sketch.total / size
 
--- a/tests/tcp_state.py
+++ b/tests/tcp_state.py
@@ -1,4 +1,5 @@
-"""What the kernel holds between the TCP sockets of one process: bytes, connections and ends that have not arrived yet."""
+"""What the kernel holds between the TCP sockets of one process: bytes, connections and ends that have not
+arrived yet."""
 
 from __future__ import annotations
 
@@ -26,8 +27,8 @@
 
 
 def anything_on_its_way(descriptors: Iterable[int]) -> bool:
-    """Whether something that one of these sockets did has not arrived at the other end yet, as far as both are among them. The
-    end of a connection can't be told so."""
+    """Whether something that one of these sockets did has not arrived at the other end yet, as far as both
+    are among them. The end of a connection can't be told so."""
     ends: dict[tuple[Any, Any], _End] = {}
     listeners: set[Any] = set()
     for descriptor in descriptors:
@@ -37,7 +38,9 @@
                 listeners.add(local)
             else:
                 ends[local, peer] = end
-    return any(_on_its_way(end, ends.get((peer, local)), peer in listeners) for (local, peer), end in ends.items())
+    return any(
+        _on_its_way(end, ends.get((peer, local)), peer in listeners) for (local, peer), end in ends.items()
+    )
 
 
 def _on_its_way(end: _End, other: _End | None, peer_listens: bool) -> bool:
--- a/tests/test_actions.py
+++ b/tests/test_actions.py
@@ -1,5 +1,5 @@
-"""Every action of the interface carried out on sockets, and the event that comes back: those that the router itself
-seldom or never says are put into its mouth."""
+"""Every action of the interface carried out on sockets, and the event that comes back: those that the router
+itself seldom or never says are put into its mouth."""
 
 from __future__ import annotations
 
@@ -128,7 +128,9 @@
             assert len(w.seen("call")) == 1
 
     run(go, virtual=True)
-    assert len(no_invariant_is_violated) == 1 and "in_flight" in no_invariant_is_violated[0], "the second send is told of"
+    assert len(no_invariant_is_violated) == 1 and "in_flight" in no_invariant_is_violated[0], (
+        "the second send is told of"
+    )
     no_invariant_is_violated.clear()
 
 
--- a/tests/test_bills_path.py
+++ b/tests/test_bills_path.py
@@ -1,4 +1,5 @@
-"""Budgets and bills on real sockets: against what the stand-in engines wrote, through faults, retries, resumes and kills."""
+"""Budgets and bills on real sockets: against what the stand-in engines wrote, through faults, retries,
+resumes and kills."""
 
 from __future__ import annotations
 
@@ -40,17 +41,23 @@
     return dict(found)
 
 
-def test_bills_are_what_the_engines_wrote_to_within_a_request_through_faults_and_leavers(tmp_path: Path) -> None:
+def test_bills_are_what_the_engines_wrote_to_within_a_request_through_faults_and_leavers(
+    tmp_path: Path,
+) -> None:
     seen: dict[str, int] = {}
     most = 0
     again_asked: set[str] = set()
 
     async def go() -> None:
         nonlocal most
-        async with world(settings=billing(tmp_path / "l"), model="answer_least: 20 answer_most: 40 step_ms: 3") as w:
+        async with world(
+            settings=billing(tmp_path / "l"), model="answer_least: 20 answer_most: 40 step_ms: 3"
+        ) as w:
             for name in ("w0", "w1"):
                 w.engines[name].apply(lab_pb2.Trouble(lose_after=0.2, lose_after_tokens=6, full=0.1))
-            asked = [w.ask(tenant=("north", "south")[n % 2], prompt=f"b{n} what?", work=f"w{n}") for n in range(60)]
+            asked = [
+                w.ask(tenant=("north", "south")[n % 2], prompt=f"b{n} what?", work=f"w{n}") for n in range(60)
+            ]
             for n, one in enumerate(asked):
                 if n % 6 == 0:
                     await until(lambda one=one: one.tokens or one.ends)  # type: ignore[misc]
@@ -63,15 +70,26 @@
                 w.engines[name].apply(lab_pb2.Trouble())
             for n, one in enumerate(asked):
                 if one.end.status.code is Code.ABORTED:
-                    point = pb.ResumePoint(next_index=len(one.tokens), text="".join(t.text for t in one.tokens))
+                    point = pb.ResumePoint(
+                        next_index=len(one.tokens), text="".join(t.text for t in one.tokens)
+                    )
                     again = w.ask(
-                        tenant=("north", "south")[n % 2], prompt=f"b{n} what?", work=f"w{n}", resume=point, repeat=True
+                        tenant=("north", "south")[n % 2],
+                        prompt=f"b{n} what?",
+                        work=f"w{n}",
+                        resume=point,
+                        repeat=True,
                     )
                     assert (await again.wait()).status.code is Code.OK
                     again_asked.add(f"w{n}")
             # And one that was served is asked for once more.
             served = next(n for n, one in enumerate(asked) if one.end.status.code is Code.OK)
-            twice = w.ask(tenant=("north", "south")[served % 2], prompt=f"b{served} what?", work=f"w{served}", repeat=True)
+            twice = w.ask(
+                tenant=("north", "south")[served % 2],
+                prompt=f"b{served} what?",
+                work=f"w{served}",
+                repeat=True,
+            )
             assert (await twice.wait()).status.code is Code.OK
             await until(lambda: not w.node.table.open)
             seen.update(written(w))
@@ -102,7 +120,9 @@
 
 def test_what_has_streamed_is_in_the_ledger_before_it_ends(tmp_path: Path) -> None:
     async def go() -> None:
-        async with world(settings=billing(tmp_path / "l"), model="answer_least: 400 answer_most: 400 step_ms: 4") as w:
+        async with world(
+            settings=billing(tmp_path / "l"), model="answer_least: 400 answer_most: 400 step_ms: 4"
+        ) as w:
             one = w.ask(work="long")
             await until(lambda: len(one.tokens) > 60)
             ledger = w.node.bills.ledger
@@ -129,7 +149,9 @@
 billing { lend: false kept_weight: 0 written_weight: 1 }"""
 
 
-def test_over_budget_is_refused_with_the_true_time_or_served_at_a_lower_worth(capsys: pytest.CaptureFixture[str]) -> None:
+def test_over_budget_is_refused_with_the_true_time_or_served_at_a_lower_worth(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     async def go() -> None:
         async with world(settings=BUDGET) as w:
             await asyncio.sleep(1.1)  # turns that come after the start
@@ -139,8 +161,11 @@
             assert 3 <= len(refused) <= 8 and "token budget of 1 s is used up" in refused[0].status.message
             retry = next(d for d in refused[-1].status.parsed() if isinstance(d, error_details_pb2.RetryInfo))
             await asyncio.sleep(retry.retry_delay.ToMicroseconds() / 1e6 + 0.01)
-            assert (await w.ask(tenant="small", request_class="strict", max_tokens=20).wait()).status.code is Code.OK
-            # Another class of the same tenant is served while there is room, though over budget; others don't notice.
+            assert (
+                await w.ask(tenant="small", request_class="strict", max_tokens=20).wait()
+            ).status.code is Code.OK
+            # Another class of the same tenant is served while there is room, though over budget; others don't
+            # notice.
             for tenant in ("small", "rich"):
                 asked = [w.ask(tenant=tenant, max_tokens=20) for _ in range(8)]
                 assert {(await one.wait()).status.code for one in asked} == {Code.OK}
@@ -150,7 +175,9 @@
             w.node.bills.tell()
 
     run(go)
-    line = next(line for line in capsys.readouterr().out.splitlines() if "budgets" in line and "heaviest" in line)
+    line = next(
+        line for line in capsys.readouterr().out.splitlines() if "budgets" in line and "heaviest" in line
+    )
     assert "held_back=0" in line and "'small'" in line and "'rich'" in line
 
 
@@ -191,7 +218,9 @@
     async def go() -> None:
         async with world(settings=day) as w:
             for _ in range(3):
-                assert (await w.ask(tenant="small", request_class="strict", max_tokens=20).wait()).status.code is Code.OK
+                assert (
+                    await w.ask(tenant="small", request_class="strict", max_tokens=20).wait()
+                ).status.code is Code.OK
             await until(lambda: not w.node.table.open)
             await w.node.stop(0)
             again = Node(w.node.config)
@@ -199,7 +228,10 @@
             await until(lambda: len(again.roster.held) == 4)
             channel = Channel(address)
             w.channel, old = channel, w.channel
-            codes = [(await w.ask(tenant="small", request_class="strict", max_tokens=20).wait()).status.code for _ in range(4)]
+            codes = [
+                (await w.ask(tenant="small", request_class="strict", max_tokens=20).wait()).status.code
+                for _ in range(4)
+            ]
             assert codes[-1] is Code.UNAVAILABLE and codes.count(Code.OK) <= 3
             assert sum(code is Code.OK for code in codes) + 3 <= 6
             w.channel = old
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -19,10 +19,20 @@
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Attribute) and node.attr in STEPPED:
             owner = node.value
-            name = owner.id if isinstance(owner, ast.Name) else owner.attr if isinstance(owner, ast.Attribute) else ""
+            name = (
+                owner.id
+                if isinstance(owner, ast.Name)
+                else owner.attr
+                if isinstance(owner, ast.Attribute)
+                else ""
+            )
             if name in ("time", "datetime", "date"):
                 found.append(node.lineno)
-        if isinstance(node, ast.ImportFrom) and node.module == "time" and {a.name for a in node.names} & STEPPED:
+        if (
+            isinstance(node, ast.ImportFrom)
+            and node.module == "time"
+            and {a.name for a in node.names} & STEPPED
+        ):
             found.append(node.lineno)
     return found
 
@@ -30,7 +40,9 @@
 def test_the_wall_clock_is_read_in_one_place() -> None:
     files = [file for file in PACKAGE.rglob("*.py") if file not in ALLOWED and LAB not in file.parents]
     assert len(files) > 100
-    assert {str(file.relative_to(PACKAGE)): lines for file in files if (lines := readings(file.read_text()))} == {}
+    assert {
+        str(file.relative_to(PACKAGE)): lines for file in files if (lines := readings(file.read_text()))
+    } == {}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -58,7 +58,8 @@
     @property
     def fleet(self) -> list[Server]:
         return [
-            server(i + 1, kind, cell=i % 5, started_at=START if i + 1 in self.cold else 0) for i, kind in enumerate(self.kinds)
+            server(i + 1, kind, cell=i % 5, started_at=START if i + 1 in self.cold else 0)
+            for i, kind in enumerate(self.kinds)
         ]
 
     @property
@@ -85,9 +86,9 @@
 
 
 class Service:
-    """Nodes before a fleet: requests come by chance, each attempt ends soon after it was sent. `replicas`: of how many the
-    settings tell, where there are not that many; `late`: seconds within which the list tells each node of the start; `pace`:
-    microseconds to a read's end, to a first token and to an answer's end."""
+    """Nodes before a fleet: requests come by chance, each attempt ends soon after it was sent. `replicas`: of
+    how many the settings tell, where there are not that many; `late`: seconds within which the list tells
+    each node of the start; `pace`: microseconds to a read's end, to a first token and to an answer's end."""
 
     def __init__(
         self,
@@ -210,7 +211,8 @@
                 self.at(START + int(since * S + part * self.of.window), self.ask, slot)
 
     def worst(self, number: int, allowed: Callable[[float], float] = lambda budget: budget) -> float:
-        """The most of what the budget allows that any window has used, each send as the mean work of its class."""
+        """The most of what the budget allows that any window has used, each send as the mean work of its
+        class."""
         mean = 1 + MIX * (HEAVY - 1)
         weights = (1 / mean, HEAVY / mean)
         sends, used, work, end = self.sent[number], 0.0, 0.0, 0
@@ -319,7 +321,9 @@
 
 # The same rule as all processes together keep it: beyond the budget of N calls, 2 x root of N + 2 are chance.
 
-LARGE = Deployment(kinds=(READ,) * 2 + (WRITE,) * 4, able=(200.0, 100.0, 0.0), multiple=1.5, cold_from=0.5, told=1.0)
+LARGE = Deployment(
+    kinds=(READ,) * 2 + (WRITE,) * 4, able=(200.0, 100.0, 0.0), multiple=1.5, cold_from=0.5, told=1.0
+)
 QUICK = (10 * MS, 10 * MS, 30 * MS)
 
 
@@ -340,7 +344,9 @@
     "lists late by up to 2 s": lambda nodes: large(nodes, late=2.0),
     "half as many processes again as told": lambda nodes: large(nodes, replicas=max(nodes * 2 // 3, 1)),
     "quotas half as much again as the fleet can do": lambda nodes: large(nodes, of=replace(LARGE, told=1.5)),
-    "two small engines": lambda nodes: large(nodes, of=replace(LARGE, kinds=(READ, WRITE), able=(2.0, 1.5, 0.0))),
+    "two small engines": lambda nodes: large(
+        nodes, of=replace(LARGE, kinds=(READ, WRITE), able=(2.0, 1.5, 0.0))
+    ),
 }
 
 
@@ -348,7 +354,9 @@
 @pytest.mark.parametrize("trouble", TROUBLES)
 def test_all_processes_together_leave_a_cold_server_its_budget_and_chance(trouble: str, nodes: int) -> None:
     service = TROUBLES[trouble](nodes)
-    for slot in service.random.sample(range(nodes), math.ceil(nodes / 3)):  # They know nothing of their last life.
+    for slot in service.random.sample(
+        range(nodes), math.ceil(nodes / 3)
+    ):  # They know nothing of their last life.
         for since in (1.5, 8.5):
             service.at(START + int(since * S), service.restart, slot)
     service.run()
@@ -357,7 +365,9 @@
 
 
 @pytest.mark.parametrize(("full", "heavy"), [(True, MIX), (False, 0.9)], ids=["retries", "a heavy class"])
-def test_all_processes_together_keep_the_budget_through_retries_and_heavy_requests(full: bool, heavy: float) -> None:
+def test_all_processes_together_keep_the_budget_through_retries_and_heavy_requests(
+    full: bool, heavy: float
+) -> None:
     service = large(30, 2)
     service.full = full
     service.at(START, setattr, service, "heavy", heavy)
@@ -365,8 +375,8 @@
 
 
 def turns(nodes: int) -> Callable[[float], float]:
-    """What `_cold_turn` argues for a window: its own turns, a third of the budget (and the ramp's growth meanwhile); of the
-    window before, one for each process, a third at most; chance in the mix of classes."""
+    """What `_cold_turn` argues for a window: its own turns, a third of the budget (and the ramp's growth
+    meanwhile); of the window before, one for each process, a third at most; chance in the mix of classes."""
     return lambda n: 1.07 * n / 3 + min(n / 3, nodes) + math.sqrt(n) + 2
 
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -167,7 +167,11 @@
         begun = asyncio.get_running_loop().time()
         channel.call("/x.Y/Z", message=b"", on_end=over.set_result)
         end = await over
-        assert end.how is How.RESET and "keepalive" in end.status.message and asyncio.get_running_loop().time() - begun < 3
+        assert (
+            end.how is How.RESET
+            and "keepalive" in end.status.message
+            and asyncio.get_running_loop().time() - begun < 3
+        )
         await channel.close()
         for writer in writers:
             writer.close()
@@ -229,7 +233,9 @@
         async with world("r0 w0", model=LONG) as w:
             neighbour = w.ask()
             flooder = Channel(w.address, Options(connect_timeout=2_000_000, max_links=1))
-            request = pb.GenerateRequest(request_class="question", tenant="south", prompt="x", prompt_tokens=1)
+            request = pb.GenerateRequest(
+                request_class="question", tenant="south", prompt="x", prompt_tokens=1
+            )
             for n in range(6000):
                 call = flooder.call(GENERATE, message=request.SerializeToString())
                 if n % 50 == 0:
@@ -245,7 +251,9 @@
     run(go, virtual=True)
 
 
-def test_a_malformed_load_report_is_left_out_and_the_answer_served(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_malformed_load_report_is_left_out_and_the_answer_served(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     async def go() -> None:
         async with world("r0 w0") as w:
             for engine in w.engines.values():
@@ -258,7 +266,9 @@
     assert "load report not taken" in capsys.readouterr().out
 
 
-def test_a_malformed_list_is_turned_down_whole_and_the_old_one_holds(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_malformed_list_is_turned_down_whole_and_the_old_one_holds(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     async def go() -> None:
         async with world("r0 w0") as w:
             good = w.entry("r0")
@@ -275,17 +285,23 @@
     async def go() -> None:
         async with world(model=LONG + " read_per_s: 20000") as w:
             asked = [w.ask(timeout=20) for _ in range(60)]
-            await until(lambda: sum(bool(a.tokens) for a in asked) >= 10)  # Of those that came at once some are refused.
+            await until(
+                lambda: sum(bool(a.tokens) for a in asked) >= 10
+            )  # Of those that came at once some are refused.
             doubtful = [w.ask(request_class="order") for _ in range(4)]
             for name in ("w0", "w1"):
                 w.engines[name].apply(lab_pb2.Trouble(pause_ms=5000))
             await until(lambda: sum(r.state is State.WRITING for r in w.node.table.open.values()) >= 1)
             writing = {
-                r.ask.prompt for r in w.node.table.open.values() if r.state is State.WRITING and r.ask.request_class == "order"
+                r.ask.prompt
+                for r in w.node.table.open.values()
+                if r.state is State.WRITING and r.ask.request_class == "order"
             }
             await w.node.stop(0.1)
             for one in doubtful:  # What may have run is not called harmless.
-                assert (await one.wait()).status.code is (Code.UNKNOWN if one.prompt in writing else Code.UNAVAILABLE)
+                assert (await one.wait()).status.code is (
+                    Code.UNKNOWN if one.prompt in writing else Code.UNAVAILABLE
+                )
             for one in asked:
                 end = await one.wait()
                 one.check_tokens()
@@ -327,7 +343,9 @@
 def test_a_client_that_never_reads_its_answer_is_ended_after_the_time_allowed() -> None:
     async def go() -> None:
         model = "answer_least: 20000 answer_most: 20000 step_ms: 0.2 per_answer_ms: 0"
-        async with world("r0 w0", model=model, settings="limits { client_stall_ms: 300 answer_bytes: 4096 }") as w:
+        async with world(
+            "r0 w0", model=model, settings="limits { client_stall_ms: 300 answer_bytes: 4096 }"
+        ) as w:
             one = w.ask(timeout=None)
             await until(lambda: one.tokens)
             assert one.call
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -19,7 +19,10 @@
     (folder / "pytest.ini").write_text("[pytest]\n")
     (folder / "KNOWN-RED.txt").write_text(known)
     done = subprocess.run(
-        [sys.executable, "-m", "pytest", "-q", "-n", "2", "-p", "no:cacheprovider"], cwd=folder, capture_output=True, text=True
+        [sys.executable, "-m", "pytest", "-q", "-n", "2", "-p", "no:cacheprovider"],
+        cwd=folder,
+        capture_output=True,
+        text=True,
     )
     return done.returncode, done.stdout + done.stderr
 
--- a/tests/test_lone.py
+++ b/tests/test_lone.py
@@ -71,8 +71,11 @@
     assert only(Refuse, w.ask()[1]).retry_after == 0  # nothing is known of when
 
 
-def test_a_writer_that_could_not_be_reached_is_not_asked_again_for_the_request_while_others_stand_by() -> None:
-    """Its connection did not come up in the little time that was left, so that nobody is blamed, and the state was lost."""
+def test_a_writer_that_could_not_be_reached_is_not_asked_again_for_the_request_while_others_stand_by() -> (
+    None
+):
+    """Its connection did not come up in the little time that was left, so that nobody is blamed, and the
+    state was lost."""
     for seed in range(20):
         w = world(fleet(readers=1, writers=4), seed=seed)
         request, actions = w.ask()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -82,11 +82,18 @@
 
 @pytest.mark.parametrize(
     ("effect", "scope", "answer"),
-    [(Effect.SAFE, KeyScope.ALL, Send), (Effect.KEYED, KeyScope.ALL, Send), (Effect.UNSAFE, KeyScope.ALL, Fail)],
+    [
+        (Effect.SAFE, KeyScope.ALL, Send),
+        (Effect.KEYED, KeyScope.ALL, Send),
+        (Effect.UNSAFE, KeyScope.ALL, Fail),
+    ],
 )
 @pytest.mark.parametrize("after", [1 * S, 4 * S])
-def test_rule_2_a_read_that_was_given_up_may_yet_run(effect: Effect, scope: KeyScope, answer: type, after: int) -> None:
-    """An engine that hangs finds the whole request in its buffer when it goes on, whatever became of the connection."""
+def test_rule_2_a_read_that_was_given_up_may_yet_run(
+    effect: Effect, scope: KeyScope, answer: type, after: int
+) -> None:
+    """An engine that hangs finds the whole request in its buffer when it goes on, whatever became of the
+    connection."""
     w = world(effect=effect, scope=scope)
     number, said = w.ask()
     said = w.end(number, only(Send, said).server, Status.TIMEOUT, after=after)
@@ -132,7 +139,9 @@
 
 
 def test_rule_2_a_keyed_request_is_read_anew_in_the_group_that_drops_its_repeats() -> None:
-    servers = [server(n, READ, cell=n % 3) for n in range(1, 10)] + [server(n, WRITE, cell=n % 3) for n in range(10, 19)]
+    servers = [server(n, READ, cell=n % 3) for n in range(1, 10)] + [
+        server(n, WRITE, cell=n % 3) for n in range(10, 19)
+    ]
     for prefix in range(1, 10):
         w = world(servers, effect=Effect.KEYED, scope=KeyScope.CELL)
         number, said = w.ask(prefix=prefix)
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -1,4 +1,5 @@
-"""Each of the five rules on real sockets: kept by the node as it is, and seen to break once its guard is taken out."""
+"""Each of the five rules on real sockets: kept by the node as it is, and seen to break once its guard is
+taken out."""
 
 from __future__ import annotations
 
@@ -27,7 +28,14 @@
 def day(per_s: float = 25, seconds: float = 2.0, **load: Any) -> lab_pb2.Scenario:
     scenario = lab_pb2.Scenario(length_ms=seconds * 1000)
     scenario.load.add(
-        **{"request_class": "question", "tenant": "north", "per_s": per_s, "retries": 1, "deadline_ms": 1500, **load}
+        **{
+            "request_class": "question",
+            "tenant": "north",
+            "per_s": per_s,
+            "retries": 1,
+            "deadline_ms": 1500,
+            **load,
+        }
     )
     return scenario
 
@@ -130,7 +138,9 @@
     patch.setattr(w.node.engines, "_in_order", lambda record, message: True)
 
 
-COLD = "slots: 4 cold_from: 0.1 cold_ms: 4000 fall_window_ms: 500 answer_least: 10 answer_most: 10 step_ms: 40"
+COLD = (
+    "slots: 4 cold_from: 0.1 cold_ms: 4000 fall_window_ms: 500 answer_least: 10 answer_most: 10 step_ms: 40"
+)
 TURNS = "routing { cold_for_ms: 4000 cold_from: 0.1 fall_window_ms: 500 }"
 
 
@@ -141,19 +151,33 @@
         (1, lost_answers, answers_dropped, {}, "", ""),
         (2, silent_reader, timed_out_calls_go_on, {"deadline_ms": 4000}, "", ""),
         (3, drain, drains_not_told, {}, "", ""),
-        (4, cold_start, cold_counts_as_warm, {"per_s": 60.0}, COLD, TURNS),  # two writers do 20 a second, warm
+        (
+            4,
+            cold_start,
+            cold_counts_as_warm,
+            {"per_s": 60.0},
+            COLD,
+            TURNS,
+        ),  # two writers do 20 a second, warm
         (5, leavers, releases_dropped, {"leave": 1.0, "leave_within_ms": 600}, "", ""),
         (6, drain, tokens_not_counted, {}, "", ""),
     ],
     ids=["1-times-out", "1-answers", "2", "3", "4", "5", "6"],
 )
 def test_the_rule_is_kept_and_breaks_without_its_guard(
-    rule: int, trouble: Trouble, guard: Break, load: dict[str, Any], model: str, settings: str, monkeypatch: pytest.MonkeyPatch
+    rule: int,
+    trouble: Trouble,
+    guard: Break,
+    load: dict[str, Any],
+    model: str,
+    settings: str,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     verdicts: list[dict[str, Any]] = []
 
     async def go(broken: bool) -> None:
-        # One process plays clients, node and engines: the final answers leave early enough for a slow machine.
+        # One process plays clients, node and engines: the final answers leave early enough for a slow
+        # machine.
         ahead = settings + " limits { answer_ahead_ms: 300 }"
         async with world(model=model, settings=ahead, quota=20 if rule == 4 else 1000) as w:
             if broken:
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -85,7 +85,12 @@
             dedup_window=2 * S,
         )
         zoned = (
-            {"zone_budgets": (ZoneBudget(1e6, 1e7, 1e5),), "prompt_bytes": 6.0, "state_bytes": 16.0, "answer_bytes": 24.0}
+            {
+                "zone_budgets": (ZoneBudget(1e6, 1e7, 1e5),),
+                "prompt_bytes": 6.0,
+                "state_bytes": 16.0,
+                "answer_bytes": 24.0,
+            }
             if self.budget
             else {}
         )
@@ -155,13 +160,24 @@
         attempt = self.attempts[action.id] = self.attempts.get(action.id, -1) + 1
         self.open[action.id] = (attempt, action.server)
         chance = self.random
-        load = (float(chance.randrange(8)), chance.random() * self.case.memory, 3 * chance.random() * self.slow)
+        load = (
+            float(chance.randrange(8)),
+            chance.random() * self.case.memory,
+            3 * chance.random() * self.slow,
+        )
         took = int(chance.expovariate(1 / (60 * MS)) * self.slow) + 1 * MS
-        told = Outcome(action.id, attempt, action.server, Status.READ, took, load=load if chance.random() < 0.8 else ())
+        told = Outcome(
+            action.id, attempt, action.server, Status.READ, took, load=load if chance.random() < 0.8 else ()
+        )
         if chance.random() < self.case.trouble:
             status = chance.choice(BAD)
             took = action.timeout if status is Status.TIMEOUT and action.timeout else took
-            self.at(took, replace(told, status=status, latency=took, lone=status is Status.RESET and chance.random() < 0.5))
+            self.at(
+                took,
+                replace(
+                    told, status=status, latency=took, lone=status is Status.RESET and chance.random() < 0.5
+                ),
+            )
         elif ROLES[self.servers[action.server].kind] is Role.READ:
             self.at(took, told)
         else:
@@ -170,7 +186,8 @@
             self.at(lasting, replace(told, status=Status.OK, latency=lasting, over=True))
 
     def _due(self, event: Event) -> bool:
-        """Whether an event may still come: an attempt ends once, and what has not begun does not start later."""
+        """Whether an event may still come: an attempt ends once, and what has not begun does not start
+        later."""
         if isinstance(event, Started | Outcome):
             if self.open.get(event.id) != (event.attempt, event.server):
                 return False
@@ -210,7 +227,9 @@
         if kind < 0.1:
             self.tell(FleetChange(ListKind.DELTA, self.version))
         elif kind < 0.2:
-            listed = [s for s in self.servers.values() if chance.random() < 0.97 and s.state is not ServerState.GONE]
+            listed = [
+                s for s in self.servers.values() if chance.random() < 0.97 and s.state is not ServerState.GONE
+            ]
             self.tell(FleetChange(ListKind.FULL, self.version, tuple(listed)))
             for missing in self.servers.keys() - {s.id for s in listed}:
                 self.servers[missing] = replace(self.servers[missing], state=ServerState.GONE)
@@ -245,7 +264,8 @@
             self.change()
         else:
             self.now = min(
-                self.now + int(self.random.expovariate(1 / (30 * MS))), self.queue[0][0] if self.queue else self.now + S
+                self.now + int(self.random.expovariate(1 / (30 * MS))),
+                self.queue[0][0] if self.queue else self.now + S,
             )
             self.ask()
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -44,13 +44,16 @@
 
 def test_a_session_is_read_at_one_home_from_every_node_and_a_hot_prefix_at_a_share_of_the_readers() -> None:
     asking = nodes(fleet(readers=30, writers=5), 20)
-    homes = {session: {only(Send, w.ask(session=session)[1]).server for w in asking} for session in range(1, 40)}
+    homes = {
+        session: {only(Send, w.ask(session=session)[1]).server for w in asking} for session in range(1, 40)
+    }
     assert all(len(at) == 1 for at in homes.values())
     assert 4 <= len(set.union(*homes.values())) <= 10, "a few of thirty, but not one"
 
 
 def test_a_prefix_that_seldom_comes_has_three_homes_whichever_node_asks() -> None:
-    """Kept at a share of the readers, each of hundreds of prefixes is read anew at twenty and pushes others out of memory."""
+    """Kept at a share of the readers, each of hundreds of prefixes is read anew at twenty and pushes others
+    out of memory."""
     servers = fleet(readers=60, writers=5)
     homes: dict[int, set[int]] = {prefix: set() for prefix in range(1, 9)}
     for number, w in enumerate(nodes(servers, 30)):
@@ -62,20 +65,26 @@
 
 
 def test_a_prefix_that_is_long_to_read_by_what_the_aim_grants_has_one_home_whichever_node_asks() -> None:
-    """Each of its homes reads it once: three homes where the three reads fit into half of the aim, else one."""
+    """Each of its homes reads it once: three homes where the three reads fit into half of the aim, else
+    one."""
     cls = RequestClass("plain", 1.0, 1 * S, 5 * S, token_aim=60_000.0)
     homes: dict[tuple[float, float], int] = {}
     for grant in (0.0, 100_000.0, 300_000.0):  # microseconds for a thousand tokens
         for tokens in (300.0, 3_000.0):
             asking = [
                 world(
-                    fleet(readers=60, writers=5), seed=seed, replicas=NODES, classes=(replace(cls, aim_per_1000_tokens=grant),)
+                    fleet(readers=60, writers=5),
+                    seed=seed,
+                    replicas=NODES,
+                    classes=(replace(cls, aim_per_1000_tokens=grant),),
                 )
                 for seed in range(1, 31)
             ]
             homes[grant, tokens] = len(
                 {
-                    only(Send, w.ask(prefix=7, session=number, prompt_tokens=5_000.0, prefix_tokens=tokens)[1]).server
+                    only(
+                        Send, w.ask(prefix=7, session=number, prompt_tokens=5_000.0, prefix_tokens=tokens)[1]
+                    ).server
                     for number, w in enumerate(asking)
                 }
             )
@@ -220,7 +229,10 @@
 
 
 def test_mixed_servers_with_reads_of_their_own_take_no_state_while_writers_are_emptier() -> None:
-    w = world([server(1, READ, weight=9.0), server(2, WRITE, weight=9.0), server(3, BOTH, weight=0.5)], replicas=NODES)
+    w = world(
+        [server(1, READ, weight=9.0), server(2, WRITE, weight=9.0), server(3, BOTH, weight=0.5)],
+        replicas=NODES,
+    )
     seat = w.router.seats[3]
     w.router.kinds[seat.role, False].carry(50_000.0, w.now, 20 * S)
     used: Counter[int] = Counter()
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -113,9 +113,9 @@
             assert not life.answered and not life.gone, "rule 1: two answers"
             assert self.now <= life.due + self.settings.answer_slack, "rule 1: answered late"
             if isinstance(action, Refuse) and life.may_have_run:
-                assert self.effect is Effect.SAFE or (self.effect is Effect.KEYED and self.scope is KeyScope.ALL), (
-                    "rule 2: refused unproved"
-                )
+                assert self.effect is Effect.SAFE or (
+                    self.effect is Effect.KEYED and self.scope is KeyScope.ALL
+                ), "rule 2: refused unproved"
             life.answered = True
         elif isinstance(action, Release):
             self.lives[action.id].state = False
@@ -193,7 +193,13 @@
                 old = self.random.choice(list(self.servers.values()))
                 state = self.random.choice([ServerState.READY, ServerState.READY, ServerState.DRAINING])
                 new = Server(
-                    old.id, old.kind, state, old.weight, old.cell, old.zone, self.random.choice([old.started_at, self.now - 1])
+                    old.id,
+                    old.kind,
+                    state,
+                    old.weight,
+                    old.cell,
+                    old.zone,
+                    self.random.choice([old.started_at, self.now - 1]),
                 )
                 self.servers[old.id] = new
                 events.append(FleetChange(ListKind.DELTA, 2, (new,)))
@@ -203,7 +209,10 @@
 
     def play(self, steps: int) -> str:
         for _ in range(steps):
-            earliest = min((life.due for life in self.lives.values() if life.out and not life.started), default=self.now + S)
+            earliest = min(
+                (life.due for life in self.lives.values() if life.out and not life.started),
+                default=self.now + S,
+            )
             self.now = max(self.now + 1, min(self.now + self.random.randrange(40 * MS), earliest))
             self.step(self.events())
         for _ in range(20_000):
@@ -225,7 +234,12 @@
 @pytest.mark.parametrize("seed", range(12))
 @pytest.mark.parametrize(
     ("effect", "scope"),
-    [(Effect.SAFE, KeyScope.ALL), (Effect.KEYED, KeyScope.CELL), (Effect.KEYED, KeyScope.ALL), (Effect.UNSAFE, KeyScope.ALL)],
+    [
+        (Effect.SAFE, KeyScope.ALL),
+        (Effect.KEYED, KeyScope.CELL),
+        (Effect.KEYED, KeyScope.ALL),
+        (Effect.UNSAFE, KeyScope.ALL),
+    ],
 )
 def test_random_legal_sequences_keep_the_rules(seed: int, effect: Effect, scope: KeyScope) -> None:
     played = LawfulWorld(seed, effect, scope)
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -136,7 +136,14 @@
 
 def test_near_ties_go_to_the_readers_cell() -> None:
     for reader, writer in ((1, 3), (4, 2)):
-        w = world([server(1, READ, cell=4), server(4, READ, cell=3), server(2, WRITE, cell=3), server(3, WRITE, cell=4)])
+        w = world(
+            [
+                server(1, READ, cell=4),
+                server(4, READ, cell=3),
+                server(2, WRITE, cell=3),
+                server(3, WRITE, cell=4),
+            ]
+        )
         number, said = w.ask(
             prefix=next(
                 p
@@ -247,7 +254,10 @@
         said = w.end(number, only(Send, said).server, Status.READ)
         w.start(number, 11)
         w.end(number, 11, Status.OK, over=True)
-    assert [a.text for a in w.said if isinstance(a, Log)] == ["server 10 suspect: begins", "server 10 suspect: ends"]
+    assert [a.text for a in w.said if isinstance(a, Log)] == [
+        "server 10 suspect: begins",
+        "server 10 suspect: ends",
+    ]
 
 
 def test_a_lost_state_is_read_again_and_a_full_writer_is_followed_by_the_next() -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,7 +16,16 @@
 
 ENV: dict[str, Any] = {
     "replicasOfMe": 2,
-    "classes": [{"importance": 1.0, "promise": 1000000, "deadline": 5000000, "effect": "free", "stream": True, "unknown": 1}],
+    "classes": [
+        {
+            "importance": 1.0,
+            "promise": 1000000,
+            "deadline": 5000000,
+            "effect": "free",
+            "stream": True,
+            "unknown": 1,
+        }
+    ],
     "limits": {"mostTries": 4, "cancel": True},
     "specifics": {"dutyByKind": ["read", "write"], "letGoBy": 300000},
     "obligations": {"drainGrace": 1, "cold": 1, "coldFrom": 0.5, "fallMultiple": 2.0, "fall": 5},
@@ -42,11 +51,15 @@
     (
         257,
         "07000003000000010000000100 0a00000000000000 63000000 0200 01 0000803f 0500",
-        face.FleetChange(face.ListKind.DELTA, 3, (face.Server(99, 2, face.ServerState.DRAINING, 1.0, 5, 1, 10),)),
+        face.FleetChange(
+            face.ListKind.DELTA, 3, (face.Server(99, 2, face.ServerState.DRAINING, 1.0, 5, 1, 10),)
+        ),
     ),
     (
         258,
-        "0700" + REF + "05000000 e8030000 0000803f 00000040 0100000000000000 0200000000000000 0000404001000000 01 13",
+        "0700"
+        + REF
+        + "05000000 e8030000 0000803f 00000040 0100000000000000 0200000000000000 0000404001000000 01 13",
         face.Request(NUMBER, 1, 1000, 3.0, 1.0, 2.0, 1, 2, 1, 5, True, True),
     ),
     (259, "0700" + REF + "02 63000000 0a000000", face.Started(NUMBER, 2, 99, 10)),
@@ -115,7 +128,11 @@
 
 def roster(node: int) -> bytes:
     entry = struct.Struct("<HQIHBfH")
-    body = struct.pack("<HBII", node, 2, 1, 2) + entry.pack(0, 0, 5, 0, 0, 1.0, 0) + entry.pack(0, 0, 6, 1, 0, 1.0, 0)
+    body = (
+        struct.pack("<HBII", node, 2, 1, 2)
+        + entry.pack(0, 0, 5, 0, 0, 1.0, 0)
+        + entry.pack(0, 0, 6, 1, 0, 1.0, 0)
+    )
     return record(257, body.hex())
 
 
@@ -137,7 +154,9 @@
     alone = run(frame(start(1), roster(1)), frame(knock(1, 4)))
     both = run(frame(start(1), roster(1), start(2)), frame(knock(1, 4)))
     assert alone == both
-    again = run(frame(start(1), roster(1), knock(1, 4), record(265, "0100"), start(1), roster(1)), frame(knock(1, 4)))
+    again = run(
+        frame(start(1), roster(1), knock(1, 4), record(265, "0100"), start(1), roster(1)), frame(knock(1, 4))
+    )
     assert again == alone, "a life's events before its halt leave nothing behind"
 
 
@@ -165,7 +184,14 @@
 
 @pytest.mark.parametrize(
     ("field", "value"),
-    [("replicas", 0), ("max_attempts", 0), ("cold_from", 0.0), ("classes", ()), ("fall_window", 0), ("drain_grace", -1)],
+    [
+        ("replicas", 0),
+        ("max_attempts", 0),
+        ("cold_from", 0.0),
+        ("classes", ()),
+        ("fall_window", 0),
+        ("drain_grace", -1),
+    ],
 )
 def test_invalid_settings_raise_with_the_fields_name(field: str, value: Any) -> None:
     from helpers import settings
--- a/tests/test_zones_path.py
+++ b/tests/test_zones_path.py
@@ -1,4 +1,5 @@
-"""Crossings on real sockets: the node's account against what its engines saw, by class, tenant, stage and pair."""
+"""Crossings on real sockets: the node's account against what its engines saw, by class, tenant, stage and
+pair."""
 
 from __future__ import annotations
 
@@ -23,9 +24,12 @@
   budget { bytes_per_s: 1000000 burst_bytes: 4000000 } }"""
 
 
-def seen(w: World, relabelled: dict[str, tuple[int, int]] | None = None) -> dict[tuple[str, str, str, str, str], int]:
-    """Bytes that crossed, as the engines' sockets saw them: class, tenant, stage, from, to. `relabelled` tells of
-    engines (readers only) how many calls they had had, and what zone, before the one that they are in now."""
+def seen(
+    w: World, relabelled: dict[str, tuple[int, int]] | None = None
+) -> dict[tuple[str, str, str, str, str], int]:
+    """Bytes that crossed, as the engines' sockets saw them: class, tenant, stage, from, to. `relabelled`
+    tells of engines (readers only) how many calls they had had, and what zone, before the one that they are
+    in now."""
     names = ["here", "there", "beyond"]
     found: dict[tuple[str, str, str, str, str], int] = defaultdict(int)
     works = {}
@@ -44,7 +48,10 @@
         for request, moved in engine.fetched.items():
             source = names[before if request in early else w.zones.get(name, 0)]
             writers = [
-                n for n, e in w.engines.items() for kind, work, _ in e.moved if kind == "write" and work.request_id == request
+                n
+                for n, e in w.engines.items()
+                for kind, work, _ in e.moved
+                if kind == "write" and work.request_id == request
             ]
             target = names[w.zones.get(writers[-1], 0)]
             if source != target:
@@ -62,13 +69,16 @@
 
 
 async def settled(w: World, relabelled: dict[str, tuple[int, int]] | None = None) -> None:
-    """Wait until the account has all that the engines saw; what it lacks is shown where that takes too long."""
+    """Wait until the account has all that the engines saw; what it lacks is shown where that takes too
+    long."""
     with contextlib.suppress(AssertionError):
         await until(lambda: booked(w) == seen(w, relabelled), seconds=12)
     assert booked(w) == seen(w, relabelled)
 
 
-def test_the_account_is_what_the_engines_sockets_saw_also_for_cancelled_and_broken_attempts(tmp_path: Path) -> None:
+def test_the_account_is_what_the_engines_sockets_saw_also_for_cancelled_and_broken_attempts(
+    tmp_path: Path,
+) -> None:
     report = tmp_path / "zones.jsonl"
     settings = BUDGET.replace("report_every_ms", f'report: "{report}" report_every_ms')
 
@@ -101,14 +111,17 @@
     assert sum(row["bytes"] for row in rows) > 0
     shown = CliRunner().invoke(main, ["report", "zones", str(report), "--json", "--by", "class,cause"])
     assert json.loads(shown.output)["bytes"] == sum(row["bytes"] for row in rows)
-    table = CliRunner().invoke(main, ["report", "zones", str(report), "--budget", "100000", "--plot", str(tmp_path / "p.png")])
+    table = CliRunner().invoke(
+        main, ["report", "zones", str(report), "--budget", "100000", "--plot", str(tmp_path / "p.png")]
+    )
     assert table.exit_code == 0 and "question" in table.output and "forced" in table.output
     assert (tmp_path / "p.png").read_bytes().startswith(b"\x89PNG")
 
 
 def test_the_budget_of_each_class_holds_in_every_window_while_home_can_serve() -> None:
-    """Home has slots for all of it, so serving within the budget is possible throughout: whatever crosses, by the
-    engines' sockets, counts. One class has a narrow budget; the other, with the same load, shows what would have crossed."""
+    """Home has slots for all of it, so serving within the budget is possible throughout: whatever crosses, by
+    the engines' sockets, counts. One class has a narrow budget; the other, with the same load, shows what
+    would have crossed."""
     rate, burst, quantum = 20_000, 24_000, 12_000
     settings = f"""zones {{ name: "here" name: "there"
       budget {{ bytes_per_s: {rate} burst_bytes: {burst} quantum_bytes: {quantum} request_class: "summary" }}
@@ -116,7 +129,10 @@
 
     async def go() -> None:
         async with world(
-            "r0 w0 w1", settings=settings, zones={"w1": 1}, model="step_ms: 8 answer_least: 150 answer_most: 150 slots: 200"
+            "r0 w0 w1",
+            settings=settings,
+            zones={"w1": 1},
+            model="step_ms: 8 answer_least: 150 answer_most: 150 slots: 200",
         ) as w:
             await asyncio.sleep(1.3)  # turns that come after the start
             asked = []
@@ -145,7 +161,9 @@
 
 def test_the_account_follows_resumed_streams_and_engines_whose_zone_label_changes() -> None:
     async def go() -> None:
-        async with world("r0 r1 w1 w2", settings=BUDGET, zones=dict(ZONES), model="answer_least: 60 answer_most: 60") as w:
+        async with world(
+            "r0 r1 w1 w2", settings=BUDGET, zones=dict(ZONES), model="answer_least: 60 answer_most: 60"
+        ) as w:
             # A stream breaks in one zone and is resumed in another, as a request of its own.
             for name in ("w1", "w2"):
                 w.engines[name].apply(lab_pb2.Trouble(lose_after=1.0, lose_after_tokens=9))
@@ -180,7 +198,8 @@
 
 
 def test_a_second_fetch_of_one_state_is_booked_once_each() -> None:
-    """Both writers fetch and fall silent: the reader's word is asked for, and counts all that it has sent since ever."""
+    """Both writers fetch and fall silent: the reader's word is asked for, and counts all that it has sent
+    since ever."""
 
     async def go() -> None:
         async with world("r0 w1 w2", settings=BUDGET + " routing { max_attempts: 6 }", zones=ZONES) as w:
@@ -194,7 +213,9 @@
             await until(lambda: not w.node.table.open)
             assert len(next(iter(w.engines["r0"].fetched.values()))) >= 2
             sent = sum(t.sent for moved in w.engines["r0"].fetched.values() for t in moved)
-            await until(lambda: sum(s for key, s in booked(w).items() if key[2] == "state") == sent, seconds=12)
+            await until(
+                lambda: sum(s for key, s in booked(w).items() if key[2] == "state") == sent, seconds=12
+            )
 
     run(go, virtual=True)
 
@@ -207,7 +228,10 @@
 
     run(go, virtual=True)
     lines = [line for line in capsys.readouterr().out.splitlines() if "zone lacks a role" in line]
-    told = sorted((" ".join(line.split()).split("role=")[1].split()[0], line.split("zone=")[1].split()[0]) for line in lines)
+    told = sorted(
+        (" ".join(line.split()).split("role=")[1].split()[0], line.split("zone=")[1].split()[0])
+        for line in lines
+    )
     assert told == [("read", "beyond"), ("write", "beyond"), ("write", "there")]
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -41,7 +41,8 @@
 
 
 def run(make: Callable[[], Coroutine[Any, Any, None]], seconds: float = 30, virtual: bool = False) -> None:
-    """Run a test's coroutine; afterwards no task may be left behind. `virtual`: on virtual time, see `virtual_time`."""
+    """Run a test's coroutine; afterwards no task may be left behind. `virtual`: on virtual time, see
+    `virtual_time`."""
 
     async def whole() -> None:
         await asyncio.wait_for(make(), seconds)
@@ -150,7 +151,9 @@
         """Start a call; see `Asked` for what comes of it."""
         self.names += 1
         one = Asked(prompt or f"q{self.names} what?")
-        request = pb.GenerateRequest(request_class="question", tenant="north", prompt=one.prompt, prompt_tokens=400)
+        request = pb.GenerateRequest(
+            request_class="question", tenant="north", prompt=one.prompt, prompt_tokens=400
+        )
         request.MergeFrom(pb.GenerateRequest(**fields))
 
         def ended(end: End) -> None:
@@ -178,8 +181,9 @@
     zones: dict[str, int] | None = None,
     models: dict[str, tuple[str, str]] | None = None,
 ) -> AsyncIterator[World]:
-    """Engines by name (r, w, m: their kind), with changes to the model in text format, settings to add, and what
-    each tenant may ask a second; `zones` puts engines into zones other than 0, `models` labels them with model and version."""
+    """Engines by name (r, w, m: their kind), with changes to the model in text format, settings to add, and
+    what each tenant may ask a second; `zones` puts engines into zones other than 0, `models` labels them with
+    model and version."""
     made = World()
     made.zones, made.models = zones or {}, models or {}
     with tempfile.TemporaryDirectory() as folder:
@@ -193,7 +197,9 @@
         feed = await made.feed.start()
         made.feed.change(*(made.entry(name) for name in made.engines))
         base = SETTINGS.replace("quota_per_s: 1000", f"quota_per_s: {quota}")
-        made.node = Node(parse(f'{base} servers {{ feed: "{feed}" cache: "{Path(folder) / "list"}" }} {settings}'))
+        made.node = Node(
+            parse(f'{base} servers {{ feed: "{feed}" cache: "{Path(folder) / "list"}" }} {settings}')
+        )
         try:
             if start:
                 made.address = await made.node.start()
--- a/tuliptrack/cli/agent.py
+++ b/tuliptrack/cli/agent.py
@@ -19,11 +19,16 @@
 @click.command()
 @click.argument("host")
 @click.argument("folder", type=click.Path(file_okay=False, path_type=Path))
-@click.option("--program", required=True, help="Digest of the program that runs where nothing was ordered yet.")
+@click.option(
+    "--program", required=True, help="Digest of the program that runs where nothing was ordered yet."
+)
 @click.option("--settings", required=True, help="Digest of its settings.")
-@click.option("--listen", default="127.0.0.1:0", help="host:port for controllers; port 0: the kernel chooses.")
+@click.option(
+    "--listen", default="127.0.0.1:0", help="host:port for controllers; port 0: the kernel chooses."
+)
 def agent(host: str, folder: Path, program: str, settings: str, listen: str) -> None:
-    """Run the node of HOST from FOLDER until SIGTERM, which leaves the node running. Prints one JSON line with the address."""
+    """Run the node of HOST from FOLDER until SIGTERM, which leaves the node running. Prints one JSON line
+    with the address."""
     set_up(json_lines=True)
     try:
         one = Agent(host, folder, Release(program, settings))
--- a/tuliptrack/cli/bills.py
+++ b/tuliptrack/cli/bills.py
@@ -35,8 +35,11 @@
 @_LEDGERS
 @click.option("--json", "as_json", is_flag=True)
 def show(ledgers: tuple[str, ...], as_json: bool) -> None:
-    """Sums by tenant and day (UTC), those of compacted works included. Amounts in millionths of the currency."""
-    rows: dict[tuple[str, int], dict[str, int]] = {key: asdict(t) for key, t in totals(fold(_parts(ledgers))).items()}
+    """Sums by tenant and day (UTC), those of compacted works included. Amounts in millionths of the
+    currency."""
+    rows: dict[tuple[str, int], dict[str, int]] = {
+        key: asdict(t) for key, t in totals(fold(_parts(ledgers))).items()
+    }
     for path in ledgers:
         for old in read_sums(path):
             row = rows.setdefault((old.tenant, old.day), {})
@@ -88,7 +91,8 @@
 @click.argument("target", type=click.Path(file_okay=False))
 @_LEDGERS
 def merge(target: str, ledgers: tuple[str, ...]) -> None:
-    """Put what LEDGERS hold into the ledger TARGET; what it has already is left out. Any order, any number of times."""
+    """Put what LEDGERS hold into the ledger TARGET; what it has already is left out. Any order, any number of
+    times."""
     new = _parts(ledgers)
     try:
         into = Ledger(target)
--- a/tuliptrack/cli/call.py
+++ b/tuliptrack/cli/call.py
@@ -24,7 +24,9 @@
 @click.option("--prefix", default="")
 @click.option("--max-tokens", default=0, type=click.IntRange(0))
 @click.option("--timeout", default=30.0, type=click.FloatRange(0.001), help="Seconds for the whole call.")
-@click.option("--tries", default=3, type=click.IntRange(1), help="Tries in all, after refusals and broken streams.")
+@click.option(
+    "--tries", default=3, type=click.IntRange(1), help="Tries in all, after refusals and broken streams."
+)
 def call(
     address: str,
     prompt: str,
@@ -38,7 +40,12 @@
 ) -> None:
     """Send PROMPT to the node at ADDRESS (host:port). Exit code 0 when served, 1 when refused or failed."""
     request = pb.GenerateRequest(
-        request_class=request_class, tenant=tenant, session=session, prefix=prefix, prompt=prompt, max_tokens=max_tokens
+        request_class=request_class,
+        tenant=tenant,
+        session=session,
+        prefix=prefix,
+        prompt=prompt,
+        max_tokens=max_tokens,
     )
     sys.exit(asyncio.run(_run(address, request, timeout, tries)))
 
--- a/tuliptrack/cli/fleet.py
+++ b/tuliptrack/cli/fleet.py
@@ -45,11 +45,18 @@
 @click.argument("number", type=click.IntRange(0, MOST_CONTROLLERS - 1))
 @click.argument("hosts", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option("--listen", default="127.0.0.1:0", help="host:port for operators; port 0: the kernel chooses.")
-@click.option("--window", default=5.0, type=click.FloatRange(0.05), help="Seconds of reports between decisions.")
-@click.option("--takeover", default=3.0, type=click.FloatRange(0.05), help="Seconds without a leader before this one claims.")
+@click.option(
+    "--window", default=5.0, type=click.FloatRange(0.05), help="Seconds of reports between decisions."
+)
+@click.option(
+    "--takeover",
+    default=3.0,
+    type=click.FloatRange(0.05),
+    help="Seconds without a leader before this one claims.",
+)
 def serve(number: int, hosts: Path, listen: str, window: float, takeover: float) -> None:
-    """Run controller NUMBER (each another one, from 0) for the fleet in HOSTS until SIGTERM. HOSTS is a JSON list of objects
-    with `name`, `zone` and `agent` (host:port). Prints one JSON line with the address."""
+    """Run controller NUMBER (each another one, from 0) for the fleet in HOSTS until SIGTERM. HOSTS is a JSON
+    list of objects with `name`, `zone` and `agent` (host:port). Prints one JSON line with the address."""
     set_up(json_lines=True)
     one = Controller(number, read_hosts(hosts), int(window * 1e6), int(takeover * 1e6))
     asyncio.run(run_until_told(one, listen))
@@ -84,7 +91,9 @@
 def _show(state: pb.FleetState, as_json: bool) -> dict[str, Any]:
     record, hosts = json.loads(state.record), json.loads(state.hosts)
     if as_json:
-        click.echo(json.dumps({"epoch": state.epoch, "record": record, "hosts": hosts, "learnt": state.learnt}))
+        click.echo(
+            json.dumps({"epoch": state.epoch, "record": record, "hosts": hosts, "learnt": state.learnt})
+        )
         return dict(record)
     stages = len(record["plan"]["stages"]) if record["plan"] else 0
     click.echo(
@@ -105,7 +114,9 @@
     return dict(record)
 
 
-_controllers = click.option("--controller", "controllers", multiple=True, required=True, help="host:port; name all.")
+_controllers = click.option(
+    "--controller", "controllers", multiple=True, required=True, help="host:port; name all."
+)
 _json = click.option("--json", "as_json", is_flag=True)
 
 
@@ -119,7 +130,11 @@
 
 @fleet.command()
 @click.argument("plan", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--wait", is_flag=True, help="Show progress until it has ended. Exit code 0: done, 3: taken back, 4: held.")
+@click.option(
+    "--wait",
+    is_flag=True,
+    help="Show progress until it has ended. Exit code 0: done, 3: taken back, 4: held.",
+)
 @_controllers
 @_json
 def start(plan: Path, wait: bool, controllers: tuple[str, ...], as_json: bool) -> None:
--- a/tuliptrack/cli/lab.py
+++ b/tuliptrack/cli/lab.py
@@ -31,13 +31,17 @@
 
 
 @lab.command()
-@click.option("--role", type=click.Choice(["READ", "WRITE", "BOTH"]), help="Role, where no model file tells it.")
+@click.option(
+    "--role", type=click.Choice(["READ", "WRITE", "BOTH"]), help="Role, where no model file tells it."
+)
 @click.option("--model", type=click.Path(), help="EngineModel in text format.")
 @click.option("--listen", default="127.0.0.1:0", help="host:port; port 0: the kernel chooses.")
 @click.option("--name", default="engine")
 @click.option("--log", "log_path", type=click.Path(), help="File for what is seen on the sockets.")
 @click.option("--cold", is_flag=True, help="Start cold, as the model tells it.")
-def engine(role: str | None, model: str | None, listen: str, name: str, log_path: str | None, cold: bool) -> None:
+def engine(
+    role: str | None, model: str | None, listen: str, name: str, log_path: str | None, cold: bool
+) -> None:
     """Run a stand-in engine until SIGTERM; prints one JSON line with its address."""
     made = lab_pb2.EngineModel()
     if model:
@@ -59,10 +63,12 @@
 @click.argument("file", type=click.Path())
 @click.option("--seed", type=int, help="In place of the scenario's own.")
 @click.option("--json", "as_json", is_flag=True, help="Print the verdict as JSON.")
-@click.option("--keep", type=click.Path(), help="Folder for the logs of the day; default: removed afterwards.")
+@click.option(
+    "--keep", type=click.Path(), help="Folder for the logs of the day; default: removed afterwards."
+)
 def play(file: str, seed: int | None, as_json: bool, keep: str | None) -> None:
-    """Play the scripted day in FILE with nodes and engines as processes, and judge it by the traffic. Exit code 0
-    when all rules were kept, 1 when one was broken."""
+    """Play the scripted day in FILE with nodes and engines as processes, and judge it by the traffic. Exit
+    code 0 when all rules were kept, 1 when one was broken."""
     from tuliptrack.lab.day import play_day
     from tuliptrack.lab.report import as_text
 
@@ -74,7 +80,9 @@
         raise BadFile(str(error)) from None
     if seed is not None:
         scenario.seed = seed
-    verdict = asyncio.run(play_day(scenario, keep, None if as_json else lambda text: click.echo(text, err=True)))
+    verdict = asyncio.run(
+        play_day(scenario, keep, None if as_json else lambda text: click.echo(text, err=True))
+    )
     click.echo(json.dumps(verdict, indent=1) if as_json else as_text(verdict))
     sys.exit(0 if verdict["kept"] else 1)
 
@@ -91,7 +99,8 @@
 @click.option("--router", default="", help="Module file whose Router decides, in place of the program's own.")
 @click.option("--json", "path", type=click.Path(dir_okay=False), help="File for the report.")
 def play_hollow_fleet(path: str | None, **options: Any) -> None:
-    """Play a fleet of hollow nodes before drawn engines: start, changes, a lost zone, new roles, a silent discovery."""
+    """Play a fleet of hollow nodes before drawn engines: start, changes, a lost zone, new roles, a silent
+    discovery."""
     from tuliptrack.lab.hollow.fleet import FleetError, FleetPlan, play_fleet
 
     try:
--- a/tuliptrack/cli/report.py
+++ b/tuliptrack/cli/report.py
@@ -19,15 +19,17 @@
 
 
 def read_rows(files: tuple[str, ...]) -> list[dict[str, Any]]:
-    """Rows of the files, in time's order; a ClickException names the line that can't be read. The last line of a
-    file may be cut off by a crash: it is left out, and told."""
+    """Rows of the files, in time's order; a ClickException names the line that can't be read. The last line
+    of a file may be cut off by a crash: it is left out, and told."""
     rows = []
     for name in files:
         lines = Path(name).read_text().splitlines(keepends=True)
         for number, line in enumerate(lines, 1):
             try:
                 row = json.loads(line)
-                rows.append({**row, "t": float(row["t"]), "bytes": int(row["bytes"]), "moves": int(row["moves"])})
+                rows.append(
+                    {**row, "t": float(row["t"]), "bytes": int(row["bytes"]), "moves": int(row["moves"])}
+                )
             except (ValueError, KeyError, TypeError) as error:
                 if number == len(lines) and not line.endswith("\n"):
                     click.echo(f"{name}:{number}: cut off, left out", err=True)
@@ -38,7 +40,9 @@
 
 def sums(rows: list[dict[str, Any]], by: list[str]) -> list[dict[str, Any]]:
     """Bytes and moves by these columns, with the part that was forced and the part of retries."""
-    found: dict[tuple[str, ...], dict[str, Any]] = defaultdict(lambda: {"bytes": 0, "forced": 0, "retry": 0, "moves": 0})
+    found: dict[tuple[str, ...], dict[str, Any]] = defaultdict(
+        lambda: {"bytes": 0, "forced": 0, "retry": 0, "moves": 0}
+    )
     for row in rows:
         one = found[tuple(str(row[name]) for name in by)]
         one["bytes"] += row["bytes"]
@@ -50,10 +54,14 @@
 
 @report.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
-@click.option("--by", default="class,from,to", help="Columns, of: node, class, tenant, stage, from, to, cause.")
+@click.option(
+    "--by", default="class,from,to", help="Columns, of: node, class, tenant, stage, from, to, cause."
+)
 @click.option("--json", "as_json", is_flag=True)
 @click.option("--budget", type=float, help="Bytes a second that may cross, for comparison.")
-@click.option("--plot", type=click.Path(), help="Write a PNG of bytes a second over time, by class and cause.")
+@click.option(
+    "--plot", type=click.Path(), help="Write a PNG of bytes a second over time, by class and cause."
+)
 def zones(files: tuple[str, ...], by: str, as_json: bool, budget: float | None, plot: str | None) -> None:
     """What has crossed zones, from the report files of one node or several."""
     columns = by.split(",")
@@ -66,7 +74,11 @@
     whole = sum(row["bytes"] for row in rows)
     forced = sum(row["bytes"] for row in rows if row["cause"] == "forced")
     if as_json:
-        click.echo(json.dumps({"rows": table, "bytes": whole, "forced": forced, "seconds": length, "budget_per_s": budget}))
+        click.echo(
+            json.dumps(
+                {"rows": table, "bytes": whole, "forced": forced, "seconds": length, "budget_per_s": budget}
+            )
+        )
     else:
         heads = [*columns, "bytes", "forced", "retry", "moves"]
         cells = [heads, *([str(row[h]) for h in heads] for row in table)]
@@ -99,7 +111,9 @@
     for name in sorted({(row["class"], row["cause"]) for row in rows}):
         points: dict[float, float] = defaultdict(float)
         for row in rows:
-            points[round((row["t"] - start) / every) * every] += row["bytes"] / every * ((row["class"], row["cause"]) == name)
+            points[round((row["t"] - start) / every) * every] += (
+                row["bytes"] / every * ((row["class"], row["cause"]) == name)
+            )
         axes.step(list(points), list(points.values()), where="post", label=" ".join(name))
     if budget:
         axes.axhline(budget, linestyle="--", color="black", label="budget")
--- a/tuliptrack/cli/serve.py
+++ b/tuliptrack/cli/serve.py
@@ -19,7 +19,9 @@
 
 @click.command()
 @click.argument("file", type=click.Path())
-@click.option("--ready", is_flag=True, help="Print one JSON line with the address on standard output once serving.")
+@click.option(
+    "--ready", is_flag=True, help="Print one JSON line with the address on standard output once serving."
+)
 def serve(file: str, ready: bool) -> None:
     """Serve with the settings in FILE. SIGTERM or SIGINT: drain, refuse, end; a second one: end now."""
     found = load_config(file)
--- a/tuliptrack/cli/soak.py
+++ b/tuliptrack/cli/soak.py
@@ -44,20 +44,40 @@
 @click.command()
 @click.option("--seeds", type=_Seeds(), default="1..1", show_default=True, help="One seed, or A..B.")
 @click.option("--nodes", type=click.IntRange(1, _MOST_NODES), default=3, show_default=True)
-@click.option("--minutes", type=click.FloatRange(_LEAST_MINUTES, _MOST_MINUTES), default=0.25, show_default=True)
-@click.option("--schedule", "schedule_file", type=click.Path(), help="Play the schedule in this file instead.")
-@click.option("--shrink", "to_shrink", type=click.Path(), help="Write the smallest schedule that still fails to this file.")
+@click.option(
+    "--minutes", type=click.FloatRange(_LEAST_MINUTES, _MOST_MINUTES), default=0.25, show_default=True
+)
+@click.option(
+    "--schedule", "schedule_file", type=click.Path(), help="Play the schedule in this file instead."
+)
+@click.option(
+    "--shrink",
+    "to_shrink",
+    type=click.Path(),
+    help="Write the smallest schedule that still fails to this file.",
+)
 @click.option("--keep", type=click.Path(), help="Folder for the records of seeds that failed.")
 @click.option("--json", "as_json", is_flag=True, help="Print a line of JSON for each seed.")
 def soak(
-    seeds: range, nodes: int, minutes: float, schedule_file: str | None, to_shrink: str | None, keep: str | None, as_json: bool
+    seeds: range,
+    nodes: int,
+    minutes: float,
+    schedule_file: str | None,
+    to_shrink: str | None,
+    keep: str | None,
+    as_json: bool,
 ) -> None:
-    """Play drawn faults with nodes, engines, proxies, clients and the list's agent as processes on loopback, one seed after
-    another, and judge what reached the engines and the clients. Exit code 0 where every invariant held, 1 otherwise."""
-    schedules = [_read(schedule_file)] if schedule_file else [draw(seed, minutes * 60, nodes) for seed in seeds]
+    """Play drawn faults with nodes, engines, proxies, clients and the list's agent as processes on loopback,
+    one seed after another, and judge what reached the engines and the clients. Exit code 0 where every
+    invariant held, 1 otherwise."""
+    schedules = (
+        [_read(schedule_file)] if schedule_file else [draw(seed, minutes * 60, nodes) for seed in seeds]
+    )
     failed = 0
     for schedule in schedules:
-        result = asyncio.run(_until_terminated(play(schedule, Path(keep) / str(schedule.seed) if keep else None)))
+        result = asyncio.run(
+            _until_terminated(play(schedule, Path(keep) / str(schedule.seed) if keep else None))
+        )
         _tell(result, as_json)
         if not result.violations:
             continue
--- a/tuliptrack/config/node.py
+++ b/tuliptrack/config/node.py
@@ -185,7 +185,8 @@
 
 @dataclass(frozen=True)
 class KserveOptions:
-    """Of the KServe front: what requests mean that don't say it, and the REST form (not served without an address)."""
+    """Of the KServe front: what requests mean that don't say it, and the REST form (not served without an
+    address)."""
 
     rest_listen: str = ""
     request_class: str = ""
@@ -201,7 +202,8 @@
 
 @dataclass(frozen=True)
 class BillingOptions:
-    """Of budgets and bills. `windows` by tenant, in units of a tenth of a token; `prices` by the time from which they hold."""
+    """Of budgets and bills. `windows` by tenant, in units of a tenth of a token; `prices` by the time from
+    which they hold."""
 
     ledger: str = ""
     commit: int = 200_000
@@ -450,7 +452,10 @@
         z.wrong("name", "no two zones may share a name")
     if names and own >= len(names):
         z.located.problem("node.zone", f"is {own}, but zones.name has {len(names)} names, from 0")
-    weights = {name: z.number(f"{name}_per_token", 0, 1e9) for name in ("prompt_bytes", "state_bytes", "answer_bytes")}
+    weights = {
+        name: z.number(f"{name}_per_token", 0, 1e9)
+        for name in ("prompt_bytes", "state_bytes", "answer_bytes")
+    }
     least = 1000 * (weights["prompt_bytes"] + weights["state_bytes"])
     budgets = []
     for n, one in enumerate(message.budget):
@@ -466,7 +471,10 @@
         if 0 < one.by_traffic <= 1 and not quotas:
             b.wrong("by_traffic", "is measured by the tenants' quota_per_s, and none is set")
         if burst < least:
-            b.wrong("burst_bytes", f"can't be kept: one prompt of 1,000 tokens crosses with {least:g} bytes, is {burst:g}")
+            b.wrong(
+                "burst_bytes",
+                f"can't be kept: one prompt of 1,000 tokens crosses with {least:g} bytes, is {burst:g}",
+            )
         elif quantum > burst:
             b.wrong("quantum_bytes", f"must be at most burst_bytes ({burst:g}), is {quantum:g}")
         else:
@@ -545,7 +553,9 @@
     )
 
 
-def _kserve(k: _Block, message: pb.Kserve, classes: tuple[str, ...], tenants: tuple[str, ...]) -> KserveOptions:
+def _kserve(
+    k: _Block, message: pb.Kserve, classes: tuple[str, ...], tenants: tuple[str, ...]
+) -> KserveOptions:
     listen = _address(k, "rest_listen", message.rest_listen, any_port=True) if message.rest_listen else ""
     for field_, names, known in (
         ("request_class", [message.request_class], classes),
--- a/tuliptrack/config/textformat.py
+++ b/tuliptrack/config/textformat.py
@@ -1,9 +1,8 @@
 """Protobuf text format read statement by statement, so that every error is told at once, with its line.
 
-The library's own parser stops at the first error and forgets where a value stood. Here its tokenizer walks the
-text, each scalar statement is handed to its parser alone, and the place of every field is kept for the checks
-that follow. Source: the protobuf text format language specification.
-"""
+The library's own parser stops at the first error and forgets where a value stood. Here its tokenizer walks
+the text, each scalar statement is handed to its parser alone, and the place of every field is kept for the
+checks that follow. Source: the protobuf text format language specification."""
 
 from __future__ import annotations
 
@@ -76,7 +75,8 @@
 
 
 def read_file(path: str | Path, kind: type[M]) -> tuple[M, Located]:
-    """Read a message from a file. ConfigError where the file can't be read; other problems are in `Located`."""
+    """Read a message from a file. ConfigError where the file can't be read; other problems are in
+    `Located`."""
     try:
         data = Path(path).read_bytes()
     except OSError as error:
@@ -137,7 +137,9 @@
         tokens.TryConsume(",") or tokens.TryConsume(";")
 
 
-def _messages(tokens: text_format.Tokenizer, message: Message, known: Any, path: str, line: int, located: Located) -> None:
+def _messages(
+    tokens: text_format.Tokenizer, message: Message, known: Any, path: str, line: int, located: Located
+) -> None:
     listed = known.is_repeated and tokens.TryConsume("[")
     while not (listed and tokens.TryConsume("]")):
         if known.is_repeated:
@@ -159,7 +161,9 @@
         tokens.TryConsume(",")
 
 
-def _scalars(tokens: text_format.Tokenizer, message: Message, known: Any, path: str, line: int, located: Located) -> None:
+def _scalars(
+    tokens: text_format.Tokenizer, message: Message, known: Any, path: str, line: int, located: Located
+) -> None:
     listed = known.is_repeated and tokens.TryConsume("[")
     if not known.is_repeated and path in located.lines:
         located.add(line, path, f"stands twice, first in line {located.lines[path]}")
@@ -176,7 +180,9 @@
         one = type(message)()
         try:
             text_format.Merge(f"{known.name}: {value}", one)
-            message.MergeFrom(one) if known.is_repeated else setattr(message, known.name, getattr(one, known.name))
+            message.MergeFrom(one) if known.is_repeated else setattr(
+                message, known.name, getattr(one, known.name)
+            )
         except (text_format.ParseError, ValueError) as error:
             located.add(line, path, _reason(error))
         if not listed:
--- a/tuliptrack/decisions/admission.py
+++ b/tuliptrack/decisions/admission.py
@@ -1,11 +1,11 @@
-"""What may enter a node at all: how many requests are open, of a tenant and of a connection, and how many bytes of
-bodies that are still arriving. Decided before the core is asked, for every front alike.
+"""What may enter a node at all: how many requests are open, of a tenant and of a connection, and how many
+bytes of bodies that are still arriving. Decided before the core is asked, for every front alike.
 
-A refusal here costs nothing and has had no effect, so trying again is harmless; its reason names the limit. When to come
-back is said by how fast requests have been ending lately: the time until a place may be free.
+A refusal here costs nothing and has had no effect, so trying again is harmless; its reason names the limit.
+When to come back is said by how fast requests have been ending lately: the time until a place may be free.
 
-No I/O, no clock: `now` in microseconds. Bound: one entry for each open connection and each tenant with open requests.
-"""
+No I/O, no clock: `now` in microseconds. Bound: one entry for each open connection and each tenant with open
+requests."""
 
 from __future__ import annotations
 
@@ -26,7 +26,8 @@
 
 
 class ByteBudget:
-    """Bytes that may be held at once for bodies which are not yet whole. `take` says no where they would be more."""
+    """Bytes that may be held at once for bodies which are not yet whole. `take` says no where they would be
+    more."""
 
     __slots__ = ("held", "most", "peak", "refused")
 
@@ -103,7 +104,7 @@
         self.ended_at = now
 
     def wait(self, tenant: str) -> int:
-        """Microseconds after which a place may be free: the time in which a tenth of those open will have ended, at the
-        pace of late."""
+        """Microseconds after which a place may be free: the time in which a tenth of those open will have
+        ended, at the pace of late."""
         waiting = self.limits.by_tenant if self.tenants.get(tenant, 0) >= self.limits.by_tenant else self.open
         return int(min(max(self.gap_us * waiting / 10, LEAST_WAIT_US), MOST_WAIT_US))
--- a/tuliptrack/decisions/bills.py
+++ b/tuliptrack/decisions/bills.py
@@ -1,12 +1,15 @@
 """What a tenant owes, from the parts that any nodes have written down, in any order, any number of times.
 
-A part says which tokens of one piece of work have reached the client through one node. The bill of a work is a function
-of the set of its parts alone: merging files is a union, so it is idempotent, and neither order nor doubling changes it.
+A part says which tokens of one piece of work have reached the client through one node. The bill of a work is
+a function of the set of its parts alone: merging files is a union, so it is idempotent, and neither order nor
+doubling changes it.
 
 - Of two states of one part (same node and number) the later one counts: an end over OPEN, else more tokens.
-- Tokens of the answer are billed once each, whichever parts cover them, at the price of the earliest part that does.
-- The prompt is billed once a work, by the earliest part through which the client got any token: reading again, after a
-  failure or to resume, is the installation's loss. A work of which the client got nothing is free.
+- Tokens of the answer are billed once each, whichever parts cover them, at the price of the earliest part
+  that does.
+- The prompt is billed once a work, by the earliest part through which the client got any token: reading
+  again, after a failure or to resume, is the installation's loss. A work of which the client got nothing is
+  free.
 - Whole numbers only: tokens, and millionths of the currency.
 
 No I/O, no clock.
@@ -123,8 +126,11 @@
     )
 
 
-def latest(parts: Iterable[Part], known: dict[tuple[str, int], Part] | None = None) -> dict[tuple[str, int], Part]:
-    """The state of each part that counts, by its name; added to what is `known` already, where that is given."""
+def latest(
+    parts: Iterable[Part], known: dict[tuple[str, int], Part] | None = None
+) -> dict[tuple[str, int], Part]:
+    """The state of each part that counts, by its name; added to what is `known` already, where that is
+    given."""
     found = {} if known is None else known
     for part in parts:
         held = found.get(part.name)
--- a/tuliptrack/decisions/budgets.py
+++ b/tuliptrack/decisions/budgets.py
@@ -1,25 +1,25 @@
 """Token budgets by tenant: how much a node lets a tenant use of what it has with all nodes together.
 
-Tokens are weighed (read, kept and written ones differ) into whole units. A tenant has a budget for each of several
-windows; a request is within it when every window has room for what it is thought to use. Windows of up to LONG_US are
-dealt out by turns (`decisions/turns.py`): all nodes together use at most tokens x (W / window + 1) and a turn in any W,
-whatever the traffic. Longer windows, a day's, are counted by the calendar: each node's part is the tokens x spread /
-nodes, and its use is handed back in after a restart, since a turn of a day would be lost with it. `spread` says how
-uneven a tenant's traffic may be: a tenant that meets nodes / spread of them can use all, one that meets all of them
-spread times as much, at most.
-
-The answer's length is not known before: a request reserves an estimate, learnt for its class and tenant and bounded by
-its max_tokens, and settles by what was streamed. What a window lacked at settling is taken from turns to come. A tenant
-whose answers are always as long as they may be makes its own estimate longer, and nobody else's.
-
-Over budget is no refusal by itself: it lowers the worth (the Router's tiers refuse it first), or is refused, as
-its class has it. What others let lapse unused is lent for LEND_US: an owner's turns are never lent while they are its
-own, so there is nothing to call back, and the sum over all tenants stays within the sum of their bounds, moved by
-LEND_US.
-
-No I/O, no clock, no chance; `now` in microseconds. Bounds: the tenants of the settings; MOST_ESTIMATES classes by
-tenants; as many reservations as requests are open.
-"""
+Tokens are weighed (read, kept and written ones differ) into whole units. A tenant has a budget for each of
+several windows; a request is within it when every window has room for what it is thought to use. Windows of
+up to LONG_US are dealt out by turns (`decisions/turns.py`): all nodes together use at most tokens x (W /
+window + 1) and a turn in any W, whatever the traffic. Longer windows, a day's, are counted by the calendar:
+each node's part is the tokens x spread / nodes, and its use is handed back in after a restart, since a turn
+of a day would be lost with it. `spread` says how uneven a tenant's traffic may be: a tenant that meets nodes
+/ spread of them can use all, one that meets all of them spread times as much, at most.
+
+The answer's length is not known before: a request reserves an estimate, learnt for its class and tenant and
+bounded by its max_tokens, and settles by what was streamed. What a window lacked at settling is taken from
+turns to come. A tenant whose answers are always as long as they may be makes its own estimate longer, and
+nobody else's.
+
+Over budget is no refusal by itself: it lowers the worth (the Router's tiers refuse it first), or is refused,
+as its class has it. What others let lapse unused is lent for LEND_US: an owner's turns are never lent while
+they are its own, so there is nothing to call back, and the sum over all tenants stays within the sum of their
+bounds, moved by LEND_US.
+
+No I/O, no clock, no chance; `now` in microseconds. Bounds: the tenants of the settings; MOST_ESTIMATES
+classes by tenants; as many reservations as requests are open."""
 
 from __future__ import annotations
 
@@ -57,8 +57,8 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetSettings:
-    """The same for every node but for `slot`. `offset` turns a node's clock into microseconds since 1970, a time that all
-    share, and is taken at the start."""
+    """The same for every node but for `slot`. `offset` turns a node's clock into microseconds since 1970, a
+    time that all share, and is taken at the start."""
 
     replicas: int
     windows: Mapping[str, tuple[Window, ...]]
@@ -75,7 +75,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a request meets. `over`: some window has no room for it; `wait`: microseconds until it would have, -1 for never."""
+    """What a request meets. `over`: some window has no room for it; `wait`: microseconds until it would have,
+    -1 for never."""
 
     over: bool
     reserved: int = 0
@@ -136,11 +137,25 @@
         self.wheel: Wheel[str] = Wheel(now)
         for name, windows in s.windows.items():
             purses = [
-                (w, Purse(w.units / w.length * 1e6, w.units, w.quantum or max(w.units / 10, 1), s.replicas, s.slot, s.offset))
+                (
+                    w,
+                    Purse(
+                        w.units / w.length * 1e6,
+                        w.units,
+                        w.quantum or max(w.units / 10, 1),
+                        s.replicas,
+                        s.slot,
+                        s.offset,
+                    ),
+                )
                 for w in windows
                 if w.length <= LONG_US
             ]
-            days = [_Day(w, max(int(w.units * min(s.spread / s.replicas, 1.0)), 1)) for w in windows if w.length > LONG_US]
+            days = [
+                _Day(w, max(int(w.units * min(s.spread / s.replicas, 1.0)), 1))
+                for w in windows
+                if w.length > LONG_US
+            ]
             self.tenants[name] = _Tenant(purses, days)
             for _, purse in purses:
                 purse.left(now)  # Turns that come from now on are this node's own.
@@ -178,7 +193,8 @@
     # -- requests
 
     def _number(self, window: Window, now: int) -> tuple[int, int]:
-        """Which calendar window it is, and microseconds until the next. A clock that steps back starts none anew."""
+        """Which calendar window it is, and microseconds until the next. A clock that steps back starts none
+        anew."""
         self._last_wall = wall = max(now + self.settings.offset, self._last_wall)
         return wall // window.length, window.length - wall % window.length
 
@@ -190,8 +206,8 @@
         return rest
 
     def ask(self, now: int, tenant: str, cls: int, prompt: int, kept: int, most: int) -> Verdict:
-        """Whether a request is within its tenant's budgets; nothing is reserved. `kept`: prompt tokens that are likely
-        to need no reading."""
+        """Whether a request is within its tenant's budgets; nothing is reserved. `kept`: prompt tokens that
+        are likely to need no reading."""
         self._lapse(now)
         one = self.tenants.get(tenant)
         units = self.units(max(prompt - kept, 0), kept, self.estimate(tenant, cls, most))
@@ -206,7 +222,12 @@
             if purse.left(now) < units:
                 more = purse.wait(now, units)
                 wait, short = (-1 if wait < 0 or more < 0 else max(wait, more)), max(short, window.length)
-        if short and self.settings.lend and short <= LONG_US and sum(turn.left for turn in self.pool) >= units:
+        if (
+            short
+            and self.settings.lend
+            and short <= LONG_US
+            and sum(turn.left for turn in self.pool) >= units
+        ):
             return Verdict(False, units, lent=True)
         return Verdict(bool(short), units, wait, short)
 
@@ -224,7 +245,9 @@
         for day in one.days:
             self._today(day, now)
             day.used += verdict.reserved
-        self.open[request] = _Reserved(tenant, cls, verdict.reserved, prompt, parts, not verdict.over and not verdict.lent)
+        self.open[request] = _Reserved(
+            tenant, cls, verdict.reserved, prompt, parts, not verdict.over and not verdict.lent
+        )
         one.use.requests += 1
         one.use.over += verdict.over
         one.use.reserved += verdict.reserved
@@ -239,8 +262,9 @@
                 self.pool.popleft()
 
     def settle(self, now: int, request: int, kept: int, written: int, learn: bool) -> None:
-        """The request has ended: it had so many of its prompt's tokens kept, and wrote so many, or was not served at all (both
-        negative). `learn`: the answer came to its end, so that its length tells something."""
+        """The request has ended: it had so many of its prompt's tokens kept, and wrote so many, or was not
+        served at all (both negative). `learn`: the answer came to its end, so that its length tells
+        something."""
         reserved = self.open.pop(request, None)
         if reserved is None:
             return
@@ -264,8 +288,8 @@
     # -- lending
 
     def _lapse(self, now: int) -> None:
-        """Lend what has lapsed unused in the shortest window of each tenant: longer ones hold the same tokens again.
-        The wheel tells whose turn lapses, so nobody else is looked at."""
+        """Lend what has lapsed unused in the shortest window of each tenant: longer ones hold the same tokens
+        again. The wheel tells whose turn lapses, so nobody else is looked at."""
         while self.pool and self.pool[0].lapses <= now:
             self.pool.popleft()
         for name in self.wheel.advance(now) if self.settings.lend else ():
--- a/tuliptrack/decisions/models.py
+++ b/tuliptrack/decisions/models.py
@@ -1,16 +1,17 @@
 """Which engines serve which model, and which version a request goes to.
 
-Engines of different models, or of two versions of one, share nothing that routing could use: a state read by one can't be
-written by the other, queues and failures of one say nothing of the other. So each (model, version) has a `Router` of its own,
-told of its own engines only, and this decides who they are. The routers of one node share the tenants' quotas and the zones'
-budgets; `part` tells each how much of the quotas its engines are built for.
+Engines of different models, or of two versions of one, share nothing that routing could use: a state read by
+one can't be written by the other, queues and failures of one say nothing of the other. So each (model,
+version) has a `Router` of its own, told of its own engines only, and this decides who they are. The routers
+of one node share the tenants' quotas and the zones' budgets; `part` tells each how much of the quotas its
+engines are built for.
 
-A request that names no version gets one by its session: weighted rendezvous over the versions that can serve, weighted by
-what they can do. So a rollout moves as much of the traffic as there are engines for it, each session moves once, and every
-node picks alike.
+A request that names no version gets one by its session: weighted rendezvous over the versions that can serve,
+weighted by what they can do. So a rollout moves as much of the traffic as there are engines for it, each
+session moves once, and every node picks alike.
 
-No I/O, no clock, no chance. Bound: `MOST_MODELS` models and versions; engines of one more are not served, and named.
-"""
+No I/O, no clock, no chance. Bound: `MOST_MODELS` models and versions; engines of one more are not served, and
+named."""
 
 from __future__ import annotations
 
@@ -37,7 +38,8 @@
 
 
 class NotServed(Exception):
-    """No engines can serve what was asked for. `known` tells whether the list names it, so that it may come back."""
+    """No engines can serve what was asked for. `known` tells whether the list names it, so that it may come
+    back."""
 
     def __init__(self, field: str, reason: str, known: bool = False) -> None:
         super().__init__(f"{field}: {reason}")
@@ -58,7 +60,8 @@
     # -- the list
 
     def split(self, change: FleetChange, labels: dict[int, Model]) -> dict[Model, FleetChange]:
-        """One change for each router that has to hear of it. `labels` names the model of each server in the change."""
+        """One change for each router that has to hear of it. `labels` names the model of each server in the
+        change."""
         before = {model for model, _ in self.servers.values()}
         whole = change.kind is not ListKind.DELTA
         told: dict[Model, list[Server]] = defaultdict(list)
@@ -73,7 +76,9 @@
         for server in change.servers:
             label = labels.get(server.id, Model())
             old = self.servers.get(server.id)
-            if old and old[0] != label and not whole:  # It serves something else now: to the old router it has gone.
+            if (
+                old and old[0] != label and not whole
+            ):  # It serves something else now: to the old router it has gone.
                 told[old[0]].append(replace(old[1], state=ServerState.GONE))
             if server.state is ServerState.GONE:
                 self.servers.pop(server.id, None)
@@ -121,7 +126,8 @@
         return min(sizes.get(Role.READ, 0.0) + both, sizes.get(Role.WRITE, 0.0) + both)
 
     def part(self, model: Model) -> float:
-        """The part of the fleet, and so of the quotas, that its engines are; 1 where nothing else is listed."""
+        """The part of the fleet, and so of the quotas, that its engines are; 1 where nothing else is
+        listed."""
         whole = sum(self._can(one) for one in self._sizes)
         return self._can(model) / whole if whole and self._can(model) else 1.0
 
@@ -165,7 +171,9 @@
         return able[0] if len(able) == 1 else max(able, key=lambda m: self._rank(m, session))
 
     def _rank(self, model: Model, session: str) -> float:
-        draw = (xxhash.xxh3_64_intdigest(f"{model.name}\0{model.version}\0{session}".encode()) + 1) / (2**64 + 1)
+        draw = (xxhash.xxh3_64_intdigest(f"{model.name}\0{model.version}\0{session}".encode()) + 1) / (
+            2**64 + 1
+        )
         return self._can(model) / -math.log(draw)
 
 
--- a/tuliptrack/decisions/register.py
+++ b/tuliptrack/decisions/register.py
@@ -1,10 +1,11 @@
-"""One value agreed on by a majority of hosts, whoever writes it: who acts for the fleet, and what was decided last.
+"""One value agreed on by a majority of hosts, whoever writes it: who acts for the fleet, and what was decided
+last.
 
-Each host's agent is an `Acceptor` and keeps three things on its disk. A controller that wants to act has a majority
-promise its epoch; by those promises it learns the newest value that any other may have settled, writes it anew under its
-own epoch, and acts on nothing that a majority has not accepted from it. An agent that promised a newer epoch accepts no
-older one's values or orders. So two controllers may both believe that they act, and only one can settle anything: no
-clock and no time-out has a part in it.
+Each host's agent is an `Acceptor` and keeps three things on its disk. A controller that wants to act has a
+majority promise its epoch; by those promises it learns the newest value that any other may have settled,
+writes it anew under its own epoch, and acts on nothing that a majority has not accepted from it. An agent
+that promised a newer epoch accepts no older one's values or orders. So two controllers may both believe that
+they act, and only one can settle anything: no clock and no time-out has a part in it.
 
 No I/O, no clock. Bound: a value of `MOST_BYTES`, and one mark for each agent.
 """
@@ -47,8 +48,8 @@
         return True
 
     def accept(self, mark: Mark, value: bytes) -> bool:
-        """Whether this value is taken: from the newest epoch promised, and newer than the one that is held. The very
-        value that is held is taken again, as its answer may have been lost."""
+        """Whether this value is taken: from the newest epoch promised, and newer than the one that is held.
+        The very value that is held is taken again, as its answer may have been lost."""
         if mark[0] < self.promised or mark < self.mark or len(value) > MOST_BYTES:
             return False
         if mark == self.mark and value != self.value:
@@ -89,8 +90,8 @@
         return self.epoch
 
     def promised(self, agent: str, epoch: int, mark: Mark, value: bytes) -> bool:
-        """An agent has promised this epoch and told what it holds. True once, when that makes a majority: what the newest
-        of them held is then being written anew (`mark`, `value`)."""
+        """An agent has promised this epoch and told what it holds. True once, when that makes a majority:
+        what the newest of them held is then being written anew (`mark`, `value`)."""
         if epoch != self.epoch or agent not in self.agents or self.leads or self.seen > self.epoch:
             return False
         self._promises.add(agent)
@@ -103,7 +104,8 @@
         return True
 
     def write(self, value: bytes) -> Mark:
-        """Begin to write a value; only who leads may. What was being written before may still be settled by others."""
+        """Begin to write a value; only who leads may. What was being written before may still be settled by
+        others."""
         if not self.leads:
             raise RuntimeError("only who leads may write")
         if len(value) > MOST_BYTES:
--- a/tuliptrack/decisions/rollout.py
+++ b/tuliptrack/decisions/rollout.py
@@ -1,13 +1,14 @@
 """A rolling change from one release to another in stages, stopped and taken back where new nodes do worse.
 
-`Rollout` takes what agents report and what operators say, and returns the next `Record`: what is decided. A record means
-nothing until a majority holds it (`register.py`); orders are no more than "run what the record names for your host", so
-one that comes twice or late does nothing. Whoever acts next finds the record and goes on from it; the evidence of the
-stage starts anew, which can only make a stage longer.
+`Rollout` takes what agents report and what operators say, and returns the next `Record`: what is decided. A
+record means nothing until a majority holds it (`register.py`); orders are no more than "run what the record
+names for your host", so one that comes twice or late does nothing. Whoever acts next finds the record and
+goes on from it; the evidence of the stage starts anew, which can only make a stage longer.
 
-A stage is left in four ways: promoted, where new nodes are shown to be no worse than the plan's margin; taken back, where
-they are shown to do worse, can't start, or nothing is shown by the stage's longest time; held for a person, where all nodes
-do worse than the fleet's own past, so that it can't be told which release it is; aborted by a person, which takes it back.
+A stage is left in four ways: promoted, where new nodes are shown to be no worse than the plan's margin; taken
+back, where they are shown to do worse, can't start, or nothing is shown by the stage's longest time; held for
+a person, where all nodes do worse than the fleet's own past, so that it can't be told which release it is;
+aborted by a person, which takes it back.
 
 No I/O, no clock: `now` in microseconds of whoever acts. Bound: one entry for each node of the plan.
 """
@@ -22,15 +23,38 @@
 
 from tuliptrack.decisions.sequential_test import Baseline, Row, Wager
 
-__all__ = ["MEASURES", "Command", "Phase", "Plan", "PlanError", "Record", "Release", "Report", "Rollout", "Stage"]
+__all__ = [
+    "MEASURES",
+    "Command",
+    "Phase",
+    "Plan",
+    "PlanError",
+    "Record",
+    "Release",
+    "Report",
+    "Rollout",
+    "Stage",
+]
 
 FORMAT = 1  # of a record; a newer one is refused
 MEASURES = ("refused", "failed", "broken", "late", "gaps", "cpu", "memory", "died")
 """What is counted as gone badly: of a class's requests, but the last three, which are of a node's windows."""
 FALSE_STOPS = 0.002  # level of the evidence, all measures together: at 0.01 three in 200 clean rollouts were stopped, as
 # nodes' lasting differences are only known from some windows
-_PLAIN = ("most_out", "most_out_zone", "margin", "ready_within", "least_learnt", "allowance")  # fields that JSON holds as is
-_SHOWN = ("refused", "failed", "broken", "late")  # what must be within the margin, not only without evidence against it
+_PLAIN = (
+    "most_out",
+    "most_out_zone",
+    "margin",
+    "ready_within",
+    "least_learnt",
+    "allowance",
+)  # fields that JSON holds as is
+_SHOWN = (
+    "refused",
+    "failed",
+    "broken",
+    "late",
+)  # what must be within the margin, not only without evidence against it
 LEANS = 1.0  # log of the wealth past which a stage isn't left: it may become evidence yet
 GUARD = 0.15  # share of old nodes' requests beyond the usual that goes badly (of all, once none is old): a person is called
 GUARD_WINDOWS = 3  # in a row, lest one burst do it
@@ -125,7 +149,9 @@
             if stage.least_requests < 1:
                 raise PlanError(f"stages[{i}].least_requests: must be above 0, got {stage.least_requests}")
             if stage.longest <= self.ready_within + self.allowance + stage.shortest:
-                raise PlanError(f"stages[{i}].longest: must be above ready_within, allowance and shortest together")
+                raise PlanError(
+                    f"stages[{i}].longest: must be above ready_within, allowance and shortest together"
+                )
         for name in ("most_out", "most_out_zone"):
             if not 0 < getattr(self, name) < len(self.zones):
                 raise PlanError(f"{name}: must lie in [1, {len(self.zones) - 1}], got {getattr(self, name)}")
@@ -173,7 +199,10 @@
             raise PlanError(f"format: {told['format']} is newer than {FORMAT}, which this program knows")
         plan = told.get("plan")
         if plan is not None:
-            stages = tuple(Stage(tuple(s["hosts"]), s["least_requests"], s["shortest"], s["longest"]) for s in plan["stages"])
+            stages = tuple(
+                Stage(tuple(s["hosts"]), s["least_requests"], s["shortest"], s["longest"])
+                for s in plan["stages"]
+            )
             rest = {k: plan[k] for k in _PLAIN if k in plan}
             plan = Plan(Release(**plan["old"]), Release(**plan["new"]), plan["zones"], stages, **rest)
         return Record(
@@ -207,7 +236,8 @@
 
 
 class Rollout:
-    """Decides the next record from the last that is settled. `window` and `command` return None where nothing changes."""
+    """Decides the next record from the last that is settled. `window` and `command` return None where nothing
+    changes."""
 
     def __init__(self, record: Record | None = None) -> None:
         self.record = record or Record()
@@ -217,8 +247,8 @@
         """Windows from which the usual is known."""
         self.bad_windows = 0
         self.since, self.whole_since, self.counted = 0, 0, 0.0
-        """When this stage began and when all its hosts were ready, as far as whoever acts knows (0: not yet), and what had
-        been compared before it."""
+        """When this stage began and when all its hosts were ready, as far as whoever acts knows (0: not yet),
+        and what had been compared before it."""
         self.changed: dict[str, int] = {}
         """When each host that isn't back yet was first seen to be out or on its way."""
         self.out: frozenset[str] = frozenset()
@@ -231,7 +261,9 @@
             raise PlanError(f"plan: rollout {self.record.number} is under way ({self.record.phase.value})")
         plan.check()
         if self.learnt < plan.least_learnt:
-            raise PlanError(f"least_learnt: {plan.least_learnt} windows are wanted, {self.learnt} are known so far")
+            raise PlanError(
+                f"least_learnt: {plan.least_learnt} windows are wanted, {self.learnt} are known so far"
+            )
         return Record(self.record.number + 1, Phase.FORWARD, plan, reason="begun by an operator")
 
     def command(self, command: Command) -> Record:
@@ -249,7 +281,11 @@
 
     def settled(self, record: Record) -> None:
         """A majority holds this record: it is what counts from now on."""
-        if (record.number, record.stage, record.phase) != (self.record.number, self.record.stage, self.record.phase):
+        if (record.number, record.stage, record.phase) != (
+            self.record.number,
+            self.record.stage,
+            self.record.phase,
+        ):
             self.since, self.whole_since, self.bad_windows, self.counted = 0, 0, 0, self._compared()
         if record.number != self.record.number or record.phase != self.record.phase:
             self.wagers, self.counted = {}, 0.0
@@ -282,7 +318,9 @@
     def _find_out(self, now: int, plan: Plan, seen: Mapping[str, Report]) -> None:
         """Which nodes are out: not ready, not heard of, or not yet what they are to be."""
         self.out = frozenset(
-            h for h in plan.zones if h not in seen or not seen[h].ready or seen[h].release != self.record.release(h)
+            h
+            for h in plan.zones
+            if h not in seen or not seen[h].ready or seen[h].release != self.record.release(h)
         )
         self.changed = {h: self.changed.get(h, now) for h in self.out}
 
@@ -292,11 +330,16 @@
             report = seen.get(host)
             if report and report.release == plan.new and report.broke_rule:
                 return self._back(f"{host} broke a rule: {report.broke_rule}")
-            # A host that is cut off says nothing of the release; one that is heard of and doesn't come up does.
+            # A host that is cut off says nothing of the release; one that is heard of and doesn't come up
+            # does.
             if host in self.changed and report and now - self.changed[host] > plan.ready_within:
-                return self._back(f"{host} was not ready within {plan.ready_within / 1e6:.0f} s of its change")
+                return self._back(
+                    f"{host} was not ready within {plan.ready_within / 1e6:.0f} s of its change"
+                )
         steady = [r for r in seen.values() if r.died or (r.ready and r.since >= plan.allowance)]
-        new = frozenset(r.host for r in steady if r.host in self.record.wanted and r.release in (plan.new, None))
+        new = frozenset(
+            r.host for r in steady if r.host in self.record.wanted and r.release in (plan.new, None)
+        )
         excess, among = 0.0, 0.0
         for measure in MEASURES:
             rows = _rows(steady, measure, new)
@@ -313,10 +356,14 @@
             )
         self.bad_windows = self.bad_windows + 1 if among and excess / among > GUARD else 0
         if self.bad_windows >= GUARD_WINDOWS:
-            return self._hold(f"old and new nodes alike do worse than usual: {excess / among:.0%} more of requests")
+            return self._hold(
+                f"old and new nodes alike do worse than usual: {excess / among:.0%} more of requests"
+            )
         undecided = not self.record.wanted >= set(plan.zones) and not self._shown(plan)
         if now - self.since > stage.longest and undecided:
-            return self._back(f"stage {self.record.stage + 1} showed nothing within {stage.longest / 1e6:.0f} s")
+            return self._back(
+                f"stage {self.record.stage + 1} showed nothing within {stage.longest / 1e6:.0f} s"
+            )
         return None
 
     def _compared(self) -> float:
@@ -324,8 +371,8 @@
         return min((w.count for m, w in self.wagers.items() if m in _SHOWN), default=0.0)
 
     def _shown(self, plan: Plan) -> bool:
-        """Whether new nodes are shown to be no worse: enough of their requests compared in this stage, each measure within
-        the plan's margin, and none that leans the other way."""
+        """Whether new nodes are shown to be no worse: enough of their requests compared in this stage, each
+        measure within the plan's margin, and none that leans the other way."""
         stage = plan.stages[self.record.stage]
         return (
             self._compared() - self.counted >= stage.least_requests
@@ -338,7 +385,8 @@
         stage = plan.stages[self.record.stage]
         left = [h for h in stage.hosts if h not in self.record.wanted]
         more = self._may_change(plan, left)
-        # The last old node goes when new ones have been shown to be no worse: after it there is nothing to compare with.
+        # The last old node goes when new ones have been shown to be no worse: after it there is nothing to
+        # compare with.
         last = self.record.wanted | more >= set(plan.zones)
         if more and not (last and not self._shown(plan)):
             return replace(
@@ -364,10 +412,13 @@
         return replace(self.record, phase=Phase.BACK, before=Phase.NONE, reason=reason)
 
     def _hold(self, reason: str) -> Record:
-        return replace(self.record, phase=Phase.HELD, before=self.record.phase, reason=f"{reason}; a person has to look")
+        return replace(
+            self.record, phase=Phase.HELD, before=self.record.phase, reason=f"{reason}; a person has to look"
+        )
 
     def _step_back(self, now: int, plan: Plan, seen: Mapping[str, Report]) -> Record | None:
-        """The next hosts to be taken back. Those that are out already go first: they serve nobody as they are."""
+        """The next hosts to be taken back. Those that are out already go first: they serve nobody as they
+        are."""
         for host in sorted(self.out - self.record.wanted):
             if host in seen and now - self.changed[host] > 2 * plan.ready_within:
                 return self._hold(f"{host} doesn't come back with the old release")
--- a/tuliptrack/decisions/sequential_test.py
+++ b/tuliptrack/decisions/sequential_test.py
@@ -1,10 +1,11 @@
 """Whether some nodes do worse than the others, asked as often as one likes.
 
-What is compared is how many of a node's requests went badly in a window, against what its own past and its peers in the
-same zone and class let expect. The node is the unit: requests of one node share its engines and its moment, so counting
-them one by one would find differences everywhere. Each window multiplies a wager that pays at most its stake in the mean
-where new and old nodes are alike (for k nodes drawn of n, the mean of exp(sum) is at most the k-th power of the mean of
-exp, by Hoeffding); so by Ville's inequality the product passes 1/a with a chance of at most a, however often one looks.
+What is compared is how many of a node's requests went badly in a window, against what its own past and its
+peers in the same zone and class let expect. The node is the unit: requests of one node share its engines and
+its moment, so counting them one by one would find differences everywhere. Each window multiplies a wager that
+pays at most its stake in the mean where new and old nodes are alike (for k nodes drawn of n, the mean of
+exp(sum) is at most the k-th power of the mean of exp, by Hoeffding); so by Ville's inequality the product
+passes 1/a with a chance of at most a, however often one looks.
 
 No I/O, no clock. Bound: one entry for each node and stratum of the fleet, which `Baseline.forget` takes out.
 """
@@ -22,9 +23,15 @@
 Stratum = tuple[str, str]  # zone, request class
 K = TypeVar("K")
 
-STAKES = (0.15, 0.4, 1.0)  # of a deviation, from many small differences to a few great ones; played side by side
+STAKES = (
+    0.15,
+    0.4,
+    1.0,
+)  # of a deviation, from many small differences to a few great ones; played side by side
 CLIP = 3.0  # deviations past which a node's window counts no more: one bad moment is no verdict
-SHRINK = 12.0  # of those gone badly, by which a node's past is pulled to its stratum's: nodes differ by some third
+SHRINK = (
+    12.0  # of those gone badly, by which a node's past is pulled to its stratum's: nodes differ by some third
+)
 FADE = 0.98  # of the past kept at each window: some fifty windows tell what is usual
 
 
@@ -58,7 +65,8 @@
             _fade(self.strata, row.stratum, row)
 
     def rate(self, node: str, stratum: Stratum) -> float:
-        """The share of this node's requests that usually goes badly; never 0, as what was never seen may come."""
+        """The share of this node's requests that usually goes badly; never 0, as what was never seen may
+        come."""
         count, bad = self.strata.get(stratum, (0.0, 0.0))
         usual = (bad + 0.5) / (count + 1.0)
         count, bad = self.nodes.get((node, stratum), (0.0, 0.0))
@@ -76,7 +84,8 @@
 
 @dataclass(slots=True)
 class Wager:
-    """The evidence that new nodes do worse than old ones in one measure, and how much worse they may still be."""
+    """The evidence that new nodes do worse than old ones in one measure, and how much worse they may still
+    be."""
 
     logs: list[float] = field(default_factory=lambda: [0.0] * len(STAKES))
     count: float = 0.0
--- a/tuliptrack/decisions/turns.py
+++ b/tuliptrack/decisions/turns.py
@@ -1,9 +1,8 @@
 """Turns at a common budget: how nodes that don't talk share a rate with a burst, without passing it together.
 
-Turn k comes at k x quantum / rate on a time that all nodes share, belongs to the node whose slot is k modulo `replicas`, and
-lapses after burst / rate. `decisions/zones.py` has the bound and its argument. Times in whole microseconds, amounts in
-whatever the budget counts. No I/O, no clock, no chance.
-"""
+Turn k comes at k x quantum / rate on a time that all nodes share, belongs to the node whose slot is k modulo
+`replicas`, and lapses after burst / rate. `decisions/zones.py` has the bound and its argument. Times in whole
+microseconds, amounts in whatever the budget counts. No I/O, no clock, no chance."""
 
 from __future__ import annotations
 
@@ -29,9 +28,22 @@
     """One node's part of one budget: `rate` a second with a `burst`, dealt out in turns of `quantum`."""
 
     def __init__(
-        self, rate: float, burst: float, quantum: float, replicas: int, slot: int, offset: int = 0, by_traffic: float = 0.0
+        self,
+        rate: float,
+        burst: float,
+        quantum: float,
+        replicas: int,
+        slot: int,
+        offset: int = 0,
+        by_traffic: float = 0.0,
     ) -> None:
-        self.burst, self.quantum, self.replicas, self.slot, self.offset = burst, quantum, replicas, slot, offset
+        self.burst, self.quantum, self.replicas, self.slot, self.offset = (
+            burst,
+            quantum,
+            replicas,
+            slot,
+            offset,
+        )
         rate /= 1e6
         self.unit = quantum
         """What requests earn is paid out in these."""
@@ -116,7 +128,9 @@
         short = size - self.left(now)
         if short <= 0:
             return 0
-        if not self.every or size > self.quantum * max(self.life // max(int(self.every * self.replicas), 1), 1):
+        if not self.every or size > self.quantum * max(
+            self.life // max(int(self.every * self.replicas), 1), 1
+        ):
             return -1
         assert self.next is not None
         turns = math.ceil((short + self.owed) / self.quantum)
--- a/tuliptrack/decisions/zones.py
+++ b/tuliptrack/decisions/zones.py
@@ -1,22 +1,25 @@
-"""What may cross zones: a budget for all nodes together, kept by each node alone, the price of crossing, and the pace at
-which a zone that was dark takes its traffic back.
+"""What may cross zones: a budget for all nodes together, kept by each node alone, the price of crossing, and
+the pace at which a zone that was dark takes its traffic back.
 
-The budget of `rate` bytes a second with a `burst` is dealt out in turns of `quantum` bytes, numbered on a time that all
-nodes share (their clocks' offset is told once, at the start). Turn k comes at k x quantum / rate, belongs to the node whose
-slot is k modulo `replicas`, and lapses after burst / rate. So in any window of W seconds all nodes together can use
-the turns that came in it, and those that had come before and not lapsed: at most
+The budget of `rate` bytes a second with a `burst` is dealt out in turns of `quantum` bytes, numbered on a
+time that all nodes share (their clocks' offset is told once, at the start). Turn k comes at k x quantum /
+rate, belongs to the node whose slot is k modulo `replicas`, and lapses after burst / rate. So in any window
+of W seconds all nodes together can use the turns that came in it, and those that had come before and not
+lapsed: at most
 
     rate x W + burst + quantum   (+ 2 x rate x the nodes' clock skew)
 
-bytes by choice, whatever the number of nodes, their traffic and their restarts: a node uses no turn that came before it was
-born, since its last life may have. A node's clock that jumps later changes nothing, as only the offset at its start counts.
-What was reserved and not sent goes back to its turn; what was sent beyond it is taken from the turns to come. What is forced,
-because nothing else can serve, is booked apart and takes no turns: else a flow of it would shut the budget for good.
+bytes by choice, whatever the number of nodes, their traffic and their restarts: a node uses no turn that came
+before it was born, since its last life may have. A node's clock that jumps later changes nothing, as only the
+offset at its start counts. What was reserved and not sent goes back to its turn; what was sent beyond it is
+taken from the turns to come. What is forced, because nothing else can serve, is booked apart and takes no
+turns: else a flow of it would shut the budget for good.
 
-Turns serve nodes with equal traffic. Where it is uneven, a part of the budget (`by_traffic`) is dealt out by it instead: each
-request that comes to a node earns part x rate / quotas bytes there, paid out in whole quanta that lapse as turns do. While
-the tenants ask no more than their quotas, all nodes together earn at most that part of rate x W + burst, plus a quantum
-a node for what was earned before (evenly spread phases: half a quantum on the mean).
+Turns serve nodes with equal traffic. Where it is uneven, a part of the budget (`by_traffic`) is dealt out by
+it instead: each request that comes to a node earns part x rate / quotas bytes there, paid out in whole quanta
+that lapse as turns do. While the tenants ask no more than their quotas, all nodes together earn at most that
+part of rate x W + burst, plus a quantum a node for what was earned before (evenly spread phases: half a
+quantum on the mean).
 
 Times in whole microseconds, sizes in bytes. No I/O, no clock, no chance.
 """
@@ -36,7 +39,9 @@
 DARK_SHARE = 0.5  # share of a zone's servers of one role, below which it counts as dark
 DARK_US = 3_000_000  # microseconds that it must have been dark for its return to be paced: homes have cooled by then
 RETURN_US = 8_000_000  # microseconds over which its traffic comes back: some times what its queues take to show in reports
-RETURN_FROM = 0.1  # part of the traffic that comes back at once, so that the first queues and latencies are seen
+RETURN_FROM = (
+    0.1  # part of the traffic that comes back at once, so that the first queues and latencies are seen
+)
 FORGET_US = 600_000_000  # microseconds of dark after which what is left is the zone's usual size
 
 
@@ -50,17 +55,27 @@
 
 
 class Crossings:
-    """One node's decisions on crossing: asked for a price before a choice, told of each attempt and its end."""
+    """One node's decisions on crossing: asked for a price before a choice, told of each attempt and its
+    end."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.purses = [
-            Purse(b.bytes_per_s, b.burst, b.quantum, settings.replicas, settings.slot, settings.epoch_offset, b.by_traffic)
+            Purse(
+                b.bytes_per_s,
+                b.burst,
+                b.quantum,
+                settings.replicas,
+                settings.slot,
+                settings.epoch_offset,
+                b.by_traffic,
+            )
             for b in settings.zone_budgets
         ]
         budgets = list(zip(self.purses, settings.zone_budgets, strict=True))
         self.by_class = [
-            next((p for p, b in budgets if not b.classes or cls in b.classes), None) for cls in range(len(settings.classes))
+            next((p for p, b in budgets if not b.classes or cls in b.classes), None)
+            for cls in range(len(settings.classes))
         ]
         self.open: dict[int, Crossing] = {}
         """Reservations by request; a request has one attempt out at most."""
@@ -83,8 +98,8 @@
             purse.earn(now, size)
 
     def size(self, request: Request, zone: int, held: int | None, writes: bool, tokens: float) -> float:
-        """Bytes that an attempt at a server of this zone would move between zones. `held`: zone of the reader whose
-        state it would fetch, if any; `tokens`: prompt and expected answer."""
+        """Bytes that an attempt at a server of this zone would move between zones. `held`: zone of the reader
+        whose state it would fetch, if any; `tokens`: prompt and expected answer."""
         s, far = self.settings, zone != self.settings.zone
         size = s.prompt_bytes * request.prompt_tokens * far
         if writes:
@@ -98,9 +113,9 @@
         return self.by_class[cls]
 
     def price(self, now: int, cls: int, size: float, worth: float) -> float:
-        """What a crossing of so many bytes weighs, in mean loads (or as a share of a score): nothing for none, rising
-        from PRICE_FULL as the budget runs out to PRICE_EMPTY where it has no room. `worth` is the request's, as a
-        share of the highest: low worth finds it dearer, and stays at home first."""
+        """What a crossing of so many bytes weighs, in mean loads (or as a share of a score): nothing for
+        none, rising from PRICE_FULL as the budget runs out to PRICE_EMPTY where it has no room. `worth` is
+        the request's, as a share of the highest: low worth finds it dearer, and stays at home first."""
         purse = self.purse(cls)
         if not size or purse is None:
             return 0.0
@@ -121,7 +136,8 @@
         return Cause.RETRY if retry else Cause.BUDGET
 
     def settle(self, now: int, request: int, crossed: float) -> None:
-        """The attempt has ended, having crossed with so many bytes: the rest goes back, more than that is taken."""
+        """The attempt has ended, having crossed with so many bytes: the rest goes back, more than that is
+        taken."""
         crossing = self.open.pop(request, None)
         if crossing is None:
             return
@@ -143,8 +159,9 @@
 
 
 class Returns:
-    """Which zones were dark and take their traffic back, by role. All nodes are told of a return at nearly the same
-    moment; so the sessions that go back first are the same at all of them, and grow evenly to all in RETURN_US."""
+    """Which zones were dark and take their traffic back, by role. All nodes are told of a return at nearly
+    the same moment; so the sessions that go back first are the same at all of them, and grow evenly to all in
+    RETURN_US."""
 
     def __init__(self) -> None:
         self.sizes: dict[tuple[int, Role], _Size] = {}
@@ -153,7 +170,8 @@
         """Those that take their traffic back now, and since when."""
 
     def note(self, now: int, up: Iterable[tuple[int, Role]]) -> list[tuple[int, str]]:
-        """The servers that are ready and not suspect, by zone and role; returns what has changed, for the operators."""
+        """The servers that are ready and not suspect, by zone and role; returns what has changed, for the
+        operators."""
         counts: dict[tuple[int, Role], int] = {}
         for key in up:
             counts[key] = counts.get(key, 0) + 1
--- a/tuliptrack/fleet/__init__.py
+++ b/tuliptrack/fleet/__init__.py
@@ -1,1 +1,2 @@
-"""The processes that run a fleet: controllers and agents. They ask `decisions/` and decide nothing themselves."""
+"""The processes that run a fleet: controllers and agents. They ask `decisions/` and decide nothing
+themselves."""
--- a/tuliptrack/fleet/agent.py
+++ b/tuliptrack/fleet/agent.py
@@ -1,10 +1,10 @@
-"""The agent of one host: keeps its node running, holds what the fleet has agreed on, carries out orders and reports.
+"""The agent of one host: keeps its node running, holds what the fleet has agreed on, carries out orders and
+reports.
 
-A host's folder holds `programs/DIGEST/run` (given the settings' path; it prints one JSON line once it serves) and
-`settings/DIGEST`, and what the agent writes: `state` (sealed), `owner` (a lock), `node.out`, `node.log`. The node is a session
-of its own: it serves on when the agent ends, and the next agent finds it by the mark in its environment. Nothing that a node
-needs comes from here once it runs.
-"""
+A host's folder holds `programs/DIGEST/run` (given the settings' path; it prints one JSON line once it serves)
+and `settings/DIGEST`, and what the agent writes: `state` (sealed), `owner` (a lock), `node.out`, `node.log`.
+The node is a session of its own: it serves on when the agent ends, and the next agent finds it by the mark in
+its environment. Nothing that a node needs comes from here once it runs."""
 
 from __future__ import annotations
 
@@ -38,13 +38,17 @@
 FORMAT = 1
 _LOOK_S = 0.05  # seconds between looks at the node's process
 _TERM_S = 10.0  # after SIGTERM until SIGKILL: a node that ignores it would hold the host for ever
-_AGAIN_S = (0.2, 5.0)  # before a node that died is started again: doubled at each death in a row, up to so much
+_AGAIN_S = (
+    0.2,
+    5.0,
+)  # before a node that died is started again: doubled at each death in a row, up to so much
 _NAME = re.compile(r"[0-9A-Za-z][0-9A-Za-z_.-]{0,127}")
 _MARK = "TULIPTRACK_HOST"  # in a node's environment: the folder, then what it runs
 
 
 def _started(pid: int) -> str:
-    """When a process started, by the kernel's count: a pid that was given anew is another process. Empty: there is none."""
+    """When a process started, by the kernel's count: a pid that was given anew is another process. Empty:
+    there is none."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     except OSError:
@@ -57,8 +61,8 @@
 
 
 def _node_of(root: Path) -> tuple[int, Release] | None:
-    """The node that an earlier agent has started for this folder, if it still runs: whatever moment that agent died at, the
-    mark came with the process."""
+    """The node that an earlier agent has started for this folder, if it still runs: whatever moment that
+    agent died at, the mark came with the process."""
     begin = f"{_MARK}={_mark(root, None)}".encode()
     for entry in Path("/proc").iterdir():
         if not entry.name.isdigit():
@@ -150,7 +154,10 @@
         a = self.acceptor
         call.send(
             pb.AgentAnswer(
-                agreed=agreed, promised=a.promised, mark=pb.Mark(epoch=a.mark[0], number=a.mark[1]), value=a.value
+                agreed=agreed,
+                promised=a.promised,
+                mark=pb.Mark(epoch=a.mark[0], number=a.mark[1]),
+                value=a.value,
             ).SerializeToString()
         )
         call.end(Status(Code.OK))
@@ -175,7 +182,8 @@
 
     def _look(self, call: ServerCall, request: pb.LookRequest) -> None:
         obeyed = not request.HasField("order") or self._obey(
-            (request.order.epoch, request.order.number), Release(request.release.program, request.release.settings)
+            (request.order.epoch, request.order.number),
+            Release(request.release.program, request.release.settings),
         )
         self.counts.read()
         now = now_us()
@@ -197,13 +205,15 @@
         total = {name: n for (name, measure), n in self.counts.counts.items() if measure == ""}
         for name, n in total.items():
             for measure in ("refused", "failed", "broken", "late"):
-                report.counts.add(request_class=name, measure=measure, count=n, bad=self.counts.counts[name, measure])
+                report.counts.add(
+                    request_class=name, measure=measure, count=n, bad=self.counts.counts[name, measure]
+                )
         call.send(report.SerializeToString())
         call.end(Status(Code.OK))
 
     def _obey(self, order: tuple[int, int], release: Release) -> bool:
-        """Take an order; False where it is older than another or than the epoch promised. One without a release only tells
-        that somebody leads."""
+        """Take an order; False where it is older than another or than the epoch promised. One without a
+        release only tells that somebody leads."""
         if order[0] < self.acceptor.promised or order < self.order:
             return False
         self.led_at = now_us()
@@ -245,7 +255,8 @@
             await asyncio.sleep(_LOOK_S)
 
     def _turn(self) -> None:
-        """One look at the node: start it, note that it is ready or has died, or go on with its replacement."""
+        """One look at the node: start it, note that it is ready or has died, or go on with its
+        replacement."""
         now = asyncio.get_running_loop().time()
         if child := self._children.get(self.pid):
             child.poll()
@@ -291,7 +302,10 @@
         if missing := self._missing(self.release):
             self.trouble = missing
             return
-        run, settings = (self.root / "programs" / self.release.program / "run", self.root / "settings" / self.release.settings)
+        run, settings = (
+            self.root / "programs" / self.release.program / "run",
+            self.root / "settings" / self.release.settings,
+        )
         try:
             with open(self.root / "node.out", "wb") as out, open(self.root / "node.log", "ab") as err:
                 child = subprocess.Popen(
--- a/tuliptrack/fleet/ask.py
+++ b/tuliptrack/fleet/ask.py
@@ -33,7 +33,11 @@
             over.set_result(end)
 
     call = channel.call(
-        f"/tuliptrack.v1.{method}", message=question.SerializeToString(), timeout=timeout, on_message=got.append, on_end=ended
+        f"/tuliptrack.v1.{method}",
+        message=question.SerializeToString(),
+        timeout=timeout,
+        on_message=got.append,
+        on_end=ended,
     )
     try:
         end = await over
--- a/tuliptrack/fleet/controller.py
+++ b/tuliptrack/fleet/controller.py
@@ -1,8 +1,8 @@
-"""A controller: claims to act where nobody does, has what it decides held by a majority of agents, and only then orders it.
+"""A controller: claims to act where nobody does, has what it decides held by a majority of agents, and only
+then orders it.
 
-It keeps nothing of its own: the record lies at the agents. Any number run; which one acts follows from epochs alone, the waits
-below only keep two from claiming at once all the time.
-"""
+It keeps nothing of its own: the record lies at the agents. Any number run; which one acts follows from epochs
+alone, the waits below only keep two from claiming at once all the time."""
 
 from __future__ import annotations
 
@@ -15,7 +15,17 @@
 import structlog
 
 from tuliptrack.decisions.register import Proposer
-from tuliptrack.decisions.rollout import Command, Phase, Plan, PlanError, Record, Release, Report, Rollout, Stage
+from tuliptrack.decisions.rollout import (
+    Command,
+    Phase,
+    Plan,
+    PlanError,
+    Record,
+    Release,
+    Report,
+    Rollout,
+    Stage,
+)
 from tuliptrack.fleet.ask import Unanswered, ask
 from tuliptrack.proto import rollout_pb2 as pb
 from tuliptrack.rpc.channel import Channel, Options
@@ -52,7 +62,9 @@
         if unknown := set(told) - known:
             raise PlanError(f"{min(unknown)}: is no field of a plan")
         stages = tuple(Stage(**{**s, "hosts": tuple(s["hosts"])}) for s in told.pop("stages"))
-        return Plan(**{**told, "old": Release(**told["old"]), "new": Release(**told["new"]), "stages": stages})
+        return Plan(
+            **{**told, "old": Release(**told["old"]), "new": Release(**told["new"]), "stages": stages}
+        )
     except (TypeError, KeyError, ValueError) as error:
         raise error if isinstance(error, PlanError) else PlanError(f"plan: {error}") from None
 
@@ -60,10 +72,17 @@
 class Controller:
     """One controller. `start`, then `stop`."""
 
-    def __init__(self, number: int, hosts: tuple[Host, ...], window: int = 5_000_000, takeover: int = 3_000_000) -> None:
-        """`window` is how long reports are gathered before a decision, `takeover` how long nobody may have led before this
-        one claims; both in microseconds."""
-        self.number, self.hosts, self.window, self.takeover = number, {h.name: h for h in hosts}, window, takeover
+    def __init__(
+        self, number: int, hosts: tuple[Host, ...], window: int = 5_000_000, takeover: int = 3_000_000
+    ) -> None:
+        """`window` is how long reports are gathered before a decision, `takeover` how long nobody may have
+        led before this one claims; both in microseconds."""
+        self.number, self.hosts, self.window, self.takeover = (
+            number,
+            {h.name: h for h in hosts},
+            window,
+            takeover,
+        )
         self.proposer = Proposer(number, frozenset(self.hosts))
         self.rollout = Rollout()
         self._pause = min(window, takeover) / 5e6
@@ -77,7 +96,9 @@
         self.server = Server()
         self.server.add("tuliptrack.v1.Fleet", "Begin", unary_request(pb.BeginRequest, self._begin))
         self.server.add("tuliptrack.v1.Fleet", "Say", unary_request(pb.SayRequest, self._say))
-        self.server.add("tuliptrack.v1.Fleet", "State", unary_request(pb.StateRequest, lambda call, _: self._tell(call)))
+        self.server.add(
+            "tuliptrack.v1.Fleet", "State", unary_request(pb.StateRequest, lambda call, _: self._tell(call))
+        )
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
@@ -109,7 +130,11 @@
         hosts = {name: {"zone": h.zone, **self._host(name)} for name, h in self.hosts.items()}
         call.send(
             pb.FleetState(
-                leads=self.acts, epoch=self.proposer.epoch, record=record, hosts=json.dumps(hosts), learnt=self.rollout.learnt
+                leads=self.acts,
+                epoch=self.proposer.epoch,
+                record=record,
+                hosts=json.dumps(hosts),
+                learnt=self.rollout.learnt,
             ).SerializeToString()
         )
         call.end(Status(Code.OK))
@@ -143,7 +168,10 @@
         try:
             plan = plan_from(request.plan)
             zones = {name: h.zone for name, h in self.hosts.items()}
-            if plan == self.rollout.record.plan and self.rollout.record.phase in (Phase.FORWARD, Phase.PAUSED):
+            if plan == self.rollout.record.plan and self.rollout.record.phase in (
+                Phase.FORWARD,
+                Phase.PAUSED,
+            ):
                 self._tell(call)  # The operator's word came twice, as the first answer was lost.
                 return
             if dict(plan.zones) != zones:
@@ -180,8 +208,8 @@
             self._let_go()
 
     async def _look_at(self, name: str) -> None:
-        """Send one agent its order, where this one acts, and take its report in, again and again. A host that is cut off keeps
-        nobody else waiting."""
+        """Send one agent its order, where this one acts, and take its report in, again and again. A host that
+        is cut off keeps nobody else waiting."""
         while True:
             question = pb.LookRequest()
             if self.acts and self.proposer.settled:
@@ -189,14 +217,17 @@
                 if wanted := self.rollout.record.release(name):
                     question.release.program, question.release.settings = wanted.program, wanted.settings
             try:
-                self.reports[name] = await ask(self.channels[name], "Agent/Look", question, pb.HostReport, _ANSWER_US)
+                self.reports[name] = await ask(
+                    self.channels[name], "Agent/Look", question, pb.HostReport, _ANSWER_US
+                )
             except Unanswered as error:
                 log.debug("no report", host=name, reason=str(error))
                 self.reports.pop(name, None)
             await asyncio.sleep(self._pause)
 
     async def _ask_all(self, method: str, question: Any, each: Callable[[str, pb.AgentAnswer], bool]) -> None:
-        """Ask every agent; hand each answer on until one of them is enough (True). The others are still told."""
+        """Ask every agent; hand each answer on until one of them is enough (True). The others are still
+        told."""
 
         async def one(name: str) -> tuple[str, pb.AgentAnswer | None]:
             try:
@@ -255,7 +286,13 @@
             return
         self.rollout.settled(record)
         if (record.phase, record.stage, record.reason) != (before.phase, before.stage, before.reason):
-            log.info("decided", rollout=record.number, phase=record.phase.value, stage=record.stage + 1, reason=record.reason)
+            log.info(
+                "decided",
+                rollout=record.number,
+                phase=record.phase.value,
+                stage=record.stage + 1,
+                reason=record.reason,
+            )
 
     async def _act(self) -> None:
         now = now_us()
@@ -269,14 +306,18 @@
             await self._settle(None)  # Not yet held by a majority: told again until it is, or another acts.
 
     def _learn(self) -> None:
-        """While another one acts: know what is usual, as this one may have to go on. Only what every host, ready and with one
-        and the same release, does can be that."""
+        """While another one acts: know what is usual, as this one may have to go on. Only what every host,
+        ready and with one and the same release, does can be that."""
         now = now_us()
         if now - self._window_at < self.window:
             return
         self._window_at = now
         told = self._gather()
-        if len(told) == len(self.hosts) and all(r.ready for r in told) and len({r.release for r in told}) == 1:
+        if (
+            len(told) == len(self.hosts)
+            and all(r.ready for r in told)
+            and len({r.release for r in told}) == 1
+        ):
             self.rollout.learn(told)
 
     def _let_go(self) -> None:
@@ -305,9 +346,19 @@
                 old = was.get((c.request_class, c.measure))
                 count, bad = c.count - (old.count if old else 0), c.bad - (old.bad if old else 0)
                 classes.setdefault(c.request_class, {})[c.measure] = (float(count), float(bad))
-            runs = Release(report.release.program, report.release.settings) if report.release.program else None
+            runs = (
+                Release(report.release.program, report.release.settings) if report.release.program else None
+            )
             told.append(
-                Report(name, self.hosts[name].zone, runs, report.ready, report.ready_for, classes, report.died - before.died)
+                Report(
+                    name,
+                    self.hosts[name].zone,
+                    runs,
+                    report.ready,
+                    report.ready_for,
+                    classes,
+                    report.died - before.died,
+                )
             )
         self._before = dict(self.reports)
         return told
--- a/tuliptrack/fronts/codes.py
+++ b/tuliptrack/fronts/codes.py
@@ -1,4 +1,5 @@
-"""What the gRPC fronts have in common: the core's words as gRPC statuses. `docs/operate/grpc.md` has the table."""
+"""What the gRPC fronts have in common: the core's words as gRPC statuses. `docs/operate/grpc.md` has the
+table."""
 
 from __future__ import annotations
 
--- a/tuliptrack/fronts/discovery.py
+++ b/tuliptrack/fronts/discovery.py
@@ -85,7 +85,9 @@
         elif kind == "all_extension_numbers_of_type":
             holder = pool.FindMessageTypeByName(request.all_extension_numbers_of_type)
             answer.all_extension_numbers_response.base_type_name = holder.full_name
-            answer.all_extension_numbers_response.extension_number.extend(e.number for e in pool.FindAllExtensions(holder))
+            answer.all_extension_numbers_response.extension_number.extend(
+                e.number for e in pool.FindAllExtensions(holder)
+            )
             return answer
         else:
             raise KeyError("message_request is not set")
--- a/tuliptrack/fronts/generation.py
+++ b/tuliptrack/fronts/generation.py
@@ -1,4 +1,5 @@
-"""The front of `tuliptrack.v1.Generation`: requests in, token streams out, codes as `docs/operate/grpc.md` lists."""
+"""The front of `tuliptrack.v1.Generation`: requests in, token streams out, codes as `docs/operate/grpc.md`
+lists."""
 
 from __future__ import annotations
 
--- a/tuliptrack/fronts/kserve/grpc.py
+++ b/tuliptrack/fronts/kserve/grpc.py
@@ -1,4 +1,5 @@
-"""`inference.GRPCInferenceService`: one call one answer, and a stream of many requests with many responses each."""
+"""`inference.GRPCInferenceService`: one call one answer, and a stream of many requests with many responses
+each."""
 
 from __future__ import annotations
 
@@ -62,7 +63,9 @@
     try:
         for number, one in enumerate(request.inputs):
             if raw and one.HasField("contents"):
-                raise AskError(f"inputs.{one.name[:60]}.contents", "must not be set beside raw_input_contents")
+                raise AskError(
+                    f"inputs.{one.name[:60]}.contents", "must not be set beside raw_input_contents"
+                )
             infer.inputs.append(
                 from_raw(one.name, one.datatype, one.shape, raw[number])
                 if raw
@@ -75,7 +78,9 @@
 
 def _set(parameters: Any, facts: dict[str, Value]) -> None:
     for name, value in facts.items():
-        kind = {bool: "bool_param", int: "int64_param", float: "double_param", str: "string_param"}[type(value)]
+        kind = {bool: "bool_param", int: "int64_param", float: "double_param", str: "string_param"}[
+            type(value)
+        ]
         setattr(parameters[name], kind, value)
 
 
@@ -118,7 +123,8 @@
         self.stream, self.infer = stream, infer
         self.live, self.final = wants_stream(infer), wants_final(infer)
         self.parts: list[str] = []
-        # One message for every token that neither begins nor ends anything: making it anew took 13 us, setting it 2.
+        # One message for every token that neither begins nor ends anything: making it anew took 13 us,
+        # setting it 2.
         self.message = pb.ModelStreamInferResponse(
             infer_response=_response(infer, "", {"index": 0, "triton_final_response": False})
         )
@@ -161,7 +167,8 @@
 
 
 class _Stream:
-    """One ModelStreamInfer: requests come and answers go, each ending by itself. Bound on those open: admission's."""
+    """One ModelStreamInfer: requests come and answers go, each ending by itself. Bound on those open:
+    admission's."""
 
     def __init__(self, call: ServerCall, core: Core, config: NodeConfig) -> None:
         self.call, self.core, self.config = call, core, config
@@ -175,7 +182,11 @@
         try:
             request = pb.ModelInferRequest.FromString(data)
         except DecodeError as error:
-            self.error(Infer("", "", ""), f"request: not a ModelInferRequest ({error})", {"error": "INVALID_ARGUMENT"})
+            self.error(
+                Infer("", "", ""),
+                f"request: not a ModelInferRequest ({error})",
+                {"error": "INVALID_ARGUMENT"},
+            )
             return
         infer = Infer(request.model_name, request.model_version, request.id)
         try:
@@ -194,7 +205,9 @@
                 raise
         except AskError as error:
             self.error(
-                infer, str(error), {"error": "NOT_FOUND" if error.unknown else "INVALID_ARGUMENT", "field": error.field}
+                infer,
+                str(error),
+                {"error": "NOT_FOUND" if error.unknown else "INVALID_ARGUMENT", "field": error.field},
             )
 
     def send(self, response: pb.ModelInferResponse) -> bool:
@@ -203,7 +216,9 @@
     def error(self, infer: Infer, text: str, facts: dict[str, Value]) -> None:
         """Tell of one request's end in error; the stream goes on."""
         response = _response(infer, None, {**facts, "triton_final_response": True})
-        self.call.send(pb.ModelStreamInferResponse(error_message=text, infer_response=response).SerializeToString())
+        self.call.send(
+            pb.ModelStreamInferResponse(error_message=text, infer_response=response).SerializeToString()
+        )
 
     def _forget(self, part: _Part) -> None:
         self.open.pop(part, None)
@@ -241,12 +256,20 @@
         call.end(_OK)
 
     def metadata(call: ServerCall, request: pb.ModelMetadataRequest) -> None:
-        found = [m for m in core.models.listed() if m.name == request.name and request.version in ("", m.version)]
+        found = [
+            m for m in core.models.listed() if m.name == request.name and request.version in ("", m.version)
+        ]
         if not found:
             field = "version" if any(m.name == request.name for m in core.models.listed()) else "name"
-            call.end(bad_request(AskError(field, f"{getattr(request, field)[:60]!r} is not served here", unknown=True)))
+            call.end(
+                bad_request(
+                    AskError(field, f"{getattr(request, field)[:60]!r} is not served here", unknown=True)
+                )
+            )
             return
-        response = pb.ModelMetadataResponse(name=request.name, versions=[m.version for m in found], platform="tuliptrack")
+        response = pb.ModelMetadataResponse(
+            name=request.name, versions=[m.version for m in found], platform="tuliptrack"
+        )
         for tensors, kinds in ((response.inputs, INPUTS), (response.outputs, OUTPUTS)):
             for name, datatype, shape in kinds:
                 tensors.add(name=name, datatype=datatype, shape=shape)
@@ -273,19 +296,24 @@
     add(
         "ServerReady",
         pb.ServerReadyRequest,
-        lambda call, _: answer(call, pb.ServerReadyResponse(ready=core.serving() and bool(core.models.serving()))),
+        lambda call, _: answer(
+            call, pb.ServerReadyResponse(ready=core.serving() and bool(core.models.serving()))
+        ),
     )
     add(
         "ModelReady",
         pb.ModelReadyRequest,
         lambda call, request: answer(
-            call, pb.ModelReadyResponse(ready=core.serving() and core.models.ready(request.name, request.version))
+            call,
+            pb.ModelReadyResponse(ready=core.serving() and core.models.ready(request.name, request.version)),
         ),
     )
     add(
         "ServerMetadata",
         pb.ServerMetadataRequest,
-        lambda call, _: answer(call, pb.ServerMetadataResponse(name="tuliptrack", version=VERSION, extensions=EXTENSIONS)),
+        lambda call, _: answer(
+            call, pb.ServerMetadataResponse(name="tuliptrack", version=VERSION, extensions=EXTENSIONS)
+        ),
     )
     add("ModelMetadata", pb.ModelMetadataRequest, metadata)
     add("ModelInfer", pb.ModelInferRequest, infer, early=True)
--- a/tuliptrack/fronts/kserve/mapping.py
+++ b/tuliptrack/fronts/kserve/mapping.py
@@ -57,7 +57,8 @@
 
 
 def ask_of(infer: Infer, options: KserveOptions, now: int, deadline: int | None, connection: object) -> Ask:
-    """The core's request; AskError names what can't be taken. `now` and `deadline` in monotonic microseconds."""
+    """The core's request; AskError names what can't be taken. `now` and `deadline` in monotonic
+    microseconds."""
     given: dict[str, Any] = {}
     for tensor in infer.inputs:
         place = f"inputs.{tensor.name[:60]}"
@@ -77,7 +78,9 @@
             wanted = next(kind for name, kind, _ in INPUTS if name == tensor.name)
             raise AskError(place, f"must be {wanted}, is {tensor.datatype[:20]}")
         else:
-            raise AskError(place, f"is no input of this model; {', '.join(name for name, _, _ in INPUTS)} are")
+            raise AskError(
+                place, f"is no input of this model; {', '.join(name for name, _, _ in INPUTS)} are"
+            )
     if "text_input" not in given:
         raise AskError("inputs.text_input", "is required")
     for name in infer.outputs:
@@ -133,7 +136,14 @@
 
 
 _IGNORED = frozenset(
-    {"priority", "stream", "sequence_start", "sequence_end", "triton_enable_empty_final_response", "binary_data_output"}
+    {
+        "priority",
+        "stream",
+        "sequence_start",
+        "sequence_end",
+        "triton_enable_empty_final_response",
+        "binary_data_output",
+    }
 )
 
 
@@ -142,7 +152,9 @@
     if isinstance(value, str) and value.isascii() and value.isdigit() and len(value) < 21:
         value = int(value)
     if not isinstance(value, int) or isinstance(value, bool) or not least <= value <= most:
-        raise AskError(f"parameters.{name}", f"must be a whole number from {least} to {most}, is {value!r}"[:160])
+        raise AskError(
+            f"parameters.{name}", f"must be a whole number from {least} to {most}, is {value!r}"[:160]
+        )
     return value
 
 
@@ -165,7 +177,9 @@
         facts["finish_reason"] = finish.value
     if usage:
         facts.update(
-            prompt_tokens=usage.prompt_tokens, cached_tokens=usage.cached_tokens, completion_tokens=usage.completion_tokens
+            prompt_tokens=usage.prompt_tokens,
+            cached_tokens=usage.cached_tokens,
+            completion_tokens=usage.completion_tokens,
         )
     return facts
 
--- a/tuliptrack/fronts/kserve/rest.py
+++ b/tuliptrack/fronts/kserve/rest.py
@@ -1,4 +1,5 @@
-"""The REST form of the protocol on HTTP/1.1, with the generate extension: whole answers, or server-sent events."""
+"""The REST form of the protocol on HTTP/1.1, with the generate extension: whole answers, or server-sent
+events."""
 
 from __future__ import annotations
 
@@ -30,7 +31,13 @@
 __all__ = ["Rest", "make"]
 
 _BINARY = "inference-header-content-length"
-_STATUS = {Failure.DEADLINE: 504, Failure.BROKEN: 502, Failure.HANDED_BACK: 502, Failure.LOST: 500, Failure.STALLED: 499}
+_STATUS = {
+    Failure.DEADLINE: 504,
+    Failure.BROKEN: 502,
+    Failure.HANDED_BACK: 502,
+    Failure.LOST: 500,
+    Failure.STALLED: 499,
+}
 _MODEL = re.compile(
     r"/v2/models/(?P<model>[^/]+)(?:/versions/(?P<version>[^/]+))?(?:/(?P<what>ready|infer|generate|"
     r"generate_stream))?"
@@ -75,7 +82,10 @@
     size = len(body)
     if header is not None:
         if not header.isascii() or not header.isdigit() or int(header) > len(body):
-            raise AskError("Inference-Header-Content-Length", f"must be at most the body's {len(body)}, is {header[:20]!r}")
+            raise AskError(
+                "Inference-Header-Content-Length",
+                f"must be at most the body's {len(body)}, is {header[:20]!r}",
+            )
         size = int(header)
     data = _object(body[:size], "body")
     infer = Infer(model, version, str(data.get("id", "")), _parameters(data.get("parameters", {})))
@@ -88,13 +98,17 @@
         if not isinstance(one, dict) or not isinstance(one.get("name"), str):
             raise AskError(f"inputs[{number}].name", "is required")
         name, datatype, shape = one["name"], one.get("datatype", ""), one.get("shape", [])
-        told = _parameters(one.get("parameters", {}), f"inputs.{name[:60]}.parameters").get("binary_data_size")
+        told = _parameters(one.get("parameters", {}), f"inputs.{name[:60]}.parameters").get(
+            "binary_data_size"
+        )
         try:
             if told is None:
                 infer.inputs.append(from_json(name, datatype, shape, one.get("data")))
                 continue
             if not isinstance(told, int) or isinstance(told, bool) or not 0 <= told <= len(body) - at:
-                raise AskError(f"inputs.{name[:60]}.parameters.binary_data_size", f"{len(body) - at} bytes are left")
+                raise AskError(
+                    f"inputs.{name[:60]}.parameters.binary_data_size", f"{len(body) - at} bytes are left"
+                )
             if not isinstance(datatype, str) or not isinstance(shape, list):
                 raise AskError(f"inputs.{name[:60]}", "shape must be a list, datatype a string")
             infer.inputs.append(from_raw(name, datatype, shape, body[at : at + told]))
@@ -107,7 +121,9 @@
         if not isinstance(one, dict) or not isinstance(one.get("name"), str):
             raise AskError(f"outputs[{number}].name", "is required")
         infer.outputs.append(one["name"])
-        wanted = _parameters(one.get("parameters", {}), f"outputs.{one['name'][:60]}.parameters").get("binary_data")
+        wanted = _parameters(one.get("parameters", {}), f"outputs.{one['name'][:60]}.parameters").get(
+            "binary_data"
+        )
         binary = wanted if isinstance(wanted, bool) else binary
     return infer, binary
 
@@ -115,7 +131,9 @@
 def generate_of(model: str, version: str, body: bytes) -> Infer:
     """A request of the generate extension: text_input, and parameters beside it or in `parameters`."""
     data = _object(body, "body")
-    parameters = _parameters({**data.pop("parameters", {})} if isinstance(data.get("parameters", {}), dict) else None)
+    parameters = _parameters(
+        {**data.pop("parameters", {})} if isinstance(data.get("parameters", {}), dict) else None
+    )
     text, told = data.pop("text_input", None), str(data.pop("id", ""))
     if not isinstance(text, str):
         raise AskError("text_input", "is required and must be a string")
@@ -144,12 +162,17 @@
 
 
 class _Events:
-    """An answer as server-sent events. Until the first token nothing is sent, so that a refusal has its own status."""
+    """An answer as server-sent events. Until the first token nothing is sent, so that a refusal has its own
+    status."""
 
     def __init__(self, call: HttpCall, infer: Infer) -> None:
         self.call, self.infer = call, infer
         self.ticket: Ticket | None = None
-        head = {"model_name": infer.model, "model_version": infer.version, **({"id": infer.id} if infer.id else {})}
+        head = {
+            "model_name": infer.model,
+            "model_version": infer.version,
+            **({"id": infer.id} if infer.id else {}),
+        }
         self.head = f"data: {json.dumps(head)[:-1]}, "
 
     def _event(self, facts: dict[str, Any]) -> bool:
@@ -157,9 +180,13 @@
         return self.call.send(b"data: " + json.dumps(facts, ensure_ascii=False).encode() + b"\n\n")
 
     def token(self, index: int, text: str, finish: Finish | None, usage: Usage | None) -> bool:
-        tail = "".join(f', "{k}": {json.dumps(v)}' for k, v in facts_of(finish, usage).items()) if finish else ""
+        tail = (
+            "".join(f', "{k}": {json.dumps(v)}' for k, v in facts_of(finish, usage).items()) if finish else ""
+        )
         self.call.start(200, "text/event-stream")
-        return self.call.send(f'{self.head}"text_output": {json.dumps(text)}, "index": {index}{tail}}}\n\n'.encode())
+        return self.call.send(
+            f'{self.head}"text_output": {json.dumps(text)}, "index": {index}{tail}}}\n\n'.encode()
+        )
 
     def served(self) -> None:
         self.call.end()
@@ -218,7 +245,9 @@
     def handle(self, call: HttpCall) -> None:
         path = urlsplit(call.target).path
         if path in ("/v2", "/v2/"):
-            self._get(call, lambda: {"name": "tuliptrack", "version": VERSION, "extensions": list(EXTENSIONS)})
+            self._get(
+                call, lambda: {"name": "tuliptrack", "version": VERSION, "extensions": list(EXTENSIONS)}
+            )
         elif path == "/v2/health/live":
             self._get(call, lambda: {"live": True})
         elif path == "/v2/health/ready":
@@ -258,7 +287,10 @@
     def _metadata(self, call: HttpCall, model: str, version: str) -> None:
         found = [m for m in self.core.models.listed() if m.name == model and version in ("", m.version)]
         if not found:
-            call.error(404, f"model: {model[:60]!r} is not served here" + (f" as {version[:40]!r}" if version else ""))
+            call.error(
+                404,
+                f"model: {model[:60]!r} is not served here" + (f" as {version[:40]!r}" if version else ""),
+            )
             return
         self._get(
             call,
@@ -282,7 +314,13 @@
         if what == "generate_stream":
             answer = _Events(call, infer)
         else:
-            write = self._write_generated if what == "generate" else self._write_binary if binary else self._write_json
+            write = (
+                self._write_generated
+                if what == "generate"
+                else self._write_binary
+                if binary
+                else self._write_json
+            )
             answer = _Whole(call, infer, self.config.limits.message_bytes, write)
         answer.ticket = self.core.submit(ask, answer)
         call.on_gone, call.on_writable = answer.ticket.gone, answer.ticket.writable
@@ -298,11 +336,18 @@
 
     def _write_json(self, one: _Whole) -> None:
         output = {"name": OUTPUTS[0][0], "datatype": "BYTES", "shape": [1], "data": [one.text]}
-        one.call.respond(200, json.dumps({**self._head(one), "parameters": one.facts, "outputs": [output]}).encode())
+        one.call.respond(
+            200, json.dumps({**self._head(one), "parameters": one.facts, "outputs": [output]}).encode()
+        )
 
     def _write_binary(self, one: _Whole) -> None:
         data = one.text.encode()
         raw = len(data).to_bytes(4, "little") + data
-        output = {"name": OUTPUTS[0][0], "datatype": "BYTES", "shape": [1], "parameters": {"binary_data_size": len(raw)}}
+        output = {
+            "name": OUTPUTS[0][0],
+            "datatype": "BYTES",
+            "shape": [1],
+            "parameters": {"binary_data_size": len(raw)},
+        }
         head = json.dumps({**self._head(one), "parameters": one.facts, "outputs": [output]}).encode()
         one.call.respond(200, head + raw, [(_BINARY, str(len(head)))], "application/octet-stream")
--- a/tuliptrack/fronts/kserve/tensors.py
+++ b/tuliptrack/fronts/kserve/tensors.py
@@ -1,8 +1,8 @@
 """Tensors of the v2 protocol: from typed contents, raw bytes or JSON to flat lists of values, and back.
 
-Pure functions; `TensorError` names the tensor and what is wrong with it. Source: the Open Inference Protocol's tensor data
-types and the binary tensor data extension (little-endian, row-major; BYTES elements each after a 4-byte length).
-"""
+Pure functions; `TensorError` names the tensor and what is wrong with it. Source: the Open Inference
+Protocol's tensor data types and the binary tensor data extension (little-endian, row-major; BYTES elements
+each after a 4-byte length)."""
 
 from __future__ import annotations
 
@@ -100,7 +100,9 @@
     if datatype != "BYTES":
         size = struct.calcsize(_STRUCT[datatype])
         if len(data) != count * size:
-            raise TensorError(name, f"shape {list(shape)} of {datatype} takes {count * size} bytes, but {len(data)} came")
+            raise TensorError(
+                name, f"shape {list(shape)} of {datatype} takes {count * size} bytes, but {len(data)} came"
+            )
         return Tensor(name, datatype, tuple(shape), struct.unpack(f"<{count}{_STRUCT[datatype]}", data))
     values: list[bytes] = []
     at = 0
--- a/tuliptrack/fronts/port.py
+++ b/tuliptrack/fronts/port.py
@@ -53,15 +53,18 @@
     connection: object = None
     """What stands for the client's connection; compared by identity."""
     first_by: int | None = None
-    """When the client gives up unless the answer has begun, monotonic microseconds; None: as its class has it."""
+    """When the client gives up unless the answer has begun, monotonic microseconds; None: as its class has
+    it."""
     resumed: bool = False
     """It asks for the rest of a stream that broke, which its engine can tell from the request itself."""
     call_id: str = ""
     """The client's own name for this request, for the log; empty: none."""
     payload: object = None
-    """The request in the client's own protocol, where engines get it unchanged; its front and its engines know it."""
+    """The request in the client's own protocol, where engines get it unchanged; its front and its engines
+    know it."""
     left: Callable[[], bool] = _unknown
-    """Whether the client's connection has ended, as far as the system knows, though `Ticket.gone` has not been called yet."""
+    """Whether the client's connection has ended, as far as the system knows, though `Ticket.gone` has not
+    been called yet."""
 
 
 class Finish(Enum):
@@ -98,7 +101,8 @@
 
 
 class Answer(Protocol):
-    """A front's side of one request. Exactly one of the last three is called, once, unless the client left."""
+    """A front's side of one request. Exactly one of the last three is called, once, unless the client
+    left."""
 
     def token(self, index: int, text: str, finish: Finish | None, usage: Usage | None) -> bool:
         """The next token; `finish` and `usage` with the last. False asks to pause until `Ticket.writable`."""
@@ -153,8 +157,8 @@
         """Whether requests are taken: started, and not about to stop."""
 
     def outlook(self) -> tuple[str, int]:
-        """Why any request would be refused now, whoever sends it, and after how many microseconds to come back; an
-        empty reason where it would be looked at."""
+        """Why any request would be refused now, whoever sends it, and after how many microseconds to come
+        back; an empty reason where it would be looked at."""
 
     def submit(self, ask: Ask, answer: Answer) -> Ticket:
         """Take a request; AskError where it can't be one. The answer may begin before this returns."""
--- a/tuliptrack/interface.py
+++ b/tuliptrack/interface.py
@@ -107,8 +107,8 @@
     MOOT = "moot"
 
     def may_have_run(self, reading: bool) -> bool:
-        """Whether an attempt that ended so may have had an effect. A read has none unless it was given up: where its engine
-        hangs it may run yet."""
+        """Whether an attempt that ended so may have had an effect. A read has none unless it was given up:
+        where its engine hangs it may run yet."""
         if reading:
             return self is Status.TIMEOUT
         return self not in (Status.FULL, Status.CONNECT_FAILED, Status.MOOT, Status.READ)
@@ -162,9 +162,9 @@
 class ZoneBudget:
     """Bytes that may cross zones for some classes, or for all (`classes` empty), all nodes together.
 
-    `bytes_per_s` on the long run, `burst` at once; dealt out to the nodes in turns of `quantum` bytes, which is at
-    least what a usual request crosses with. `by_traffic` is the part that the nodes earn by the requests that come to
-    them instead, measured by the tenants' quotas."""
+    `bytes_per_s` on the long run, `burst` at once; dealt out to the nodes in turns of `quantum` bytes, which
+    is at least what a usual request crosses with. `by_traffic` is the part that the nodes earn by the
+    requests that come to them instead, measured by the tenants' quotas."""
 
     bytes_per_s: float
     burst: float
@@ -177,7 +177,9 @@
         if not 0 <= self.by_traffic <= 1:
             raise ValueError(f"by_traffic: must lie in [0, 1], got {self.by_traffic!r}")
         if not 0 < self.quantum <= self.burst:
-            raise ValueError(f"quantum: must be above 0 and at most burst ({self.burst!r}), got {self.quantum!r}")
+            raise ValueError(
+                f"quantum: must be above 0 and at most burst ({self.burst!r}), got {self.quantum!r}"
+            )
 
 
 @dataclass(frozen=True, slots=True)
@@ -191,9 +193,9 @@
     How much a server that has just started is sent follows from `slot`, `replicas` and the tenants' quotas,
     whose sum is taken for what the whole fleet can do: each node needs a slot of its own, below `replicas`.
 
-    Without `zone_budgets` zones cost nothing. With them, `prompt_bytes`, `state_bytes` and `answer_bytes` say what a
-    token weighs on its way, and `epoch_offset` what to add to the host's clock for a time that all nodes share.
-    """
+    Without `zone_budgets` zones cost nothing. With them, `prompt_bytes`, `state_bytes` and `answer_bytes` say
+    what a token weighs on its way, and `epoch_offset` what to add to the host's clock for a time that all
+    nodes share."""
 
     replicas: int
     classes: tuple[RequestClass, ...]
@@ -285,8 +287,8 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetChange:
-    """A change of the server list, or (`FAILED`) word that a call for it failed. `part` of the tenants' quotas is what
-    these servers are built for, where the fleet has others for other models."""
+    """A change of the server list, or (`FAILED`) word that a call for it failed. `part` of the tenants'
+    quotas is what these servers are built for, where the fleet has others for other models."""
 
     kind: ListKind
     version: int = 0
@@ -328,12 +330,11 @@
 class Outcome:
     """The end of one attempt. `over` says that nothing more is owed for the request.
 
-    `state_lost` accompanies `FULL` where the read state is gone; `kept_tokens` are the prompt tokens
-    that needed no reading; `load` holds the values named in `Settings.report_fields`, or nothing. `crossed` are the
-    bytes that this attempt has moved between zones, by the host's account. `lone` accompanies `RESET` and `CONNECT_FAILED`
-    where only this one connection broke, or brought what can't be read: it had been kept and was let go at the other end,
-    or others to the same server stand.
-    """
+    `state_lost` accompanies `FULL` where the read state is gone; `kept_tokens` are the prompt tokens that
+    needed no reading; `load` holds the values named in `Settings.report_fields`, or nothing. `crossed` are
+    the bytes that this attempt has moved between zones, by the host's account. `lone` accompanies `RESET` and
+    `CONNECT_FAILED` where only this one connection broke, or brought what can't be read: it had been kept and
+    was let go at the other end, or others to the same server stand."""
 
     id: int
     attempt: int
--- a/tuliptrack/lab/capacity/__init__.py
+++ b/tuliptrack/lab/capacity/__init__.py
@@ -1,1 +1,2 @@
-"""Costs of each role at a size, from measured slopes: measuring, fitting, the tables of `docs/CAPACITY.md`."""
+"""Costs of each role at a size, from measured slopes: measuring, fitting, the tables of
+`docs/CAPACITY.md`."""
--- a/tuliptrack/lab/capacity/control.py
+++ b/tuliptrack/lab/capacity/control.py
@@ -1,4 +1,5 @@
-"""What controllers, agents and the record of a fleet cost by the number of hosts, by bytes that were on the wire."""
+"""What controllers, agents and the record of a fleet cost by the number of hosts, by bytes that were on the
+wire."""
 
 from __future__ import annotations
 
--- a/tuliptrack/lab/capacity/fit.py
+++ b/tuliptrack/lab/capacity/fit.py
@@ -25,7 +25,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """`value = a + b * size` for a line, `a * size ** b` for a power. `residual` is the largest relative one."""
+    """`value = a + b * size` for a line, `a * size ** b` for a power. `residual` is the largest relative
+    one."""
 
     form: Form
     a: float
--- a/tuliptrack/lab/capacity/node.py
+++ b/tuliptrack/lab/capacity/node.py
@@ -55,7 +55,9 @@
     """A router that was told of so many engines, under drawn traffic."""
     population = Population(engines, zones=min(ZONES, engines))
     router: Decides = make(node_settings(REPLICAS), seed)
-    made = Playback(router, DrawnTraffic(rates or Rates(), seed, lambda server: ROLES[population.kind(server - 1)]))
+    made = Playback(
+        router, DrawnTraffic(rates or Rates(), seed, lambda server: ROLES[population.kind(server - 1)])
+    )
     made.tell(FleetChange(ListKind.FULL, 1, population.servers()))
     return made
 
@@ -99,8 +101,11 @@
         return sorted(time for times in self.by_kind.values() for time in times)
 
 
-def measure_decisions(make: Maker, sizes: Iterable[int], clock: Yardstick, costs: NodeCosts, prefix: str = "") -> None:
-    """Times of decisions by engines, in yardsticks; operations of a request, and the share of new connections."""
+def measure_decisions(
+    make: Maker, sizes: Iterable[int], clock: Yardstick, costs: NodeCosts, prefix: str = ""
+) -> None:
+    """Times of decisions by engines, in yardsticks; operations of a request, and the share of new
+    connections."""
     for engines in sizes:
         one = playback(make, engines)
         one.play(WARM_UP)
@@ -168,7 +173,9 @@
         return self.text([self.population.member(number, phase=phase)])
 
 
-def measure_lists(make: Maker, sizes: Iterable[int], clock: Yardstick, costs: NodeCosts, prefix: str = "") -> None:
+def measure_lists(
+    make: Maker, sizes: Iterable[int], clock: Yardstick, costs: NodeCosts, prefix: str = ""
+) -> None:
     """What lists and changes cost by engines: bytes, yardsticks, operations."""
     for engines in sizes:
         one = _Listing(make, engines)
@@ -227,17 +234,25 @@
         del played
 
 
-def measure_remembered(make: Maker, engines: int, costs: dict[str, NodeCosts], sizes: dict[str, Iterable[int]]) -> None:
+def measure_remembered(
+    make: Maker, engines: int, costs: dict[str, NodeCosts], sizes: dict[str, Iterable[int]]
+) -> None:
     """Bytes by streams at once, by tenants and by prefixes, at one size of the fleet."""
     for streams in sizes["streams"]:
         rates = Rates(per_s=streams / 19.3)
-        costs["streams"].note("memory.by_streams", streams, _traced(partial(_played, make, engines, rates, 600))[0])
+        costs["streams"].note(
+            "memory.by_streams", streams, _traced(partial(_played, make, engines, rates, 600))[0]
+        )
     for tenants in sizes["tenants"]:
         rates = Rates(tenants=tenants)
-        costs["tenants"].note("memory.by_tenants", tenants, _traced(partial(_played, make, engines, rates, 600))[0])
+        costs["tenants"].note(
+            "memory.by_tenants", tenants, _traced(partial(_played, make, engines, rates, 600))[0]
+        )
     for prefixes in sizes["prefixes"]:
         rates = Rates(prefixes=prefixes)
-        costs["prefixes"].note("memory.by_prefixes", prefixes, _traced(partial(_played, make, engines, rates, 600))[0])
+        costs["prefixes"].note(
+            "memory.by_prefixes", prefixes, _traced(partial(_played, make, engines, rates, 600))[0]
+        )
 
 
 def _listed(make: Maker, engines: int) -> _Listing:
--- a/tuliptrack/lab/capacity/operations.py
+++ b/tuliptrack/lab/capacity/operations.py
@@ -11,7 +11,8 @@
 
 
 def count_operations(work: Callable[[], object]) -> int:
-    """Operations of the interpreter in `work` and all that it calls; sorts and other work in C count as one each."""
+    """Operations of the interpreter in `work` and all that it calls; sorts and other work in C count as one
+    each."""
     count = 0
 
     def trace(frame: FrameType, event: str, argument: Any) -> Any:
--- a/tuliptrack/lab/capacity/page.py
+++ b/tuliptrack/lab/capacity/page.py
@@ -51,13 +51,19 @@
                     *shown[:2],
                     f"{shown[2]} ({row.hour})",
                     _number(row.budget) if row.budget else "-",
-                    f"**{ratio:.2g}**" if ratio and ratio > 1 else f"{ratio:.2g}" if ratio is not None else "-",
+                    f"**{ratio:.2g}**"
+                    if ratio and ratio > 1
+                    else f"{ratio:.2g}"
+                    if ratio is not None
+                    else "-",
                     row.mechanism,
                 ]
             )
         parts.append(
             f"### {role[0].upper()}{role[1:]}\n\n"
-            + _table(("what", "rests on", "ordinary", "peak", "worst hour", "budget", "ratio", "carried by"), rows)
+            + _table(
+                ("what", "rests on", "ordinary", "peak", "worst hour", "budget", "ratio", "carried by"), rows
+            )
         )
     return "\n\n".join(parts)
 
@@ -79,7 +85,11 @@
         f"{results.yardstick_us:.0f} us on that machine (parsing a fixed JSON text of 100 engines)."
     )
     rows = [_series_row(one) for one in results.series.values() if len(one.points) >= 4]
-    single = [[one.name, one.unit, _number(one.points[0][1])] for one in results.series.values() if len(one.points) < 4]
+    single = [
+        [one.name, one.unit, _number(one.points[0][1])]
+        for one in results.series.values()
+        if len(one.points) < 4
+    ]
     return "\n\n".join(
         [
             head,
@@ -104,7 +114,9 @@
         size = f"{plan['nodes']} x {plan['engines']}, {plan['rate']:g} requests/s a node"
         for phase in run["phases"]:
             late = [one for one in phase["spread_s"] if one is None]
-            spread = f"not all in the part ({len(late)})" if late else f"{max(phase['spread_s'], default=0.0):.2f}"
+            spread = (
+                f"not all in the part ({len(late)})" if late else f"{max(phase['spread_s'], default=0.0):.2f}"
+            )
             rows.append(
                 [
                     name,
--- a/tuliptrack/lab/capacity/results.py
+++ b/tuliptrack/lab/capacity/results.py
@@ -41,7 +41,8 @@
 
 @dataclass(slots=True)
 class Results:
-    """Every series of one run. Times are yardsticks: how often a fixed JSON text could have been parsed meanwhile."""
+    """Every series of one run. Times are yardsticks: how often a fixed JSON text could have been parsed
+    meanwhile."""
 
     series: dict[str, Series] = field(default_factory=dict)
     yardstick_us: float = 0.0
@@ -69,12 +70,16 @@
             "python": self.python,
             "yardstick_us": round(self.yardstick_us, 2),
         }
-        rows = [json.dumps({"name": s.name, "unit": s.unit, "by": s.by, "points": s.points}) for s in self.series.values()]
+        rows = [
+            json.dumps({"name": s.name, "unit": s.unit, "by": s.by, "points": s.points})
+            for s in self.series.values()
+        ]
         path.write_text(json.dumps(head)[:-1] + ', "series": [\n' + ",\n".join(rows) + "\n]}\n")
 
     @staticmethod
     def read(path: Path, wanted: Iterable[str] = ()) -> Results:
-        """ResultError where the file is missing, no result, of another version, or lacks one of the wanted series."""
+        """ResultError where the file is missing, no result, of another version, or lacks one of the wanted
+        series."""
         try:
             told = json.loads(path.read_text())
         except OSError as error:
--- a/tuliptrack/lab/capacity/roles.py
+++ b/tuliptrack/lab/capacity/roles.py
@@ -1,4 +1,5 @@
-"""What each role of a fleet is asked for, on an ordinary second, at the peak and in the worst hour, against its budget."""
+"""What each role of a fleet is asked for, on an ordinary second, at the peak and in the worst hour, against
+its budget."""
 
 from __future__ import annotations
 
@@ -22,8 +23,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One line of a role's table. `worst` is in the worst hour, which `hour` names; the ratio is the greatest of the three
-    values over the budget."""
+    """One line of a role's table. `worst` is in the worst hour, which `hour` names; the ratio is the greatest
+    of the three values over the budget."""
 
     role: str
     what: str
@@ -69,7 +70,9 @@
 
 def _open_connections(share: float) -> Value:
     """Streams that run, and idle ones kept; each attempt that opens one leaves it for `IDLE_S`."""
-    return lambda r, t: share * (t.node_streams + _attempts(t) * IDLE_S * r.at("connection.new_share", t.engines))
+    return lambda r, t: (
+        share * (t.node_streams + _attempts(t) * IDLE_S * r.at("connection.new_share", t.engines))
+    )
 
 
 def _watch_bytes(r: Results, t: Target) -> float:
@@ -242,7 +245,12 @@
         lambda r, t: r.at("process.memory", t.engines) / 1e6,
         lambda r, t: (r.at("process.memory", t.engines) + r.at("memory.by_streams", 140)) / 1e6,
         lambda r, t: (
-            (r.at("process.memory", t.engines) + r.at("memory.by_streams", 140) + r.at("memory.listed", t.engines)) / 1e6
+            (
+                r.at("process.memory", t.engines)
+                + r.at("memory.by_streams", 140)
+                + r.at("memory.listed", t.engines)
+            )
+            / 1e6
         ),
         "a second list beside the first",
         256.0,
--- a/tuliptrack/lab/client.py
+++ b/tuliptrack/lab/client.py
@@ -1,4 +1,5 @@
-"""Stand-in clients: they arrive by a script, retry, resume, leave, read slowly, and write down what they saw."""
+"""Stand-in clients: they arrive by a script, retry, resume, leave, read slowly, and write down what they
+saw."""
 
 from __future__ import annotations
 
@@ -104,7 +105,9 @@
                 own + load.prefix_tokens,
                 f"{name}:{which}" if load.prefixes else "",
                 f"s{number}-{count // 2}",
-                chance.random() * (load.leave_within_ms or 1000) / 1000 if chance.random() < load.leave else -1.0,
+                chance.random() * (load.leave_within_ms or 1000) / 1000
+                if chance.random() < load.leave
+                else -1.0,
                 chance.random() < load.slow_readers,
                 chance.getrandbits(32),
                 v2=random.Random(f"{seed}:{number}:{count}").random() < load.v2,
@@ -117,7 +120,8 @@
     def __init__(self, nodes: list[Channel], classes: dict[str, RequestClass]) -> None:
         self.nodes, self.classes = nodes, classes
         self.unreached: dict[int, int] = {}
-        """Nodes that could not be reached, and since when: after a while the layer in front leaves them out."""
+        """Nodes that could not be reached, and since when: after a while the layer in front leaves them
+        out."""
 
     async def play(self, one: Arrival) -> None:
         """One client from its arrival to its last try."""
@@ -131,7 +135,16 @@
         node = self._node(chance)
         for number in range(1 + retries):
             made = Try(
-                one.name, number, node, cls.name, load.tenant, now_us(), now_us() + patience, have, slow=one.slow, v2=one.v2
+                one.name,
+                number,
+                node,
+                cls.name,
+                load.tenant,
+                now_us(),
+                now_us() + patience,
+                have,
+                slow=one.slow,
+                v2=one.v2,
             )
             one.tries.append(made)
             request = pb.GenerateRequest(
@@ -149,7 +162,11 @@
                 request.resume.next_index, request.resume.text = have, text
             watch = _WatchV2 if one.v2 else _Watch
             text += await watch(
-                made, request, patience, one.leaves_after if number == 0 else -1.0, load.slow_read_ms / 1000 or 0.05
+                made,
+                request,
+                patience,
+                one.leaves_after if number == 0 else -1.0,
+                load.slow_read_ms / 1000 or 0.05,
             ).run(self.nodes[node])
             have += made.tokens
             if made.how == How.CONNECT.value:
@@ -166,7 +183,8 @@
             node = self._node(chance)
 
     def _node(self, chance: random.Random) -> int:
-        """A node by chance, as a plain layer in front picks it; a dead one is left out after a while, but for a trial."""
+        """A node by chance, as a plain layer in front picks it; a dead one is left out after a while, but for
+        a trial."""
         good = [
             n
             for n in range(len(self.nodes))
@@ -178,7 +196,9 @@
 class _Watch:
     """One call and what comes of it."""
 
-    def __init__(self, made: Try, request: pb.GenerateRequest, patience: int, leaves_after: float, pause: float) -> None:
+    def __init__(
+        self, made: Try, request: pb.GenerateRequest, patience: int, leaves_after: float, pause: float
+    ) -> None:
         self.made, self.request, self.patience = made, request, patience
         self.leaves_after, self.pause = leaves_after, pause
         self.text = ""
@@ -243,7 +263,9 @@
     def _start(self, channel: Channel) -> None:
         ask = self.request
         message = v2.ModelInferRequest(model_name=ask.model or "model", id=self.made.tag)
-        message.inputs.add(name="text_input", datatype="BYTES", shape=[1]).contents.bytes_contents.append(ask.prompt.encode())
+        message.inputs.add(name="text_input", datatype="BYTES", shape=[1]).contents.bytes_contents.append(
+            ask.prompt.encode()
+        )
         for name in ("request_class", "tenant", "session", "prefix"):
             message.parameters[name].string_param = getattr(ask, name)
         for name in ("prompt_tokens", "prefix_tokens", "max_tokens"):
@@ -274,7 +296,9 @@
                 "DEADLINE": Code.DEADLINE_EXCEEDED,
                 "STALLED": Code.CANCELLED,
             }.get(kind, Code.INVALID_ARGUMENT)
-            details = refusal_details(kind, facts["retry_after_ms"].int64_param * 1000) if kind == "REFUSED" else []
+            details = (
+                refusal_details(kind, facts["retry_after_ms"].int64_param * 1000) if kind == "REFUSED" else []
+            )
             self.error = End(How.STATUS, with_details(code, got.error_message, *details))
             return
         reason = pb.STOP if facts["triton_final_response"].bool_param else pb.FINISH_REASON_UNSPECIFIED
@@ -287,4 +311,9 @@
 
 def as_row(one: Try) -> dict[str, Any]:
     """One try as a line of the day's log."""
-    return {"t": one.sent, "what": "try", "tag": one.tag, **{k: getattr(one, k) for k in Try.__dataclass_fields__}}
+    return {
+        "t": one.sent,
+        "what": "try",
+        "tag": one.tag,
+        **{k: getattr(one, k) for k in Try.__dataclass_fields__},
+    }
--- a/tuliptrack/lab/day.py
+++ b/tuliptrack/lab/day.py
@@ -29,7 +29,11 @@
 _START_S = 30.0  # seconds in which a process must have told its address
 _END_S = 8.0  # seconds after SIGTERM until SIGKILL
 _MOST_REQUESTS = 200_000
-_READY, _DRAINING, _GONE = fleet_pb2.ServerEntry.READY, fleet_pb2.ServerEntry.DRAINING, fleet_pb2.ServerEntry.GONE
+_READY, _DRAINING, _GONE = (
+    fleet_pb2.ServerEntry.READY,
+    fleet_pb2.ServerEntry.DRAINING,
+    fleet_pb2.ServerEntry.GONE,
+)
 
 
 class _Process:
@@ -44,7 +48,13 @@
     async def start(self, *more: str) -> None:
         """Start it and wait until it has told its address."""
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "tuliptrack", *self.command, *more, stdout=asyncio.subprocess.PIPE, stderr=self.log
+            sys.executable,
+            "-m",
+            "tuliptrack",
+            *self.command,
+            *more,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=self.log,
         )
         assert self.process.stdout
         line = await asyncio.wait_for(self.process.stdout.readline(), _START_S)
@@ -115,12 +125,23 @@
                 path.write_text(text_format.MessageToString(model))
                 self.engines[name] = _Process(
                     name,
-                    ["lab", "engine", "--model", str(path), "--name", name, "--log", str(self.folder / f"{name}.jsonl")],
+                    [
+                        "lab",
+                        "engine",
+                        "--model",
+                        str(path),
+                        "--name",
+                        name,
+                        "--log",
+                        str(self.folder / f"{name}.jsonl"),
+                    ],
                     self.lives,
                     self.log,
                 )
                 self.groups[name] = group
-                self.entries[name] = fleet_pb2.ServerEntry(id=number, kind=group.kind, cell=group.cell, zone=group.zone)
+                self.entries[name] = fleet_pb2.ServerEntry(
+                    id=number, kind=group.kind, cell=group.cell, zone=group.zone
+                )
                 self.told.append({"t": now_us(), "what": "entry", "id": str(number), "engine": name})
         now = [n for n in self.engines if not self.groups[n].later]
         await asyncio.gather(*(self.engines[n].start() for n in now))
@@ -144,9 +165,13 @@
             path = Path(node.command[1])
             text = path.read_text().replace('"127.0.0.1:0"', f'"{node.address}"')
             path.write_text(text)
-        self.channels = [Channel(n.address, Options(connect_timeout=500_000, max_links=2)) for n in self.nodes]
+        self.channels = [
+            Channel(n.address, Options(connect_timeout=500_000, max_links=2)) for n in self.nodes
+        ]
 
-    def _listed(self, name: str, state: fleet_pb2.ServerEntry.State, started: int = 0) -> fleet_pb2.ServerEntry:
+    def _listed(
+        self, name: str, state: fleet_pb2.ServerEntry.State, started: int = 0
+    ) -> fleet_pb2.ServerEntry:
         entry = self.entries[name]
         entry.address, entry.state = self.engines[name].address, state
         if started:
@@ -158,7 +183,11 @@
     # -- what happens
 
     def _who(self, names: list[str]) -> list[str]:
-        found = [n for n in [*self.engines, *(p.name for p in self.nodes)] if n in names or n.rpartition("-")[0] in names]
+        found = [
+            n
+            for n in [*self.engines, *(p.name for p in self.nodes)]
+            if n in names or n.rpartition("-")[0] in names
+        ]
         return found
 
     async def happen(self, one: lab_pb2.Happening, begin: float) -> None:
@@ -231,7 +260,10 @@
         channel = self.controls.setdefault(name, Channel(self.engines[name].address))
         over: asyncio.Future[End] = asyncio.get_running_loop().create_future()
         channel.call(
-            "/tuliptrack.lab.v1.Control/Apply", message=trouble.SerializeToString(), timeout=2_000_000, on_end=over.set_result
+            "/tuliptrack.lab.v1.Control/Apply",
+            message=trouble.SerializeToString(),
+            timeout=2_000_000,
+            on_end=over.set_result,
         )
         end = await over
         if end.status.code:
@@ -269,7 +301,9 @@
                 task.cancel()
         over = now_us()
         await self.stop()
-        rows = [json.loads(line) for path in self.folder.glob("*.jsonl") for line in path.read_text().splitlines()]
+        rows = [
+            json.loads(line) for path in self.folder.glob("*.jsonl") for line in path.read_text().splitlines()
+        ]
         rows.sort(key=lambda row: row["t"])
         traffic = Traffic(
             self.arrivals,
@@ -282,7 +316,9 @@
             over,
         )
         verdict = judge(traffic)
-        (self.folder / "clients.json").write_text(json.dumps([as_row(t) for a in self.arrivals for t in a.tries]))
+        (self.folder / "clients.json").write_text(
+            json.dumps([as_row(t) for a in self.arrivals for t in a.tries])
+        )
         (self.folder / "verdict.json").write_text(json.dumps(verdict, indent=1))
         return {"seed": self.seed, **verdict}
 
@@ -313,7 +349,9 @@
     classes, tenants = {c.name for c in config.settings.classes}, {t.name for t in config.settings.tenants}
     for n, load in enumerate(scenario.load):
         if load.request_class not in classes:
-            problems.append((f"load[{n}].request_class", f"{load.request_class!r} is not among the settings' classes"))
+            problems.append(
+                (f"load[{n}].request_class", f"{load.request_class!r} is not among the settings' classes")
+            )
         if tenants and load.tenant not in tenants:
             problems.append((f"load[{n}].tenant", f"{load.tenant!r} is not among the settings' tenants"))
     names = {f"node-{n}" for n in range(scenario.nodes or 2)} | {"node"}
@@ -324,7 +362,11 @@
     for n, one in enumerate(scenario.happening):
         if not one.WhichOneof("what"):
             problems.append((f"happening[{n}]", "says nothing that happens"))
-        problems += [(f"happening[{n}].who", f"{who!r} is no engine, group or node") for who in one.who if who not in names]
+        problems += [
+            (f"happening[{n}].who", f"{who!r} is no engine, group or node")
+            for who in one.who
+            if who not in names
+        ]
     if problems:
         raise ConfigError([Problem("scenario", 0, path, reason) for path, reason in problems])
 
@@ -332,10 +374,15 @@
 async def play_day(
     scenario: lab_pb2.Scenario, keep: str | None = None, say: Callable[[str], None] | None = None
 ) -> dict[str, Any]:
-    """Play a day and judge it. `keep` names a folder for its logs. Every process started here has ended on return."""
+    """Play a day and judge it. `keep` names a folder for its logs. Every process started here has ended on
+    return."""
     _check(scenario)
     with contextlib.ExitStack() as stack:
-        folder = Path(keep) if keep else Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="tuliptrack-day-")))
+        folder = (
+            Path(keep)
+            if keep
+            else Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="tuliptrack-day-")))
+        )
         folder.mkdir(parents=True, exist_ok=True)
         for old in [*folder.glob("*.jsonl"), *folder.glob("*.log")]:
             old.unlink()
--- a/tuliptrack/lab/engine.py
+++ b/tuliptrack/lab/engine.py
@@ -1,9 +1,8 @@
 """A stand-in engine: slots, a queue, memory, kept prompts, waiting read states, steps, and scripted troubles.
 
-It speaks `tuliptrack.v1.Engine` on a real socket and writes down what it saw there, one JSON line an event, in
-monotonic microseconds (one clock for all processes of a machine). Its answers follow from the request alone, so
-that a judge can tell a token missing or twice.
-"""
+It speaks `tuliptrack.v1.Engine` on a real socket and writes down what it saw there, one JSON line an event,
+in monotonic microseconds (one clock for all processes of a machine). Its answers follow from the request
+alone, so that a judge can tell a token missing or twice."""
 
 from __future__ import annotations
 
@@ -113,7 +112,9 @@
 class Engine:
     """One stand-in. `start` listens; `stop` ends it and every task of it."""
 
-    def __init__(self, name: str, model: lab_pb2.EngineModel, log: IO[str] | None = None, cold: bool = False) -> None:
+    def __init__(
+        self, name: str, model: lab_pb2.EngineModel, log: IO[str] | None = None, cold: bool = False
+    ) -> None:
         self.name, self.model = name, model
         self.role = _ROLES[model.role]
         self.m = {k: float(getattr(model, k)) if model.HasField(k) else v for k, v in DEFAULTS.items()}
@@ -183,7 +184,9 @@
     def note(self, what: str, **facts: Any) -> None:
         """Write down what was seen."""
         if self.log_file:
-            self.log_file.write(json.dumps({"t": now_us(), "engine": self.name, "what": what, **facts}) + "\n")
+            self.log_file.write(
+                json.dumps({"t": now_us(), "engine": self.name, "what": what, **facts}) + "\n"
+            )
             self.log_file.flush()
 
     # -- troubles
@@ -264,7 +267,10 @@
         if self.trouble.full and self.random.random() < self.trouble.full:
             job.timers.append(
                 asyncio.get_running_loop().call_later(
-                    self.trouble.full_after_ms / 1000, self._finish, job, Status(Code.RESOURCE_EXHAUSTED, "throttled")
+                    self.trouble.full_after_ms / 1000,
+                    self._finish,
+                    job,
+                    Status(Code.RESOURCE_EXHAUSTED, "throttled"),
                 )
             )
             return None
@@ -296,7 +302,12 @@
         if not job.done:
             self._off(job)
             self.note(
-                "gone", kind=job.kind, request=job.work.request_id, attempt=job.work.attempt, reason=reason, tokens=job.index
+                "gone",
+                kind=job.kind,
+                request=job.work.request_id,
+                attempt=job.work.attempt,
+                reason=reason,
+                tokens=job.index,
             )
 
     def _off(self, job: _Job) -> None:
@@ -409,7 +420,9 @@
                 job.silent = True
                 continue
             state = f"{self.incarnation}-{job.work.request_id}-{job.work.attempt}"
-            lease = asyncio.get_running_loop().call_later(self.m["state_lease_ms"] / 1000, self._drop_state, state, "lease")
+            lease = asyncio.get_running_loop().call_later(
+                self.m["state_lease_ms"] / 1000, self._drop_state, state, "lease"
+            )
             self.states[state] = _Waiting(job.work.request_id, job.memory, lease)
             job.memory = 0  # It is the state's now.
             self.note("kept", request=job.work.request_id, state=state)
@@ -434,7 +447,9 @@
         left = int(waiting.tokens * self.m["state_bytes_per_token"])
         first = True
         while left > 0:
-            part = engine_pb2.FetchResponse(chunk=b"\0" * min(left, _CHUNK), tokens=waiting.tokens if first else 0)
+            part = engine_pb2.FetchResponse(
+                chunk=b"\0" * min(left, _CHUNK), tokens=waiting.tokens if first else 0
+            )
             call.send(part.SerializeToString())
             left, first = left - _CHUNK, False
         self._drop_state(request.state_id, "fetched")
@@ -447,7 +462,8 @@
         while self.queue and (
             self.queue[0].done
             or (
-                len(self.writing) + sum(1 for j in self.jobs if j.running and j not in self.writing) < self.m["slots"]
+                len(self.writing) + sum(1 for j in self.jobs if j.running and j not in self.writing)
+                < self.m["slots"]
                 and self.memory + self.queue[0].work.prompt_tokens <= self.m["memory_tokens"]
             )
         ):
@@ -486,7 +502,9 @@
                 self._finish(job, Status(Code.FAILED_PRECONDITION, f"state: {end.status.message or 'gone'}"))
 
         request = engine_pb2.FetchRequest(state_id=job.state.state_id)
-        job.fetch = channel.call(f"/{SERVICE}/Fetch", message=request.SerializeToString(), timeout=2_000_000, on_end=ended)
+        job.fetch = channel.call(
+            f"/{SERVICE}/Fetch", message=request.SerializeToString(), timeout=2_000_000, on_end=ended
+        )
 
     def _length(self, prompt: str) -> int:
         return answer_length(prompt, int(self.m["answer_least"]), int(self.m["answer_most"]))
@@ -529,7 +547,12 @@
         if index == job.breaks_at:
             self._off(job)
             self.note(
-                "gone", kind=job.kind, request=job.work.request_id, attempt=job.work.attempt, reason="lost", tokens=index
+                "gone",
+                kind=job.kind,
+                request=job.work.request_id,
+                attempt=job.work.attempt,
+                reason="lost",
+                tokens=index,
             )
             job.call.reset()
             return
--- a/tuliptrack/lab/hollow/__init__.py
+++ b/tuliptrack/lab/hollow/__init__.py
@@ -1,1 +1,2 @@
-"""Hollow nodes and engines: a node's real discovery client, list and decisions with drawn traffic, many to a process."""
+"""Hollow nodes and engines: a node's real discovery client, list and decisions with drawn traffic, many to a
+process."""
--- a/tuliptrack/lab/hollow/agents.py
+++ b/tuliptrack/lab/hollow/agents.py
@@ -14,7 +14,8 @@
 
 
 class HollowAgent:
-    """Promises, holds records and reports as `fleet/agent.py` does; its node is drawn. `start`, then `stop`."""
+    """Promises, holds records and reports as `fleet/agent.py` does; its node is drawn. `start`, then
+    `stop`."""
 
     def __init__(self, host: str, record: bytes = b"") -> None:
         """`record` is what it holds from the beginning, under an epoch that no controller claims."""
@@ -68,6 +69,8 @@
         report.release.program, report.release.settings = "a" * 64, "b" * 64
         for number, name in enumerate(CLASSES):
             for measure in MEASURES:
-                report.counts.add(request_class=name, measure=measure, count=1_000 * (number + 1) + self.looks, bad=number)
+                report.counts.add(
+                    request_class=name, measure=measure, count=1_000 * (number + 1) + self.looks, bad=number
+                )
         call.send(report.SerializeToString())
         call.end(Status(Code.OK))
--- a/tuliptrack/lab/hollow/discovery.py
+++ b/tuliptrack/lab/hollow/discovery.py
@@ -33,7 +33,9 @@
 
     async def start(self, port: int = 0) -> str:
         """Serve; returns host:port."""
-        self._server = await asyncio.get_running_loop().create_server(lambda: _Call(self), "127.0.0.1", port, backlog=1024)
+        self._server = await asyncio.get_running_loop().create_server(
+            lambda: _Call(self), "127.0.0.1", port, backlog=1024
+        )
         host, bound = self._server.sockets[0].getsockname()[:2]
         return f"{host}:{bound}"
 
@@ -74,9 +76,13 @@
         """The body for who holds this revision, or nothing yet."""
         if since is None or since < self._forgotten or since > self.revision:
             return self._whole_list()
-        first = next((place for place, (revision, _) in enumerate(self._log) if revision > since), len(self._log))
+        first = next(
+            (place for place, (revision, _) in enumerate(self._log) if revision > since), len(self._log)
+        )
         newest = {entry["id"]: entry for _, entry in self._log[first:]}
-        return json.dumps({"revision": self.revision, "complete": False, "members": list(newest.values())}).encode()
+        return json.dumps(
+            {"revision": self.revision, "complete": False, "members": list(newest.values())}
+        ).encode()
 
     def _whole_list(self) -> bytes:
         self.whole_lists += 1
