--- a/tuliptrack/lab/hollow/fleet.py
+++ b/tuliptrack/lab/hollow/fleet.py
@@ -1,4 +1,5 @@
-"""Hollow nodes before drawn engines on one machine: start, changes, a lost zone, new roles, a silent discovery."""
+"""Hollow nodes before drawn engines on one machine: start, changes, a lost zone, new roles, a silent
+discovery."""
 
 from __future__ import annotations
 
@@ -65,7 +66,9 @@
         needed = self.nodes * self.engines * NODE_BYTES + (self.processes + self.list_servers) * PROCESS_BYTES
         memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
         if needed > memory / 2:
-            raise FleetError(f"nodes: {needed >> 20} MB would be needed, half of this machine's are {memory >> 21}")
+            raise FleetError(
+                f"nodes: {needed >> 20} MB would be needed, half of this machine's are {memory >> 21}"
+            )
 
 
 @dataclass(slots=True)
@@ -287,16 +290,22 @@
 async def _zone(fleet: _Fleet) -> None:
     """A zone's engines go in one change, and come back cold in one."""
     lost = fleet.population.in_zone(3)
-    await _one_change(fleet, "a zone lost", [fleet.population.member(n, phase="Gone") for n in lost], LOST_PART)
+    await _one_change(
+        fleet, "a zone lost", [fleet.population.member(n, phase="Gone") for n in lost], LOST_PART
+    )
     now = time.time_ns() // 1_000_000
-    await _one_change(fleet, "the zone back, cold", [fleet.population.member(n, up_since_ms=now) for n in lost])
+    await _one_change(
+        fleet, "the zone back, cold", [fleet.population.member(n, up_since_ms=now) for n in lost]
+    )
 
 
 async def _roles(fleet: _Fleet) -> None:
     """Half of the readers leave and come back as writers."""
     readers = [n for n in range(fleet.plan.engines) if fleet.population.kind(n) == 0][::2]
     gone = [fleet.population.member(n, phase="Gone") for n in readers]
-    await _one_change(fleet, "half of the readers become writers", [*gone, *fleet.fresh_members(readers, flavor="writes")])
+    await _one_change(
+        fleet, "half of the readers become writers", [*gone, *fleet.fresh_members(readers, flavor="writes")]
+    )
 
 
 async def _silence(fleet: _Fleet) -> None:
@@ -354,12 +363,15 @@
         for engine, at in node["cold_sends"]:
             sends[engine].append(at)
     report.cold_engines = len(sends)
-    report.cold_most_of_budget = round(max((_most_of_budget(times, fleet.plan) for times in sends.values()), default=0.0), 3)
+    report.cold_most_of_budget = round(
+        max((_most_of_budget(times, fleet.plan) for times in sends.values()), default=0.0), 3
+    )
 
 
 def _most_of_budget(sends: list[float], plan: FleetPlan) -> float:
-    """The most that any window had of what the settings allow an engine that has only just started. The engine's ramp is
-    taken at its lowest, and it is taken for a reader or writer of the whole quotas' even share, whichever is less."""
+    """The most that any window had of what the settings allow an engine that has only just started. The
+    engine's ramp is taken at its lowest, and it is taken for a reader or writer of the whole quotas' even
+    share, whichever is less."""
     settings = node_settings(plan.nodes)
     quotas = sum(tenant.quota_per_s for tenant in settings.tenants)
     able = quotas / (plan.engines * 3 / 4)
--- a/tuliptrack/lab/hollow/node.py
+++ b/tuliptrack/lab/hollow/node.py
@@ -1,4 +1,5 @@
-"""A hollow node: the platform node's real discovery client, list and decisions in real time; clients and engines are drawn."""
+"""A hollow node: the platform node's real discovery client, list and decisions in real time; clients and
+engines are drawn."""
 
 from __future__ import annotations
 
@@ -52,7 +53,9 @@
         self.members = Members(KINDS, ZONES)
         self.traffic = DrawnTraffic(rates, seed, self._role_of)
         self.report = NodeReport(slot)
-        self.source = Discovery(agent, lambda: max(self.members.revision, 0), self._listed, self.settings.drain_grace)
+        self.source = Discovery(
+            agent, lambda: max(self.members.revision, 0), self._listed, self.settings.drain_grace
+        )
         self._random = Random(seed)
         self._timers: set[asyncio.TimerHandle] = set()
         self._last: tuple[ListKind, int] | None = None
--- a/tuliptrack/lab/hollow/population.py
+++ b/tuliptrack/lab/hollow/population.py
@@ -1,4 +1,5 @@
-"""Populations of drawn engines, as the platform's discovery lists them and as the decision module sees them."""
+"""Populations of drawn engines, as the platform's discovery lists them and as the decision module sees
+them."""
 
 from __future__ import annotations
 
@@ -90,7 +91,9 @@
         may_advise_retry=True,
         classes=(
             RequestClass("chat", 1.0, 540_000, 5_000_000, aim_per_1000_tokens=60_000.0, token_aim=70_000.0),
-            RequestClass("batch", 2.0, 1_200_000, 12_000_000, aim_per_1000_tokens=60_000.0, token_aim=70_000.0),
+            RequestClass(
+                "batch", 2.0, 1_200_000, 12_000_000, aim_per_1000_tokens=60_000.0, token_aim=70_000.0
+            ),
         ),
         tenants=tuple(Tenant(f"t{n}", 1 / tenants, 1.3 * REQUESTS_PER_S / tenants) for n in range(tenants)),
         over_share_worth=0.1,
--- a/tuliptrack/lab/hollow/traffic.py
+++ b/tuliptrack/lab/hollow/traffic.py
@@ -1,7 +1,8 @@
-"""Drawn traffic of one node: requests come, attempts are answered after drawn times, and the router hears of it.
+"""Drawn traffic of one node: requests come, attempts are answered after drawn times, and the router hears of
+it.
 
-The same source drives a router on a clock of its own (`Playback`, for measurements and tests) and in real time (`node.py`).
-"""
+The same source drives a router on a clock of its own (`Playback`, for measurements and tests) and in real
+time (`node.py`)."""
 
 from __future__ import annotations
 
--- a/tuliptrack/lab/hollow/worker.py
+++ b/tuliptrack/lab/hollow/worker.py
@@ -1,8 +1,7 @@
 """A process of a hollow fleet: some hollow nodes, or one list server. Told by lines of JSON on its input.
 
-The first line is its settings (`{"role": "nodes" | "lists", ...}`); it answers with one line once it runs. Further lines are
-commands: `change`, `silent` and `report`; the end of the input ends it.
-"""
+The first line is its settings (`{"role": "nodes" | "lists", ...}`); it answers with one line once it runs.
+Further lines are commands: `change`, `silent` and `report`; the end of the input ends it."""
 
 from __future__ import annotations
 
@@ -107,7 +106,9 @@
 
 async def _run() -> None:
     reader = asyncio.StreamReader(limit=_LINE_BYTES)
-    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
+    await asyncio.get_running_loop().connect_read_pipe(
+        lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
+    )
     told = json.loads(await reader.readline())
     made = _Nodes(told) if told["role"] == "nodes" else _Lists(told)
     _say(await made.start())
--- a/tuliptrack/lab/judge.py
+++ b/tuliptrack/lab/judge.py
@@ -1,4 +1,5 @@
-"""The judge: says for each of the five rules whether it was kept, from what engines and clients saw on their sockets.
+"""The judge: says for each of the five rules whether it was kept, from what engines and clients saw on their
+sockets.
 
 The nodes' own words are not looked at; only which process carried which instance name, and when each was
 killed or told to stop. Two parties note one moment at slightly different times: `SLACK` is what two events on
@@ -101,7 +102,8 @@
         "tries": len(tries),
         "attempts": sum(1 for row in day.engines if row["what"] == "call"),
         "ends": _count(
-            f"{t.code}{' (refused)' if t.retry_after >= 0 else ''}" if t.how == "status" else f"[{t.how}]" for t in tries
+            f"{t.code}{' (refused)' if t.retry_after >= 0 else ''}" if t.how == "status" else f"[{t.how}]"
+            for t in tries
         ),
     }
 
@@ -124,7 +126,9 @@
 def _spans(day: Traffic) -> dict[str, list[tuple[int, int, str]]]:
     """By the node's name of a request: when each attempt was out, as its engine saw it."""
     died = _died(day)
-    ends = {(r["engine"], r["request"], r["attempt"]): r["t"] for r in day.engines if r["what"] in ("end", "gone")}
+    ends = {
+        (r["engine"], r["request"], r["attempt"]): r["t"] for r in day.engines if r["what"] in ("end", "gone")
+    }
     spans: dict[str, list[tuple[int, int, str]]] = defaultdict(list)
     last = _last(day)
     for row in day.engines:
@@ -151,7 +155,9 @@
 
 
 def _node_life(day: Traffic, node: int, at: int) -> Life | None:
-    return next((life for life in reversed(day.lives) if life.who == f"node-{node}" and life.start <= at), None)
+    return next(
+        (life for life in reversed(day.lives) if life.who == f"node-{node}" and life.start <= at), None
+    )
 
 
 def _answers(day: Traffic, tries: list[Try], tags: dict[str, str], rule: _Rule) -> None:
@@ -170,12 +176,18 @@
 
 
 def _effects(
-    day: Traffic, tries: list[Try], tags: dict[str, str], spans: dict[str, list[tuple[int, int, str]]], rule: _Rule
+    day: Traffic,
+    tries: list[Try],
+    tags: dict[str, str],
+    spans: dict[str, list[tuple[int, int, str]]],
+    rule: _Rule,
 ) -> None:
     for request, out in spans.items():
         out = sorted(out)
         for (_, end, first), (start, _, second) in pairwise(out):
-            rule.check(start >= end - SLACK, tags[request], f"attempts at {first} and {second} were out at once")
+            rule.check(
+                start >= end - SLACK, tags[request], f"attempts at {first} and {second} were out at once"
+            )
     begun = _count(tags[row["request"]] for row in day.engines if row["what"] == "begun")
     whole: dict[str, int] = defaultdict(int)
     for one in tries:
@@ -183,7 +195,9 @@
             continue
         whole[one.request] += begun.get(one.tag, 0)
         rule.check(whole[one.request] <= 1, one.tag, "work that may not be repeated was begun twice")
-        rule.check(not (one.retry_after >= 0 and begun.get(one.tag)), one.tag, "it had run, yet it was refused")
+        rule.check(
+            not (one.retry_after >= 0 and begun.get(one.tag)), one.tag, "it had run, yet it was refused"
+        )
 
 
 def _drains(day: Traffic, tags: dict[str, str], rule: _Rule) -> None:
@@ -216,7 +230,9 @@
         )
 
 
-def _pinned(day: Traffic, tags: dict[str, str], spans: dict[str, list[tuple[int, int, str]]], rule: _Rule) -> None:
+def _pinned(
+    day: Traffic, tags: dict[str, str], spans: dict[str, list[tuple[int, int, str]]], rule: _Rule
+) -> None:
     let_go = {row["state"]: row for row in day.engines if row["what"] == "let go"}
     deaths = {life.instance: life.end for life in day.lives if life.end}
     engine_ends = _died(day)
--- a/tuliptrack/lab/soak/agent.py
+++ b/tuliptrack/lab/soak/agent.py
@@ -69,7 +69,12 @@
             self._starts_ms[name] = start_ms
         self.revision += 1
         self.recorder.note(
-            "list changed", engine=name, phase=phase, start_ms=start_ms, revision=self.revision, silent=self.silent
+            "list changed",
+            engine=name,
+            phase=phase,
+            start_ms=start_ms,
+            revision=self.revision,
+            silent=self.silent,
         )
         self._wake()
 
@@ -101,4 +106,6 @@
                     break
         if not self.silent:
             members = members_of(self.world, self._phases, self._starts_ms)
-            call.respond(200, json.dumps({"revision": self.revision, "complete": True, "members": members}).encode())
+            call.respond(
+                200, json.dumps({"revision": self.revision, "complete": True, "members": members}).encode()
+            )
--- a/tuliptrack/lab/soak/client.py
+++ b/tuliptrack/lab/soak/client.py
@@ -15,9 +15,11 @@
 __all__ = ["run_clients"]
 
 _LEAVE_EARLY, _STALL, _LITTLE_TIME, _NEW_CONNECTION, _REST = 0.06, 0.02, 0.04, 0.3, 0.05
-"""Shares of requests: whose client leaves soon, stops in the middle, has hardly any time, connects anew, rests long before."""
+"""Shares of requests: whose client leaves soon, stops in the middle, has hardly any time, connects anew,
+rests long before."""
 _RETRY_AT_ONCE, _HEDGED = 0.5, 0.05
-"""Shares: of refused requests that are asked again at once, of requests that are sent twice at a time, under two ids."""
+"""Shares: of refused requests that are asked again at once, of requests that are sent twice at a time, under
+two ids."""
 _PAUSE_S, _LONG_REST_S = (0.02, 0.25), (1.0, 4.0)
 _WAITS_LONGER_S = 3.0
 """For so long past its time a client still looks for its answer."""
@@ -66,10 +68,14 @@
         until = self.world.began + self.world.schedule.seconds - QUIET_S / 2
         number = 0
         while loop.time() < until:
-            await asyncio.sleep(self.random.uniform(*(_LONG_REST_S if self.random.random() < _REST else _PAUSE_S)))
+            await asyncio.sleep(
+                self.random.uniform(*(_LONG_REST_S if self.random.random() < _REST else _PAUSE_S))
+            )
             if self.random.random() < _HEDGED:
                 await asyncio.gather(self._ask(f"{self.name}-{number}"), self._ask(f"{self.name}-{number}h"))
-            elif await self._ask(f"{self.name}-{number}") == _REFUSED and self.random.random() < _RETRY_AT_ONCE:
+            elif (
+                await self._ask(f"{self.name}-{number}") == _REFUSED and self.random.random() < _RETRY_AT_ONCE
+            ):
                 await self._ask(f"{self.name}-{number}r")
             number += 1
         for connection in self.kept.values():
@@ -164,8 +170,9 @@
     async def _exchange(
         self, connection: _Connection, data: bytes, budget: float, leaves: float | None
     ) -> tuple[int, bool, bool]:
-        """Status (0: none, the connection ended; -1: none in time), whether the answer was whole, whether the connection may
-        be used again. An answer that has begun and does not end in time has its status and is not whole."""
+        """Status (0: none, the connection ended; -1: none in time), whether the answer was whole, whether the
+        connection may be used again. An answer that has begun and does not end in time has its status and is
+        not whole."""
         within = budget + _WAITS_LONGER_S if leaves is None else min(leaves, budget)
         connection.status, connection.held_back = -1, 0.0
         try:
@@ -181,7 +188,9 @@
         reader = connection.reader
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower().split("\r\n")
         status = connection.status = int(head[0].split(" ")[1])
-        fields = {name: value.strip() for name, _, value in (line.partition(":") for line in head[1:] if line)}
+        fields = {
+            name: value.strip() for name, _, value in (line.partition(":") for line in head[1:] if line)
+        }
         reusable = fields.get("connection") != "close"
         if "content-length" in fields:
             await reader.readexactly(int(fields["content-length"]))
--- a/tuliptrack/lab/soak/engine.py
+++ b/tuliptrack/lab/soak/engine.py
@@ -1,8 +1,8 @@
 """A stand-in engine on the platform's HTTP, as a process of its own that notes what reaches it.
 
-Read states lie as files in a folder that all engines share, as any of them may let go of a state: a read makes one, an answer
-takes it, a release removes it, and an answer that finds none says that the state is gone.
-"""
+Read states lie as files in a folder that all engines share, as any of them may let go of a state: a read
+makes one, an answer takes it, a release removes it, and an answer that finds none says that the state is
+gone."""
 
 from __future__ import annotations
 
--- a/tuliptrack/lab/soak/judge.py
+++ b/tuliptrack/lab/soak/judge.py
@@ -1,4 +1,5 @@
-"""The invariants of a soak, judged by what reached the engines and what clients got, never by what a node believes."""
+"""The invariants of a soak, judged by what reached the engines and what clients got, never by what a node
+believes."""
 
 from __future__ import annotations
 
@@ -79,8 +80,8 @@
     """When nodes and engines were told to end and were killed."""
 
     def __init__(self, records: list[dict[str, Any]], margin: float) -> None:
-        """`margin`: so shortly before a kill no request can be answered, and for so long after one is noted its process may
-        take connections."""
+        """`margin`: so shortly before a kill no request can be answered, and for so long after one is noted
+        its process may take connections."""
         self.margin = margin
         self.killed: dict[str, list[float]] = defaultdict(list)
         self.terminated: dict[str, list[float]] = defaultdict(list)
@@ -95,8 +96,8 @@
         return min((at for at in self.killed[name] if at >= moment), default=float("inf"))
 
     def forgiven(self, name: str, sent: float, answered_by: float) -> bool:
-        """Whether a request may have been lost with its node: one that was killed without a word, or soon after its end was
-        announced where the request had come before or shortly after that."""
+        """Whether a request may have been lost with its node: one that was killed without a word, or soon
+        after its end was announced where the request had come before or shortly after that."""
         kill = self.kill_after(name, sent - self.margin)
         if kill > answered_by:
             return False
@@ -114,7 +115,12 @@
         known = requests.setdefault(one["id"], _Request(one["id"]))
         match one["event"]:
             case "sent":
-                known.node, known.effect, known.sent, known.budget = one["node"], one["effect"], one["t"], one["budget"]
+                known.node, known.effect, known.sent, known.budget = (
+                    one["node"],
+                    one["effect"],
+                    one["t"],
+                    one["budget"],
+                )
             case "left":
                 known.left = one["t"]
             case "answer":
@@ -137,7 +143,9 @@
         by = one.sent + one.budget + _ANSWER_SLACK_S + margin
         if one.answer["status"] <= 0:
             if not lives.forgiven(one.node, one.sent, one.sent + one.budget + 1):
-                found.append(Violation("answer", one.name, f"none: {one.answer} sent {one.sent:.3f} to {one.node}"))
+                found.append(
+                    Violation("answer", one.name, f"none: {one.answer} sent {one.sent:.3f} to {one.node}")
+                )
         elif one.answer["status"] != 200 and one.sent + one.answer["after"] > by:
             found.append(Violation("answer", one.name, f"late: {one.answer} of {one.budget:.3f}"))
     return found
@@ -157,12 +165,14 @@
         """Whether a request's node or one of its engines was in trouble before its answer ended."""
         assert one.answer
         ended = one.sent + one.answer["after"]
-        return any(start <= ended and end >= one.sent for place in one.places for start, end in self._spans[place])
+        return any(
+            start <= ended and end >= one.sent for place in one.places for start, end in self._spans[place]
+        )
 
 
 def _streams(requests: Any, troubles: _Troubles, lives: _Lives) -> list[Violation]:
-    """An answer that has begun goes on or is cut off, unless something went wrong at its engine or its node meanwhile. One
-    that is cut off is the client's to resume, as the settings have it."""
+    """An answer that has begun goes on or is cut off, unless something went wrong at its engine or its node
+    meanwhile. One that is cut off is the client's to resume, as the settings have it."""
     return [
         Violation("stream", one.name, f"stuck: {one.answer} from {one.places}")
         for one in requests
@@ -186,7 +196,9 @@
 
 def _takes_away(fault: dict[str, Any]) -> bool:
     """Whether an engine can't answer in time during a fault."""
-    return fault["kind"] in _AWAY or (fault["kind"] == FaultKind.DELAY.value and fault["amount"] > _LONG_DELAY_S)
+    return fault["kind"] in _AWAY or (
+        fault["kind"] == FaultKind.DELAY.value and fault["amount"] > _LONG_DELAY_S
+    )
 
 
 class _Reachable:
@@ -216,8 +228,8 @@
 def _states(
     world: World, records: list[dict[str, Any]], reachable: _Reachable, lives: _Lives, margin: float
 ) -> list[Violation]:
-    """A read state is taken or let go in time, by what reached a running engine. A read is out until its answer comes to its
-    node, or the node gives it up."""
+    """A read state is taken or let go in time, by what reached a running engine. A read is out until its
+    answer comes to its node, or the node gives it up."""
     allowed = world.schedule.release_within_s + SLACK_S + margin
     end = max(one["t"] for one in records)
     held: dict[str, tuple[float, str]] = {}
@@ -256,7 +268,12 @@
         if one.effect == "single_shot" and counted > 1:
             found.append(Violation("repeat", one.name, f"{counted} times at writers"))
         sent = [at for at, engine, _ in one.bytes if engine[0] in _WRITERS]
-        if one.effect == "guarded" and not one.rejected and sent and max(sent) - min(sent) > REPEAT_WINDOW_S + margin:
+        if (
+            one.effect == "guarded"
+            and not one.rejected
+            and sent
+            and max(sent) - min(sent) > REPEAT_WINDOW_S + margin
+        ):
             found.append(Violation("repeat", one.name, f"after its window: {sent}"))
     return found
 
@@ -305,7 +322,8 @@
 
 
 def _agent_silences(records: list[dict[str, Any]]) -> list[tuple[float, float]]:
-    """When the agent said nothing; what it had counts as told up to 6 s after that began, or as it speaks again."""
+    """When the agent said nothing; what it had counts as told up to 6 s after that began, or as it speaks
+    again."""
     found: list[tuple[float, float]] = []
     for one in records:
         if one["event"] == "agent":
--- a/tuliptrack/lab/soak/participant.py
+++ b/tuliptrack/lab/soak/participant.py
@@ -86,7 +86,13 @@
             proxy.reset_open_connections()
 
     proxy.on_request_bytes, proxy.on_answer_bytes, proxy.on_given_up = sent, answered, given_up
-    kinds = (FaultKind.SILENCE_OPEN, FaultKind.SILENCE_MACHINE, FaultKind.CUT_MACHINE, FaultKind.DELAY, FaultKind.RESET)
+    kinds = (
+        FaultKind.SILENCE_OPEN,
+        FaultKind.SILENCE_MACHINE,
+        FaultKind.CUT_MACHINE,
+        FaultKind.DELAY,
+        FaultKind.RESET,
+    )
     for fault in _faults_of(world, name, *kinds):
         _at(world, fault.at, lambda fault=fault: begin(fault))  # type: ignore[misc]
         if fault.kind is not FaultKind.RESET:
@@ -136,9 +142,13 @@
     if role == "clients":
         await run_clients(world, recorder, int(name.removeprefix("c")))
         return
-    await {"engine": _engine, "proxy": _proxy, "agent": _agent}[role](world, name.removeprefix("p-"), recorder)
+    await {"engine": _engine, "proxy": _proxy, "agent": _agent}[role](
+        world, name.removeprefix("p-"), recorder
+    )
     recorder.note("ready")
-    await asyncio.sleep(max(world.began + world.schedule.seconds + 30 - time.monotonic(), 0))  # It is ended before.
+    await asyncio.sleep(
+        max(world.began + world.schedule.seconds + 30 - time.monotonic(), 0)
+    )  # It is ended before.
     if lag:
         lag.cancel()
 
--- a/tuliptrack/lab/soak/proxy.py
+++ b/tuliptrack/lab/soak/proxy.py
@@ -1,8 +1,8 @@
 """A TCP proxy in front of one server that can be told to fail.
 
-The proxy accepts connections and reads whatever is sent, so the sender's kernel sees every byte confirmed, whether or not it
-is handed on. That is what a middlebox, a load balancer or a machine whose process is gone looks like from the other side.
-"""
+The proxy accepts connections and reads whatever is sent, so the sender's kernel sees every byte confirmed,
+whether or not it is handed on. That is what a middlebox, a load balancer or a machine whose process is gone
+looks like from the other side."""
 
 from __future__ import annotations
 
@@ -35,7 +35,11 @@
     """One direction of a proxied connection."""
 
     def __init__(
-        self, connection: _Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, watched: bool
+        self,
+        connection: _Connection,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        watched: bool,
     ) -> None:
         self.connection, self.reader, self.writer, self.watched = connection, reader, writer, watched
         self.held: list[bytes] = []
@@ -94,12 +98,16 @@
             self.close()
             return
         self.writers.append(upstream_writer)
-        self.directions = [_Direction(self, reader, upstream_writer, True), _Direction(self, upstream_reader, writer, False)]
+        self.directions = [
+            _Direction(self, reader, upstream_writer, True),
+            _Direction(self, upstream_reader, writer, False),
+        ]
         await asyncio.gather(*(direction.pump() for direction in self.directions))
         self.close()
 
     def heal(self) -> None:
-        """The fault is over. What was thrown away is missing, so such a connection can't go on: it is reset."""
+        """The fault is over. What was thrown away is missing, so such a connection can't go on: it is
+        reset."""
         if self.fault is Fault.DISCARD:
             self.close()
             return
@@ -116,7 +124,8 @@
 
 
 class FaultProxy:
-    """A listener that hands connections on to `target` (host:port). `close` ends every connection and task of it."""
+    """A listener that hands connections on to `target` (host:port). `close` ends every connection and task of
+    it."""
 
     def __init__(self, target: str) -> None:
         self.target = target
--- a/tuliptrack/lab/soak/records.py
+++ b/tuliptrack/lab/soak/records.py
@@ -1,4 +1,5 @@
-"""What the processes of a soak write down: a line of JSON for each event, with monotonic time, which all of them share."""
+"""What the processes of a soak write down: a line of JSON for each event, with monotonic time, which all of
+them share."""
 
 from __future__ import annotations
 
@@ -20,14 +21,17 @@
 
     def note(self, event: str, **facts: Any) -> None:
         """Write an event down."""
-        self._file.write(json.dumps({"t": time.monotonic(), "who": self._name, "event": event, **facts}) + "\n")
+        self._file.write(
+            json.dumps({"t": time.monotonic(), "who": self._name, "event": event, **facts}) + "\n"
+        )
 
     def close(self) -> None:
         self._file.close()
 
 
 def read_records(folder: Path, name: str = "*") -> list[dict[str, Any]]:
-    """The records of all processes, or of the one named, in order of time. A last line that a kill cut off is left out."""
+    """The records of all processes, or of the one named, in order of time. A last line that a kill cut off is
+    left out."""
     return sorted(_lines(folder, name), key=lambda one: float(one["t"]))
 
 
--- a/tuliptrack/lab/soak/runner.py
+++ b/tuliptrack/lab/soak/runner.py
@@ -1,4 +1,5 @@
-"""Plays a soak: starts its processes, sends the signals of the schedule, ends what it started and judges the records."""
+"""Plays a soak: starts its processes, sends the signals of the schedule, ends what it started and judges the
+records."""
 
 from __future__ import annotations
 
@@ -106,7 +107,9 @@
         await asyncio.sleep(max(self.world.began + moment - time.monotonic(), 0))
 
     async def _start(self, key: str, role: str, name: str) -> None:
-        await self._spawn(key, ["tuliptrack.lab.soak.participant", role, name, str(self.world.folder / "world.json")], {})
+        await self._spawn(
+            key, ["tuliptrack.lab.soak.participant", role, name, str(self.world.folder / "world.json")], {}
+        )
 
     async def _start_node(self, node: str) -> None:
         self._starts[node] += 1
@@ -160,7 +163,9 @@
     async def _play(self, fault: ScheduledFault) -> None:
         """The part of a fault that is played by signals."""
         await self._until(fault.at)
-        self.recorder.note("fault", kind=fault.kind.value, target=fault.target, until=fault.until, amount=fault.amount)
+        self.recorder.note(
+            "fault", kind=fault.kind.value, target=fault.target, until=fault.until, amount=fault.amount
+        )
         match fault.kind:
             case FaultKind.ENGINE_STOPS | FaultKind.NODE_HELD_UP:
                 self._signal(fault.target, signal.SIGSTOP)
@@ -229,7 +234,10 @@
             memory_now, descriptors_now = self._needs(node)
             if memory and memory_now - memory > _GROWTH_MB:
                 self.wrong.append(Violation("memory", node, f"{memory:.0f} MB, then {memory_now:.0f}"))
-            if descriptors and descriptors_now - descriptors > _MORE_DESCRIPTORS + self.world.schedule.clients * 2:
+            if (
+                descriptors
+                and descriptors_now - descriptors > _MORE_DESCRIPTORS + self.world.schedule.clients * 2
+            ):
                 self.wrong.append(Violation("descriptors", node, f"{descriptors}, then {descriptors_now}"))
 
     def _still_starts(self, node: str) -> bool:
@@ -253,7 +261,10 @@
                 self.wrong.append(Violation("crash", node, f"ended with {code}"))
             text = (self.world.folder / f"{node}.log").read_text(errors="replace")
             for line in text.splitlines():
-                if any(word in line for word in ("invariant violated", "Traceback", "the router failed", "was never awaited")):
+                if any(
+                    word in line
+                    for word in ("invariant violated", "Traceback", "the router failed", "was never awaited")
+                ):
                     self.wrong.append(Violation("log", node, line[:300]))
 
     async def _end_all(self) -> None:
@@ -266,7 +277,8 @@
 
 
 async def play(schedule: Schedule, keep: Path | None = None) -> Result:
-    """Play a schedule with real processes. Where an invariant was broken, its records are left in `keep`, if that is given."""
+    """Play a schedule with real processes. Where an invariant was broken, its records are left in `keep`, if
+    that is given."""
     with loopback_addresses(2 * len(schedule.engines) + 3 * schedule.nodes) as addresses:
         return await _play_at(addresses, schedule, keep)
 
@@ -290,7 +302,9 @@
         lag = max((one["seconds"] for one in records if one["event"] == "lag"), default=0.0)
         answers = [one for one in records if one["event"] == "answer"]
         served = sum(one["status"] == 200 and one["whole"] for one in answers)
-        result = Result(schedule.seed, [*soak.wrong, *judge(world, records, lag)], len(answers), served, soak.started, lag)
+        result = Result(
+            schedule.seed, [*soak.wrong, *judge(world, records, lag)], len(answers), served, soak.started, lag
+        )
         if keep and result.violations:
             shutil.copytree(folder, keep, dirs_exist_ok=True)
         return result
@@ -299,7 +313,8 @@
 
 
 async def shrink(schedule: Schedule, tries: int) -> Schedule:
-    """A smaller schedule that still breaks an invariant: faults are left out while it does. At most so many plays."""
+    """A smaller schedule that still breaks an invariant: faults are left out while it does. At most so many
+    plays."""
     smallest, step = schedule, max(len(schedule.faults) // 2, 1)
     while tries > 0 and step >= 1:
         begin, shrunk = 0, False
--- a/tuliptrack/lab/soak/schedule.py
+++ b/tuliptrack/lab/soak/schedule.py
@@ -106,7 +106,9 @@
     @staticmethod
     def from_json(told: dict[str, Any]) -> Schedule:
         """From a file; KeyError or ValueError where it is none."""
-        faults = tuple(ScheduledFault(**{**fault, "kind": FaultKind(fault["kind"])}) for fault in told["faults"])
+        faults = tuple(
+            ScheduledFault(**{**fault, "kind": FaultKind(fault["kind"])}) for fault in told["faults"]
+        )
         return Schedule(**{**told, "faults": faults, "deadlines_s": tuple(told["deadlines_s"])})
 
 
@@ -140,7 +142,13 @@
     }
 )
 _SEVERAL = frozenset(
-    {FaultKind.SILENCE_OPEN, FaultKind.SILENCE_MACHINE, FaultKind.CUT_MACHINE, FaultKind.DELAY, FaultKind.RESET}
+    {
+        FaultKind.SILENCE_OPEN,
+        FaultKind.SILENCE_MACHINE,
+        FaultKind.CUT_MACHINE,
+        FaultKind.DELAY,
+        FaultKind.RESET,
+    }
 )
 """Those that strike several machines together."""
 _ONCE_A_NODE = frozenset({FaultKind.NODE_RESTARTS, FaultKind.NODE_KILLED})
--- a/tuliptrack/lab/soak/settings.py
+++ b/tuliptrack/lab/soak/settings.py
@@ -58,7 +58,12 @@
         told = json.loads(path.read_text())
         agents = {name: (first, second) for name, (first, second) in told["agents"].items()}
         return World(
-            **{**told, "schedule": Schedule.from_json(told["schedule"]), "folder": Path(told["folder"]), "agents": agents}
+            **{
+                **told,
+                "schedule": Schedule.from_json(told["schedule"]),
+                "folder": Path(told["folder"]),
+                "agents": agents,
+            }
         )
 
 
@@ -77,7 +82,8 @@
 def node_settings(schedule: Schedule) -> dict[str, Any]:
     """What the platform tells every node alike."""
     classes = [
-        _class(effect, deadline, schedule.aim_s) for effect, deadline in zip(EFFECTS, schedule.deadlines_s, strict=True)
+        _class(effect, deadline, schedule.aim_s)
+        for effect, deadline in zip(EFFECTS, schedule.deadlines_s, strict=True)
     ]
     return {
         "classes": classes,
--- a/tuliptrack/lab/soak/shim.py
+++ b/tuliptrack/lab/soak/shim.py
@@ -1,9 +1,8 @@
 """Failing system calls and a stepping wall clock inside a node of a soak, or of a test.
 
-`FaultySocket` takes the place of `socket.socket` for the whole process: one layer that every socket goes through, which is
-told what fails, how and when. The clock's shim adds the steps so far to `time.time` and `time.time_ns`; monotonic time is left
-alone.
-"""
+`FaultySocket` takes the place of `socket.socket` for the whole process: one layer that every socket goes
+through, which is told what fails, how and when. The clock's shim adds the steps so far to `time.time` and
+`time.time_ns`; monotonic time is left alone."""
 
 from __future__ import annotations
 
@@ -101,13 +100,16 @@
 
     def close(self) -> None:
         """As on Linux, the descriptor is free whatever the call says."""
-        fails = self.fileno() >= 0 and self.family != socket.AF_UNIX  # asyncio's own pair of sockets is none of the program's
+        fails = (
+            self.fileno() >= 0 and self.family != socket.AF_UNIX
+        )  # asyncio's own pair of sockets is none of the program's
         super().close()
         if fails and self.faults.close and self.faults.strikes():
             self.faults.fail(self.faults.close)
 
     def _outgoing(self) -> bool:
-        """Whether this process opened the connection: a client's connection that breaks is no fault of the node's."""
+        """Whether this process opened the connection: a client's connection that breaks is no fault of the
+        node's."""
         if self.family == socket.AF_UNIX:  # asyncio's own pair
             return False
         try:
@@ -144,7 +146,9 @@
     steps = [fault for fault in faults if fault.kind is FaultKind.CLOCK_STEP]
     calls = [fault for fault in faults if fault.kind is FaultKind.SYSTEM_CALLS]
     if steps:
-        step_wall_clock(lambda: sum(step.amount for step in steps if time.monotonic() >= world.began + step.at))
+        step_wall_clock(
+            lambda: sum(step.amount for step in steps if time.monotonic() >= world.began + step.at)
+        )
     if calls:
 
         class _Scheduled(CallFaults):
--- a/tuliptrack/lab/twin.py
+++ b/tuliptrack/lab/twin.py
@@ -1,8 +1,9 @@
-"""A whole fleet in one process: half-blind nodes, engines with caches, and a change in the middle, on a seeded clock.
+"""A whole fleet in one process: half-blind nodes, engines with caches, and a change in the middle, on a
+seeded clock.
 
-The nodes are `Router`s as they run; engines, links and clients are modelled, in whole microseconds. No sockets and no
-real time: a day of some ten seconds takes about as long to play. What a node believes of an engine can be held against
-the engine itself at any event (`Twin.now`, `Twin.engines`)."""
+The nodes are `Router`s as they run; engines, links and clients are modelled, in whole microseconds. No
+sockets and no real time: a day of some ten seconds takes about as long to play. What a node believes of an
+engine can be held against the engine itself at any event (`Twin.now`, `Twin.engines`)."""
 
 from __future__ import annotations
 
@@ -102,7 +103,9 @@
 
     def read(self, now: int, request: Request, us_per_token: float, warm: bool) -> tuple[int, float]:
         """Take a read in; when it will have ended, and the tokens that it found kept."""
-        found = request.prefix_tokens if warm else min(self.kept.get(request.prefix, 0.0), request.prefix_tokens)
+        found = (
+            request.prefix_tokens if warm else min(self.kept.get(request.prefix, 0.0), request.prefix_tokens)
+        )
         unread = request.prompt_tokens - found
         self.free_at = max(self.free_at, now) + int(unread * us_per_token) + 5_000
         self.reads.append((self.free_at, unread))
@@ -144,7 +147,8 @@
         return sum(c["in time"] for c in seen) / max(sum(c.total() for c in seen), 1)
 
     def recovered(self, since: int, level: float = 0.9) -> int | None:
-        """Microseconds after `since` from which on each second had `level` served in time; None if that never came."""
+        """Microseconds after `since` from which on each second had `level` served in time; None if that never
+        came."""
         low = [s for s, c in self.by_second.items() if s * _S >= since and c["in time"] < level * c.total()]
         if not low:
             return 0
@@ -171,7 +175,9 @@
 class Twin:
     """Plays one day. `policy` makes what decides at a node, from its settings, its seed and this day."""
 
-    def __init__(self, fleet: Fleet, seed: int, policy: Callable[[Settings, int, Twin], Policy] | None = None) -> None:
+    def __init__(
+        self, fleet: Fleet, seed: int, policy: Callable[[Settings, int, Twin], Policy] | None = None
+    ) -> None:
         self.fleet, self.random, self.now = fleet, Random(seed), 0
         self.policy = policy or (lambda settings, number, _: Router(settings, number))
         self.settings = Settings(
@@ -208,7 +214,9 @@
         fleet = self.fleet
         weights = list(accumulate(1 / (n + 8) for n in range(fleet.prefixes)))
         at, more = 0.0, False
-        while (at := at + self.random.expovariate(fleet.rate * (fleet.burst if more else 1.0) / _S)) < fleet.ends:
+        while (
+            at := at + self.random.expovariate(fleet.rate * (fleet.burst if more else 1.0) / _S)
+        ) < fleet.ends:
             more = fleet.changes <= at < fleet.changes + fleet.within
             prefix = 1 + self.random.choices(range(fleet.prefixes), cum_weights=weights)[0]
             prefix = fleet.prefixes + 1 if more and self.random.random() < fleet.hot else prefix
@@ -256,7 +264,8 @@
             self._at(self.now + self.random.randrange(200_000), self._tell, i, change)
 
     def _restart(self, number: int) -> None:
-        """A node comes back with nothing known; what it had open is lost to its clients, who count as failed."""
+        """A node comes back with nothing known; what it had open is lost to its clients, who count as
+        failed."""
         for asked in self.asked.values():
             if asked.node == number and not asked.answered:
                 self._final(asked, "lost")
@@ -313,7 +322,9 @@
 
     def _reach(self, asked: _Asked, attempt: int, engine: Engine, sent: int) -> None:
         if engine.info.kind == 0:
-            done, found = engine.read(self.now, asked.request, self.fleet.read_us_per_token, self.now < self.fleet.warms)
+            done, found = engine.read(
+                self.now, asked.request, self.fleet.read_us_per_token, self.now < self.fleet.warms
+            )
             if asked.at >= self.fleet.changes + _S:
                 self._tokens += asked.request.prompt_tokens
                 self._found += found
@@ -400,7 +411,9 @@
         return out
 
     def up(self, kind: int) -> list[Engine]:
-        return [e for e in self.twin.engines.values() if e.info.kind == kind and e.info.state is ServerState.READY]
+        return [
+            e for e in self.twin.engines.values() if e.info.kind == kind and e.info.state is ServerState.READY
+        ]
 
     def pick(self, kind: int, request: Request) -> int:
         raise NotImplementedError
@@ -414,7 +427,8 @@
 
 
 class LateSeeing(_Plain):
-    """Sees every engine as it truly is, and minds no cold one: where a prompt will have been read the soonest."""
+    """Sees every engine as it truly is, and minds no cold one: where a prompt will have been read the
+    soonest."""
 
     def pick(self, kind: int, request: Request) -> int:
         def soon(e: Engine) -> float:
--- a/tuliptrack/lab/wire.py
+++ b/tuliptrack/lab/wire.py
@@ -14,7 +14,8 @@
 
 
 class Cut(Flag):
-    """What doesn't come through. Bytes are held back, as by a network that drops packets: both ends see an open connection."""
+    """What doesn't come through. Bytes are held back, as by a network that drops packets: both ends see an
+    open connection."""
 
     NOTHING = 0
     THERE = auto()
--- a/tuliptrack/node/attempt_state.py
+++ b/tuliptrack/node/attempt_state.py
@@ -1,12 +1,14 @@
-"""What an attempt's state allows now: the one place that is asked before anything is sent, repeated, let go or refused.
+"""What an attempt's state allows now: the one place that is asked before anything is sent, repeated, let go
+or refused.
 
     NOT_SENT ──▶ POSSIBLE ──▶ CONFIRMED ──▶ (ended)
 
-Two questions are asked of an attempt, and their safe sides are opposite. *May it have run?* is yes as soon as its last byte
-was written, since that may have arrived. *Has it arrived?* is yes only on words of engines themselves: one on that connection
-and after the send, or those that together leave no other account of it (`relay/corroboration.py`). What the kernel says of
-the connection tells nothing of a process behind it, as a machine, a proxy or a middlebox may confirm bytes that nobody ever
-reads. Nothing else may stand in for either question.
+Two questions are asked of an attempt, and their safe sides are opposite. *May it have run?* is yes as soon as
+its last byte was written, since that may have arrived. *Has it arrived?* is yes only on words of engines
+themselves: one on that connection and after the send, or those that together leave no other account of it
+(`relay/corroboration.py`). What the kernel says of the connection tells nothing of a process behind it, as a
+machine, a proxy or a middlebox may confirm bytes that nobody ever reads. Nothing else may stand in for either
+question.
 
 All times are monotonic microseconds.
 """
@@ -30,7 +32,8 @@
 ]
 
 HELD_UP_US = 150_000
-"""For so long a node may be held up between reading its clock and the bytes on the wire (the platform's figure)."""
+"""For so long a node may be held up between reading its clock and the bytes on the wire (the platform's
+figure)."""
 
 
 class Delivery(Enum):
@@ -86,7 +89,8 @@
 
 
 def may_repeat(effect: Effect, ran_at: int, window: int, now: int) -> Verdict:
-    """Whether a further attempt may be written now; `ran_at` is the earliest time at which one may have run, 0 if none."""
+    """Whether a further attempt may be written now; `ran_at` is the earliest time at which one may have run,
+    0 if none."""
     if not ran_at or effect is Effect.SAFE:
         return Verdict.YES
     if effect is Effect.UNSAFE:
@@ -95,8 +99,8 @@
 
 
 def repeat_by(effect: Effect, ran_at: int, window: int) -> int:
-    """By when a further attempt of what may have run has to be written, lest it arrive when its window is over; 0: at any
-    time."""
+    """By when a further attempt of what may have run has to be written, lest it arrive when its window is
+    over; 0: at any time."""
     if not ran_at or effect is not Effect.KEYED:
         return 0
     return ran_at + max(window - HELD_UP_US, window // 2)
--- a/tuliptrack/node/bills.py
+++ b/tuliptrack/node/bills.py
@@ -1,8 +1,9 @@
-"""Budgets and bills of a running node: what the core's requests become in `decisions/budgets.py` and in the ledger.
+"""Budgets and bills of a running node: what the core's requests become in `decisions/budgets.py` and in the
+ledger.
 
-A part of a bill is written when its request ends, and while it streams at each commit, so that a killed node loses at
-most what has left since the last one. Commits run in a thread, one at a time. Where they fail, parts wait (bounded);
-then new requests are refused, or served unbilled and counted, as the settings have it."""
+A part of a bill is written when its request ends, and while it streams at each commit, so that a killed node
+loses at most what has left since the last one. Commits run in a thread, one at a time. Where they fail, parts
+wait (bounded); then new requests are refused, or served unbilled and counted, as the settings have it."""
 
 from __future__ import annotations
 
@@ -72,13 +73,21 @@
         found = self.ledger.recovery
         self.failing = found.trouble
         log.info(
-            "ledger open", batches=found.batches, cut_off=found.cut, ms=round(found.took_us / 1000, 1), trouble=found.trouble
+            "ledger open",
+            batches=found.batches,
+            cut_off=found.cut,
+            ms=round(found.took_us / 1000, 1),
+            trouble=found.trouble,
+        )
+        longest = max(
+            (w.length for ws in self.options.windows.values() for w in ws if w.length > LONG_US), default=0
         )
-        longest = max((w.length for ws in self.options.windows.values() for w in ws if w.length > LONG_US), default=0)
         if self.budgets and longest:
             wall = now + self.wall
             for bill in fold(await asyncio.to_thread(self.ledger.used_since, wall - wall % longest)):
-                self.budgets.recovered(now, bill.tenant, self.budgets.units(bill.read, bill.kept, bill.written))
+                self.budgets.recovered(
+                    now, bill.tenant, self.budgets.units(bill.read, bill.kept, bill.written)
+                )
 
     async def close(self) -> None:
         if self._task:
@@ -102,7 +111,9 @@
             return Verdict(False)
         ask = record.ask
         kept = ask.prefix_tokens if ask.prefix else 0
-        return self.budgets.ask(now, ask.tenant, cls, ask.prompt_tokens, kept, ask.max_tokens - ask.resume_index)
+        return self.budgets.ask(
+            now, ask.tenant, cls, ask.prompt_tokens, kept, ask.max_tokens - ask.resume_index
+        )
 
     def let_in(self, now: int, record: Record, cls: int, verdict: Verdict) -> None:
         record.price = self._price(now + self.wall)
@@ -178,7 +189,8 @@
                 await self._compact()
 
     def tell(self) -> None:
-        """One line for the operators: who uses most, and how far off the reservations are, in tokens of weight 1."""
+        """One line for the operators: who uses most, and how far off the reservations are, in tokens of
+        weight 1."""
         if self.budgets is None:
             return
         uses = [one.use for one in self.budgets.tenants.values()]
--- a/tuliptrack/node/calls.py
+++ b/tuliptrack/node/calls.py
@@ -26,7 +26,8 @@
 ENGINE = "/tuliptrack.v1.Engine/"
 _SHORT_CALL = 1_000_000  # microseconds for Release, Hold and Probe, which wait in no queue
 _RELEASE_TRIES = (250_000, _SHORT_CALL)
-"""Microseconds for each try of a release: by the second one a silent connection is doubted and another one used."""
+"""Microseconds for each try of a release: by the second one a silent connection is doubted and another one
+used."""
 _RELEASE_TRAVEL_US = 60_000  # a release takes so long at most to its engine, on a busy machine too
 _FINISH = {generation_pb2.STOP: Finish.STOP, generation_pb2.LENGTH: Finish.LENGTH}
 _HOW = {io.Status.TIMEOUT: How.TIMEOUT, io.Status.RESET: How.RESET}
@@ -166,7 +167,9 @@
             self._engine_fault(record, attempt, "malformed GenerateResponse")
             return
         if not self._in_order(record, message):
-            self._engine_fault(record, attempt, f"token {message.index} came, {record.next_index} was to come")
+            self._engine_fault(
+                record, attempt, f"token {message.index} came, {record.next_index} was to come"
+            )
             return
         if not self.core.answers(record, attempt):
             return
@@ -176,14 +179,17 @@
             record.finish = _FINISH.get(message.finish_reason, Finish.STOP)
             ask = record.ask
             usage = Usage(ask.prompt_tokens, record.cached_tokens, record.next_index - ask.resume_index)
-        self.core.passed(record, attempt, record.answer.token(message.index, message.text, record.finish, usage))
+        self.core.passed(
+            record, attempt, record.answer.token(message.index, message.text, record.finish, usage)
+        )
 
     def _in_order(self, record: Record, message: generation_pb2.GenerateResponse) -> bool:
         """No token reaches a client twice, out of turn, or after the last one."""
         return message.index == record.next_index and not record.finish
 
     def release(self, server: int, record: Record, unsure: bool = False) -> None:
-        """Tell an engine to let go of what it holds; once more where that call broke or has had no answer for a while."""
+        """Tell an engine to let go of what it holds; once more where that call broke or has had no answer for
+        a while."""
         self._release(server, record, _RELEASE_TRIES)
 
     def _release(self, server: int, record: Record, timeouts: tuple[int, ...]) -> None:
@@ -196,7 +202,9 @@
                 self._release(server, record, timeouts[1:])
 
         request = engine_pb2.ReleaseRequest(request_id=record.name)
-        channel.call(ENGINE + "Release", message=request.SerializeToString(), timeout=timeouts[0], on_end=ended)
+        channel.call(
+            ENGINE + "Release", message=request.SerializeToString(), timeout=timeouts[0], on_end=ended
+        )
 
     def release_late(self, server: int, record: Record) -> None:
         """What it comes to hold ends by its own lease."""
@@ -210,12 +218,18 @@
             return
 
         def ended(end: End) -> None:
-            held = end.status.code is Code.OK and bool(got) and engine_pb2.HoldResponse.FromString(got[0]).held
+            held = (
+                end.status.code is Code.OK and bool(got) and engine_pb2.HoldResponse.FromString(got[0]).held
+            )
             self.core.place_noted(record, attempt, server, held)
 
         request = engine_pb2.HoldRequest(work=self._work(record, attempt))
         channel.call(
-            ENGINE + "Hold", message=request.SerializeToString(), timeout=_SHORT_CALL, on_message=got.append, on_end=ended
+            ENGINE + "Hold",
+            message=request.SerializeToString(),
+            timeout=_SHORT_CALL,
+            on_message=got.append,
+            on_end=ended,
         )
 
     def probe(self, server: int, done: Callable[[io.ProbeResult], None]) -> None:
@@ -225,7 +239,9 @@
                 ENGINE + "Probe",
                 message=b"",
                 timeout=_SHORT_CALL,
-                on_end=lambda end: done(io.ProbeResult(server, outcome_of(end), now_us() - sent, load_of(end, server))),
+                on_end=lambda end: done(
+                    io.ProbeResult(server, outcome_of(end), now_us() - sent, load_of(end, server))
+                ),
             )
 
     def close_idle(self, server: int) -> None:
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -1,10 +1,10 @@
-"""The core of every node: clients' requests become events of the router, its actions become attempts at engines.
+"""The core of every node: clients' requests become events of the router, its actions become attempts at
+engines.
 
-Nothing about routing is decided here, and no protocol is known. Fronts come in through `fronts/port.py`, engines are
-behind `node/port.py`. What the core itself holds: that an attempt never outlives its client's deadline unless it has
-begun to answer, that each request ends once (`requests.Table`), that a slow client stops its own engine stream and
-nothing else, and that timers end with it.
-"""
+Nothing about routing is decided here, and no protocol is known. Fronts come in through `fronts/port.py`,
+engines are behind `node/port.py`. What the core itself holds: that an attempt never outlives its client's
+deadline unless it has begun to answer, that each request ends once (`requests.Table`), that a slow client
+stops its own engine stream and nothing else, and that timers end with it."""
 
 from __future__ import annotations
 
@@ -68,7 +68,8 @@
     ) -> None:
         self.settings, self.limits, self.instance = settings, limits, instance
         self.router = Router(settings, seed)
-        """That of engines without a label; it also keeps the subscription, and what routers of all models share."""
+        """That of engines without a label; it also keeps the subscription, and what routers of all models
+        share."""
         self.table = Table(instance)
         self.admission = Admission(admission)
         self.engines: Engines
@@ -105,11 +106,13 @@
     # -- what a node may add
 
     def choose(self, ask: Ask) -> tuple[Model, Router, str]:
-        """The model and router of a request, and why it is refused, if it is; AskError where it names nothing served."""
+        """The model and router of a request, and why it is refused, if it is; AskError where it names nothing
+        served."""
         return Model(), self.router, ""
 
     def admit(self, now: int, record: Record, cls: int) -> tuple[str, int, bool]:
-        """Why a request is refused (empty: it isn't), when to come back, and whether it's past its tenant's budget."""
+        """Why a request is refused (empty: it isn't), when to come back, and whether it's past its tenant's
+        budget."""
         return "", 0, False
 
     def began(self, record: Record) -> None:
@@ -132,8 +135,8 @@
         return self._now
 
     def tell(self, event: io.Event, router: Router | None = None) -> None:
-        """The one way in for events: each is handled, its actions carried out, before the next. What is of a request
-        goes to its router; the rest to the one named, or that which keeps the subscription."""
+        """The one way in for events: each is handled, its actions carried out, before the next. What is of a
+        request goes to its router; the rest to the one named, or that which keeps the subscription."""
         self._events.append((event, router))
         if self._running:
             return
@@ -204,13 +207,15 @@
         return "", 0
 
     def _call_due(self, record: Record) -> None:
-        """The client's deadline for the whole call is about to pass: what streams is ended in time. What hasn't
-        begun is the router's, by the attempt's time-out."""
+        """The client's deadline for the whole call is about to pass: what streams is ended in time. What
+        hasn't begun is the router's, by the attempt's time-out."""
         self._due.pop(record.id, None)
         if record.state is State.STREAMING:
             if record.ask.deadline is None:
                 return  # What has begun has no deadline.
-            self._break(record, Failure.DEADLINE, "the client's deadline came in mid-stream", io.Status.TIMEOUT)
+            self._break(
+                record, Failure.DEADLINE, "the client's deadline came in mid-stream", io.Status.TIMEOUT
+            )
         elif not record.ended and record.out is None:
             log.error("request unanswered at its deadline", request=record.id, state=record.state.value)
             self._give_up(record.id)
@@ -222,12 +227,15 @@
             return
         self.tell(io.ClientGone(record.id))
         if record.out and record.out.call and (streaming or not may_have_run(record.out.call.delivery())):
-            record.out.call.cancel(io.Status.CANCELLED)  # What nobody reads ends; what has not begun never does.
+            record.out.call.cancel(
+                io.Status.CANCELLED
+            )  # What nobody reads ends; what has not begun never does.
         self._settle(record)
 
     def wanted(self, record: Record, server: int) -> bool:
-        """Whether an attempt there may still begin, as its connection is there: its client may have gone though the loop has
-        not read that yet, and the server may have begun to drain since the attempt was decided."""
+        """Whether an attempt there may still begin, as its connection is there: its client may have gone
+        though the loop has not read that yet, and the server may have begun to drain since the attempt was
+        decided."""
         return bool(self._may_begin(record, server, in_flight=False))
 
     def _may_begin(self, record: Record, server: int, in_flight: bool) -> Verdict:
@@ -244,7 +252,9 @@
             record.trace.add(self.now(), f"not sent to {server}: {verdict.value}")
             self.counters.add(f"not_sent_{verdict.name.lower()}")
             if verdict in _NEVER_ORDERED:
-                self.counters.violated(verdict.name.lower(), record.trace, request=record.id, call_id=record.ask.call_id)
+                self.counters.violated(
+                    verdict.name.lower(), record.trace, request=record.id, call_id=record.ask.call_id
+                )
         return verdict
 
     def _class_of(self, record: Record) -> io.RequestClass:
@@ -274,7 +284,9 @@
         if not verdict or not reached or seat is None:
             status = io.Status.CONNECT_FAILED if not reached and not record.ended else io.Status.MOOT
             record.untold += 1
-            self._events.append((io.Outcome(record.id, attempt.number, action.server, status, 0, record.ended), None))
+            self._events.append(
+                (io.Outcome(record.id, attempt.number, action.server, status, 0, record.ended), None)
+            )
             return
         left = record.due - now
         if record.held:
@@ -296,8 +308,9 @@
         self.sent(record, attempt, action)
 
     def _repeat_by(self, record: Record) -> int:
-        """By when a further attempt of what may have run has to be sent, lest its engine take it for another request: within
-        the window for repeats, counted from the earliest moment that the first may have run; 0: at any time."""
+        """By when a further attempt of what may have run has to be sent, lest its engine take it for another
+        request: within the window for repeats, counted from the earliest moment that the first may have run;
+        0: at any time."""
         cls = self._class_of(record)
         return repeat_by(cls.effect, record.ran_at, cls.dedup_window)
 
@@ -316,7 +329,8 @@
         self.states.hold(record, held)
 
     def answers(self, record: Record, attempt: Attempt) -> bool:
-        """A part of the answer has come; True where it is to be passed on. With the first one the stream has begun."""
+        """A part of the answer has come; True where it is to be passed on. With the first one the stream has
+        begun."""
         if record.out is not attempt or record.ended:
             return False
         now = record.heard_at = self.now()
@@ -401,8 +415,11 @@
         return self._after_stream(record, ended)
 
     def _after_end(self, record: Record, attempt: Attempt, ended: Ended) -> _Told:
-        """The request had ended before its attempt. A read that ended well has left a state, which is to be let go."""
-        read = record.held is not None and record.held.server == attempt.server and ended.status is io.Status.OK
+        """The request had ended before its attempt. A read that ended well has left a state, which is to be
+        let go."""
+        read = (
+            record.held is not None and record.held.server == attempt.server and ended.status is io.Status.OK
+        )
         return _Told(io.Status.READ if read else ended.status, ended.state_lost)
 
     def _after_read(self, record: Record, ended: Ended) -> _Told:
@@ -415,7 +432,8 @@
         return _Told(status, ended.state_lost)
 
     def _after_no_token(self, record: Record, attempt: Attempt, ended: Ended) -> _Told:
-        """An attempt at a writer is over without a token. Its state is held on, or the prompt has to be read anew."""
+        """An attempt at a writer is over without a token. Its state is held on, or the prompt has to be read
+        anew."""
         status = io.Status.ERROR if ended.status is io.Status.OK else ended.status
         lost = self.states.lost_with(record, attempt, ended)
         record.go(State.HELD if record.held else State.TAKEN)
@@ -490,7 +508,9 @@
     def _hand_back(self, action: io.HandBack) -> None:
         record = self.table.open.get(action.id)
         if record and record.state is State.STREAMING:
-            self._break(record, Failure.HANDED_BACK, "the stream is handed back to be resumed", io.Status.CANCELLED)
+            self._break(
+                record, Failure.HANDED_BACK, "the stream is handed back to be resumed", io.Status.CANCELLED
+            )
 
     def _set_timer(self, action: io.SetTimer) -> None:
         router = self._acting
@@ -541,7 +561,9 @@
             cached_tokens=record.cached_tokens,
             tokens=record.next_index - ask.resume_index,
             ms=round((now - record.taken_at) / 1000, 1),
-            first_ms=round((record.first_token_at - record.taken_at) / 1000, 1) if record.first_token_at else None,
+            first_ms=round((record.first_token_at - record.taken_at) / 1000, 1)
+            if record.first_token_at
+            else None,
             steps=str(record.trace),
         )
 
@@ -556,12 +578,17 @@
             if record.state is not State.STREAMING:
                 continue
             if record.paused_at and now - record.paused_at > self.limits.client_stall:
-                self._break(record, Failure.STALLED, "the client leaves its answer unread", io.Status.CANCELLED)
+                self._break(
+                    record, Failure.STALLED, "the client leaves its answer unread", io.Status.CANCELLED
+                )
             elif not record.paused_at and now - record.heard_at > self.limits.token_silence:
-                self._break(record, Failure.BROKEN, "the engine has gone silent in mid-stream", io.Status.RESET)
+                self._break(
+                    record, Failure.BROKEN, "the engine has gone silent in mid-stream", io.Status.RESET
+                )
 
     def cut(self, since: int = 0) -> None:
-        """The grace is over: what is open and came after `since` ends, as refused only where nothing of it can have run."""
+        """The grace is over: what is open and came after `since` ends, as refused only where nothing of it
+        can have run."""
         reason = "this node has shut down"
         for record in list(self.table.open.values()):
             if record.taken_at < since:
--- a/tuliptrack/node/counters.py
+++ b/tuliptrack/node/counters.py
@@ -1,4 +1,5 @@
-"""What a node counts of itself, for operators: events by name, and broken invariants with the request's own history."""
+"""What a node counts of itself, for operators: events by name, and broken invariants with the request's own
+history."""
 
 from __future__ import annotations
 
--- a/tuliptrack/node/engines.py
+++ b/tuliptrack/node/engines.py
@@ -1,4 +1,5 @@
-"""The engines as the node reaches them: a channel for each server of the list, and load reports read from trailers."""
+"""The engines as the node reaches them: a channel for each server of the list, and load reports read from
+trailers."""
 
 from __future__ import annotations
 
@@ -30,7 +31,8 @@
 
 
 def outcome_of(end: End) -> Status:
-    """What the router is told of a call's end. A call that the peer never looked at counts as not connected."""
+    """What the router is told of a call's end. A call that the peer never looked at counts as not
+    connected."""
     if end.how is How.CONNECT or (end.unprocessed and end.how is How.RESET):
         return Status.CONNECT_FAILED
     if end.how is How.STATUS:
@@ -51,7 +53,11 @@
         return ()
     named = report.named_metrics
     values = (named.get("in_flight", 0.0), report.mem_utilization, named.get("tokens_waiting_k", 0.0))
-    wrong = [name for name, v in zip(REPORT_FIELDS, values, strict=True) if not math.isfinite(v) or not 0 <= v < 1e9]
+    wrong = [
+        name
+        for name, v in zip(REPORT_FIELDS, values, strict=True)
+        if not math.isfinite(v) or not 0 <= v < 1e9
+    ]
     if wrong:
         log.warning("load report not taken", server=server, reason=f"{wrong[0]}: not a number from 0 to 1e9")
         return ()
@@ -59,7 +65,8 @@
 
 
 class Engines:
-    """One channel for each server that was listed. A server that has gone keeps its channel while calls run there."""
+    """One channel for each server that was listed. A server that has gone keeps its channel while calls run
+    there."""
 
     def __init__(self, options: EngineOptions, message_bytes: int) -> None:
         self.idle = options.idle
@@ -76,8 +83,8 @@
         self._old: list[Channel] = []
 
     def listed(self, addresses: dict[int, str], gone: set[int]) -> None:
-        """Take the addresses of a list. A server under a new address gets a new channel; the old one ends with
-        its calls."""
+        """Take the addresses of a list. A server under a new address gets a new channel; the old one ends
+        with its calls."""
         for server, address in addresses.items():
             if self.addresses.get(server) != address:
                 self._retire(server)
--- a/tuliptrack/node/held_states.py
+++ b/tuliptrack/node/held_states.py
@@ -1,13 +1,13 @@
 """The leases of read states: each is taken by an attempt or let go within the time that the settings allow.
 
-A state is held from the end of its read, or perhaps from the moment that a read broke off. Its lease runs until an attempt
-that came for it has surely arrived (`attempt_state.has_arrived`): one that was written and has brought no word may be on a
-silent connection. So when the lease is over the state is let go beside such an attempt. Where that did arrive, the engine
-spares what it waits for; where it arrives later, the engine says that the state is gone and the prompt is read anew.
+A state is held from the end of its read, or perhaps from the moment that a read broke off. Its lease runs
+until an attempt that came for it has surely arrived (`attempt_state.has_arrived`): one that was written and
+has brought no word may be on a silent connection. So when the lease is over the state is let go beside such
+an attempt. Where that did arrive, the engine spares what it waits for; where it arrives later, the engine
+says that the state is gone and the prompt is read anew.
 
-Nothing is let go beside a read that brings no word: engines do not spare one that runs (measured, see the incident's page), so
-what its answer was to tell of is let go when the read is given up.
-"""
+Nothing is let go beside a read that brings no word: engines do not spare one that runs (measured, see the
+incident's page), so what its answer was to tell of is let go when the read is given up."""
 
 from __future__ import annotations
 
@@ -42,8 +42,11 @@
 
     @property
     def lease(self) -> int:
-        """Microseconds after which a state is let go, early enough for the release to arrive within the time allowed."""
-        return max(self.release_within - self._engines().release_travel, int(self.release_within * _LEAST_LEASE))
+        """Microseconds after which a state is let go, early enough for the release to arrive within the time
+        allowed."""
+        return max(
+            self.release_within - self._engines().release_travel, int(self.release_within * _LEAST_LEASE)
+        )
 
     def hold(self, record: Record, held: Held) -> None:
         """A read has ended well: its state is held from now on."""
@@ -89,8 +92,8 @@
             self._engines().release_late(server, record)
 
     def release(self, record: Record) -> None:
-        """Let go of what is held, if anything is or may be. While an attempt is out it stays on record: what that waits for
-        is spared, and let go when it ends."""
+        """Let go of what is held, if anything is or may be. While an attempt is out it stays on record: what
+        that waits for is spared, and let go when it ends."""
         self._ask_release(record)
         if record.out is None:
             self.drop(record)
@@ -119,8 +122,8 @@
             record.hold_timer = None
 
     def read_broke_off(self, record: Record, attempt: Attempt) -> None:
-        """A read may have ended well as it broke off, or may yet. Where one release is for everything, it is made when no
-        further attempt follows; an answer's first token makes it needless."""
+        """A read may have ended well as it broke off, or may yet. Where one release is for everything, it is
+        made when no further attempt follows; an answer's first token makes it needless."""
         if self._engines().one_release_for_all:
             record.maybe_held = attempt.server
             self.restart(record)
@@ -128,8 +131,9 @@
             self._engines().release(attempt.server, record)
 
     def attempt_ended(self, record: Record, attempt: Attempt, ended: Ended) -> None:
-        """An attempt is over. Where one at a writer ended without a word, by our own hand or its connection's, its engine may
-        see that later than a release gets to another one, which then has spared what that attempt was waiting for."""
+        """An attempt is over. Where one at a writer ended without a word, by our own hand or its
+        connection's, its engine may see that later than a release gets to another one, which then has spared
+        what that attempt was waiting for."""
         if self._lease_was_stopped(record):
             self.restart(record)
         sent = ended.status not in (io.Status.CONNECT_FAILED, io.Status.MOOT)
@@ -147,11 +151,13 @@
         return held and record.hold_timer is None and not record.release_asked
 
     def lost_with(self, record: Record, attempt: Attempt, ended: Ended) -> bool:
-        """An attempt at a writer is over without a token: whether the prompt has to be read anew. The state is held on as long
-        as its lease allows; only what has surely arrived begins the lease anew. After a release beside an attempt that never
-        spoke the state is most likely gone: to try it elsewhere costs more than to read the prompt (measured)."""
+        """An attempt at a writer is over without a token: whether the prompt has to be read anew. The state
+        is held on as long as its lease allows; only what has surely arrived begins the lease anew. After a
+        release beside an attempt that never spoke the state is most likely gone: to try it elsewhere costs
+        more than to read the prompt (measured)."""
         no_connection_in_time = (
-            ended.status is io.Status.CONNECT_FAILED and 0 < attempt.connect_by <= self._now() + _TIMER_EARLY_US
+            ended.status is io.Status.CONNECT_FAILED
+            and 0 < attempt.connect_by <= self._now() + _TIMER_EARLY_US
         )
         if ended.state_lost or no_connection_in_time or (record.release_asked and not ended.received):
             self.release(record)  # Also where it is said to be gone: the word may be wrong.
--- a/tuliptrack/node/line_file.py
+++ b/tuliptrack/node/line_file.py
@@ -1,8 +1,7 @@
 """A file of whole lines that grows at its end, on disk when an append returns.
 
-An append that fails leaves the file as it was, so that it can be made anew. Where a process was killed in the middle of one,
-the half line that it left is cut off by the next append.
-"""
+An append that fails leaves the file as it was, so that it can be made anew. Where a process was killed in the
+middle of one, the half line that it left is cut off by the next append."""
 
 from __future__ import annotations
 
@@ -25,7 +24,9 @@
             _write_at(descriptor, text.encode(), end)
             os.fsync(descriptor)
         except OSError:
-            with contextlib.suppress(OSError):  # What is left then is cut off by the next append, if it is no whole line.
+            with contextlib.suppress(
+                OSError
+            ):  # What is left then is cut off by the next append, if it is no whole line.
                 os.ftruncate(descriptor, end)
             raise
     finally:
--- a/tuliptrack/node/logs.py
+++ b/tuliptrack/node/logs.py
@@ -18,12 +18,14 @@
 
 
 def set_up(json_lines: bool, quiet: bool = False, colours: bool | None = None) -> None:
-    """Configure structlog for the process; `quiet` keeps warnings and worse; `colours` None: on a terminal."""
+    """Configure structlog for the process; `quiet` keeps warnings and worse; `colours` None: on a
+    terminal."""
     renderer: structlog.typing.Processor = (
         structlog.processors.JSONRenderer()
         if json_lines
         else structlog.dev.ConsoleRenderer(
-            colors=_on_a_terminal() if colours is None else colours, exception_formatter=structlog.dev.plain_traceback
+            colors=_on_a_terminal() if colours is None else colours,
+            exception_formatter=structlog.dev.plain_traceback,
         )
     )
     chain: list[structlog.typing.Processor] = [
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -1,4 +1,5 @@
-"""The running node that speaks gRPC: the core with its fronts, engines and server lists, models, budgets and zones."""
+"""The running node that speaks gRPC: the core with its fronts, engines and server lists, models, budgets and
+zones."""
 
 from __future__ import annotations
 
@@ -51,7 +52,8 @@
 
     def __init__(self, config: NodeConfig, source: Source | None = None) -> None:
         self.config = config
-        # All nodes share wall time: its offset is taken once, so that later jumps of the clock change nothing.
+        # All nodes share wall time: its offset is taken once, so that later jumps of the clock change
+        # nothing.
         settings = replace(config.settings, epoch_offset=wall_us() - now_us())
         limits = config.limits
         self._seed = config.seed or secrets.randbits(63)
@@ -60,7 +62,11 @@
             self._seed,
             secrets.token_hex(6),
             CoreLimits(
-                limits.tokens, limits.bytes_per_token, limits.answer_ahead, limits.client_stall, config.engines.token_silence
+                limits.tokens,
+                limits.bytes_per_token,
+                limits.answer_ahead,
+                limits.client_stall,
+                config.engines.token_silence,
             ),
             AdmissionLimits(limits.open_requests, limits.tenant_requests, limits.connection_requests),
         )
@@ -143,7 +149,9 @@
             self._sweeper.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._sweeper
-        if self._saver:  # Its thread can't be broken off: it writes to its end, as a file that is half made helps nobody.
+        if (
+            self._saver
+        ):  # Its thread can't be broken off: it writes to its end, as a file that is half made helps nobody.
             await self._saver
         self.account.write(self.account.book())
         await self.bills.close()
@@ -164,7 +172,10 @@
         self.channels.listed(listing.addresses, before - set(self.roster.held))
         if listing.change.kind in (io.ListKind.FULL, io.ListKind.DELTA):
             log.info(
-                "server list", kind=listing.change.kind.value, version=listing.change.version, servers=len(self.roster.held)
+                "server list",
+                kind=listing.change.kind.value,
+                version=listing.change.version,
+                servers=len(self.roster.held),
             )
             if self.config.source.cache:
                 self._keep()
@@ -192,7 +203,12 @@
 
     def _look_at_zones(self) -> None:
         """Tell the operators of zones that lack readers or writers: each request there must cross."""
-        seats = [s for router in self.routers.values() for s in router.seats.values() if s.info.state is io.ServerState.READY]
+        seats = [
+            s
+            for router in self.routers.values()
+            for s in router.seats.values()
+            if s.info.state is io.ServerState.READY
+        ]
         zones = {s.info.zone for s in seats} | {self.settings.zone, *range(len(self.config.zones.names))}
         lacking = {
             (self.account.name(zone), role.value)
@@ -221,7 +237,9 @@
     def choose(self, ask: Ask) -> tuple[Model, Router, str]:
         model, reason = Model(), ""
         try:
-            model = self.models.choose(ask.model, ask.model_version, f"{ask.tenant}\0{ask.session or ask.prompt}")
+            model = self.models.choose(
+                ask.model, ask.model_version, f"{ask.tenant}\0{ask.session or ask.prompt}"
+            )
         except NotServed as error:
             if not error.known:
                 raise AskError(error.field, error.reason, unknown=True) from None
@@ -271,7 +289,16 @@
                 assert attempt.cause
                 attempt.moves.append(
                     self.account.take(
-                        Move(record.ask.request_class, record.ask.tenant, stage, source, target, attempt.cause, size, count)
+                        Move(
+                            record.ask.request_class,
+                            record.ask.tenant,
+                            stage,
+                            source,
+                            target,
+                            attempt.cause,
+                            size,
+                            count,
+                        )
                     )
                 )
 
@@ -308,7 +335,11 @@
 
         request = engine_pb2.UsageRequest(request_id=record.name)
         channel.call(
-            ENGINE + "Usage", message=request.SerializeToString(), timeout=_USAGE_CALL, on_message=got.append, on_end=ended
+            ENGINE + "Usage",
+            message=request.SerializeToString(),
+            timeout=_USAGE_CALL,
+            on_message=got.append,
+            on_end=ended,
         )
 
     def _booked_state(self, record: Record, attempt: Attempt, size: int) -> None:
--- a/tuliptrack/node/port.py
+++ b/tuliptrack/node/port.py
@@ -1,6 +1,5 @@
-"""What the core and its engines say to each other. An `Engines` carries attempts out in its protocol's words and tells
-the core what came of them; it decides nothing. The core knows no protocol.
-"""
+"""What the core and its engines say to each other. An `Engines` carries attempts out in its protocol's words
+and tells the core what came of them; it decides nothing. The core knows no protocol."""
 
 from __future__ import annotations
 
@@ -27,7 +26,8 @@
     state_lost: bool = False
     """The read state that it came for is gone; with `RESET`, most likely: it is let go to be sure."""
     load: tuple[float, ...] = ()
-    """The load report that came along, in the order of `Settings.report_fields`; nothing where there was none."""
+    """The load report that came along, in the order of `Settings.report_fields`; nothing where there was
+    none."""
     lone: bool = False
     """Only this one connection broke, or brought what can't be read."""
     unusable: bool = False
@@ -44,7 +44,8 @@
     """An attempt that is out."""
 
     def cancel(self, status: Status) -> None:
-        """Give it up: the engine sees its connection or stream end. The core is told of the end, as `status`, at once."""
+        """Give it up: the engine sees its connection or stream end. The core is told of the end, as `status`,
+        at once."""
 
     def delivery(self) -> Delivery:
         """How far it has come, as far as this node can know."""
@@ -53,7 +54,8 @@
         """The lease of what it came for ends soon: find out whether it has arrived, as far as that can be."""
 
     def doubt(self) -> None:
-        """It has brought no word for too long: its connection and its machine are not relied upon until they speak."""
+        """It has brought no word for too long: its connection and its machine are not relied upon until they
+        speak."""
 
     def pause(self) -> None:
         """Take no more of its answer for now."""
@@ -65,13 +67,14 @@
     """What carries out attempts. Ends are told through `Core.attempt_over`, never from within these calls."""
 
     reads_have_no_effect: bool
-    """A read is a call of its own. Where it is the request itself, an engine that hangs may find it and run it later."""
+    """A read is a call of its own. Where it is the request itself, an engine that hangs may find it and run
+    it later."""
     one_release_for_all: bool
-    """A release, at whatever engine, lets go of all that is held for a request but what an attempt waits for; so does the
-    first token of an answer."""
+    """A release, at whatever engine, lets go of all that is held for a request but what an attempt waits for;
+    so does the first token of an answer."""
     release_travel: int
-    """Microseconds that a release may take until its engine has it, where the time for which a state may be held leaves
-    nothing for that."""
+    """Microseconds that a release may take until its engine has it, where the time for which a state may be
+    held leaves nothing for that."""
 
     def reaches(self, server: int) -> bool:
         """Whether a list has named this server's address."""
@@ -80,15 +83,16 @@
         """Make an attempt, for which the node will wait so many microseconds."""
 
     def release(self, server: int, record: Record, unsure: bool = False) -> None:
-        """Let go of what is held for a request and no attempt waits for; tried again where the engine wasn't reached.
-        `unsure`: a read was broken off and may still end well."""
+        """Let go of what is held for a request and no attempt waits for; tried again where the engine wasn't
+        reached. `unsure`: a read was broken off and may still end well."""
 
     def release_late(self, server: int, record: Record) -> None:
-        """An attempt at this engine ended without its word and the request is over: it may yet come to hold something, and is
-        asked to let go itself, until it answers."""
+        """An attempt at this engine ended without its word and the request is over: it may yet come to hold
+        something, and is asked to let go itself, until it answers."""
 
     def cancel_release(self, record: Record) -> None:
-        """Nothing is to be let go for this request any more: what is held now is newer, or an answer has taken it."""
+        """Nothing is to be let go for this request any more: what is held now is newer, or an answer has
+        taken it."""
 
     def hold(self, server: int, record: Record, attempt: Attempt) -> None:
         """Ask for a place; the word on it goes to `Core.place_noted`."""
--- a/tuliptrack/node/request_reader.py
+++ b/tuliptrack/node/request_reader.py
@@ -1,4 +1,5 @@
-"""The router's view of what a client asks; what can't be a request is turned down by the field that is at fault."""
+"""The router's view of what a client asks; what can't be a request is turned down by the field that is at
+fault."""
 
 from __future__ import annotations
 
@@ -55,8 +56,8 @@
         return self.settings.classes[self.classes[ask.request_class]]
 
     def read(self, ask: Ask, now: int) -> io.Request:
-        """The request, without its number; AskError names the field that can't be taken. Fills in what the client left open:
-        the prompt's tokens and the most that an answer may have."""
+        """The request, without its number; AskError names the field that can't be taken. Fills in what the
+        client left open: the prompt's tokens and the most that an answer may have."""
         number, tenant = self._class(ask), self._tenant(ask)
         if not ask.prompt and ask.payload is None:
             raise AskError("prompt", "is required")
@@ -81,7 +82,9 @@
     def _class(self, ask: Ask) -> int:
         number = self.classes.get(ask.request_class)
         if number is None:
-            raise AskError("request_class", f"{ask.request_class[:_NAME_SHOWN]!r} is not among {sorted(self.classes)}")
+            raise AskError(
+                "request_class", f"{ask.request_class[:_NAME_SHOWN]!r} is not among {sorted(self.classes)}"
+            )
         return number
 
     def _tenant(self, ask: Ask) -> int:
@@ -102,7 +105,9 @@
             guess = round(len(ask.prompt.encode()) / limits.bytes_per_token)
             ask.prompt_tokens = max(1, min(guess, limits.tokens))
         if ask.prefix_tokens > ask.prompt_tokens:
-            raise AskError("prefix_tokens", f"{ask.prefix_tokens} are more than the prompt's {ask.prompt_tokens}")
+            raise AskError(
+                "prefix_tokens", f"{ask.prefix_tokens} are more than the prompt's {ask.prompt_tokens}"
+            )
         ask.max_tokens = ask.max_tokens or limits.tokens
 
     def _check_resume(self, ask: Ask) -> None:
@@ -112,7 +117,8 @@
             raise AskError("resume.next_index", f"{ask.resume_index} is past max_tokens {ask.max_tokens}")
 
     def _time_left(self, ask: Ask, now: int) -> int:
-        """Microseconds for the first token: by the client's own deadline, else by its class and the prompt's length."""
+        """Microseconds for the first token: by the client's own deadline, else by its class and the prompt's
+        length."""
         by = ask.deadline if ask.first_by is None else ask.first_by
         if by is not None:
             return max(by - self.limits.answer_ahead - now, 1)
--- a/tuliptrack/node/requests.py
+++ b/tuliptrack/node/requests.py
@@ -7,10 +7,9 @@
       └──────────┴──────────┴─────────┴─────────────┴──▶ REFUSED, FAILED, LEFT
 
 TAKEN: no attempt out, nothing held. READING: an attempt at a reader is out. HELD: a read state waits, no
-attempt out. WRITING: an attempt at a writer (or mixed server) is out and has not answered. STREAMING: its first
-token has come. The four ends are final: `end` lets a request into one of them once and says whether it did. An
-attempt may still be out then; the record stays until the router has been told of its outcome.
-"""
+attempt out. WRITING: an attempt at a writer (or mixed server) is out and has not answered. STREAMING: its
+first token has come. The four ends are final: `end` lets a request into one of them once and says whether it
+did. An attempt may still be out then; the record stays until the router has been told of its outcome."""
 
 from __future__ import annotations
 
@@ -83,8 +82,8 @@
     state_bytes: int = 0
     """Bytes of that state that have come."""
     connect_by: int = 0
-    """When a connection for it must be up, lest the state that it comes for be held for too long, or the window for repeats be
-    over; 0: no such time."""
+    """When a connection for it must be up, lest the state that it comes for be held for too long, or the
+    window for repeats be over; 0: no such time."""
 
 
 @dataclass(slots=True)
@@ -126,14 +125,16 @@
     maybe_held: int | None = None
     """A server at which a read was broken off: it may hold a state all the same."""
     held_at: int = 0
-    """Since when the state may have been held with no attempt at an engine: the end of its read, or of the last attempt that
-    had surely arrived."""
+    """Since when the state may have been held with no attempt at an engine: the end of its read, or of the
+    last attempt that had surely arrived."""
     release_asked: bool = False
     """A release was sent since, in case the attempt that is out never reached its engine."""
     release_may_cross: bool = False
-    """An attempt at a writer ended without a word: a release may overtake the news of that, so one is not enough."""
+    """An attempt at a writer ended without a word: a release may overtake the news of that, so one is not
+    enough."""
     unheard: set[int] = field(default_factory=set)
-    """Engines at which an attempt of two stages ended without their word: they may come to hold something yet."""
+    """Engines at which an attempt of two stages ended without their word: they may come to hold something
+    yet."""
     ran_at: int = 0
     """The earliest time at which an attempt may have had an effect; 0: none can have."""
     hold_timer: asyncio.TimerHandle | None = None
@@ -180,7 +181,8 @@
 
 
 class Table:
-    """Every request of the node. Bound: admission's places; those past them are refused and dropped at once."""
+    """Every request of the node. Bound: admission's places; those past them are refused and dropped at
+    once."""
 
     def __init__(self, instance: str) -> None:
         self.instance = instance
--- a/tuliptrack/node/zones.py
+++ b/tuliptrack/node/zones.py
@@ -1,9 +1,10 @@
-"""What has crossed zones, by the node's own sockets and its engines' word: counted, booked by interval, written down.
+"""What has crossed zones, by the node's own sockets and its engines' word: counted, booked by interval,
+written down.
 
-A move is counted while it runs and after it was broken off (`core.Traffic` goes on counting what crosses a reset of
-ours), so it is booked at the ends of intervals, up to two seconds past the end of its call. The sums of one interval
-are bounded by the number of (class, tenant, stage, pair of zones, cause); `MOST_KEYS` more than that are booked under
-`other`. An interval that can't be written down goes with the next one that can.
+A move is counted while it runs and after it was broken off (`core.Traffic` goes on counting what crosses a
+reset of ours), so it is booked at the ends of intervals, up to two seconds past the end of its call. The sums
+of one interval are bounded by the number of (class, tenant, stage, pair of zones, cause); `MOST_KEYS` more
+than that are booked under `other`. An interval that can't be written down goes with the next one that can.
 """
 
 from __future__ import annotations
@@ -84,7 +85,14 @@
         return move
 
     def _key(self, move: Move) -> Key:
-        return move.cls, move.tenant, move.stage, self.name(move.source), self.name(move.target), move.cause.value
+        return (
+            move.cls,
+            move.tenant,
+            move.stage,
+            self.name(move.source),
+            self.name(move.target),
+            move.cause.value,
+        )
 
     def book(self) -> dict[Key, list[float]]:
         """End an interval: what its moves have come to since the last one."""
@@ -108,7 +116,8 @@
         move.booked = size
 
     def write(self, rows: dict[Key, list[float]], wall: float | None = None) -> None:
-        """Append an interval to the report; where that fails, it is logged, kept for the next time, and serving goes on."""
+        """Append an interval to the report; where that fails, it is logged, kept for the next time, and
+        serving goes on."""
         if not self.path:
             return
         for key, row in rows.items():
@@ -141,6 +150,8 @@
                 os.replace(path, path.with_name(path.name + ".1"))
             line_file.append(path, text)
         except OSError as error:
-            log.warning("zone report not written", path=self.path, reason=str(error), rows_waiting=len(self.unwritten))
+            log.warning(
+                "zone report not written", path=self.path, reason=str(error), rows_waiting=len(self.unwritten)
+            )
             return
         self.unwritten = {}
--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -1,8 +1,8 @@
 """One node on the platform: `python -m tuliptrack.relay`, told all by its environment (see `config.py`).
 
-SIGHUP reads the settings' file anew and follows the list's new address. SIGTERM or SIGINT: requests are still served for as
-long as nothing may kill the node, since clients keep their connections; then what is open ends, and the program.
-"""
+SIGHUP reads the settings' file anew and follows the list's new address. SIGTERM or SIGINT: requests are still
+served for as long as nothing may kill the node, since clients keep their connections; then what is open ends,
+and the program."""
 
 from __future__ import annotations
 
@@ -40,15 +40,24 @@
 
 log = structlog.get_logger("relay")
 _SWEEP_S = 0.25  # seconds between looks at silent streams, stalled clients and idle connections
-_KILLED_S = (3.0, 0.7)  # SIGKILL follows SIGTERM no sooner than the longest deadline, or this, and so much more
+_KILLED_S = (
+    3.0,
+    0.7,
+)  # SIGKILL follows SIGTERM no sooner than the longest deadline, or this, and so much more
 _FORGIVEN_S = 0.6  # after SIGTERM; what comes later must be answered before SIGKILL
 _CLOSE_S, _CUT_S = 1.1, 0.5  # before SIGKILL may come: when to give streams back, and to end what came late
 _START_S = 5.0  # seconds for which a start is tried again, where the settings or the address can't be had yet
-_RELOAD_S, _RELOAD_AGAIN_S = 10.0, 0.1  # seconds for which, and after which, settings that could not be read are read again
-_LIST_S = 2.0  # seconds that a node without engines waits for a list before it says that it is ready all the same
+_RELOAD_S, _RELOAD_AGAIN_S = (
+    10.0,
+    0.1,
+)  # seconds for which, and after which, settings that could not be read are read again
+_LIST_S = (
+    2.0  # seconds that a node without engines waits for a list before it says that it is ready all the same
+)
 _SILENCE = 4_000_000  # microseconds: a client may be left waiting on a stream that has stopped for 5 s
-# Descriptors that neither clients nor engines get: log and standard streams (3), listener, selector, its wake-up (2), the
-# settings' file, one that an import may need; connections accepted before they are looked at; the list's calls.
+# Descriptors that neither clients nor engines get: log and standard streams (3), listener, selector, its
+# wake-up (2), the settings' file, one that an import may need; connections accepted before they are looked
+# at; the list's calls.
 _OWN = 8 + ACCEPTED_AT_ONCE + MOST_CALLS
 _CLIENTS, _ENGINES = 0.45, 0.4  # of the descriptors, at most: what they get where there are many
 _BODY = 262_144  # bytes of one body, in or out, by the protocol
@@ -72,7 +81,9 @@
         idle = config.idle or 15_000_000
         self.pools = EnginePools(
             ClientOptions(
-                connect_timeout=config.settings.connect_timeout, idle=max(idle - 2_000_000, idle // 2), body_bytes=_BODY
+                connect_timeout=config.settings.connect_timeout,
+                idle=max(idle - 2_000_000, idle // 2),
+                body_bytes=_BODY,
             ),
             Connections(engines),
         )
@@ -107,8 +118,8 @@
         """When settings that could not be read are read again."""
 
     async def start(self) -> str:
-        """Serve; returns host:port. It is ready once what it is asked is looked at: it listens, and knows engines, from its
-        settings or from a first list, or has waited for one for `_LIST_S`."""
+        """Serve; returns host:port. It is ready once what it is asked is looked at: it listens, and knows
+        engines, from its settings or from a first list, or has waited for one for `_LIST_S`."""
         self.listed(self.config.known, cached=True)
         self.source.start()
         host, _, port = self.config.listen.rpartition(":")
@@ -132,8 +143,8 @@
         return address
 
     def listed(self, told: Mapping[str, Any], cached: bool = False, anew: bool = False) -> bool:
-        """A list of engines has come; `anew`: the first one of an agent. False where it is older than the one held, ListError
-        where it can't be used."""
+        """A list of engines has come; `anew`: the first one of an agent. False where it is older than the one
+        held, ListError where it can't be used."""
         try:
             change = self.members.take(told, cached, anew)
         except ListError as error:
@@ -187,8 +198,8 @@
             log.warning("server list not taken", reason=reason)
 
     def reload(self) -> None:
-        """Read the settings' file anew: the list's new address holds from now on. What else has changed waits for the
-        next start, as requests in flight were let in under the old settings."""
+        """Read the settings' file anew: the list's new address holds from now on. What else has changed waits
+        for the next start, as requests in flight were let in under the old settings."""
         self._cancel_reload()
         self._try_reload(self.now() + int(_RELOAD_S * 1e6))
 
@@ -202,7 +213,9 @@
             if not (again and tries_on):
                 log.error("settings not taken", reason=str(error), read_again=tries_on)
             if tries_on:
-                self._reload = asyncio.get_running_loop().call_later(_RELOAD_AGAIN_S, self._try_reload, until, True)
+                self._reload = asyncio.get_running_loop().call_later(
+                    _RELOAD_AGAIN_S, self._try_reload, until, True
+                )
             return
         log.info("settings read anew", discovery=config.discovery)
         self.source.move(config.discovery)
@@ -213,11 +226,12 @@
             self._reload = None
 
     async def stop(self, grace: float, killed: float) -> None:
-        """End, knowing that nothing kills the node for `killed` seconds. Until shortly before, all goes on: clients keep to
-        the connections that they have, and where nodes restart one after another there may be no other yet. Then streams
-        that still run are handed back, while their clients can find another node: the kill would break them all the same.
-        What comes from then on is refused, each answer closing its connection; a connection without a request stays open
-        until the kill is due, as one may be on its way there."""
+        """End, knowing that nothing kills the node for `killed` seconds. Until shortly before, all goes on:
+        clients keep to the connections that they have, and where nodes restart one after another there may be
+        no other yet. Then streams that still run are handed back, while their clients can find another node:
+        the kill would break them all the same. What comes from then on is refused, each answer closing its
+        connection; a connection without a request stays open until the kill is due, as one may be on its way
+        there."""
         began = self.now()
         log.info("stopping", open=len(self.table.open))
         self._is_ready()
--- a/tuliptrack/relay/config.py
+++ b/tuliptrack/relay/config.py
@@ -15,7 +15,9 @@
 __all__ = ["RelayConfig", "RelayConfigError", "RelayConfigUnreadable", "load", "parse"]
 
 _LARGEST = 16_777_216  # bytes of the file
-LEAST_SOCKETS = 48  # descriptors below which a node can't serve: what it needs itself and some for clients and engines
+LEAST_SOCKETS = (
+    48  # descriptors below which a node can't serve: what it needs itself and some for clients and engines
+)
 
 
 class RelayConfigError(Exception):
@@ -23,7 +25,8 @@
 
 
 class RelayConfigUnreadable(RelayConfigError):
-    """A file that can't be read, or holds no whole JSON: it may be just being written, or its folder may fail for a while."""
+    """A file that can't be read, or holds no whole JSON: it may be just being written, or its folder may fail
+    for a while."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tuliptrack/relay/corroboration.py
+++ b/tuliptrack/relay/corroboration.py
@@ -1,19 +1,23 @@
 """Whether an attempt that has brought no word may be taken to have arrived.
 
-An engine says nothing of a request until its first token, which takes seconds in a jam. A release beside an attempt that waits
-costs its engine work, so it is made only where the attempt may not have arrived. Three things together say that it has:
-
-1. Its connection answered a question right before: from the question to the attempt's last byte it took `_PROOF_WINDOW_S` at
-   most. That a new connection has come up says nothing of a process behind it, so an attempt on one that was not asked never
-   counts.
-2. Its engine has answered a question on another connection that was asked after the attempt was written: its machine was not
+An engine says nothing of a request until its first token, which takes seconds in a jam. A release beside an
+attempt that waits costs its engine work, so it is made only where the attempt may not have arrived. Three
+things together say that it has:
+
+1. Its connection answered a question right before: from the question to the attempt's last byte it took
+`_PROOF_WINDOW_S` at
+   most. That a new connection has come up says nothing of a process behind it, so an attempt on one that was
+   not asked never counts.
+2. Its engine has answered a question on another connection that was asked after the attempt was written: its
+machine was not
    cut off, and its process runs.
-3. A connection to another engine that was open before that has brought something since the attempt was written:
+3. A connection to another engine that was open before that has brought something since the attempt was
+written:
    connections that were open have not fallen silent together.
 
-What remains is one connection falling silent alone within that window. The questions are releases of a request that has been
-served, which have no effect. Where one of the three is missing the attempt counts as not arrived.
-"""
+What remains is one connection falling silent alone within that window. The questions are releases of a
+request that has been served, which have no effect. Where one of the three is missing the attempt counts as
+not arrived."""
 
 from __future__ import annotations
 
@@ -30,7 +34,8 @@
 
 
 class Corroboration:
-    """What speaks for the arrival of one attempt. Bound: two questions, which end with their time to connect or by `close`."""
+    """What speaks for the arrival of one attempt. Bound: two questions, which end with their time to connect
+    or by `close`."""
 
     def __init__(self, pools: EnginePools, pool: Pool, exchange: Exchange) -> None:
         """`pool`: the connections to the attempt's engine, `exchange`: the attempt."""
@@ -42,7 +47,11 @@
     def proven_before(self) -> bool:
         """Whether its connection answered right before it went out."""
         exchange = self._exchange
-        return exchange.sent and exchange.proven_since > 0 and exchange.sent_at - exchange.proven_since <= _PROOF_WINDOW_S
+        return (
+            exchange.sent
+            and exchange.proven_since > 0
+            and exchange.sent_at - exchange.proven_since <= _PROOF_WINDOW_S
+        )
 
     def seek(self) -> None:
         """Ask what is not known yet; answers take a round trip."""
@@ -87,7 +96,11 @@
 
     def _others_speak(self) -> bool:
         sent_at = self._exchange.sent_at
-        return any(connection.heard_at > sent_at for pool in self._pools.all() for connection in self._older_elsewhere(pool))
+        return any(
+            connection.heard_at > sent_at
+            for pool in self._pools.all()
+            for connection in self._older_elsewhere(pool)
+        )
 
     def _other_kept(self) -> Pool | None:
         """The pool of another engine with an older connection to spare, heard from last."""
--- a/tuliptrack/relay/discovery.py
+++ b/tuliptrack/relay/discovery.py
@@ -1,25 +1,28 @@
-"""The list of engines, from the platform's discovery: one short watch after another, and the whole list after a gap.
-
-A change counts as told 6 s after the agent had it and could be reached, whatever calls failed in between; what it has when it
-is back after a silence, or in the first moment of a process, is best heeded at once. So no call is relied upon. A watch that
-has brought nothing after a part of the drain grace (`within`), not even an empty answer, has the next call beside it, on
-another connection, and every `within` one more, until one is answered. An older call goes on meanwhile: its connection may be
-slow to come up, its answer may drip in, or this process may be late to read it. Where as many are open as may be (`_CALLS`),
-the one that has brought nothing for longest gives way; none lasts longer than `_LONGEST_S`, its connection included.
-
-The bound, from a change at an agent that can be reached (from then on a call is answered whole within `_LONGEST_S`): at
-worst all of `_CALLS` are open, each still bringing bytes of an answer older than the change, and end at `_LONGEST_S`; then a
-pause after a failure; then a call that takes `_LONGEST_S` itself. 2 x 2.5 s + 1.5 x `_PAUSE` of 2 s at most: 5.3 s, and 0.7 s
-are left for this process to be late. Where answers come at once it is `within` and one pause: 0.65 of the grace. Refused
-connections, resets, half bodies, 503 and what can't be read end a call at once and cost one pause each; a list that is turned
-down costs a pause too, and the next call asks for the whole list. Calls begin no closer than a pause, however quickly they
-are answered. An agent whose answers stay behind the list held has begun anew: after `_OLDER` in a row the next is taken for a
-new one's first.
-
-Another agent (`move`) is asked beside the old one, which is heeded until the new one has given a whole list; so a new agent
-that is down or silent costs nothing. Its revisions are its own and may begin lower: see `Members.take`. While nothing is heard
-the list held goes on as it was: what it says of an engine holds until an agent says otherwise.
-"""
+"""The list of engines, from the platform's discovery: one short watch after another, and the whole list after
+a gap.
+
+A change counts as told 6 s after the agent had it and could be reached, whatever calls failed in between;
+what it has when it is back after a silence, or in the first moment of a process, is best heeded at once. So
+no call is relied upon. A watch that has brought nothing after a part of the drain grace (`within`), not even
+an empty answer, has the next call beside it, on another connection, and every `within` one more, until one is
+answered. An older call goes on meanwhile: its connection may be slow to come up, its answer may drip in, or
+this process may be late to read it. Where as many are open as may be (`_CALLS`), the one that has brought
+nothing for longest gives way; none lasts longer than `_LONGEST_S`, its connection included.
+
+The bound, from a change at an agent that can be reached (from then on a call is answered whole within
+`_LONGEST_S`): at worst all of `_CALLS` are open, each still bringing bytes of an answer older than the
+change, and end at `_LONGEST_S`; then a pause after a failure; then a call that takes `_LONGEST_S` itself. 2 x
+2.5 s + 1.5 x `_PAUSE` of 2 s at most: 5.3 s, and 0.7 s are left for this process to be late. Where answers
+come at once it is `within` and one pause: 0.65 of the grace. Refused connections, resets, half bodies, 503
+and what can't be read end a call at once and cost one pause each; a list that is turned down costs a pause
+too, and the next call asks for the whole list. Calls begin no closer than a pause, however quickly they are
+answered. An agent whose answers stay behind the list held has begun anew: after `_OLDER` in a row the next is
+taken for a new one's first.
+
+Another agent (`move`) is asked beside the old one, which is heeded until the new one has given a whole list;
+so a new agent that is down or silent costs nothing. Its revisions are its own and may begin lower: see
+`Members.take`. While nothing is heard the list held goes on as it was: what it says of an engine holds until
+an agent says otherwise."""
 
 from __future__ import annotations
 
@@ -50,7 +53,10 @@
 _WATCH = 0.25  # of the drain grace: a watch waits so long; then its answer, empty perhaps, shows that it still stands
 _LATE = 0.25  # of it: so much later an answer is not relied upon any more
 _PAUSE = 0.1  # of it, jittered by half: between failed calls
-_GRACE_S = (0.1, 2.0)  # the least and the most that is taken for the grace: twenty calls a second, two calls a second
+_GRACE_S = (
+    0.1,
+    2.0,
+)  # the least and the most that is taken for the grace: twenty calls a second, two calls a second
 _CALLS = 8  # open at once to one agent, and connections
 MOST_CALLS = 2 * _CALLS  # connections to the agent that is heeded and to the next one
 _OLDER = 3  # answers in a row, older than the list held, after which the agent is taken to have begun anew
@@ -76,8 +82,9 @@
 
 
 class Members:
-    """The list held, in the router's terms. An entry that can't be used is left out, with one line when it is first seen; what
-    is no list at all is turned down, and the old one holds. Bound: `MOST_MEMBERS`, and as many complaints."""
+    """The list held, in the router's terms. An entry that can't be used is left out, with one line when it is
+    first seen; what is no list at all is turned down, and the old one holds. Bound: `MOST_MEMBERS`, and as
+    many complaints."""
 
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...]) -> None:
         self.kinds = {name: number for number, name in enumerate(kinds)}
@@ -87,16 +94,19 @@
         """Of servers listed and not gone."""
         self.names: dict[int, str] = {}
         self._entries: dict[str, _Entry] = {}
-        """Entries by name, of servers listed and not gone: one that is told again unchanged is not read again."""
+        """Entries by name, of servers listed and not gone: one that is told again unchanged is not read
+        again."""
         self._starts = Starts()
         self._complained: set[str] = set()
         self._last: dict[int, tuple[ServerState, object]] = {}
-        """State and start that each server was last told with, the one told last at the end. Bound: twice `MOST_MEMBERS`."""
+        """State and start that each server was last told with, the one told last at the end. Bound: twice
+        `MOST_MEMBERS`."""
 
     def take(self, told: Any, cached: bool = False, anew: bool = False) -> FleetChange | None:
-        """A list or a change; None where it is older than what is held. ListError leaves all as it was. `anew`: the first
-        whole list of another agent, whose revisions say nothing of those before. Where its revision is lower than the one
-        held, it may know less than the agent before: what that one called draining or gone stays so until it is named anew."""
+        """A list or a change; None where it is older than what is held. ListError leaves all as it was.
+        `anew`: the first whole list of another agent, whose revisions say nothing of those before. Where its
+        revision is lower than the one held, it may know less than the agent before: what that one called
+        draining or gone stays so until it is named anew."""
         if not isinstance(told, dict) or not isinstance(told.get("members", []), list):
             raise ListError("must be an object with members")
         revision = told.get("revision", 0)
@@ -131,7 +141,11 @@
 
     def _read(self, told: Any, place: int, now: int, wall: int) -> _Entry:
         """One entry; ListError where it can't be used."""
-        known = self._entries.get(told["id"]) if isinstance(told, dict) and isinstance(told.get("id"), str) else None
+        known = (
+            self._entries.get(told["id"])
+            if isinstance(told, dict) and isinstance(told.get("id"), str)
+            else None
+        )
         if known and known.told == told:
             return known
         server, address, name = self._entry(told, f"members[{place}]", now, wall)
@@ -190,17 +204,26 @@
         host, _, port = address.rpartition(":")
         if state is not ServerState.GONE:
             if kind is None:
-                raise ListError(f"{place}.flavor: {str(entry.get('flavor'))[:40]!r} is not among the settings' kinds")
+                raise ListError(
+                    f"{place}.flavor: {str(entry.get('flavor'))[:40]!r} is not among the settings' kinds"
+                )
             if not host or not port.isdigit() or not 0 < int(port) <= 65_535:
                 raise ListError(f"{place}.host_port: must be host:port, is {address[:80]!r}")
         size, since, cell = entry.get("size", 1.0), entry.get("up_since_ms", 0), entry.get("cell", 0)
         for what, value in (("size", size), ("up_since_ms", since), ("cell", cell)):
-            if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value < 0:
+            if (
+                isinstance(value, bool)
+                or not isinstance(value, int | float)
+                or not math.isfinite(value)
+                or value < 0
+            ):
                 raise ListError(f"{place}.{what}: must be a number from 0, is {str(value)[:40]!r}")
         server = key(name)
         zone = self.zones.get(str(entry.get("locality")), 0 if not self.zones else None)
         if zone is None and state is not ServerState.GONE:
-            raise ListError(f"{place}.locality: {str(entry.get('locality'))[:40]!r} is not among the settings' zones")
+            raise ListError(
+                f"{place}.locality: {str(entry.get('locality'))[:40]!r} is not among the settings' zones"
+            )
         return (
             Server(
                 server,
@@ -239,10 +262,12 @@
 
 
 class _Watch:
-    """Calls to one agent, until `close`. `tell` gets each answer's JSON and whether it is this agent's first; it says whether
-    that was taken, or older than the list held, and raises where it can't be used."""
+    """Calls to one agent, until `close`. `tell` gets each answer's JSON and whether it is this agent's first;
+    it says whether that was taken, or older than the list held, and raises where it can't be used."""
 
-    def __init__(self, address: str, grace: float, revision: Callable[[], int], tell: Callable[[Any, bool], bool]) -> None:
+    def __init__(
+        self, address: str, grace: float, revision: Callable[[], int], tell: Callable[[Any, bool], bool]
+    ) -> None:
         self.address, self.grace, self.revision, self.tell = address, grace, revision, tell
         self.within = (_WATCH + _LATE) * grace
         """Seconds after which a call is not relied upon any more."""
@@ -355,10 +380,12 @@
 
 
 class Discovery:
-    """Watches one agent; `move` turns to another. `tell`: see `_Watch`. `grace`: microseconds after which a drain that was
-    told must be heeded."""
+    """Watches one agent; `move` turns to another. `tell`: see `_Watch`. `grace`: microseconds after which a
+    drain that was told must be heeded."""
 
-    def __init__(self, address: str, revision: Callable[[], int], tell: Callable[[Any, bool], bool], grace: int) -> None:
+    def __init__(
+        self, address: str, revision: Callable[[], int], tell: Callable[[Any, bool], bool], grace: int
+    ) -> None:
         self.address = address
         """Of the agent that is to be heeded, whether or not it has been heard."""
         self.revision, self.tell = revision, tell
--- a/tuliptrack/relay/engines.py
+++ b/tuliptrack/relay/engines.py
@@ -48,7 +48,8 @@
 
 
 def load_of(text: str | bytes, names: tuple[str, ...]) -> tuple[float, ...]:
-    """The values of a load report, in this order; nothing where it can't be read. One that is missing counts as 0."""
+    """The values of a load report, in this order; nothing where it can't be read. One that is missing counts
+    as 0."""
     try:
         told = json.loads(text)
     except (ValueError, RecursionError):
@@ -56,7 +57,10 @@
     if not isinstance(told, Mapping):
         return ()
     values = tuple(told.get(name, 0.0) for name in names)
-    if any(isinstance(v, bool) or not isinstance(v, int | float) or not math.isfinite(v) or not 0 <= v < 1e9 for v in values):
+    if any(
+        isinstance(v, bool) or not isinstance(v, int | float) or not math.isfinite(v) or not 0 <= v < 1e9
+        for v in values
+    ):
         return ()
     return tuple(float(v) for v in values)
 
@@ -77,7 +81,9 @@
         "record",
     )
 
-    def __init__(self, engines: HttpEngines, record: Record, attempt: Attempt, exchange: Exchange, pool: Pool) -> None:
+    def __init__(
+        self, engines: HttpEngines, record: Record, attempt: Attempt, exchange: Exchange, pool: Pool
+    ) -> None:
         self.engines, self.record, self.attempt, self.exchange = engines, record, attempt, exchange
         self._arrival = Corroboration(engines.pools, pool, exchange)
         self._body = bytearray()
@@ -162,7 +168,8 @@
         self.engines.core.passed(self.record, self.attempt, cast(RawAnswer, self.record.answer).events(data))
 
     def _note(self, text: bytes) -> None:
-        """What the node itself makes of an event: the word that all has come, and the counts that come with the end."""
+        """What the node itself makes of an event: the word that all has come, and the counts that come with
+        the end."""
         if text == b"[DONE]":
             self._whole = True
         elif b'"usage"' in text:
@@ -181,7 +188,9 @@
     def _ended(self, how: How, reason: str) -> Ended:
         if how is How.GIVEN_UP and not self.exchange.sent:  # It never ran, and says nothing of its engine.
             late = self._status is io.Status.TIMEOUT
-            return Ended(io.Status.CONNECT_FAILED if late else io.Status.MOOT, "given up before it was sent", lone=late)
+            return Ended(
+                io.Status.CONNECT_FAILED if late else io.Status.MOOT, "given up before it was sent", lone=late
+            )
         if how is How.GIVEN_UP:
             return self._broke(self._status, "given up")
         if how is not How.ANSWER:
@@ -200,7 +209,13 @@
                 return self._broke(io.Status.RESET, "a stream that isn't whole")
             self.record.finish = Finish.STOP
             return Ended(io.Status.OK, load=self._load, received=True)
-        return Ended(io.Status.ERROR, f"answered {status}", load=self._load, unusable=400 <= status < 500, received=True)
+        return Ended(
+            io.Status.ERROR,
+            f"answered {status}",
+            load=self._load,
+            unusable=400 <= status < 500,
+            received=True,
+        )
 
     def _broke(self, status: io.Status, reason: str) -> Ended:
         """A stream that was spoilt has run: the state that it came for has gone with it."""
@@ -242,8 +257,8 @@
         self._served_id = record.ask.call_id
 
     def _question(self, address: str) -> Exchange | None:
-        """What shows whether a connection works. An engine closes its connection after it has turned a request down, so a
-        request without an id would not do."""
+        """What shows whether a connection works. An engine closes its connection after it has turned a
+        request down, so a request without an id would not do."""
         return release_request(self._served_id, address) if self._served_id else None
 
     def reaches(self, server: int) -> bool:
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -1,4 +1,5 @@
-"""Clients on the platform's HTTP: a request's head becomes an `Ask`, its end a status; an engine's events pass through."""
+"""Clients on the platform's HTTP: a request's head becomes an `Ask`, its end a status; an engine's events
+pass through."""
 
 from __future__ import annotations
 
@@ -25,8 +26,8 @@
     Failure.UNUSABLE: 400,
 }
 _ID = re.compile(r"[A-Za-z0-9._~-]{1,128}")
-# What a request's head says of one connection only (RFC 9110, section 7.6.1); what the node says anew, or has to read itself:
-# an engine's events are looked at, so they may not come compressed.
+# What a request's head says of one connection only (RFC 9110, section 7.6.1); what the node says anew, or has
+# to read itself: an engine's events are looked at, so they may not come compressed.
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -95,7 +96,8 @@
 
 
 class Front:
-    """The listener. Bounds: connections, heads and bodies by `HttpLimits`; bodies kept for engines by `kept`."""
+    """The listener. Bounds: connections, heads and bodies by `HttpLimits`; bodies kept for engines by
+    `kept`."""
 
     def __init__(self, core: Core, limits: HttpLimits, arriving: ByteBudget, kept: ByteBudget) -> None:
         self.core, self.kept = core, kept
@@ -105,12 +107,14 @@
         self.ready = False
 
     def _early(self, call: HttpCall) -> Refusal | None:
-        """What is known from the head alone. Not that the node ends: its refusal comes when the whole request has, lest the
-        close overtake it on its way to a client that still sends."""
+        """What is known from the head alone. Not that the node ends: its refusal comes when the whole request
+        has, lest the close overtake it on its way to a client that still sends."""
         if call.method == "POST" and not self.core.stopping:
             reason, wait = self.core.outlook()
             if reason:
-                return Refusal(503, refusal_text(reason), (("retry-after", f"{wait / 1e6:.3f}"),) if wait else ())
+                return Refusal(
+                    503, refusal_text(reason), (("retry-after", f"{wait / 1e6:.3f}"),) if wait else ()
+                )
         return None
 
     def _handle(self, call: HttpCall) -> None:
@@ -174,7 +178,9 @@
     def _ask(self, call: HttpCall, head: dict[str, str], call_id: str) -> Ask:
         info = _info(head.get("x-call-info", ""))
         again = head.get("x-again", "").strip().lower()
-        tokens = _count(info, "prompt_len") or max(round(len(call.body) / self.core.limits.bytes_per_token), 1)
+        tokens = _count(info, "prompt_len") or max(
+            round(len(call.body) / self.core.limits.bytes_per_token), 1
+        )
         return Ask(
             head.get("x-call-class", ""),
             "",
@@ -195,8 +201,11 @@
 
 
 def _end_to_end(fields: Fields) -> Fields:
-    """What engines get of a head unchanged: all but what is of one connection only, also by the word of `Connection`."""
-    named = {name.strip().lower() for field, value in fields if field == "connection" for name in value.split(",")}
+    """What engines get of a head unchanged: all but what is of one connection only, also by the word of
+    `Connection`."""
+    named = {
+        name.strip().lower() for field, value in fields if field == "connection" for name in value.split(",")
+    }
     left_out = _HOP_BY_HOP | _SAID_ANEW | named
     return [(name, value) for name, value in fields if name not in left_out]
 
@@ -211,7 +220,11 @@
 
 
 def _info(text: str) -> dict[str, str]:
-    return {name.strip(): value.strip() for name, sign, value in (one.partition("=") for one in text.split(",")) if sign}
+    return {
+        name.strip(): value.strip()
+        for name, sign, value in (one.partition("=") for one in text.split(","))
+        if sign
+    }
 
 
 def _count(info: dict[str, str], name: str) -> int:
--- a/tuliptrack/relay/late_releases.py
+++ b/tuliptrack/relay/late_releases.py
@@ -1,12 +1,13 @@
-"""What an engine may come to hold after its attempt was given up: it is asked itself to let go, until it answers.
+"""What an engine may come to hold after its attempt was given up: it is asked itself to let go, until it
+answers.
 
-A release that another engine confirms lets go of what is held by then. An engine that hangs, or whose machine is cut off,
-may end a read later, and may see later that an attempt has ended. So every engine that gave no word on an attempt gets a
-release of its own once the request is over, and another one a while later, as it may take up what it had waiting in any order.
+A release that another engine confirms lets go of what is held by then. An engine that hangs, or whose machine
+is cut off, may end a read later, and may see later that an attempt has ended. So every engine that gave no
+word on an attempt gets a release of its own once the request is over, and another one a while later, as it
+may take up what it had waiting in any order.
 
-Bounds: `MOST_PENDING` releases, past which a new one is dropped and counted; one try at a time to each engine; each release
-is given up after `ABANDONED_AFTER_S`, or once its engine has left the list.
-"""
+Bounds: `MOST_PENDING` releases, past which a new one is dropped and counted; one try at a time to each
+engine; each release is given up after `ABANDONED_AFTER_S`, or once its engine has left the list."""
 
 from __future__ import annotations
 
--- a/tuliptrack/relay/pools.py
+++ b/tuliptrack/relay/pools.py
@@ -13,7 +13,8 @@
 
 
 class EnginePools:
-    """The pools by engine. Bound: `Connections`, for all of them together. `close` ends every connection and task."""
+    """The pools by engine. Bound: `Connections`, for all of them together. `close` ends every connection and
+    task."""
 
     def __init__(self, options: ClientOptions, connections: Connections) -> None:
         self.options, self.connections = options, connections
@@ -35,7 +36,9 @@
         """The pool of an engine, made if need be; None where the list gives no address."""
         found = self._pools.get(server)
         if found is None and (address := self.addresses.get(server)):
-            found = self._pools[server] = Pool(address, self.options, self.connections, lambda to: self.make_question(to))
+            found = self._pools[server] = Pool(
+                address, self.options, self.connections, lambda to: self.make_question(to)
+            )
         return found
 
     def all(self) -> list[Pool]:
@@ -47,8 +50,8 @@
         return self._pools.get(server)
 
     def update(self, addresses: Mapping[int, str]) -> None:
-        """Take the addresses that hold now. Under a new address an engine has new connections; the old ones end with what
-        runs on them."""
+        """Take the addresses that hold now. Under a new address an engine has new connections; the old ones
+        end with what runs on them."""
         for server in [s for s in self._pools if self.addresses.get(s) != addresses.get(s)]:
             self._retired.append(self._pools.pop(server))
         self.addresses = dict(addresses)
--- a/tuliptrack/relay/releases.py
+++ b/tuliptrack/relay/releases.py
@@ -1,18 +1,20 @@
-"""Letting go of read states: a `DELETE` for a request, tried at one engine after another until one has confirmed it.
+"""Letting go of read states: a `DELETE` for a request, tried at one engine after another until one has
+confirmed it.
 
-Any engine that runs lets go of what is held for a request, wherever it is held. So a release does not depend on the engine
-that holds the state. The first try goes to the engine that was heard from last of those with a connection to spare, since a
-new one costs its engine work. With every step more engines are tried at once, and a try whose connection is still coming up
-is not waited for. The time between two steps is a fixed part of the time that the settings allow (`within`), less where all
-tries of a step have failed. After `STEPS` of them, 19 tries, steps go on at the pace of one each `within`, until an engine
-confirms or `ABANDONED_AFTER_S` has passed.
+Any engine that runs lets go of what is held for a request, wherever it is held. So a release does not depend
+on the engine that holds the state. The first try goes to the engine that was heard from last of those with a
+connection to spare, since a new one costs its engine work. With every step more engines are tried at once,
+and a try whose connection is still coming up is not waited for. The time between two steps is a fixed part of
+the time that the settings allow (`within`), less where all tries of a step have failed. After `STEPS` of
+them, 19 tries, steps go on at the pace of one each `within`, until an engine confirms or `ABANDONED_AFTER_S`
+has passed.
 
-A read that was broken off may end well after a release was confirmed, so that a state comes to be held which nobody waits
-for. Such a release is made `UNSURE_ROUNDS` times, half of the time allowed apart.
+A read that was broken off may end well after a release was confirmed, so that a state comes to be held which
+nobody waits for. Such a release is made `UNSURE_ROUNDS` times, half of the time allowed apart.
 
-Bounds: `MOST_PENDING` releases, where the one that has waited for longest gives way to a new one; `MOST_TRIES` tries that
-are out at once, past which steps wait for their turn in the order in which they are due.
-"""
+Bounds: `MOST_PENDING` releases, where the one that has waited for longest gives way to a new one;
+`MOST_TRIES` tries that are out at once, past which steps wait for their turn in the order in which they are
+due."""
 
 from __future__ import annotations
 
@@ -162,7 +164,8 @@
         return heapq.nlargest(wanted, untried, key=self._rank)
 
     def _rank(self, server: int) -> tuple[bool, bool, float, float]:
-        """How good an engine is for a try: not in doubt, a connection to spare, then heard from lately, then by chance."""
+        """How good an engine is for a try: not in doubt, a connection to spare, then heard from lately, then
+        by chance."""
         pool = self.pools.made(server)
         if pool is None:
             return True, False, 0.0, random.random()
@@ -214,7 +217,8 @@
         self._advance(release)
 
     def _hurry(self, release: _Release) -> None:
-        """All tries of a step have failed before the next one is due: it comes soon, as often as there are steps anyway."""
+        """All tries of a step have failed before the next one is due: it comes soon, as often as there are
+        steps anyway."""
         loop = asyncio.get_running_loop()
         if release.timer and release.step < STEPS:
             release.timer.cancel()
@@ -234,7 +238,8 @@
             self._idle.set()
 
     def _stop(self, release: _Release) -> None:
-        """No further step. A try that is on its way is left to its end, one that waits for a connection is not."""
+        """No further step. A try that is on its way is left to its end, one that waits for a connection is
+        not."""
         release.queued = False
         if release.timer:
             release.timer.cancel()
--- a/tuliptrack/rpc/arrival.py
+++ b/tuliptrack/rpc/arrival.py
@@ -1,9 +1,9 @@
 """Proofs that calls have arrived, and doubt of a connection on which they are missing.
 
-What TCP confirms says nothing of a process behind it. A call has arrived where the peer has said something on it, or has
-answered a ping that was sent after the call's last byte. `ArrivalProofs` pings where a call has brought no word for a while,
-once for all calls that wait for a proof, and doubts the connection while the answer is missing.
-"""
+What TCP confirms says nothing of a process behind it. A call has arrived where the peer has said something on
+it, or has answered a ping that was sent after the call's last byte. `ArrivalProofs` pings where a call has
+brought no word for a while, once for all calls that wait for a proof, and doubts the connection while the
+answer is missing."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 ARRIVED_PING = b"arrived?"
 """The data of pings for proofs."""
 _DOUBT_LOOKS = 6
-"""Looks for a missing answer before a connection is doubted: a loop that is late itself makes each of them late."""
+"""Looks for a missing answer before a connection is doubted: a loop that is late itself makes each of them
+late."""
 
 
 class ProvenCall(Protocol):
@@ -48,8 +49,11 @@
 class ArrivalProofs:
     """The proofs of one connection's calls. Bound: its open calls, and one timer; `close` ends it."""
 
-    def __init__(self, link: ProvenLink, loop: asyncio.AbstractEventLoop, prove_after: int, timeout: int) -> None:
-        """`prove_after`: microseconds without a word until a ping, and from there until doubt; `timeout`: until the end."""
+    def __init__(
+        self, link: ProvenLink, loop: asyncio.AbstractEventLoop, prove_after: int, timeout: int
+    ) -> None:
+        """`prove_after`: microseconds without a word until a ping, and from there until doubt; `timeout`:
+        until the end."""
         self._link, self._loop, self._prove_after, self._timeout = link, loop, prove_after, timeout
         self._unproven: dict[int, ProvenCall] = {}
         """Calls that may not have arrived, by stream."""
@@ -68,8 +72,8 @@
         return self.looks >= _DOUBT_LOOKS and self._link.heard_at <= self._pinged_at
 
     def sent(self, stream: int, call: ProvenCall, within: int | None) -> None:
-        """A call has gone out; its proof is looked for after the usual time, or within so many microseconds if that is
-        sooner."""
+        """A call has gone out; its proof is looked for after the usual time, or within so many microseconds
+        if that is sooner."""
         self._unproven[stream] = call
         self._look(within)
 
@@ -119,8 +123,8 @@
             self._prove()
 
     def _prove(self) -> None:
-        """Ping for what has gone out and brought no word. Each ping follows at least one call: stock servers end connections
-        on which pings come with nothing between."""
+        """Ping for what has gone out and brought no word. Each ping follows at least one call: stock servers
+        end connections on which pings come with nothing between."""
         self._forget_settled()
         self._to_prove = [call for stream, call in self._unproven.items() if not self._link.unsent(stream)]
         if self._to_prove:
@@ -130,7 +134,9 @@
 
     def _forget_settled(self) -> None:
         """Leave out the calls that have ended or are proven."""
-        self._unproven = {stream: call for stream, call in self._unproven.items() if call.open and not call.arrived}
+        self._unproven = {
+            stream: call for stream, call in self._unproven.items() if call.open and not call.arrived
+        }
 
     def _miss_answer(self) -> None:
         """The ping's answer has not come yet."""
--- a/tuliptrack/rpc/channel.py
+++ b/tuliptrack/rpc/channel.py
@@ -2,11 +2,10 @@
 
 A call ends once, through `on_end`, and says how sure it is that the peer never looked at it.
 
-A connection may fall silent with no error: `arrival.ArrivalProofs` finds that. While one is doubted no new call goes out on
-it and a new one is tried; the silent one is closed as soon as the new one works, or after a second.
-Bounds: `Options.max_links` connections an address, `Options.max_waiting` calls that wait for one; one more
-ends at once with RESOURCE_EXHAUSTED, marked unprocessed.
-"""
+A connection may fall silent with no error: `arrival.ArrivalProofs` finds that. While one is doubted no new
+call goes out on it and a new one is tried; the silent one is closed as soon as the new one works, or after a
+second. Bounds: `Options.max_links` connections an address, `Options.max_waiting` calls that wait for one; one
+more ends at once with RESOURCE_EXHAUSTED, marked unprocessed."""
 
 from __future__ import annotations
 
@@ -70,8 +69,8 @@
     keepalive_timeout: int = 5_000_000
     """Silence after that ping until the connection is held to be dead."""
     prove_after: int = 60_000
-    """Silence after a call went out until the peer is pinged for a proof that it arrived, and until a missing proof makes the
-    connection doubtful."""
+    """Silence after a call went out until the peer is pinged for a proof that it arrived, and until a missing
+    proof makes the connection doubtful."""
     proof_timeout: int = 1_000_000
     """Silence after that ping until the connection is held to be dead."""
     max_links: int = 8
@@ -193,7 +192,13 @@
 
     def _connect_late(self) -> None:
         if self.link is None:
-            self.ended(End(How.CONNECT, Status(Code.UNAVAILABLE, "connect: not in the call's time for it"), unprocessed=True))
+            self.ended(
+                End(
+                    How.CONNECT,
+                    Status(Code.UNAVAILABLE, "connect: not in the call's time for it"),
+                    unprocessed=True,
+                )
+            )
 
 
 class _ClientLink(Link):
@@ -207,9 +212,13 @@
         self._close_at_look = 0
         """The look for its proof that closes it, if it is still silent then."""
         super().__init__(
-            reader, writer, Core(client=True, limits=channel.options.limits, authority=channel.address, now=now_us())
+            reader,
+            writer,
+            Core(client=True, limits=channel.options.limits, authority=channel.address, now=now_us()),
+        )
+        self.proofs = ArrivalProofs(
+            self, self.loop, channel.options.prove_after, channel.options.proof_timeout
         )
-        self.proofs = ArrivalProofs(self, self.loop, channel.options.prove_after, channel.options.proof_timeout)
 
     def begin(self, call: ClientCall) -> None:
         try:
@@ -297,7 +306,9 @@
     def close(self, reason: str) -> None:
         """End the connection, its calls and its timer."""
         if self.proofs.doubtful and not self.closed:
-            log.warning("silent connection closed", address=self.channel.address, reason=reason, calls=len(self.calls))
+            log.warning(
+                "silent connection closed", address=self.channel.address, reason=reason, calls=len(self.calls)
+            )
         self.proofs.close()
         super().close(reason)
 
@@ -335,9 +346,9 @@
         on_end: Callable[[End], None] = _nothing,
         message: bytes | None = None,
     ) -> ClientCall:
-        """Start a call; with `message` its request is that one alone. Where `connect_within` is given, it ends if it has got
-        no connection in so many microseconds, and a proof that it has arrived is looked for in that time. `on_end` is never
-        called from in here."""
+        """Start a call; with `message` its request is that one alone. Where `connect_within` is given, it
+        ends if it has got no connection in so many microseconds, and a proof that it has arrived is looked
+        for in that time. `on_end` is never called from in here."""
         call = ClientCall(method, metadata, timeout, compress)
         call.on_message, call.on_end = on_message, on_end
         if message is not None:
@@ -352,7 +363,9 @@
             link.begin(call)
         elif len(self.waiting) >= self.options.max_waiting or self._closed:
             why = "closed" if self._closed else f"{len(self.waiting)} calls wait for a connection"
-            loop.call_soon(call.ended, End(How.CONNECT, Status(Code.RESOURCE_EXHAUSTED, why), unprocessed=True))
+            loop.call_soon(
+                call.ended, End(How.CONNECT, Status(Code.RESOURCE_EXHAUSTED, why), unprocessed=True)
+            )
         else:
             self.waiting.append(call)
             if connect_within is not None:
@@ -376,7 +389,8 @@
         try:
             try:
                 reader, writer = await dial(
-                    lambda: asyncio.open_connection(host.strip("[]"), int(port)), self.options.connect_timeout / 1e6
+                    lambda: asyncio.open_connection(host.strip("[]"), int(port)),
+                    self.options.connect_timeout / 1e6,
                 )
             finally:
                 self._connecting -= 1
@@ -419,7 +433,8 @@
         self._more()
 
     def works(self, working: _ClientLink) -> None:
-        """A connection has shown that it works: those on which nothing has come since it was opened are closed soon."""
+        """A connection has shown that it works: those on which nothing has come since it was opened are
+        closed soon."""
         for link in self.links:
             if link.proofs.doubtful and link.heard_at < working.opened_at:
                 link.outlive(working.opened_at)
--- a/tuliptrack/rpc/core.py
+++ b/tuliptrack/rpc/core.py
@@ -103,7 +103,8 @@
 
 
 class Traffic:
-    """Bytes of messages (with their prefixes, as they went over the wire) that one call has moved on its connection.
+    """Bytes of messages (with their prefixes, as they went over the wire) that one call has moved on its
+    connection.
 
     Still counted after the call has ended here: what crosses a reset of ours comes all the same."""
 
@@ -143,7 +144,9 @@
         self.out: deque[bytes] = deque()
         self.out_bytes = 0
         self.unacked = self.reserved = 0
-        self.paused = self.high = self.local_done = self.remote_done = self.answered = self.got_headers = False
+        self.paused = self.high = self.local_done = self.remote_done = self.answered = self.got_headers = (
+            False
+        )
         self.ending: list[tuple[bytes, bytes]] | None = None
         self.decoder = self.encoder = ""
         self.metadata: Metadata = ()
@@ -153,9 +156,15 @@
     """One connection. Calls are named by their stream's number."""
 
     def __init__(
-        self, client: bool, limits: Limits | None = None, authority: str = "", now: int = 0, bodies: ByteBudget | None = None
+        self,
+        client: bool,
+        limits: Limits | None = None,
+        authority: str = "",
+        now: int = 0,
+        bodies: ByteBudget | None = None,
     ) -> None:
-        """`bodies` counts what messages that are not yet whole may hold, over all connections that share it."""
+        """`bodies` counts what messages that are not yet whole may hold, over all connections that share
+        it."""
         self.client, self.limits, self.authority, self.bodies = client, limits or Limits(), authority, bodies
         self.h2 = Http2Connection(
             H2Configuration(
@@ -228,7 +237,9 @@
                         return self._break(events, ErrorCodes.ENHANCE_YOUR_CALM, "too many control frames")
                 elif kind is h2.events.RequestReceived and len(self.calls) >= self.limits.max_streams:
                     if not self._control.take(now):
-                        return self._break(events, ErrorCodes.ENHANCE_YOUR_CALM, "too many calls past the limit")
+                        return self._break(
+                            events, ErrorCodes.ENHANCE_YOUR_CALM, "too many calls past the limit"
+                        )
                 elif kind is h2.events.StreamReset and event.remote_reset and not self._resets.take(now):
                     return self._break(events, ErrorCodes.ENHANCE_YOUR_CALM, "too many resets")
                 handler = self._handlers.get(kind)
@@ -300,7 +311,9 @@
         for call in list(self.calls.values()):
             self._drop(call)
             if self.client:
-                events.append(CallEnded(call.stream, Status(Code.UNAVAILABLE, f"connection lost: {reason}"), reset=True))
+                events.append(
+                    CallEnded(call.stream, Status(Code.UNAVAILABLE, f"connection lost: {reason}"), reset=True)
+                )
             else:
                 events.append(Cancelled(call.stream, f"connection lost: {reason}"))
         events.append(Broken(reason))
@@ -314,7 +327,9 @@
         self._dirty.pop(call.stream, None)
 
     def _data(self, event: h2.events.DataReceived, events: list[Event]) -> None:
-        self._bytes(self.calls.get(event.stream_id or 0), event.data or b"", event.flow_controlled_length or 0, events)
+        self._bytes(
+            self.calls.get(event.stream_id or 0), event.data or b"", event.flow_controlled_length or 0, events
+        )
 
     def _bytes(self, call: _Call | None, data: bytes, size: int, events: list[Event]) -> None:
         """Data of a call has come; `size` is what it takes of the windows."""
@@ -415,13 +430,17 @@
             return
         try:
             metadata = read_metadata(event.headers or ())
-            timeout = decode_timeout(raw[b"grpc-timeout"].decode("latin-1")) if b"grpc-timeout" in raw else None
+            timeout = (
+                decode_timeout(raw[b"grpc-timeout"].decode("latin-1")) if b"grpc-timeout" in raw else None
+            )
         except ValueError as error:
             self.finish(stream, Status(Code.INVALID_ARGUMENT, str(error)))
             return
         call.decoder = raw.get(b"grpc-encoding", b"identity").decode("latin-1").replace("identity", "")
         if call.decoder not in ("", "gzip", "deflate"):
-            self.finish(stream, Status(Code.UNIMPLEMENTED, f"grpc-encoding: {call.decoder[:40]!r} is not known here"))
+            self.finish(
+                stream, Status(Code.UNIMPLEMENTED, f"grpc-encoding: {call.decoder[:40]!r} is not known here")
+            )
             return
         accepts = raw.get(b"grpc-accept-encoding", b"").replace(b" ", b"").split(b",")
         call.encoder = "gzip" if b"gzip" in accepts and call.decoder else ""
@@ -443,7 +462,9 @@
                 if event.stream_ended is None:
                     self.reset(call.stream, ErrorCodes.CANCEL)
                 self._drop(call)
-                events.append(CallEnded(call.stream, Status(code, f"not a gRPC answer: status {http}, {kind!r}")))
+                events.append(
+                    CallEnded(call.stream, Status(code, f"not a gRPC answer: status {http}, {kind!r}"))
+                )
                 return
         if event.stream_ended is not None:
             self._finish_client(call, event.headers or (), events)
@@ -466,14 +487,18 @@
         if self.client:
             self._finish_client(call, event.headers or (), events)
 
-    def _finish_client(self, call: _Call, headers: Iterable[tuple[bytes, bytes]], events: list[Event]) -> None:
+    def _finish_client(
+        self, call: _Call, headers: Iterable[tuple[bytes, bytes]], events: list[Event]
+    ) -> None:
         raw = {name: value for name, value in headers}
         done = call.local_done and call.ending is None and not call.out
         self._drop(call)
         if not done:  # The server needed no more of the request.
             self._quiet_reset(call.stream, ErrorCodes.NO_ERROR)
         number = raw.get(b"grpc-status", b"")
-        code = Code(int(number)) if number.isdigit() and int(number) in Code._value2member_map_ else Code.UNKNOWN
+        code = (
+            Code(int(number)) if number.isdigit() and int(number) in Code._value2member_map_ else Code.UNKNOWN
+        )
         message = decode_message(raw.get(b"grpc-message", b"").decode("latin-1"))
         if not number:
             message = "the answer ended without a grpc-status"
@@ -483,7 +508,9 @@
             metadata = read_metadata(headers)
         except ValueError as error:
             code, message, metadata = Code.INTERNAL, f"trailers: {error}", ()
-        details = next((v for k, v in metadata if k == "grpc-status-details-bin" and isinstance(v, bytes)), b"")
+        details = next(
+            (v for k, v in metadata if k == "grpc-status-details-bin" and isinstance(v, bytes)), b""
+        )
         events.append(CallEnded(call.stream, Status(code, message, details), metadata))
 
     def _ended(self, event: h2.events.StreamEnded, events: list[Event]) -> None:
@@ -548,16 +575,26 @@
         self.draining = True
         for call in [c for c in self.calls.values() if self.client and c.stream > last]:
             self._drop(call)
-            events.append(CallEnded(call.stream, Status(Code.UNAVAILABLE, "the peer goes away"), reset=True, unprocessed=True))
+            events.append(
+                CallEnded(
+                    call.stream, Status(Code.UNAVAILABLE, "the peer goes away"), reset=True, unprocessed=True
+                )
+            )
         events.append(GoAway(last, error, (event.additional_data or b"").decode(errors="replace")[:200]))
 
     # -- out
 
     def room(self) -> int:
         """Calls that may still be opened towards the peer, by its settings."""
-        return 0 if self.dead or self.draining else (self.h2.remote_settings.max_concurrent_streams - len(self.calls))
+        return (
+            0
+            if self.dead or self.draining
+            else (self.h2.remote_settings.max_concurrent_streams - len(self.calls))
+        )
 
-    def start(self, method: str, metadata: Metadata = (), timeout: int | None = None, compress: bool = False) -> int:
+    def start(
+        self, method: str, metadata: Metadata = (), timeout: int | None = None, compress: bool = False
+    ) -> int:
         """Client: open a call; `timeout` in microseconds. Returns its stream's number."""
         stream = self.h2.get_next_available_stream_id()
         headers = [
@@ -580,7 +617,8 @@
         return stream
 
     def send(self, stream: int, data: bytes) -> bool:
-        """Queue a message; False asks the caller to stop until `Writable`. Of an ended call: dropped, False."""
+        """Queue a message; False asks the caller to stop until `Writable`. Of an ended call: dropped,
+        False."""
         call = self.calls.get(stream)
         if call is None or call.ending is not None or call.local_done:
             return False
@@ -689,7 +727,8 @@
             self._extra += PingFrame(0, opaque_data=data[:8].ljust(8, b"\0")).serialize()
 
     def drain(self) -> None:
-        """Server: take no new calls, let the open ones end; the peer is told in two steps, as RFC 9113 has it."""
+        """Server: take no new calls, let the open ones end; the peer is told in two steps, as RFC 9113 has
+        it."""
         if not self.draining and not self.dead:
             self.draining = True
             self._extra += GoAwayFrame(0, last_stream_id=_LAST_STREAM).serialize()
--- a/tuliptrack/rpc/events.py
+++ b/tuliptrack/rpc/events.py
@@ -104,4 +104,15 @@
     reason: str
 
 
-Event = CallStarted | CallHeaders | MessageReceived | HalfClosed | Cancelled | CallEnded | Writable | GoAway | Pong | Broken
+Event = (
+    CallStarted
+    | CallHeaders
+    | MessageReceived
+    | HalfClosed
+    | Cancelled
+    | CallEnded
+    | Writable
+    | GoAway
+    | Pong
+    | Broken
+)
--- a/tuliptrack/rpc/h1.py
+++ b/tuliptrack/rpc/h1.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 without I/O: bytes in, events out, by h11; the server's side and the client's.
 
-Every size is bounded here: heads, bodies, heads that don't end, answers that go on for ever. What can't be read raises
-`ProtocolError` with the status that a server would answer; a connection is of no use after it.
+Every size is bounded here: heads, bodies, heads that don't end, answers that go on for ever. What can't be
+read raises `ProtocolError` with the status that a server would answer; a connection is of no use after it.
 """
 
 from __future__ import annotations
@@ -95,8 +95,8 @@
         return len(self.http.trailing_data[0])
 
     def next(self) -> Head | Body | Part | None:
-        """What has come; None where more bytes are needed, or an answer is owed first. `Part` tells how much of a body
-        has come beyond what its head announced. Raises `ProtocolError`."""
+        """What has come; None where more bytes are needed, or an answer is owed first. `Part` tells how much
+        of a body has come beyond what its head announced. Raises `ProtocolError`."""
         try:
             event: Any = self.http.next_event()
         except h11.RemoteProtocolError as error:
@@ -146,7 +146,8 @@
         return self._send(h11.InformationalResponse(status_code=100, headers=[]))
 
     def head(self, status: int, fields: Fields) -> bytes:
-        """An answer's head. Without a content-length it is framed in chunks (to HTTP/1.0: until the close)."""
+        """An answer's head. Without a content-length it is framed in chunks (to HTTP/1.0: until the
+        close)."""
         return self._send(h11.Response(status_code=status, headers=fields))
 
     def part(self, data: bytes) -> bytes:
@@ -231,9 +232,13 @@
         return Done() if isinstance(event, h11.EndOfMessage) else None
 
     def again(self) -> bool:
-        """An answer is complete: get ready for the next request; False where the connection can't have one, or more has
-        come than was asked for."""
-        if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE or self.http.trailing_data[0]:
+        """An answer is complete: get ready for the next request; False where the connection can't have one,
+        or more has come than was asked for."""
+        if (
+            self.http.our_state is not h11.DONE
+            or self.http.their_state is not h11.DONE
+            or self.http.trailing_data[0]
+        ):
             return False
         self.http.start_next_cycle()
         return True
--- a/tuliptrack/rpc/http1.py
+++ b/tuliptrack/rpc/http1.py
@@ -1,21 +1,23 @@
-"""An HTTP/1.1 server on asyncio: `h1.ServerSide` keeps the protocol's state, this the socket, the bounds and the times.
-
-One request at a time on a connection; what a client pipelines waits until its turn, so answers go out in order. A handler
-is called with the whole body, must not wait, and answers then or later through its `HttpCall`: `respond`, or `start`,
-`send`, `end` for a stream (chunked; to HTTP/1.0 clients until the close).
-
-Bounds: connections (where they are all taken, the one that has been without a request for longest makes room), header and
-body sizes, the bytes of bodies that arrive (a `ByteBudget` shared with the other servers), the time for a first and for any
-whole request, and what waits unsent for a slow reader (`send` says stop, `on_writable` go on). A refusal that is known from
-the headers goes out before the body is read, and the connection is closed after it. No task belongs to a connection: its
-transport calls back, and one timer watches its times.
-
-Every close is in this order: what waits is sent, our sending ends, what still comes is read and thrown away until the client
-ends too (`_LINGER_S`, `_LINGER_BYTES` at most), then the socket is closed. A close over bytes that nobody has read would reset
-the connection, and take along what the client has not read yet. A request that comes in that time is never acted on: its
-client sees the end without an answer, and may send it once more. A client that has ended its sending has left. Its end is
-seen whatever it sent before: past `_MOST_AHEAD` further requests are thrown away, and the connection ends after those kept.
-"""
+"""An HTTP/1.1 server on asyncio: `h1.ServerSide` keeps the protocol's state, this the socket, the bounds and
+the times.
+
+One request at a time on a connection; what a client pipelines waits until its turn, so answers go out in
+order. A handler is called with the whole body, must not wait, and answers then or later through its
+`HttpCall`: `respond`, or `start`, `send`, `end` for a stream (chunked; to HTTP/1.0 clients until the close).
+
+Bounds: connections (where they are all taken, the one that has been without a request for longest makes
+room), header and body sizes, the bytes of bodies that arrive (a `ByteBudget` shared with the other servers),
+the time for a first and for any whole request, and what waits unsent for a slow reader (`send` says stop,
+`on_writable` go on). A refusal that is known from the headers goes out before the body is read, and the
+connection is closed after it. No task belongs to a connection: its transport calls back, and one timer
+watches its times.
+
+Every close is in this order: what waits is sent, our sending ends, what still comes is read and thrown away
+until the client ends too (`_LINGER_S`, `_LINGER_BYTES` at most), then the socket is closed. A close over
+bytes that nobody has read would reset the connection, and take along what the client has not read yet. A
+request that comes in that time is never acted on: its client sees the end without an answer, and may send it
+once more. A client that has ended its sending has left. Its end is seen whatever it sent before: past
+`_MOST_AHEAD` further requests are thrown away, and the connection ends after those kept."""
 
 from __future__ import annotations
 
@@ -40,7 +42,10 @@
 _SEND_BUFFER = 65_536  # bytes that the kernel keeps for a reader that is slow
 _MOST_A_TURN = 4  # requests of one connection that are answered before others get their turn
 _MOST_AHEAD = 65_536  # bytes of further requests kept while one is answered
-_LINGER_S, _LINGER_BYTES = 1.0, 1_048_576  # after our end: how long the client's is waited for, and what it may send
+_LINGER_S, _LINGER_BYTES = (
+    1.0,
+    1_048_576,
+)  # after our end: how long the client's is waited for, and what it may send
 _LOOKED_AT = 16  # connections of each kind that are looked at when room is wanted
 _LINGER_MOST_S = 30.0  # the same, while a slow reader still takes what waits for it
 
@@ -78,7 +83,18 @@
 class HttpCall:
     """One request and its answer. It ends once: by `respond` or `end`, or by `on_gone` being called."""
 
-    __slots__ = ("_link", "body", "fields", "headers", "method", "on_gone", "on_writable", "open", "started", "target")
+    __slots__ = (
+        "_link",
+        "body",
+        "fields",
+        "headers",
+        "method",
+        "on_gone",
+        "on_writable",
+        "open",
+        "started",
+        "target",
+    )
 
     def __init__(self, link: _HttpLink, method: str, target: str, fields: Fields) -> None:
         self._link = link
@@ -93,11 +109,15 @@
     def connection(self) -> object:
         return self._link
 
-    def respond(self, status: int, body: bytes, headers: Fields | None = None, kind: str = "application/json") -> None:
+    def respond(
+        self, status: int, body: bytes, headers: Fields | None = None, kind: str = "application/json"
+    ) -> None:
         """The whole answer at once."""
         if self.open and not self.started:
             self.started, self.open = True, False
-            self._link.whole(status, [("content-type", kind), ("content-length", str(len(body))), *(headers or [])], body)
+            self._link.whole(
+                status, [("content-type", kind), ("content-length", str(len(body))), *(headers or [])], body
+            )
 
     def error(self, status: int, text: str, headers: Fields | None = None, **facts: object) -> None:
         """An answer of the form {"error": text}."""
@@ -105,7 +125,9 @@
 
     def start(self, status: int, kind: str, headers: Fields | None = None) -> None:
         if self.open and not self.started:
-            self._link.begin(status, [("content-type", kind), ("cache-control", "no-store"), *(headers or [])])
+            self._link.begin(
+                status, [("content-type", kind), ("cache-control", "no-store"), *(headers or [])]
+            )
             self.started = True
 
     def send(self, data: bytes) -> bool:
@@ -129,7 +151,8 @@
             self.on_gone(reason)
 
     def left(self) -> bool:
-        """Whether the client has ended its sending or reset the connection, though that may not have been read yet."""
+        """Whether the client has ended its sending or reset the connection, though that may not have been
+        read yet."""
         return self.open and (self._link.transport.is_closing() or ended_by_peer(self._link.transport))
 
 
@@ -219,8 +242,8 @@
     # -- in
 
     def _advance(self) -> None:
-        """Deal with what has come: requests, one after another, as long as each is answered at once; a few in one turn of
-        the loop, so that who sends hundreds at once holds up nobody else."""
+        """Deal with what has come: requests, one after another, as long as each is answered at once; a few in
+        one turn of the loop, so that who sends hundreds at once holds up nobody else."""
         if self._advancing:
             return
         self._advancing = True
@@ -340,7 +363,10 @@
         head = self._first(status, headers)
         if head:
             try:
-                self._out(head + (self.side.part(body) if body and self.call and self.call.method != "HEAD" else b""))
+                self._out(
+                    head
+                    + (self.side.part(body) if body and self.call and self.call.method != "HEAD" else b"")
+                )
             except ProtocolError as error:
                 self._broke(error)
         self.finish()
@@ -373,7 +399,11 @@
             self._out(
                 self._first(
                     refusal.status,
-                    [("content-type", "application/json"), ("content-length", str(len(body))), *refusal.headers],
+                    [
+                        ("content-type", "application/json"),
+                        ("content-length", str(len(body))),
+                        *refusal.headers,
+                    ],
                 )
             )
             try:
@@ -404,7 +434,8 @@
         self._timer = self.loop.call_later(_LINGER_S, self._linger, self.transport.get_write_buffer_size())
 
     def _linger(self, waiting: int) -> None:
-        """The client's end has been waited for; a reader that still takes what waits for it is given more time."""
+        """The client's end has been waited for; a reader that still takes what waits for it is given more
+        time."""
         left = self.transport.get_write_buffer_size()
         if 0 < left < waiting and self.loop.time() < self._linger_till:
             self._timer = self.loop.call_later(_LINGER_S, self._linger, left)
@@ -491,13 +522,15 @@
         return True
 
     def _spare(self) -> _HttpLink | None:
-        """The connection that makes room for a new one. Who has ended goes first, then who has asked for nothing yet, so that
-        a flood of such connections makes room for itself and not in place of clients. One with bytes that were not read
-        stays if it can: they may be a request. Of clients that were served before, it always stays."""
+        """The connection that makes room for a new one. Who has ended goes first, then who has asked for
+        nothing yet, so that a flood of such connections makes room for itself and not in place of clients.
+        One with bytes that were not read stays if it can: they may be a request. Of clients that were served
+        before, it always stays."""
         if lingering := next(iter(self._lingering), None):
             return lingering
         silent = (link for link in self._new if not link.side.begun)
-        # A kept connection may have brought requests that were read and wait for their turn: it is not closed over them.
+        # A kept connection may have brought requests that were read and wait for their turn: it is not closed
+        # over them.
         resting = (link for link in self._free if not link.side.begun)
         for links in (silent, self._new, resting):
             if found := next((k for k in islice(links, _LOOKED_AT) if not has_unread(k.transport)), None):
--- a/tuliptrack/rpc/http1_client.py
+++ b/tuliptrack/rpc/http1_client.py
@@ -1,4 +1,5 @@
-"""One HTTP/1.1 connection to a server on asyncio: `h1.ClientSide` keeps the protocol's state, this the socket.
+"""One HTTP/1.1 connection to a server on asyncio: `h1.ClientSide` keeps the protocol's state, this the
+socket.
 
 One exchange at a time. Nothing is ever sent again from in here.
 """
@@ -150,11 +151,13 @@
             exchange.ended(How.RESET if exchange.sent else How.CONNECT, reason)
 
     def stands(self) -> bool:
-        """Whether the kernel holds the connection to be up: what has just broken with it may not have been told yet."""
+        """Whether the kernel holds the connection to be up: what has just broken with it may not have been
+        told yet."""
         return not self.dead and stands(self.transport)
 
     def ended(self) -> bool:
-        """Whether the peer has ended the connection, though that may not have been read yet: what is written now is lost."""
+        """Whether the peer has ended the connection, though that may not have been read yet: what is written
+        now is lost."""
         return self.transport.is_closing() or ended_by_peer(self.transport)
 
     def pause(self) -> None:
--- a/tuliptrack/rpc/http1_exchange.py
+++ b/tuliptrack/rpc/http1_exchange.py
@@ -20,7 +20,8 @@
     ANSWER = "answer"
     """The whole answer has come."""
     CONNECT = "connect"
-    """No connection that works was there in time, or it broke before the request's last byte was written: it never ran."""
+    """No connection that works was there in time, or it broke before the request's last byte was written: it
+    never ran."""
     NO_ROOM = "no room"
     """We hold as many connections as we may, or as the system allows: it was never sent."""
     RESET = "reset"
@@ -92,20 +93,22 @@
         self.validated = False
         """It goes out on a connection that has just proven to work: a kept one is asked first."""
         self.proven_since = 0.0
-        """When its connection was asked a question, on the loop's clock, that was answered before the request went out on it;
-        0: it was not."""
+        """When its connection was asked a question, on the loop's clock, that was answered before the request
+        went out on it; 0: it was not."""
         self.fresh = False
         """It goes out on a new connection, whatever is kept."""
         self.open, self.status = True, 0
         self.sent, self.sent_at = False, 0.0
-        """Its last byte has been written, and when, on the loop's clock: the peer may act on it. Without, it never ran."""
+        """Its last byte has been written, and when, on the loop's clock: the peer may act on it. Without, it
+        never ran."""
         self.heard = False
         """Something has come for it on its connection since it was sent."""
         self.connect_by = 0
         """Monotonic microseconds until which it waits for a connection; 0: as long as any exchange does."""
         self.spoilt = self.lone = False
-        """Of one that broke: what came can't be read; only its own connection has ended, which had been kept and brought
-        nothing for it, or beside which others to the same address stand, or was not waited for in full."""
+        """Of one that broke: what came can't be read; only its own connection has ended, which had been kept
+        and brought nothing for it, or beside which others to the same address stand, or was not waited for in
+        full."""
         self.carrier: Carrier | None = None
         self.paused = False
 
--- a/tuliptrack/rpc/http1_pool.py
+++ b/tuliptrack/rpc/http1_pool.py
@@ -1,14 +1,14 @@
 """Connections to one address, kept and used again, the last one used first.
 
-A connection that is kept may have fallen silent with no error: a middlebox has forgotten it, its machine is cut off. So a
-request that asks for it (`Exchange.validated`) goes out only after its connection has answered a small question just before
-(validation on borrow). Where a kept one does not answer soon a new one is opened beside it, and the first that works is
-used. A new connection is asked too where the address is in doubt: where something was sent to it that brought no word, and
-nothing was heard from it since. A request that finds no connection that works within the time to connect never ran.
+A connection that is kept may have fallen silent with no error: a middlebox has forgotten it, its machine is
+cut off. So a request that asks for it (`Exchange.validated`) goes out only after its connection has answered
+a small question just before (validation on borrow). Where a kept one does not answer soon a new one is opened
+beside it, and the first that works is used. A new connection is asked too where the address is in doubt:
+where something was sent to it that brought no word, and nothing was heard from it since. A request that finds
+no connection that works within the time to connect never ran.
 
-Bounds: `Connections` counts those of all addresses together. Where none is left, an idle one of any address makes room; where
-none is idle, the exchange ends at once, never sent.
-"""
+Bounds: `Connections` counts those of all addresses together. Where none is left, an idle one of any address
+makes room; where none is idle, the exchange ends at once, never sent."""
 
 from __future__ import annotations
 
@@ -28,7 +28,9 @@
 _OWN_NETWORK = frozenset({errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN})
 """This machine's network can't open it now; that says little of the peer."""
 _CONNECT_AGAIN_S = 0.02  # after one of these
-_KEPT_ANSWERS = 0.2  # of the time to connect: within it a kept connection has to answer before a new one is opened
+_KEPT_ANSWERS = (
+    0.2  # of the time to connect: within it a kept connection has to answer before a new one is opened
+)
 
 
 class Connections:
@@ -99,7 +101,8 @@
             self._fail(How.CONNECT, "no connection that works in time", self._cut_short)
 
     def _validate(self, connection: ClientConnection) -> None:
-        """Ask a connection a question that has no effect; where none is known the connection is taken to work."""
+        """Ask a connection a question that has no effect; where none is known the connection is taken to
+        work."""
         question = self.pool.make_question(self.pool.address)
         if question is None:
             self._use(connection)
@@ -134,7 +137,9 @@
         if not self.pool.connections.take():
             if not self._validations:
                 self.over = True
-                self.pool.loop.call_soon(self._end, How.NO_ROOM, f"{self.pool.connections.held} connections are open")
+                self.pool.loop.call_soon(
+                    self._end, How.NO_ROOM, f"{self.pool.connections.held} connections are open"
+                )
             return
         self._task = self.pool.loop.create_task(self._open())
 
@@ -176,7 +181,10 @@
     async def _dial(self, connection: ClientConnection, within_s: float) -> None:
         host, _, port = self.pool.address.rpartition(":")
         try:
-            await dial(lambda: self.pool.loop.create_connection(lambda: connection, host.strip("[]"), int(port)), within_s)
+            await dial(
+                lambda: self.pool.loop.create_connection(lambda: connection, host.strip("[]"), int(port)),
+                within_s,
+            )
         except (OSError, asyncio.CancelledError):
             connection.drop("too late")  # It may have come up in this very moment.
             raise
@@ -191,7 +199,8 @@
             self._fail(How.CONNECT, reason, cut_short or number in _OWN_NETWORK)
 
     def _use(self, connection: ClientConnection, proven_since: float = 0.0) -> None:
-        """A connection works: the exchange goes out on it, unless it isn't wanted any more. `proven_since`: see `Exchange`."""
+        """A connection works: the exchange goes out on it, unless it isn't wanted any more. `proven_since`:
+        see `Exchange`."""
         if self.over:
             self.pool.rests(connection)
             return
@@ -248,7 +257,8 @@
         connections: Connections,
         make_question: Callable[[str], Exchange | None] = no_question,
     ) -> None:
-        """`make_question`: an exchange without any effect by which a connection shows that it works; None: there is none."""
+        """`make_question`: an exchange without any effect by which a connection shows that it works; None:
+        there is none."""
         self.address, self.options, self.connections = address, options, connections
         self.make_question = make_question
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
@@ -288,7 +298,9 @@
 
     def _rested(self, now: float) -> ClientConnection | None:
         """The idle connection to use next; None where none has rested."""
-        return next((kept for kept in reversed(self.idle) if now - kept.idle_since >= self.options.rest / 1e6), None)
+        return next(
+            (kept for kept in reversed(self.idle) if now - kept.idle_since >= self.options.rest / 1e6), None
+        )
 
     def has_spare(self) -> bool:
         """Whether an exchange would need no new connection."""
--- a/tuliptrack/rpc/listener.py
+++ b/tuliptrack/rpc/listener.py
@@ -1,9 +1,8 @@
 """A listening socket that goes on whatever `accept` says.
 
-asyncio's own server leaves its listener alone for a whole second where the system has no room for a connection, and logs a
-traceback for each try that fails in another way. Here a try that fails is repeated `_AGAIN_S` later, for as long as it takes;
-one line tells of the trouble's beginning and one of its end.
-"""
+asyncio's own server leaves its listener alone for a whole second where the system has no room for a
+connection, and logs a traceback for each try that fails in another way. Here a try that fails is repeated
+`_AGAIN_S` later, for as long as it takes; one line tells of the trouble's beginning and one of its end."""
 
 from __future__ import annotations
 
@@ -20,8 +19,8 @@
 
 log = structlog.get_logger("rpc.listener")
 ACCEPTED_AT_ONCE = 8
-"""Connections that are accepted in one go, before any is looked at: few, so that a flood can't take descriptors past the
-bound."""
+"""Connections that are accepted in one go, before any is looked at: few, so that a flood can't take
+descriptors past the bound."""
 _WAITING = 1_024  # connections that the kernel lets wait
 _AGAIN_S = 0.02
 _ONE_CONNECTION = frozenset(
@@ -39,8 +38,8 @@
         errno.ETIMEDOUT,
     }
 )
-"""What says that the connection at hand has failed already; Linux passes such errors on from `accept`. The next one is tried
-at once, but for a few in a row."""
+"""What says that the connection at hand has failed already; Linux passes such errors on from `accept`. The
+next one is tried at once, but for a few in a row."""
 
 
 def _close(sock: socket.socket) -> None:
@@ -50,8 +49,8 @@
 
 
 class Listener:
-    """Accepts connections for `factory`'s protocols. `close` ends it and every task of it. Bound: the connections accepted at
-    once; who they are handed to bounds the rest."""
+    """Accepts connections for `factory`'s protocols. `close` ends it and every task of it. Bound: the
+    connections accepted at once; who they are handed to bounds the rest."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, factory: Callable[[], asyncio.Protocol]) -> None:
         self._loop, self._factory = loop, factory
--- a/tuliptrack/rpc/loop_errors.py
+++ b/tuliptrack/rpc/loop_errors.py
@@ -1,8 +1,8 @@
 """What an event loop tells of calls that failed with nobody there to handle it, as lines of the log.
 
-asyncio's transports call `close` and `shutdown` where an error has no one to go to; the connection has ended all the same. One
-line without a traceback tells of it. Anything else is a defect of this program and keeps its traceback.
-"""
+asyncio's transports call `close` and `shutdown` where an error has no one to go to; the connection has ended
+all the same. One line without a traceback tells of it. Anything else is a defect of this program and keeps
+its traceback."""
 
 from __future__ import annotations
 
--- a/tuliptrack/rpc/retry.py
+++ b/tuliptrack/rpc/retry.py
@@ -15,9 +15,19 @@
 log = structlog.get_logger("rpc.retry")
 _AGAIN_S = 0.05
 MOMENTARY = frozenset(
-    {errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
+    {
+        errno.EADDRINUSE,
+        errno.EADDRNOTAVAIL,
+        errno.EAGAIN,
+        errno.EINTR,
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+    }
 )
-"""What may be over soon: this machine lacks something, or an address is still taken by a process that ends."""
+"""What may be over soon: this machine lacks something, or an address is still taken by a process that
+ends."""
 
 Result = TypeVar("Result")
 
@@ -44,10 +54,13 @@
 
 
 def retry(
-    what: str, attempt: Callable[[], Result], seconds: float, may_pass: Callable[[Exception], bool] = _momentary
+    what: str,
+    attempt: Callable[[], Result],
+    seconds: float,
+    may_pass: Callable[[Exception], bool] = _momentary,
 ) -> Result:
-    """The result of the first attempt that doesn't fail with what may pass; the last error after so many seconds. Waits in
-    between, so not for a running loop."""
+    """The result of the first attempt that doesn't fail with what may pass; the last error after so many
+    seconds. Waits in between, so not for a running loop."""
     patience = _Patience(what, seconds, may_pass)
     while True:
         try:
--- a/tuliptrack/rpc/server.py
+++ b/tuliptrack/rpc/server.py
@@ -17,7 +17,16 @@
 from tuliptrack.decisions.admission import ByteBudget
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.core import Core, Limits
-from tuliptrack.rpc.events import Broken, CallStarted, Cancelled, Event, GoAway, HalfClosed, MessageReceived, Writable
+from tuliptrack.rpc.events import (
+    Broken,
+    CallStarted,
+    Cancelled,
+    Event,
+    GoAway,
+    HalfClosed,
+    MessageReceived,
+    Writable,
+)
 from tuliptrack.rpc.link import Link
 from tuliptrack.rpc.listener import Listener
 from tuliptrack.rpc.status import Code, Metadata, Status, refusal, refusal_details, with_details
@@ -128,13 +137,17 @@
 
         def message(data: bytes) -> None:
             if got:
-                call.end(Status(Code.UNIMPLEMENTED, f"{call.method}: one request message expected, a second came"))
+                call.end(
+                    Status(Code.UNIMPLEMENTED, f"{call.method}: one request message expected, a second came")
+                )
                 return
             request = kind()
             try:
                 request.ParseFromString(data)
             except DecodeError as error:
-                call.end(Status(Code.INVALID_ARGUMENT, f"request: not a {kind.DESCRIPTOR.full_name} ({error})"))
+                call.end(
+                    Status(Code.INVALID_ARGUMENT, f"request: not a {kind.DESCRIPTOR.full_name} ({error})")
+                )
                 return
             got.append(request)
 
@@ -142,7 +155,9 @@
             if got:
                 act(call, got[0])
             else:
-                call.end(Status(Code.UNIMPLEMENTED, f"{call.method}: one request message expected, none came"))
+                call.end(
+                    Status(Code.UNIMPLEMENTED, f"{call.method}: one request message expected, none came")
+                )
 
         call.on_message, call.on_half_close = message, half_close
 
@@ -155,7 +170,9 @@
         self.calls: dict[int, ServerCall] = {}
         name = writer.get_extra_info("peername")
         self.peer = f"{name[0]}:{name[1]}" if name else "?"
-        super().__init__(reader, writer, Core(client=False, limits=server.limits, now=now_us(), bodies=server.bodies))
+        super().__init__(
+            reader, writer, Core(client=False, limits=server.limits, now=now_us(), bodies=server.bodies)
+        )
 
     def on_event(self, event: Event) -> None:
         if isinstance(event, CallStarted):
@@ -195,7 +212,9 @@
                 call.end(Status(Code.UNIMPLEMENTED, f"{event.method[:100]}: no such method here"))
             else:
                 reason = "this server is shutting down"
-                call.end(with_details(Code.UNAVAILABLE, reason, *refusal_details("REFUSED", 0, reason=reason)))
+                call.end(
+                    with_details(Code.UNAVAILABLE, reason, *refusal_details("REFUSED", 0, reason=reason))
+                )
             return
         if event.method in self.server.early and self.server.outlook:
             reason, wait = self.server.outlook()
@@ -224,7 +243,9 @@
 class Server:
     """Listens on one address. Bound: `max_connections`; one more is closed at once."""
 
-    def __init__(self, limits: Limits | None = None, max_connections: int = 4_096, bodies: ByteBudget | None = None) -> None:
+    def __init__(
+        self, limits: Limits | None = None, max_connections: int = 4_096, bodies: ByteBudget | None = None
+    ) -> None:
         self.limits, self.max_connections, self.bodies = limits or Limits(), max_connections, bodies
         self.methods: dict[str, Handler] = {}
         self.links: dict[_ServerLink, asyncio.Task[None]] = {}
@@ -235,12 +256,13 @@
         self._cut = asyncio.Event()
         self.address = ""
         self.on_cut: Callable[[], None] = _nothing
-        """Called by `stop` once the grace is over: the last chance to end calls in a better way than it does."""
+        """Called by `stop` once the grace is over: the last chance to end calls in a better way than it
+        does."""
         self.gate: Callable[[asyncio.StreamWriter], Awaitable[bool]] | None = None
         """Asked of each new connection, where set; False turns it away."""
         self.outlook: Callable[[], tuple[str, int]] | None = None
-        """Where set, asked when a call of a method added with `early` begins, before its body is read: a reason why it
-        would be refused, and after how many microseconds to come back."""
+        """Where set, asked when a call of a method added with `early` begins, before its body is read: a
+        reason why it would be refused, and after how many microseconds to come back."""
         self.early: set[str] = set()
 
     def add(self, service: str, method: str, handler: Handler, early: bool = False) -> None:
@@ -260,7 +282,11 @@
         return asyncio.StreamReaderProtocol(asyncio.StreamReader(loop=loop), self._accept, loop=loop)
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.links) >= self.max_connections or self.stopping or (self.gate and not await self.gate(writer)):
+        if (
+            len(self.links) >= self.max_connections
+            or self.stopping
+            or (self.gate and not await self.gate(writer))
+        ):
             self.turned_away += 1
             writer.transport.abort()
             return
@@ -295,7 +321,9 @@
         if tasks and grace > 0:
             cut = asyncio.ensure_future(self._cut.wait())
             await asyncio.wait(
-                {asyncio.ensure_future(asyncio.wait(tasks)), cut}, timeout=grace, return_when=asyncio.FIRST_COMPLETED
+                {asyncio.ensure_future(asyncio.wait(tasks)), cut},
+                timeout=grace,
+                return_when=asyncio.FIRST_COMPLETED,
             )
             cut.cancel()
         self.on_cut()
--- a/tuliptrack/rpc/status.py
+++ b/tuliptrack/rpc/status.py
@@ -77,7 +77,11 @@
             return []
         found: list[Message] = []
         for packed in whole.details:
-            for kind in (error_details_pb2.RetryInfo, error_details_pb2.ErrorInfo, error_details_pb2.BadRequest):
+            for kind in (
+                error_details_pb2.RetryInfo,
+                error_details_pb2.ErrorInfo,
+                error_details_pb2.BadRequest,
+            ):
                 one = kind()
                 if packed.Is(kind.DESCRIPTOR) and packed.Unpack(one):
                     found.append(one)
@@ -93,7 +97,8 @@
 
 
 def refusal_details(kind: str, retry_after_us: int, **facts: str) -> list[Message]:
-    """What tells a client the kind of refusal, its facts, and when to come back (microseconds; 0: no advice)."""
+    """What tells a client the kind of refusal, its facts, and when to come back (microseconds; 0: no
+    advice)."""
     retry = error_details_pb2.RetryInfo()
     retry.retry_delay.FromMicroseconds(max(retry_after_us, 0))
     return [retry, error_details_pb2.ErrorInfo(reason=kind, domain="tuliptrack", metadata=facts)]
@@ -101,7 +106,9 @@
 
 def refusal(reason: str, retry_after_us: int) -> Status:
     """A refusal, with its reason and when to come back (microseconds; 0: no advice)."""
-    return with_details(Code.UNAVAILABLE, refusal_text(reason), *refusal_details("REFUSED", retry_after_us, reason=reason))
+    return with_details(
+        Code.UNAVAILABLE, refusal_text(reason), *refusal_details("REFUSED", retry_after_us, reason=reason)
+    )
 
 
 def from_http(status: int) -> Code:
@@ -120,9 +127,12 @@
 
 def from_reset(error: int) -> Code:
     """The code for a stream that its peer reset with this HTTP/2 error."""
-    return {0x7: Code.UNAVAILABLE, 0x8: Code.CANCELLED, 0xB: Code.RESOURCE_EXHAUSTED, 0xC: Code.PERMISSION_DENIED}.get(
-        error, Code.INTERNAL
-    )
+    return {
+        0x7: Code.UNAVAILABLE,
+        0x8: Code.CANCELLED,
+        0xB: Code.RESOURCE_EXHAUSTED,
+        0xC: Code.PERMISSION_DENIED,
+    }.get(error, Code.INTERNAL)
 
 
 def encode_message(text: str) -> bytes:
--- a/tuliptrack/sources/feed.py
+++ b/tuliptrack/sources/feed.py
@@ -22,13 +22,21 @@
 
 
 class FeedSource:
-    """One Watch stream at a time, while subscribed. `keepalive` (microseconds) finds a feed that died silently."""
+    """One Watch stream at a time, while subscribed. `keepalive` (microseconds) finds a feed that died
+    silently."""
 
-    def __init__(self, address: str, node: str = "", connect_timeout: int = 250_000, keepalive: int = 5_000_000) -> None:
+    def __init__(
+        self, address: str, node: str = "", connect_timeout: int = 250_000, keepalive: int = 5_000_000
+    ) -> None:
         self.node = node
         self.channel = Channel(
             address,
-            Options(connect_timeout=connect_timeout, keepalive_after=keepalive, keepalive_timeout=keepalive, max_links=1),
+            Options(
+                connect_timeout=connect_timeout,
+                keepalive_after=keepalive,
+                keepalive_timeout=keepalive,
+                max_links=1,
+            ),
         )
         self.tell: Callable[[pb.ServerList], None] = lambda _: None
         self.stream: ClientCall | None = None
@@ -53,11 +61,15 @@
             try:
                 message = pb.ServerList.FromString(data)
             except DecodeError as error:
-                log.warning("server list not taken", source=self.channel.address, reason=f"malformed: {error}")
+                log.warning(
+                    "server list not taken", source=self.channel.address, reason=f"malformed: {error}"
+                )
                 return
             if first and message.kind != pb.ServerList.FULL:
                 log.warning(
-                    "server list not taken", source=self.channel.address, reason="a stream must begin with a whole list"
+                    "server list not taken",
+                    source=self.channel.address,
+                    reason="a stream must begin with a whole list",
                 )
                 return
             if not first and message.version <= self.version and message.kind != pb.ServerList.FAILED:
--- a/tuliptrack/sources/listing.py
+++ b/tuliptrack/sources/listing.py
@@ -30,7 +30,11 @@
     pb.ServerEntry.DRAINING: ServerState.DRAINING,
     pb.ServerEntry.GONE: ServerState.GONE,
 }
-_KINDS = {pb.ServerList.FULL: ListKind.FULL, pb.ServerList.DELTA: ListKind.DELTA, pb.ServerList.FAILED: ListKind.FAILED}
+_KINDS = {
+    pb.ServerList.FULL: ListKind.FULL,
+    pb.ServerList.DELTA: ListKind.DELTA,
+    pb.ServerList.FAILED: ListKind.FAILED,
+}
 
 
 class ListError(Exception):
@@ -68,8 +72,11 @@
         self.version = 0
         self._starts = Starts()
 
-    def take(self, message: pb.ServerList, now: int, kind: ListKind | None = None, wall: int | None = None) -> Listing:
-        """Apply a list; `now` monotonic, `wall` since 1970, both microseconds. ListError leaves all as it was."""
+    def take(
+        self, message: pb.ServerList, now: int, kind: ListKind | None = None, wall: int | None = None
+    ) -> Listing:
+        """Apply a list; `now` monotonic, `wall` since 1970, both microseconds. ListError leaves all as it
+        was."""
         what = kind or _KINDS.get(message.kind)
         if what is None:
             raise ListError(f"kind: unknown value {message.kind}")
@@ -131,7 +138,8 @@
 
 
 def save_cache(path: str, held: pb.ServerList) -> None:
-    """Keep the list for the next start: written beside, then moved over, so that a crash leaves old or new."""
+    """Keep the list for the next start: written beside, then moved over, so that a crash leaves old or
+    new."""
     target = Path(path)
     beside = target.with_name(target.name + ".new")
     with beside.open("w") as file:
--- a/tuliptrack/sources/starts.py
+++ b/tuliptrack/sources/starts.py
@@ -1,10 +1,10 @@
 """When servers started: wall times, as lists tell them, in the node's monotonic time.
 
-The wall clock may be stepped at any time. Each start is translated once, and a server that has just started is never taken for
-a warm one on the word of a clock that may be wrong: the clock's offset is read with the first list and again with each one,
-and the reading by which the start is later counts. A start that was not told in the list before, and that would lie far before
-that list was heard, has been told by another clock than ours: it counts as now.
-"""
+The wall clock may be stepped at any time. Each start is translated once, and a server that has just started
+is never taken for a warm one on the word of a clock that may be wrong: the clock's offset is read with the
+first list and again with each one, and the reading by which the start is later counts. A start that was not
+told in the list before, and that would lie far before that list was heard, has been told by another clock
+than ours: it counts as now."""
 
 from __future__ import annotations
 
@@ -26,8 +26,9 @@
         self._list_heard_at: int | None = None
 
     def monotonic(self, server: int, unix_us: int, now: int, wall: int) -> int:
-        """A start in monotonic microseconds; the same for each telling of one start, whatever the wall clock does. 0
-        (long ago) stays 0. `now` is monotonic, `wall` since 1970, both in microseconds and read in the same moment."""
+        """A start in monotonic microseconds; the same for each telling of one start, whatever the wall clock
+        does. 0 (long ago) stays 0. `now` is monotonic, `wall` since 1970, both in microseconds and read in
+        the same moment."""
         if self._offset is None:
             self._offset = wall - now
         if not unix_us:
@@ -38,7 +39,8 @@
         started = max(unix_us - self._offset, unix_us - (wall - now))
         if self._list_heard_at is not None and started < self._list_heard_at - _TOLD_LATE_US:
             started = now
-        # A start in the future is a clock that's behind: it counts as now, so that the server is cold, not warm.
+        # A start in the future is a clock that's behind: it counts as now, so that the server is cold, not
+        # warm.
         started = max(min(started, now), 1)
         self._known[server] = (unix_us, started)
         return started
--- a/tuliptrack/state/choosing.py
+++ b/tuliptrack/state/choosing.py
@@ -12,8 +12,8 @@
 
 
 def median_low(values: Iterable[float]) -> float:
-    """The middle one of these, the lower of two; ValueError where there are none. Its namesake in the standard library costs
-    a process a twentieth of the time in which it gets ready."""
+    """The middle one of these, the lower of two; ValueError where there are none. Its namesake in the
+    standard library costs a process a twentieth of the time in which it gets ready."""
     ordered = sorted(values)
     if not ordered:
         raise ValueError("no median of nothing")
--- a/tuliptrack/state/demand.py
+++ b/tuliptrack/state/demand.py
@@ -10,8 +10,8 @@
 
 
 class Asked:
-    """What this node was asked: mean tokens of prompt to read and of answer, by class and in all, and how much of it each
-    prefix was lately. Bound: `PREFIXES_KEPT`; the one not asked for longest is forgotten."""
+    """What this node was asked: mean tokens of prompt to read and of answer, by class and in all, and how
+    much of it each prefix was lately. Bound: `PREFIXES_KEPT`; the one not asked for longest is forgotten."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -35,10 +35,10 @@
         self.by_class[cls] = _toward(self.by_class.get(cls, new), new, weight)
 
     def part(self, prefix: int, weight: float) -> float:
-        """The part of what was asked lately that had this prefix, 0 to 1; `weight` as in `note`. The first request with one
-        says nothing of how many there are, so only those that came again count; as many requests as the fading spans are
-        taken to have come before the first, each with another prefix, so that a node that has seen little does not call
-        hot what came twice."""
+        """The part of what was asked lately that had this prefix, 0 to 1; `weight` as in `note`. The first
+        request with one says nothing of how many there are, so only those that came again count; as many
+        requests as the fading spans are taken to have come before the first, each with another prefix, so
+        that a node that has seen little does not call hot what came twice."""
         seen, at = self._prefixes.get(prefix, (0.0, 0))
         again = max(seen * (1 - weight) ** (self.count - at) - 1, 0.0)
         return again * weight / (2 - (1 - weight) ** self.count)
--- a/tuliptrack/state/fleet.py
+++ b/tuliptrack/state/fleet.py
@@ -17,7 +17,9 @@
 
 __all__ = ["GONE_KEPT", "Changed", "Fleet"]
 
-SIZE_UNIT = 2**30  # sizes are added up as whole multiples of its inverse: no sum depends on the order of changes
+SIZE_UNIT = (
+    2**30
+)  # sizes are added up as whole multiples of its inverse: no sum depends on the order of changes
 GONE_KEPT = 128  # servers that have gone and are still known, so that one that comes and goes keeps its blame and turn
 
 
@@ -32,8 +34,8 @@
 
 
 class Fleet:
-    """The server list as this node was last told it, with indexes that each change mends: no question and no change costs a
-    look at every server."""
+    """The server list as this node was last told it, with indexes that each change mends: no question and no
+    change costs a look at every server."""
 
     def __init__(self, roles: tuple[Role, ...], by_zone: bool = False) -> None:
         """`by_zone`: what crosses zones is counted."""
@@ -76,13 +78,17 @@
     # -- changes of the list
 
     def apply(self, change: FleetChange, now: int, fade: float) -> Changed:
-        """Take a change, or a whole list, in which what isn't named has gone. Servers gone the longest, with nothing of this
-        node's there, are forgotten past `GONE_KEPT`. `fade`: of paces."""
+        """Take a change, or a whole list, in which what isn't named has gone. Servers gone the longest, with
+        nothing of this node's there, are forgotten past `GONE_KEPT`. `fade`: of paces."""
         changed: dict[int, Seat] = {}
         infos: Iterable[Server] = change.servers
         if change.kind is not ListKind.DELTA:
             named = {server.id for server in change.servers}
-            absent = [s.info for s in self.seats.values() if s.info.id not in named and s.info.state is not ServerState.GONE]
+            absent = [
+                s.info
+                for s in self.seats.values()
+                if s.info.id not in named and s.info.state is not ServerState.GONE
+            ]
             absent.sort(key=lambda info: info.id)
             infos = [*(replace(info, state=ServerState.GONE) for info in absent), *change.servers]
         for info in infos:
@@ -107,7 +113,8 @@
         return Changed(list(changed.values()), self._forget(now, fade))
 
     def _replace(self, seat: Seat, info: Server, now: int, fade: float) -> None:
-        """A known server has another entry. A new process under an old id: what the old one did says nothing of it."""
+        """A known server has another entry. A new process under an old id: what the old one did says nothing
+        of it."""
         self._leave(seat)
         self._count_listed(seat.role, _units(info.weight) - _units(seat.info.weight), 0)
         if info.started_at > seat.info.started_at:
@@ -221,7 +228,8 @@
         return now - began
 
     def load(self, seat: Seat, tokens: float) -> None:
-        """Projected tokens of a stream come there, or leave. Where nothing of this node's is there, none are."""
+        """Projected tokens of a stream come there, or leave. Where nothing of this node's is there, none
+        are."""
         seat.tokens = max(seat.tokens + tokens, 0.0) if seat.open or seat.running else 0.0
         seat.load = seat.tokens / max(seat.info.weight, 1e-6)
         if seat.tokens:
@@ -270,7 +278,8 @@
         return [seat for server, seat in self._blamed.items() if server in self._ready[role]]
 
     def cold(self, role: Role, since: int) -> Collection[Seat]:
-        """Ready servers of a role that have started after a moment, by their numbers; the others are warm from now on."""
+        """Ready servers of a role that have started after a moment, by their numbers; the others are warm
+        from now on."""
         if self._first_start <= since:
             for members in self._young.values():
                 for seat in [seat for seat in members if seat.info.started_at <= since]:
@@ -287,9 +296,12 @@
             del self._reported[server]
         return self._reported | self.waiting | self.running
 
-    def any_least(self, open_to: Candidates, score: Callable[[Seat], float], since: int, random: Random) -> Seat | None:
-        """Any of the readers of the least score that are candidates, each as likely. Where nothing of this node's is and no
-        report came after `since`, the score has to rise with the latency, and be one for all of a group without any."""
+    def any_least(
+        self, open_to: Candidates, score: Callable[[Seat], float], since: int, random: Random
+    ) -> Seat | None:
+        """Any of the readers of the least score that are candidates, each as likely. Where nothing of this
+        node's is and no report came after `since`, the score has to rise with the latency, and be one for all
+        of a group without any."""
         busy = self.busy(since)
         looked_at = open_to.among(busy.values())
         left_out = open_to.barred | {server for server in busy if server in self.latency}
