--- a/tuliptrack/state/loads.py
+++ b/tuliptrack/state/loads.py
@@ -1,4 +1,5 @@
-"""Where a request may go, and how loaded servers are: most of them counted by groups, few looked at one by one."""
+"""Where a request may go, and how loaded servers are: most of them counted by groups, few looked at one by
+one."""
 
 from __future__ import annotations
 
@@ -15,23 +16,27 @@
 __all__ = ["Candidates", "Group", "Loads"]
 
 DRAWS = 64  # servers drawn by chance for one that fits, before all are looked at
-DRAW_SHARE = 8  # least part of the servers, as its inverse, that must fit for that: eight draws at most on the mean
+DRAW_SHARE = (
+    8  # least part of the servers, as its inverse, that must fit for that: eight draws at most on the mean
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """Servers of a role and, where crossings are counted, of a zone. They are named by their place in `Fleet.groups`."""
+    """Servers of a role and, where crossings are counted, of a zone. They are named by their place in
+    `Fleet.groups`."""
 
     role: Role
     zone: int
 
 
 class Loads:
-    """Projected loads of some servers: those with own streams one by one, all others as a count in each group. The sum is
-    rounded once, so it does not depend on any order."""
+    """Projected loads of some servers: those with own streams one by one, all others as a count in each
+    group. The sum is rounded once, so it does not depend on any order."""
 
     def __init__(self, counts: dict[int, int], base: dict[int, float], loaded: Collection[Seat]) -> None:
-        """`counts` of the servers by group, `base` what each of a group has from its role, `loaded` those with streams."""
+        """`counts` of the servers by group, `base` what each of a group has from its role, `loaded` those
+        with streams."""
         self.count = sum(counts.values())
         self.base = base
         self.idle = dict(counts)
@@ -96,7 +101,8 @@
         return (seat for seat in self.ready if seat.info.id not in self.barred)
 
     def draw(self, fits: Callable[[Seat], bool], count: int, random: Random) -> Seat | None:
-        """Any of the `count` that fit, each as likely: by trials where they are many, else all are looked at."""
+        """Any of the `count` that fit, each as likely: by trials where they are many, else all are looked
+        at."""
         for _ in range(DRAWS if DRAW_SHARE * count >= len(self.ready) else 0):
             seat = self.ready[int(random.random() * len(self.ready))]
             if fits(seat):
--- a/tuliptrack/state/records.py
+++ b/tuliptrack/state/records.py
@@ -56,7 +56,9 @@
         """The pace that only a quarter of its last answers were quicker than; 0 where there were none."""
         return sorted(self.paces)[len(self.paces) // 4] if self.paces else 0.0
 
-    def answered(self, flight: Flight, latency: int, waiting: float, weight: float, read: bool, now: int) -> None:
+    def answered(
+        self, flight: Flight, latency: int, waiting: float, weight: float, read: bool, now: int
+    ) -> None:
         """Bring the averages up to an answer. The time per token is a ratio of two averages: a prompt that is
         nearly all kept has a few tokens of its own and would swamp an average of ratios."""
         self.work += weight * (flight.work - self.work)
@@ -127,7 +129,8 @@
     info: Server
     role: Role
     kind: Kind = field(init=False)
-    """What its role has shown, in its part of the fleet; set by the decision module at each change of the list."""
+    """What its role has shown, in its part of the fleet; set by the decision module at each change of the
+    list."""
     depth: float = 0.0
     """Requests in flight by the last report; 0 where none came."""
     told_at: int = 0
@@ -191,8 +194,9 @@
         return max(0.0, 1 - (now - self.told_at) / life)
 
     def standing(self, now: int, life: int, reported: bool) -> float:
-        """Requests that stand there: by the last report, and of this node's own. A mixed server's running answers count as
-        its reports count them (`reported`: they do), since each read there slows all of them."""
+        """Requests that stand there: by the last report, and of this node's own. A mixed server's running
+        answers count as its reports count them (`reported`: they do), since each read there slows all of
+        them."""
         own = len(self.running) if self.role is Role.BOTH and not reported else 0
         return self.depth * self.fresh(now, life) + len(self.open) + own
 
@@ -260,8 +264,9 @@
     """Servers that turned this request away or failed it."""
 
     def tried_at(self, seat: Seat, status: Status, again: bool, writers: int) -> None:
-        """Note where an attempt has ended, for the choice of the next server. Once its prompt has been read, it may go to any
-        of the writers but those that gave no answer, if there are others; `again`: it may go to the same server once more."""
+        """Note where an attempt has ended, for the choice of the next server. Once its prompt has been read,
+        it may go to any of the writers but those that gave no answer, if there are others; `again`: it may go
+        to the same server once more."""
         no_answer = seat.role is not Role.READ and status in (Status.TIMEOUT, Status.CONNECT_FAILED)
         if no_answer and seat.info.id not in self.unanswering:
             self.unanswering.append(seat.info.id)
--- a/tuliptrack/store/ledger.py
+++ b/tuliptrack/store/ledger.py
@@ -1,16 +1,16 @@
 """The ledger of one node: parts of bills, added in group commits that are whole or not there, in LMDB.
 
-A commit is one value: the batch's bytes and their digest, which the next batch names. So `verify` finds a bit that
-flipped, a batch that is missing, one that stands twice; and a process that is killed loses what it had not committed,
-never half of it. LMDB writes copies of its pages and then one root, syncs both, and never needs repair; what it is
-asked to keep is bounded by its map.
+A commit is one value: the batch's bytes and their digest, which the next batch names. So `verify` finds a bit
+that flipped, a batch that is missing, one that stands twice; and a process that is killed loses what it had
+not committed, never half of it. LMDB writes copies of its pages and then one root, syncs both, and never
+needs repair; what it is asked to keep is bounded by its map.
 
-Where the disk fails, parts wait for the next commit. After an error on the root itself LMDB takes nothing more: the file is
-opened anew, and the commit that failed is looked for in it, since it may have come to stand there all the same.
+Where the disk fails, parts wait for the next commit. After an error on the root itself LMDB takes nothing
+more: the file is opened anew, and the commit that failed is looked for in it, since it may have come to stand
+there all the same.
 
-Bounds: `most_bytes` of the file; `MOST_WAITING` parts between two commits, past which `add` says no. `compact` folds
-days past their retention into sums by tenant.
-"""
+Bounds: `most_bytes` of the file; `MOST_WAITING` parts between two commits, past which `add` says no.
+`compact` folds days past their retention into sums by tenant."""
 
 from __future__ import annotations
 
@@ -95,7 +95,9 @@
         try:
             self._open()
             with self.env.begin() as txn:
-                left = [from_message(pb.BillPart.FromString(value)) for _, value in txn.cursor(self.open_parts)]
+                left = [
+                    from_message(pb.BillPart.FromString(value)) for _, value in txn.cursor(self.open_parts)
+                ]
                 count = txn.stat(self.batches)["entries"]
         except lmdb.Error as error:
             os.close(self._lock)
@@ -122,7 +124,8 @@
                 self.sequence = batch.sequence
 
     def _reopen(self) -> None:
-        """LMDB takes nothing more: open the file anew. What the commit that failed left in it counts as written."""
+        """LMDB takes nothing more: open the file anew. What the commit that failed left in it counts as
+        written."""
         self.env.close()
         self._open()
         self._unusable = False
@@ -143,8 +146,9 @@
         return True
 
     def commit(self) -> int:
-        """Write what waits, as one batch, and sync it; returns how many parts. LedgerFull leaves them waiting. One at a
-        time: a commit that was broken off for the node's end still runs in its thread, and would get the same number."""
+        """Write what waits, as one batch, and sync it; returns how many parts. LedgerFull leaves them
+        waiting. One at a time: a commit that was broken off for the node's end still runs in its thread, and
+        would get the same number."""
         with self._one:
             try:
                 return self._commit_once()
@@ -156,7 +160,8 @@
                 raise LedgerError(f"{self.path}: {error}") from None
 
     def _commit_once(self) -> int:
-        """One try, on a file that is opened anew where LMDB takes nothing more; lmdb.PanicError where it takes nothing now."""
+        """One try, on a file that is opened anew where LMDB takes nothing more; lmdb.PanicError where it
+        takes nothing now."""
         try:
             if self._unusable:
                 self._reopen()
@@ -178,7 +183,12 @@
         digest = digest_of(body)
         try:
             with self.env.begin(write=True) as txn:
-                txn.put(batch_key(batch.sequence), body + digest.to_bytes(DIGEST_BYTES, "big"), db=self.batches, append=True)
+                txn.put(
+                    batch_key(batch.sequence),
+                    body + digest.to_bytes(DIGEST_BYTES, "big"),
+                    db=self.batches,
+                    append=True,
+                )
                 for part, message in zip(taken.values(), batch.part, strict=True):
                     name = f"{part.node}\0{part.number}".encode()
                     if part.outcome == OPEN:
@@ -202,8 +212,9 @@
             latest(taken.values(), self.waiting)
 
     def compact(self, before_us: int, at_most: int = 1_000) -> int:
-        """Fold whole batches of works that came before this wall time into sums, oldest first, as far as none of their
-        works has parts in later batches; returns how many batches went. One transaction: nothing is counted twice."""
+        """Fold whole batches of works that came before this wall time into sums, oldest first, as far as none
+        of their works has parts in later batches; returns how many batches went. One transaction: nothing is
+        counted twice."""
         with self.env.begin(write=True) as txn:
             old: list[tuple[bytes, list[Part]]] = []
             later_works: set[tuple[str, str]] = set()
@@ -217,7 +228,12 @@
                         later_works |= {(p.tenant, p.work) for p in parts}
             while (
                 cut := next(
-                    (n for n, (_, parts) in enumerate(old) if any((p.tenant, p.work) in later_works for p in parts)), None
+                    (
+                        n
+                        for n, (_, parts) in enumerate(old)
+                        if any((p.tenant, p.work) in later_works for p in parts)
+                    ),
+                    None,
                 )
             ) is not None:
                 later_works |= {(p.tenant, p.work) for _, parts in old[cut:] for p in parts}
@@ -238,8 +254,8 @@
         return len(old)
 
     def used_since(self, wall_us: int) -> list[Part]:
-        """Parts of requests that came since a wall time: what calendar budgets count on with. Newest batches first, until
-        one has nothing of that time."""
+        """Parts of requests that came since a wall time: what calendar budgets count on with. Newest batches
+        first, until one has nothing of that time."""
         last: dict[tuple[str, int], Part] = {}
         with self.env.begin() as txn, txn.cursor(self.batches) as cursor:
             for key, value in cursor.iterprev():
--- a/tuliptrack/store/ledger_format.py
+++ b/tuliptrack/store/ledger_format.py
@@ -1,4 +1,5 @@
-"""How a ledger's batches and parts stand in its file: protobuf messages, each batch with a digest behind it."""
+"""How a ledger's batches and parts stand in its file: protobuf messages, each batch with a digest behind
+it."""
 
 from __future__ import annotations
 
--- a/tuliptrack/store/ledger_reading.py
+++ b/tuliptrack/store/ledger_reading.py
@@ -1,4 +1,5 @@
-"""Reading a ledger that a node may have open: its parts, its sums, and whether all of it is as it was written."""
+"""Reading a ledger that a node may have open: its parts, its sums, and whether all of it is as it was
+written."""
 
 from __future__ import annotations
 
@@ -57,7 +58,8 @@
 
 
 def verify(path: str) -> tuple[int, list[Problem]]:
-    """Batches looked at, and everything that is wrong: damaged, missing or doubled batches, parts that go back."""
+    """Batches looked at, and everything that is wrong: damaged, missing or doubled batches, parts that go
+    back."""
     env, batches, _ = _reader(path)
     problems: list[Problem] = []
     count, expected, before = 0, 0, 0
@@ -85,7 +87,9 @@
                 for part in map(from_message, batch.part):
                     known = states.get(part.name)
                     if known and (known.outcome != OPEN or part.next < known.next or part.work != known.work):
-                        problems.append(Problem(sequence, f"part {part.node}/{part.number} goes back or stands twice"))
+                        problems.append(
+                            Problem(sequence, f"part {part.node}/{part.number} goes back or stands twice")
+                        )
                     states[part.name] = part
                 expected, before = sequence + 1, digest
     finally:
--- a/tuliptrack/store/sealed.py
+++ b/tuliptrack/store/sealed.py
@@ -1,8 +1,8 @@
-"""A small file that is whole or not there: written beside, synced, and put in place in one step, its digest before it.
+"""A small file that is whole or not there: written beside, synced, and put in place in one step, its digest
+before it.
 
-A process that is killed at any byte leaves the file as it was or as it was to be. What can't be read back is an error, not an
-empty start: who forgets what it promised breaks its promise.
-"""
+A process that is killed at any byte leaves the file as it was or as it was to be. What can't be read back is
+an error, not an empty start: who forgets what it promised breaks its promise."""
 
 from __future__ import annotations
 
@@ -39,9 +39,9 @@
 def write(path: Path, body: bytes) -> None:
     """Put these bytes in its place, on disk when this returns.
 
-    SealedError leaves what was there, unless the folder itself could not be synced: then these bytes stand there, and a
-    crash of the machine may bring back those before. Each write is made anew: nothing that an earlier one left is relied
-    upon."""
+    SealedError leaves what was there, unless the folder itself could not be synced: then these bytes stand
+    there, and a crash of the machine may bring back those before. Each write is made anew: nothing that an
+    earlier one left is relied upon."""
     if len(body) > MOST_BYTES:
         raise SealedError(f"{path}: {len(body)} bytes are more than {MOST_BYTES}")
     beside = path.with_name(path.name + ".new")
--- a/tuliptrack/structures/__init__.py
+++ b/tuliptrack/structures/__init__.py
@@ -1,1 +1,2 @@
-"""Data structures made for the decisions' questions, each measured against a plain one (`bench/ledger.py`)."""
+"""Data structures made for the decisions' questions, each measured against a plain one
+(`bench/ledger.py`)."""
--- a/tuliptrack/structures/grouped_values.py
+++ b/tuliptrack/structures/grouped_values.py
@@ -1,7 +1,7 @@
 """Members with a value each, in groups: counts below a bound and low medians without looking at every member.
 
-Each group is a sorted list with bisection. Questions may leave some members out: they cost as many steps as are left out.
-"""
+Each group is a sorted list with bisection. Questions may leave some members out: they cost as many steps as
+are left out."""
 
 from __future__ import annotations
 
@@ -65,9 +65,12 @@
         return islice(values, bisect_right(values, above, key=_value), None)
 
     def low_median(self, without: Collection[int], groups: Iterable[G] | None = None) -> float:
-        """The middle value of all members, or of those in some groups, the lower of two; ValueError where none is left."""
+        """The middle value of all members, or of those in some groups, the lower of two; ValueError where
+        none is left."""
         wanted = self._groups.keys() if groups is None else set(groups)
-        left_out = sorted((value, key) for key in without for group, value in [self._places[key]] if group in wanted)
+        left_out = sorted(
+            (value, key) for key in without for group, value in [self._places[key]] if group in wanted
+        )
         lists = [values for group, values in self._groups.items() if group in wanted]
         values = lists[0] if len(lists) == 1 else sorted(pair for one in lists for pair in one)
         count = len(values) - len(left_out)
--- a/tuliptrack/structures/rendezvous.py
+++ b/tuliptrack/structures/rendezvous.py
@@ -1,11 +1,11 @@
-"""Weighted rendezvous hashing: every process ranks the members alike for a key, and a change of members moves few keys.
+"""Weighted rendezvous hashing: every process ranks the members alike for a key, and a change of members moves
+few keys.
 
-A member's score for a key is `weight / -ln(u)`, u being the key's and the member's hash as a number between 0 and 1. To find
-the first members all hashes are needed, so they are worked out at once: the members' own hashes stand side by side in one
-large integer, a lane of 128 bits each, and the mixing steps are done on that integer. A product of 64 by 64 bits fits into a
-lane, so no lane reaches into the next. For 850 members that takes a ninth of the time of one member after another
-(`bench/structures.py`). Standard library only.
-"""
+A member's score for a key is `weight / -ln(u)`, u being the key's and the member's hash as a number between 0
+and 1. To find the first members all hashes are needed, so they are worked out at once: the members' own
+hashes stand side by side in one large integer, a lane of 128 bits each, and the mixing steps are done on that
+integer. A product of 64 by 64 bits fits into a lane, so no lane reaches into the next. For 850 members that
+takes a ninth of the time of one member after another (`bench/structures.py`). Standard library only."""
 
 from __future__ import annotations
 
@@ -51,7 +51,9 @@
         self._equal = len(set(weights)) <= 1
         """All weigh the same: the order of scores is that of hashes."""
         self._ones = int.from_bytes((1).to_bytes(_LANE_BYTES, "little") * len(members), "little")
-        self._lanes = int.from_bytes(b"".join(mix(n).to_bytes(_LANE_BYTES, "little") for n in numbers), "little")
+        self._lanes = int.from_bytes(
+            b"".join(mix(n).to_bytes(_LANE_BYTES, "little") for n in numbers), "little"
+        )
         self._gammas = _GAMMA * self._ones
         self._mask = _MASK * self._ones
         self._rankings: dict[int, Ranking[T]] = {}
@@ -74,8 +76,8 @@
         return hashed if self._equal else [_score(h, w) for h, w in zip(hashed, self.weights, strict=True)]
 
     def likely(self, scores: Sequence[float], count: int) -> list[int]:
-        """Places that are sure to hold the highest scores, so many at least; none where that can't be told at once. Hashes
-        are spread evenly, so three times as many lie above a bound that is easily told."""
+        """Places that are sure to hold the highest scores, so many at least; none where that can't be told at
+        once. Hashes are spread evenly, so three times as many lie above a bound that is easily told."""
         if not self._equal:
             return []
         bound = _MASK - _MASK * 3 * count // len(self.members)
--- a/tuliptrack/structures/sketch.py
+++ b/tuliptrack/structures/sketch.py
@@ -1,13 +1,13 @@
 """Heavy hitters in bounded memory: who has used most, among more names than may be kept.
 
-Space-saving: `size` counters; a new name takes the place of the least one and its count, which is the most that the new
-one can have used before. So a count is never too low, and too high by at most the total / size; whoever has used more
-than that is among them. Source: Metwally, Agrawal, El Abbadi, "Efficient computation of frequent and top-k elements in
-data streams", 2005.
-
-Counts stand in buckets by value in a linked order, as in the paper, when added one by one; here amounts differ, so the
-least is found by a heap with late corrections: an entry whose count has grown is pushed back when it comes to the top.
-"""
+Space-saving: `size` counters; a new name takes the place of the least one and its count, which is the most
+that the new one can have used before. So a count is never too low, and too high by at most the total / size;
+whoever has used more than that is among them. Source: Metwally, Agrawal, El Abbadi, "Efficient computation of
+frequent and top-k elements in data streams", 2005.
+
+Counts stand in buckets by value in a linked order, as in the paper, when added one by one; here amounts
+differ, so the least is found by a heap with late corrections: an entry whose count has grown is pushed back
+when it comes to the top."""
 
 from __future__ import annotations
 
--- a/tuliptrack/structures/sorted_members.py
+++ b/tuliptrack/structures/sorted_members.py
@@ -1,8 +1,8 @@
 """Members by whole-number key, kept in the order of the keys: found by key, by place, and in turn.
 
-A sorted list with bisection: a change moves what follows in one block, which for some thousands of members takes about a
-microsecond. `bench/structures.py` has it beside a rebuilt list and a sorted container of the registry.
-"""
+A sorted list with bisection: a change moves what follows in one block, which for some thousands of members
+takes about a microsecond. `bench/structures.py` has it beside a rebuilt list and a sorted container of the
+registry."""
 
 from __future__ import annotations
 
--- a/tuliptrack/structures/spans.py
+++ b/tuliptrack/structures/spans.py
@@ -19,7 +19,10 @@
         if end <= start:
             return 0
         low, high = bisect_left(self.ends, start), bisect_right(self.starts, end)
-        old = sum(max(min(e, end) - max(s, start), 0) for s, e in zip(self.starts[low:high], self.ends[low:high], strict=True))
+        old = sum(
+            max(min(e, end) - max(s, start), 0)
+            for s, e in zip(self.starts[low:high], self.ends[low:high], strict=True)
+        )
         if low < high:
             start, left = min(start, self.starts[low]), end - start - old
             end = max(end, self.ends[high - 1])
--- a/tuliptrack/wirehost.py
+++ b/tuliptrack/wirehost.py
@@ -117,7 +117,8 @@
 
 
 def settings_of(env: object) -> io.Settings:
-    """Translate the settings object, wherever it stood; unknown keys are ignored. WireError names what is wrong."""
+    """Translate the settings object, wherever it stood; unknown keys are ignored. WireError names what is
+    wrong."""
     if not isinstance(env, dict):
         raise WireError("settings: not a JSON object")
     try:
@@ -189,7 +190,9 @@
         second_copies=bool(limits.get("secondCopies", False)),
         max_retry_after=int(limits.get("maxRetryAfter", 0)),
         far_price=float(facts.get("farPrice", 0.0)),
-        report_fields=tuple(_REPORT.get(f, f) for f in reporting.get("fields") or () if reporting.get("how") != "silent"),
+        report_fields=tuple(
+            _REPORT.get(f, f) for f in reporting.get("fields") or () if reporting.get("how") != "silent"
+        ),
     )
 
 
@@ -206,7 +209,9 @@
     servers = []
     for _ in range(count):
         zone, since, server, sort, state, weight, cell = r.take(_ENTRY.format[1:])
-        servers.append(io.Server(server, sort, _lookup(_STATE, state, f"{r.what}: health"), weight, cell, zone, since))
+        servers.append(
+            io.Server(server, sort, _lookup(_STATE, state, f"{r.what}: health"), weight, cell, zone, since)
+        )
     return io.FleetChange(_lookup(_LIST_KIND, kind, f"{r.what}: kind"), version, tuple(servers))
 
 
@@ -242,7 +247,17 @@
     ref, over, note, server, attempt, code, lag = r.take("QBIIBBI")
     status = _lookup(_STATUS, code, f"{r.what}: disposition")
     kept = note if status in (io.Status.OK, io.Status.READ) else 0
-    return io.Outcome(ref, attempt, server, status, lag, bool(over), kept, status is io.Status.FULL and note == 1, r.floats())
+    return io.Outcome(
+        ref,
+        attempt,
+        server,
+        status,
+        lag,
+        bool(over),
+        kept,
+        status is io.Status.FULL and note == 1,
+        r.floats(),
+    )
 
 
 def _probed(r: _Reader) -> io.ProbeResult:
@@ -302,7 +317,10 @@
 _ACTIONS: dict[type, tuple[int, Callable[[Any], bytes]]] = {
     io.SetTimer: (256, lambda a: struct.pack("<IQ", min(max(a.delay, 0), _MAX_U32), a.token)),
     io.FetchFleet: (257, lambda a: b""),
-    io.TellPeers: (258, lambda a: struct.pack("<IH", _MAX_U32 if a.peer is None else a.peer, len(a.data)) + a.data),
+    io.TellPeers: (
+        258,
+        lambda a: struct.pack("<IH", _MAX_U32 if a.peer is None else a.peer, len(a.data)) + a.data,
+    ),
     io.HandBack: (259, lambda a: struct.pack("<Q", a.id)),
     io.Fail: (260, lambda a: struct.pack("<Q", a.id)),
     io.Cancel: (261, lambda a: struct.pack("<QB", a.id, a.attempt)),
