--- a/tuliptrack/config/node.py
+++ b/tuliptrack/config/node.py
@@ -17,7 +17,15 @@
 from tuliptrack.config.textformat import Located, read_file, read_text
 from tuliptrack.decisions.bills import Price
 from tuliptrack.decisions.budgets import Window
-from tuliptrack.interface import Effect, KeyScope, RequestClass, Role, Settings, Tenant, ZoneBudget
+from tuliptrack.interface import (
+    Idempotency,
+    IdempotencyScope,
+    RequestClass,
+    Role,
+    Settings,
+    Tenant,
+    ZoneBudget,
+)
 from tuliptrack.proto import config_pb2 as pb
 
 __all__ = [
@@ -123,9 +131,14 @@
 """What the node makes of an engine's ORCA report; the order in which the router gets it."""
 
 _LONGEST_MS = 86_400_000.0  # a day: longer times are taken for a mistake of units
-_EFFECTS = {pb.SAFE: Effect.SAFE, pb.KEYED: Effect.KEYED, pb.UNSAFE: Effect.UNSAFE}
-_SCOPES = {pb.ALL: KeyScope.ALL, pb.ZONE: KeyScope.ZONE, pb.CELL: KeyScope.CELL}
-_ROLES = {pb.READ: Role.READ, pb.WRITE: Role.WRITE, pb.BOTH: Role.BOTH}
+_EFFECTS = {
+    pb.SAFE: Idempotency.IDEMPOTENT,
+    pb.KEYED: Idempotency.WITH_KEY,
+    pb.UNSAFE: Idempotency.NOT_IDEMPOTENT,
+}
+_SCOPES = {pb.ALL: IdempotencyScope.ALL, pb.ZONE: IdempotencyScope.ZONE, pb.CELL: IdempotencyScope.CELL}
+_ROLES = {pb.READ: Role.PREFILL, pb.WRITE: Role.DECODE, pb.BOTH: Role.PREFILL_AND_DECODE}
+_ROLE_NAMES = {Role.PREFILL: "READ", Role.DECODE: "WRITE"}
 
 
 @dataclass(frozen=True)
@@ -327,9 +340,9 @@
         node.wrong("slot", f"must be below replicas ({replicas}), is {slot}")
     request_classes = tuple(_request_class(c, name) for c, name in zip(classes, class_names, strict=True))
     roles = tuple(_role(k) for k in kinds)
-    for role in (Role.READ, Role.WRITE):
-        if roles and not {role, Role.BOTH} & set(roles):
-            located.problem("kind", f"none has the role {role.name} or BOTH")
+    for role in (Role.PREFILL, Role.DECODE):
+        if roles and not {role, Role.PREFILL_AND_DECODE} & set(roles):
+            located.problem("kind", f"none has the role {_ROLE_NAMES[role]} or BOTH")
     shares = [t.number("share", 0, 1) for t in tenants]
     if sum(shares) > 1 + 1e-9:
         located.problem("tenant", f"the shares add up to {sum(shares):g}, 1 at most")
@@ -338,27 +351,28 @@
     engines = block(file.engines, "engines")
     kept = dict(
         replicas=replicas,
-        slot=slot,
+        replica_index=slot,
         zone=node.count("zone", 0, 65_535),
-        memory_tokens=tuple(k.number("memory_tokens", 0, 1e12) for k in kinds),
         tenants=tuple(
             Tenant(name, share, t.number("quota_per_s", 0, 1e9))
             for t, name, share in zip(tenants, tenant_names, shares, strict=True)
         ),
         max_attempts=routing.count("max_attempts", 1, 100),
-        over_share_worth=routing.number("over_share_worth", 0, 1),
-        release_within=routing.time("release_within_ms", above=True),
-        drain_grace=routing.time("drain_grace_ms"),
-        cold_for=routing.time("cold_for_ms"),
-        cold_from=routing.number("cold_from", 0, 1, above=True),
-        fall_multiple=routing.number("fall_multiple", 0, 1e6, above=True),
-        fall_window=routing.time("fall_window_ms", above=True),
-        writers_read=bool(routing.value("writers_read")),
+        over_quota_weight_factor=routing.number("over_share_worth", 0, 1),
+        release_within_us=routing.time("release_within_ms", above=True),
+        drain_grace_us=routing.time("drain_grace_ms"),
+        slow_start_us=routing.time("cold_for_ms"),
+        slow_start_initial_share=routing.number("cold_from", 0, 1, above=True),
+        slow_start_overload_factor=routing.number("fall_multiple", 0, 1e6, above=True),
+        slow_start_window_us=routing.time("fall_window_ms", above=True),
         may_resume=bool(routing.value("may_resume")),
-        max_retry_after=routing.time("max_retry_after_ms"),
-        far_price=routing.number("far_price", 0, 1e6),
-        connect_timeout=engines.time("connect_timeout_ms", above=True),
+        max_retry_after_us=routing.time("max_retry_after_ms"),
+        connect_timeout_us=engines.time("connect_timeout_ms", above=True),
     )
+    # Accepted and checked, though nothing depends on them.
+    routing.number("far_price", 0, 1e6)
+    for kind in kinds:
+        kind.number("memory_tokens", 0, 1e12)
     options = EngineOptions(
         connect_timeout=engines.time("connect_timeout_ms", above=True),
         keepalive_after=engines.time("keepalive_after_ms", above=True),
@@ -381,9 +395,7 @@
         classes=request_classes,
         roles=roles,
         may_cancel=True,
-        may_probe=True,
-        may_hold_ahead=True,
-        may_advise_retry=True,
+        may_send_retry_after=True,
         report_fields=REPORT_FIELDS,
         must_subscribe=bool(source.feed),
         **kept,  # type: ignore[arg-type]
@@ -412,19 +424,19 @@
         c.wrong("deadline_ms", f"must be at least aim_ms ({aim / 1000:g}), is {deadline / 1000:g}")
     effect = _EFFECTS[c.value("effect")]
     window = c.time("dedup_window_ms")
-    if effect is Effect.KEYED and not window:
+    c.number("late_share", 0, 1)  # Accepted and checked, though nothing depends on it.
+    if effect is Idempotency.WITH_KEY and not window:
         c.wrong("dedup_window_ms", "is required where effect is KEYED")
     return RequestClass(
         name or "?",
-        worth=c.number("worth", 0, 1e9, above=True),
-        aim=max(aim, 1),
-        deadline=max(deadline, 1),
-        aim_per_1000_tokens=float(c.time("aim_per_1000_tokens_ms")),
-        token_aim=float(c.time("token_aim_ms")),
-        late_share=c.number("late_share", 0, 1),
-        effect=effect,
-        key_scope=_SCOPES[c.value("key_scope")],
-        dedup_window=window,
+        priority_weight=c.number("worth", 0, 1e9, above=True),
+        latency_objective_us=max(aim, 1),
+        deadline_us=max(deadline, 1),
+        objective_us_per_1000_tokens=float(c.time("aim_per_1000_tokens_ms")),
+        inter_token_objective_us=float(c.time("token_aim_ms")),
+        idempotency=effect,
+        idempotency_scope=_SCOPES[c.value("key_scope")],
+        deduplication_window_us=window,
     )
 
 
@@ -432,7 +444,7 @@
     role = k.value("role")
     if role == pb.ROLE_UNSPECIFIED:
         k.wrong("role", "must be READ, WRITE or BOTH")
-    return _ROLES.get(role, Role.BOTH)
+    return _ROLES.get(role, Role.PREFILL_AND_DECODE)
 
 
 def _source(s: _Block, message: pb.ServerSource) -> SourceOptions:
--- a/tuliptrack/decisions/models.py
+++ b/tuliptrack/decisions/models.py
@@ -22,7 +22,7 @@
 
 import xxhash
 
-from tuliptrack.interface import FleetChange, ListKind, Role, Server, ServerState
+from tuliptrack.interface import EndpointInfo, EndpointListUpdate, EndpointState, Role, UpdateKind
 
 __all__ = ["Catalog", "Model", "NotServed"]
 
@@ -51,7 +51,7 @@
 
     def __init__(self, roles: tuple[Role, ...]) -> None:
         self.roles = roles
-        self.servers: dict[int, tuple[Model, Server]] = {}
+        self.servers: dict[int, tuple[Model, EndpointInfo]] = {}
         """Every server that is listed and not gone."""
         self.left_out: set[int] = set()
         """Servers of models past the bound."""
@@ -59,12 +59,12 @@
 
     # -- the list
 
-    def split(self, change: FleetChange, labels: dict[int, Model]) -> dict[Model, FleetChange]:
+    def split(self, change: EndpointListUpdate, labels: dict[int, Model]) -> dict[Model, EndpointListUpdate]:
         """One change for each router that has to hear of it. `labels` names the model of each server in the
         change."""
         before = {model for model, _ in self.servers.values()}
-        whole = change.kind is not ListKind.DELTA
-        told: dict[Model, list[Server]] = defaultdict(list)
+        whole = change.kind is not UpdateKind.DELTA
+        told: dict[Model, list[EndpointInfo]] = defaultdict(list)
         if whole:
             gone = self.servers.keys() - labels.keys()
             self.left_out &= labels.keys()
@@ -73,14 +73,14 @@
         else:
             gone = set()
         taken = set() if whole else set(before)
-        for server in change.servers:
+        for server in change.endpoints:
             label = labels.get(server.id, Model())
             old = self.servers.get(server.id)
             if (
                 old and old[0] != label and not whole
             ):  # It serves something else now: to the old router it has gone.
-                told[old[0]].append(replace(old[1], state=ServerState.GONE))
-            if server.state is ServerState.GONE:
+                told[old[0]].append(replace(old[1], state=EndpointState.REMOVED))
+            if server.state is EndpointState.REMOVED:
                 self.servers.pop(server.id, None)
                 self.left_out.discard(server.id)
                 told[old[0] if old else label].append(server)
@@ -101,8 +101,8 @@
             if abs(self.part(model) - parts_before[model]) > 0.01:
                 told[model] = []
         return {
-            model: FleetChange(
-                change.kind if model in before or not whole else ListKind.FULL,
+            model: EndpointListUpdate(
+                change.kind if model in before or not whole else UpdateKind.FULL,
                 change.version,
                 tuple(servers),
                 self.part(model),
@@ -113,8 +113,8 @@
     def _count(self) -> None:
         sizes: dict[Model, dict[Role, float]] = {}
         for model, server in self.servers.values():
-            role = self.roles[server.kind] if server.kind < len(self.roles) else Role.WRITE
-            if server.state is ServerState.READY:
+            role = self.roles[server.kind] if server.kind < len(self.roles) else Role.DECODE
+            if server.state is EndpointState.READY:
                 by_role = sizes.setdefault(model, {})
                 by_role[role] = by_role.get(role, 0.0) + server.weight
         self._sizes = sizes
@@ -122,8 +122,8 @@
     def _can(self, model: Model) -> float:
         """What it can do: the lesser of its reading and its writing size; 0 where one is missing."""
         sizes = self._sizes.get(model, {})
-        both = sizes.get(Role.BOTH, 0.0)
-        return min(sizes.get(Role.READ, 0.0) + both, sizes.get(Role.WRITE, 0.0) + both)
+        both = sizes.get(Role.PREFILL_AND_DECODE, 0.0)
+        return min(sizes.get(Role.PREFILL, 0.0) + both, sizes.get(Role.DECODE, 0.0) + both)
 
     def part(self, model: Model) -> float:
         """The part of the fleet, and so of the quotas, that its engines are; 1 where nothing else is
--- a/tuliptrack/decisions/zones.py
+++ b/tuliptrack/decisions/zones.py
@@ -30,7 +30,7 @@
 from dataclasses import dataclass
 
 from tuliptrack.decisions.turns import Purse, Turn
-from tuliptrack.interface import Cause, Request, Role, Settings
+from tuliptrack.interface import CrossZoneCause, Request, Role, Settings
 
 __all__ = ["Crossing", "Crossings", "Returns"]
 
@@ -66,8 +66,8 @@
                 b.burst,
                 b.quantum,
                 settings.replicas,
-                settings.slot,
-                settings.epoch_offset,
+                settings.replica_index,
+                settings.epoch_offset_us,
                 b.by_traffic,
             )
             for b in settings.zone_budgets
@@ -124,16 +124,16 @@
         base: float = PRICE_FULL * (PRICE_EMPTY / PRICE_FULL) ** (1 - part)
         return min(base / max(worth, 0.05), PRICE_EMPTY / max(worth, 0.05))
 
-    def reserve(self, now: int, request: int, cls: int, size: float, retry: bool) -> Cause | None:
+    def reserve(self, now: int, request: int, cls: int, size: float, retry: bool) -> CrossZoneCause | None:
         """An attempt leaves that will cross with about so many bytes; the cause to book them under."""
         purse = self.purse(cls)
         self.open.pop(request, None)
         if not size or purse is None:
             return None
         if purse.left(now) < size:
-            return Cause.FORCED
+            return CrossZoneCause.FORCED
         self.open[request] = Crossing(purse, size, purse.take(size))
-        return Cause.RETRY if retry else Cause.BUDGET
+        return CrossZoneCause.RETRY if retry else CrossZoneCause.BUDGET
 
     def settle(self, now: int, request: int, crossed: float) -> None:
         """The attempt has ended, having crossed with so many bytes: the rest goes back, more than that is
--- /dev/null
+++ b/tuliptrack/interface/events.py
@@ -0,0 +1,215 @@
+"""What a router is told. Each docstring says when the event occurs. Times are microseconds."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+__all__ = [
+    "AttemptEnded",
+    "ClientDisconnected",
+    "EndpointInfo",
+    "EndpointListUpdate",
+    "EndpointState",
+    "Event",
+    "GossipReceived",
+    "HealthCheckResult",
+    "Request",
+    "ReservationResult",
+    "Status",
+    "StreamStarted",
+    "TimerFired",
+    "UpdateKind",
+]
+
+
+class EndpointState(Enum):
+    """What the endpoint list last said of an endpoint."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    REMOVED = "removed"
+
+
+class UpdateKind(Enum):
+    """How an update is applied to the endpoint list."""
+
+    DELTA = "delta"
+    """The endpoints that are named have changed."""
+    FULL = "full"
+    """Endpoints that are not named have been removed."""
+    CACHED = "cached"
+    """As `FULL`, but from before the start of this process."""
+    FAILED = "failed"
+    """No list: the subscription has ended, or the list could not be fetched."""
+
+
+class Status(Enum):
+    """How an attempt or a health check ended."""
+
+    OK = "ok"
+    PREFILLED = "prefilled"
+    """The prompt is prefilled, and its KV state is reserved for the request."""
+    ERROR = "error"
+    AT_CAPACITY = "at capacity"
+    """The endpoint has rejected the attempt; it has had no effect."""
+    TIMEOUT = "timeout"
+    CONNECT_FAILED = "connect_failed"
+    RESET = "reset"
+    CANCELLED = "cancelled"
+    ABANDONED = "abandoned"
+    """The attempt was not sent: it was no longer wanted, or not allowed any more."""
+
+    def may_have_executed(self, is_prefill: bool) -> bool:
+        """Whether an attempt that ended so may have had an effect.
+
+        A prefill has none, unless it was given up: an engine that hangs may execute it later.
+        """
+        if is_prefill:
+            return self is Status.TIMEOUT
+        return self not in (Status.AT_CAPACITY, Status.CONNECT_FAILED, Status.ABANDONED, Status.PREFILLED)
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointInfo:
+    """One entry of the endpoint list."""
+
+    id: int
+    kind: int
+    """Index into `Settings.roles`."""
+    state: EndpointState = EndpointState.READY
+    weight: float = 1.0
+    """Capacity, relative to other endpoints of its role."""
+    cell: int = 0
+    zone: int = 0
+    started_at_us: int = 0
+    """0 if it started long ago, else a time on the host's clock; slow start counts from it."""
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointListUpdate:
+    """The endpoint list has changed, or a call for it has failed (`FAILED`)."""
+
+    kind: UpdateKind
+    version: int = 0
+    endpoints: tuple[EndpointInfo, ...] = ()
+    quota_share: float = 1.0
+    """Share of the tenants' quotas that these endpoints are provisioned for, where others serve other
+    models."""
+
+
+@dataclass(frozen=True, slots=True)
+class Request:
+    """A client's request has arrived; exactly one final answer is owed within `time_left_us`."""
+
+    request_id: int
+    class_index: int
+    """Index into `Settings.classes`."""
+    time_left_us: int
+    prompt_tokens: float = 0.0
+    prefix_tokens: float = 0.0
+    """Tokens of the prefix that the prompt shares with others."""
+    max_tokens: float = 0.0
+    session: int = 0
+    """Hash of the client's session."""
+    prefix: int = 0
+    """Hash of the shared prefix; 0 if there is none."""
+    tenant: int = 0
+    """Index into `Settings.tenants`."""
+    stream_time_hint_us: int | None = None
+    """How long the stream may be expected to take; None if the client does not say."""
+    is_retry: bool = False
+    is_resumed: bool = False
+    """It asks for the rest of a stream that was interrupted."""
+    is_over_token_budget: bool = False
+    """Its tenant's token budget is exhausted."""
+
+
+@dataclass(frozen=True, slots=True)
+class StreamStarted:
+    """The first token was forwarded to the client: from now on the attempt cannot be repeated."""
+
+    request_id: int
+    attempt: int
+    endpoint_id: int
+    latency_us: int
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptEnded:
+    """An attempt has ended, in whatever way."""
+
+    request_id: int
+    attempt: int
+    endpoint_id: int
+    status: Status
+    latency_us: int
+    is_final: bool = False
+    """Nothing more is owed for the request."""
+    cached_tokens: int = 0
+    """Prompt tokens that needed no prefill."""
+    is_state_lost: bool = False
+    """With `AT_CAPACITY`: the KV state that the attempt came for is gone."""
+    load_report: tuple[float, ...] = ()
+    """The values named by `Settings.report_fields`, or nothing."""
+    cross_zone_bytes: float = 0.0
+    """What this attempt has moved between zones."""
+    is_connection_only: bool = False
+    """With `RESET` or `CONNECT_FAILED`: the failure is one of this connection, not of the endpoint. It had
+    been idle and was closed by its peer, or brought an answer that cannot be parsed, or others to the
+    endpoint still stand."""
+
+
+@dataclass(frozen=True, slots=True)
+class ClientDisconnected:
+    """The client has left: no answer is owed any more, but attempts still end with `AttemptEnded`."""
+
+    request_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class TimerFired:
+    """The delay of a `SetTimer` is over."""
+
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class ReservationResult:
+    """An endpoint has answered a `ReserveCapacity`."""
+
+    request_id: int
+    attempt: int
+    endpoint_id: int
+    is_reserved: bool
+
+
+@dataclass(frozen=True, slots=True)
+class HealthCheckResult:
+    """A `CheckHealth` has ended."""
+
+    endpoint_id: int
+    status: Status
+    latency_us: int
+    load_report: tuple[float, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class GossipReceived:
+    """Another node has sent bytes."""
+
+    sender: int
+    data: bytes
+
+
+Event = (
+    EndpointListUpdate
+    | Request
+    | StreamStarted
+    | AttemptEnded
+    | ClientDisconnected
+    | TimerFired
+    | ReservationResult
+    | HealthCheckResult
+    | GossipReceived
+)
--- a/tuliptrack/lab/capacity/node.py
+++ b/tuliptrack/lab/capacity/node.py
@@ -12,7 +12,15 @@
 from statistics import median
 from typing import Any
 
-from tuliptrack.interface import Action, Event, FleetChange, ListKind, Outcome, Send, Settings
+from tuliptrack.interface import (
+    Action,
+    AttemptEnded,
+    EndpointListUpdate,
+    Event,
+    SendAttempt,
+    Settings,
+    UpdateKind,
+)
 from tuliptrack.lab.capacity.operations import count_operations
 from tuliptrack.lab.capacity.results import Series
 from tuliptrack.lab.capacity.yardstick import Yardstick, median_us, timed_us
@@ -58,7 +66,7 @@
     made = Playback(
         router, DrawnTraffic(rates or Rates(), seed, lambda server: ROLES[population.kind(server - 1)])
     )
-    made.tell(FleetChange(ListKind.FULL, 1, population.servers()))
+    made.tell(EndpointListUpdate(UpdateKind.FULL, 1, population.servers()))
     return made
 
 
@@ -78,7 +86,7 @@
         def timed(now: int, event: Event) -> list[Action]:
             actions: list[Action] = []
             took = timed_us(lambda: actions.extend(router.handle(now, [event])))
-            status = event.status.value if isinstance(event, Outcome) else type(event).__name__.lower()
+            status = event.status.value if isinstance(event, AttemptEnded) else type(event).__name__.lower()
             self.by_kind[status].append(took)
             self._connections(now, event, actions)
             return actions
@@ -86,14 +94,14 @@
         return timed
 
     def _connections(self, now: int, event: Event, actions: list[Action]) -> None:
-        if isinstance(event, Outcome):
-            self.kept_until[event.server].append(now + IDLE_US)
+        if isinstance(event, AttemptEnded):
+            self.kept_until[event.endpoint_id].append(now + IDLE_US)
         for action in actions:
-            if isinstance(action, Send):
-                kept = [until for until in self.kept_until[action.server] if until > now]
+            if isinstance(action, SendAttempt):
+                kept = [until for until in self.kept_until[action.endpoint_id] if until > now]
                 self.sent += 1
                 self.opened += not kept
-                self.kept_until[action.server] = kept[:-1]
+                self.kept_until[action.endpoint_id] = kept[:-1]
 
     @property
     def all(self) -> list[float]:
@@ -152,13 +160,13 @@
         self.revision += 1
         return json.dumps({"revision": self.revision, "complete": complete, "members": members}).encode()
 
-    def take(self, text: bytes) -> FleetChange:
+    def take(self, text: bytes) -> EndpointListUpdate:
         """Parse it and bring the list up to it."""
         change = self.members.take(json.loads(text))
         assert change
         return change
 
-    def tell(self, change: FleetChange) -> None:
+    def tell(self, change: EndpointListUpdate) -> None:
         """Tell the router."""
         self.clock += 1_000
         self.playback.router.handle(self.clock, [change])
--- a/tuliptrack/lab/client.py
+++ b/tuliptrack/lab/client.py
@@ -11,7 +11,7 @@
 
 from google.rpc import error_details_pb2
 
-from tuliptrack.interface import Effect, RequestClass
+from tuliptrack.interface import Idempotency, RequestClass
 from tuliptrack.lab.engine import answer_token
 from tuliptrack.proto import generation_pb2 as pb
 from tuliptrack.proto import kserve_pb2 as v2
@@ -127,9 +127,9 @@
         """One client from its arrival to its last try."""
         chance = random.Random(one.seed)
         load, cls = one.load, self.classes[one.load.request_class]
-        grown = cls.aim_per_1000_tokens * one.prompt_tokens / 1000
-        one.aim = cls.aim + int(grown)
-        patience = int(load.deadline_ms * 1000) or 3 * cls.deadline + int(2 * grown)
+        grown = cls.objective_us_per_1000_tokens * one.prompt_tokens / 1000
+        one.aim = cls.latency_objective_us + int(grown)
+        patience = int(load.deadline_ms * 1000) or 3 * cls.deadline_us + int(2 * grown)
         have, text = 0, ""
         retries = load.retries if load.HasField("retries") else 2
         node = self._node(chance)
@@ -176,7 +176,7 @@
             if made.left or made.code == "OK" or made.finished:
                 return
             refused, reached = made.retry_after >= 0, made.how != How.CONNECT.value
-            if not refused and reached and cls.effect is not Effect.SAFE:
+            if not refused and reached and cls.idempotency is not Idempotency.IDEMPOTENT:
                 return  # It may have run: only the client's user can tell whether to repeat it.
             wait = made.retry_after / 1e6 if made.retry_after > 0 else (load.retry_after_ms or 100) / 1000
             await asyncio.sleep(wait * (0.5 + chance.random()))
--- a/tuliptrack/lab/day.py
+++ b/tuliptrack/lab/day.py
@@ -311,8 +311,8 @@
             self.told,
             self.lives,
             classes,
-            settings.settings.release_within,
-            settings.settings.drain_grace,
+            settings.settings.release_within_us,
+            settings.settings.drain_grace_us,
             over,
         )
         verdict = judge(traffic)
--- a/tuliptrack/lab/engine.py
+++ b/tuliptrack/lab/engine.py
@@ -31,7 +31,11 @@
 SERVICE = "tuliptrack.v1.Engine"
 STATE_TRAILER = "tuliptrack-state-bytes"
 CONTROL = "tuliptrack.lab.v1.Control"
-_ROLES = {config_pb2.READ: Role.READ, config_pb2.WRITE: Role.WRITE, config_pb2.BOTH: Role.BOTH}
+_ROLES = {
+    config_pb2.READ: Role.PREFILL,
+    config_pb2.WRITE: Role.DECODE,
+    config_pb2.BOTH: Role.PREFILL_AND_DECODE,
+}
 _CHUNK = 32_768  # bytes of one message of a fetched state
 DEFAULTS: dict[str, float] = {
     "slots": 32,
@@ -159,9 +163,9 @@
         address = await self.server.listen(host, port)
         self.server.gate = self._gate
         loop = asyncio.get_running_loop()
-        if self.role is not Role.WRITE:
+        if self.role is not Role.DECODE:
             self._tasks.append(loop.create_task(self._read_loop()))
-        if self.role is not Role.READ:
+        if self.role is not Role.PREFILL:
             self._tasks.append(loop.create_task(self._step_loop()))
         self.note("up", address=address, role=self.role.value, cold=self.cold)
         return address
@@ -235,7 +239,9 @@
         self.sent.append((now, work))
         while self.sent[0][0] < now - span:
             self.sent.popleft()
-        per_s = self.m["read_per_s"] if self.role is Role.READ else self.m["slots"] * 1000 / self.m["step_ms"]
+        per_s = (
+            self.m["read_per_s"] if self.role is Role.PREFILL else self.m["slots"] * 1000 / self.m["step_ms"]
+        )
         budget = self.m["fall_multiple"] * per_s * self.capacity() * span / 1e6
         if sum(w for _, w in self.sent) > budget:
             self.fell = True
@@ -475,7 +481,7 @@
             self.memory += job.memory
             if job.state:
                 self._start_fetch(job)
-            elif self.role is Role.BOTH:
+            elif self.role is Role.PREFILL_AND_DECODE:
                 self.reading.append(job)
                 self._wake.set()
             else:
--- a/tuliptrack/lab/hollow/fleet.py
+++ b/tuliptrack/lab/hollow/fleet.py
@@ -375,9 +375,15 @@
     settings = node_settings(plan.nodes)
     quotas = sum(tenant.quota_per_s for tenant in settings.tenants)
     able = quotas / (plan.engines * 3 / 4)
-    allowed = settings.fall_multiple * settings.cold_from * able * settings.fall_window / 1e6
+    allowed = (
+        settings.slow_start_overload_factor
+        * settings.slow_start_initial_share
+        * able
+        * settings.slow_start_window_us
+        / 1e6
+    )
     most = allowed + (2 * math.sqrt(allowed) + 2 if allowed >= 30 else 3 * math.sqrt(allowed) + 3)
     sends.sort()
-    window = settings.fall_window / 1e6
+    window = settings.slow_start_window_us / 1e6
     worst = max(sum(1 for later in sends[place:] if later < at + window) for place, at in enumerate(sends))
     return worst / most
--- a/tuliptrack/lab/hollow/node.py
+++ b/tuliptrack/lab/hollow/node.py
@@ -10,11 +10,21 @@
 from random import Random
 from typing import Any
 
-from tuliptrack.brain import Router
-from tuliptrack.interface import Event, ListKind, Outcome, Request, Role, Send, SetTimer, Started, Timer
+from tuliptrack.interface import (
+    AttemptEnded,
+    Event,
+    Request,
+    Role,
+    SendAttempt,
+    SetTimer,
+    StreamStarted,
+    TimerFired,
+    UpdateKind,
+)
 from tuliptrack.lab.hollow.population import KINDS, ROLES, node_settings
 from tuliptrack.lab.hollow.traffic import DrawnTraffic, Rates
 from tuliptrack.relay.discovery import Discovery, Members
+from tuliptrack.routing.router import Router
 from tuliptrack.rpc.clock import now_us
 
 __all__ = ["HollowNode", "NodeReport"]
@@ -54,11 +64,11 @@
         self.traffic = DrawnTraffic(rates, seed, self._role_of)
         self.report = NodeReport(slot)
         self.source = Discovery(
-            agent, lambda: max(self.members.revision, 0), self._listed, self.settings.drain_grace
+            agent, lambda: max(self.members.revision, 0), self._listed, self.settings.drain_grace_us
         )
         self._random = Random(seed)
         self._timers: set[asyncio.TimerHandle] = set()
-        self._last: tuple[ListKind, int] | None = None
+        self._last: tuple[UpdateKind, int] | None = None
 
     def start(self) -> None:
         """Ask for the list, and let requests come."""
@@ -82,7 +92,7 @@
         if change is None:
             return False
         known, self._last = self._last, (change.kind, change.version)
-        if (known != self._last or first) and (change.kind is not ListKind.DELTA or change.servers):
+        if (known != self._last or first) and (change.kind is not UpdateKind.DELTA or change.endpoints):
             self._tell(change)
         took = time.thread_time() - began
         self.report.list_s += took
@@ -105,18 +115,18 @@
     def _tell(self, event: Event) -> None:
         now = now_us()
         for action in self.router.handle(now, [event]):
-            if isinstance(action, Send):
+            if isinstance(action, SendAttempt):
                 self._sent(now, action)
             elif isinstance(action, SetTimer):
-                self._later(action.delay, self._decide, Timer(action.token))
-            elif isinstance(event, Request | Outcome | Started):
+                self._later(action.delay_us, self._decide, TimerFired(action.token))
+            elif isinstance(event, Request | AttemptEnded | StreamStarted):
                 self.report.refusals += type(action).__name__ == "Refuse"
 
-    def _sent(self, now: int, action: Send) -> None:
+    def _sent(self, now: int, action: SendAttempt) -> None:
         self.report.sends += 1
-        started = self.router.seats[action.server].info.started_at
-        if started and now < started + self.settings.cold_for:
-            self.report.cold_sends.append((action.server, now / 1e6))
+        started = self.router.seats[action.endpoint_id].info.started_at
+        if started and now < started + self.settings.slow_start_us:
+            self.report.cold_sends.append((action.endpoint_id, now / 1e6))
         for late, answer in self.traffic.answers(action):
             self._later(late, self._decide, answer)
 
--- a/tuliptrack/lab/hollow/population.py
+++ b/tuliptrack/lab/hollow/population.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tuliptrack.interface import RequestClass, Role, Server, Settings, Tenant
+from tuliptrack.interface import EndpointInfo, RequestClass, Role, Settings, Tenant
 
 __all__ = ["KINDS", "ROLES", "Population", "node_settings"]
 
 KINDS = ("reads", "writes")
-ROLES = (Role.READ, Role.WRITE)
+ROLES = (Role.PREFILL, Role.DECODE)
 REQUESTS_PER_S = 2_500.0  # of the whole fleet at its peak
 PORTS = (20_000, 40_000)  # drawn engines are listed under these ports and never dialled
 
@@ -43,18 +43,18 @@
         """Its rack."""
         return number // self.readers_every % min(self.cells, self.engines // self.readers_every)
 
-    def servers(self) -> tuple[Server, ...]:
+    def servers(self) -> tuple[EndpointInfo, ...]:
         """The engines as the decision module is told of them, numbered from 1."""
         return tuple(self.server(n) for n in range(self.engines))
 
-    def server(self, number: int, **changes: Any) -> Server:
+    def server(self, number: int, **changes: Any) -> EndpointInfo:
         """One engine as the decision module is told of it."""
         told: dict[str, Any] = {
             "kind": self.kind(number),
             "cell": self.cell(number),
             "zone": self.zone(number),
         }
-        return Server(number + 1, **(told | changes))
+        return EndpointInfo(number + 1, **(told | changes))
 
     def member(self, number: int, **changes: Any) -> dict[str, Any]:
         """One entry of the platform's list."""
@@ -84,24 +84,36 @@
     """Settings of one node of such a fleet. Times are microseconds."""
     return Settings(
         replicas=replicas,
-        slot=slot,
+        replica_index=slot,
         roles=ROLES,
         max_attempts=4,
         may_cancel=True,
-        may_advise_retry=True,
+        may_send_retry_after=True,
         classes=(
-            RequestClass("chat", 1.0, 540_000, 5_000_000, aim_per_1000_tokens=60_000.0, token_aim=70_000.0),
             RequestClass(
-                "batch", 2.0, 1_200_000, 12_000_000, aim_per_1000_tokens=60_000.0, token_aim=70_000.0
+                "chat",
+                1.0,
+                540_000,
+                5_000_000,
+                objective_us_per_1000_tokens=60_000.0,
+                inter_token_objective_us=70_000.0,
+            ),
+            RequestClass(
+                "batch",
+                2.0,
+                1_200_000,
+                12_000_000,
+                objective_us_per_1000_tokens=60_000.0,
+                inter_token_objective_us=70_000.0,
             ),
         ),
         tenants=tuple(Tenant(f"t{n}", 1 / tenants, 1.3 * REQUESTS_PER_S / tenants) for n in range(tenants)),
-        over_share_worth=0.1,
-        drain_grace=500_000,
-        cold_for=12_000_000,
-        cold_from=0.25,
-        fall_multiple=2.5,
-        fall_window=3_000_000,
-        max_retry_after=2_000_000,
+        over_quota_weight_factor=0.1,
+        drain_grace_us=500_000,
+        slow_start_us=12_000_000,
+        slow_start_initial_share=0.25,
+        slow_start_overload_factor=2.5,
+        slow_start_window_us=3_000_000,
+        max_retry_after_us=2_000_000,
         report_fields=("in_flight", "memory_share", "tokens_waiting_k"),
     )
--- a/tuliptrack/lab/hollow/traffic.py
+++ b/tuliptrack/lab/hollow/traffic.py
@@ -13,7 +13,16 @@
 from random import Random
 from typing import Protocol
 
-from tuliptrack.interface import Action, Event, Outcome, Request, Role, Send, Started, Status
+from tuliptrack.interface import (
+    Action,
+    AttemptEnded,
+    Event,
+    Request,
+    Role,
+    SendAttempt,
+    Status,
+    StreamStarted,
+)
 
 __all__ = ["Decides", "DrawnTraffic", "Playback", "Rates"]
 
@@ -73,25 +82,44 @@
             int(self.rates.tenants * self.random.random() ** 2),
         )
 
-    def answers(self, send: Send) -> Iterator[tuple[int, Event]]:
+    def answers(self, send: SendAttempt) -> Iterator[tuple[int, Event]]:
         """What comes of an attempt: events, and the microseconds after which each comes."""
-        attempt = self._attempts[send.id] = self._attempts[send.id] + 1
+        attempt = self._attempts[send.request_id] = self._attempts[send.request_id] + 1
         chance = self.random
         load = (float(chance.randrange(6)), chance.random() * 0.4, chance.random())
         if chance.random() < self.rates.reset_share:
             late = int(chance.expovariate(1 / 50_000))
-            yield late, Outcome(send.id, attempt, send.server, Status.RESET, late)
-        elif self.role_of(send.server) is Role.READ:
+            yield late, AttemptEnded(send.request_id, attempt, send.endpoint_id, Status.RESET, late)
+        elif self.role_of(send.endpoint_id) is Role.PREFILL:
             took = 40_000 + int(chance.expovariate(1 / 60_000))
             yield (
                 took,
-                Outcome(send.id, attempt, send.server, Status.READ, took, kept_tokens=1_800, load=load),
+                AttemptEnded(
+                    send.request_id,
+                    attempt,
+                    send.endpoint_id,
+                    Status.PREFILLED,
+                    took,
+                    cached_tokens=1_800,
+                    load_report=load,
+                ),
             )
         else:
             first = 20_000 + int(chance.expovariate(1 / 20_000))
             whole = first + int(chance.expovariate(1 / self.rates.answer_tokens) * self.rates.token_us)
-            yield first, Started(send.id, attempt, send.server, first)
-            yield whole, Outcome(send.id, attempt, send.server, Status.OK, whole, over=True, load=load)
+            yield first, StreamStarted(send.request_id, attempt, send.endpoint_id, first)
+            yield (
+                whole,
+                AttemptEnded(
+                    send.request_id,
+                    attempt,
+                    send.endpoint_id,
+                    Status.OK,
+                    whole,
+                    is_final=True,
+                    load_report=load,
+                ),
+            )
 
     def forget(self, request: int) -> None:
         """Its last event has come."""
@@ -118,7 +146,7 @@
         actions = self.call(self.now, event)
         self.watch(self.now, event, actions)
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendAttempt):
                 for late, answer in self.traffic.answers(action):
                     self._at(self.now + late, answer)
         return actions
--- a/tuliptrack/lab/hollow/worker.py
+++ b/tuliptrack/lab/hollow/worker.py
@@ -18,11 +18,11 @@
 
 import structlog
 
-from tuliptrack.brain import Router
 from tuliptrack.lab.hollow.discovery import ListServer
 from tuliptrack.lab.hollow.node import HollowNode
 from tuliptrack.lab.hollow.population import Population
 from tuliptrack.lab.hollow.traffic import Rates
+from tuliptrack.routing.router import Router
 
 __all__ = ["main"]
 
--- a/tuliptrack/lab/judge.py
+++ b/tuliptrack/lab/judge.py
@@ -14,7 +14,7 @@
 from itertools import pairwise
 from typing import Any
 
-from tuliptrack.interface import Effect, RequestClass
+from tuliptrack.interface import Idempotency, RequestClass
 from tuliptrack.lab.client import Arrival, Try, as_row
 
 __all__ = ["SLACK", "Life", "Traffic", "judge"]
@@ -191,7 +191,7 @@
     begun = _count(tags[row["request"]] for row in day.engines if row["what"] == "begun")
     whole: dict[str, int] = defaultdict(int)
     for one in tries:
-        if day.classes[one.cls].effect is not Effect.UNSAFE:
+        if day.classes[one.cls].idempotency is not Idempotency.NOT_IDEMPOTENT:
             continue
         whole[one.request] += begun.get(one.tag, 0)
         rule.check(whole[one.request] <= 1, one.tag, "work that may not be repeated was begun twice")
@@ -272,9 +272,9 @@
         served = one.tries[-1].finished
         in_time = served and first - one.tries[0].sent <= one.aim
         for name in ("all", f"class {cls.name}", f"tenant {one.load.tenant}"):
-            sums[name][0] += cls.worth
-            sums[name][1] += cls.worth * served
-            sums[name][2] += cls.worth * in_time
+            sums[name][0] += cls.priority_weight
+            sums[name][1] += cls.priority_weight * served
+            sums[name][2] += cls.priority_weight * in_time
     return {
         "requests": len(day.arrivals),
         "worth": {
--- a/tuliptrack/lab/twin.py
+++ b/tuliptrack/lab/twin.py
@@ -16,28 +16,28 @@
 from random import Random
 from typing import Any, Protocol
 
-from tuliptrack.brain import Router
 from tuliptrack.interface import (
     Action,
+    AttemptEnded,
+    EndpointInfo,
+    EndpointListUpdate,
+    EndpointState,
     Event,
     Fail,
-    FleetChange,
-    ListKind,
-    Outcome,
-    Refuse,
+    Reject,
     Request,
     RequestClass,
     Role,
-    Send,
-    Server,
-    ServerState,
+    SendAttempt,
     SetTimer,
     Settings,
-    Started,
     Status,
+    StreamStarted,
     Tenant,
-    Timer,
+    TimerFired,
+    UpdateKind,
 )
+from tuliptrack.routing.router import Router
 
 __all__ = ["Blind", "Fleet", "LateSeeing", "Result", "Twin"]
 
@@ -93,7 +93,7 @@
 class Engine:
     """A reader or a writer as it truly is."""
 
-    info: Server
+    info: EndpointInfo
     reads: list[tuple[int, float]] = field(default_factory=list)
     """When each read that waits or runs will have ended, and its tokens."""
     free_at: int = 0
@@ -182,21 +182,21 @@
         self.policy = policy or (lambda settings, number, _: Router(settings, number))
         self.settings = Settings(
             replicas=fleet.nodes,
-            roles=(Role.READ, Role.WRITE),
+            roles=(Role.PREFILL, Role.DECODE),
             report_fields=_REPORTS,
             max_attempts=4,
             classes=(
-                RequestClass("chat", 1.0, fleet.aim, fleet.deadline, token_aim=60_000.0),
-                RequestClass("dear", 3.0, fleet.aim, fleet.deadline, token_aim=60_000.0),
+                RequestClass("chat", 1.0, fleet.aim, fleet.deadline, inter_token_objective_us=60_000.0),
+                RequestClass("dear", 3.0, fleet.aim, fleet.deadline, inter_token_objective_us=60_000.0),
             ),
             tenants=(Tenant("a", 1.0, 1.3 * fleet.rate),),
-            cold_for=8 * _S,
-            cold_from=0.25,
-            fall_multiple=2.5,
-            fall_window=2 * _S,
-            drain_grace=500_000,
-            max_retry_after=2 * _S,
-            may_advise_retry=True,
+            slow_start_us=8 * _S,
+            slow_start_initial_share=0.25,
+            slow_start_overload_factor=2.5,
+            slow_start_window_us=2 * _S,
+            drain_grace_us=500_000,
+            max_retry_after_us=2 * _S,
+            may_send_retry_after=True,
         )
         self.engines: dict[int, Engine] = {}
         self.asked: dict[int, _Asked] = {}
@@ -206,7 +206,7 @@
         self._events: list[tuple[int, int, Any]] = []
         self._count, self._ids, self._tokens, self._found = count(), count(1), 0.0, 0.0
         for i in range(fleet.readers + fleet.writers):
-            self._add(Server(i, 0 if i < fleet.readers else 1))
+            self._add(EndpointInfo(i, 0 if i < fleet.readers else 1))
         self.nodes = [self._node(i, i + 1) for i in range(fleet.nodes)]
 
     def play(self) -> Result:
@@ -256,11 +256,11 @@
 
     def _replace(self, old: int, new: int) -> None:
         """One reader drains and a cold one comes in its place; each node hears within 200 ms."""
-        gone = self.engines[old].info = replace(self.engines[old].info, state=ServerState.DRAINING)
-        fresh = Server(new, 0, started_at=self.now)
+        gone = self.engines[old].info = replace(self.engines[old].info, state=EndpointState.DRAINING)
+        fresh = EndpointInfo(new, 0, started_at_us=self.now)
         self._add(fresh)
         for i in range(len(self.nodes)):
-            change = FleetChange(ListKind.DELTA, 2, (gone, fresh))
+            change = EndpointListUpdate(UpdateKind.DELTA, 2, (gone, fresh))
             self._at(self.now + self.random.randrange(200_000), self._tell, i, change)
 
     def _restart(self, number: int) -> None:
@@ -274,25 +274,25 @@
     def out_at(self, node: int) -> dict[int, int]:
         """What this node truly has out: the engine of each of its requests."""
         return {
-            a.request.id: a.engine.info.id
+            a.request.request_id: a.engine.info.id
             for a in self.asked.values()
             if a.node == node and a.out is not None and a.engine and a.answered != "lost"
         }
 
     def _node(self, number: int, seed: int) -> Policy:
-        made = self.policy(replace(self.settings, slot=number), seed, self)
-        listed = tuple(e.info for e in self.engines.values() if e.info.state is ServerState.READY)
-        self._do(number, made.handle(self.now, [FleetChange(ListKind.FULL, 1, listed)]))
+        made = self.policy(replace(self.settings, replica_index=number), seed, self)
+        listed = tuple(e.info for e in self.engines.values() if e.info.state is EndpointState.READY)
+        self._do(number, made.handle(self.now, [EndpointListUpdate(UpdateKind.FULL, 1, listed)]))
         return made
 
-    def _add(self, info: Server) -> None:
+    def _add(self, info: EndpointInfo) -> None:
         self.engines[info.id] = Engine(info, room=self.fleet.cache_tokens)
 
     # -- requests and attempts
 
     def _comes(self, request: Request, node: int) -> None:
-        self.asked[request.id] = _Asked(request, node, self.now)
-        self._at(self.now + request.time_left, self._due, request.id)
+        self.asked[request.request_id] = _Asked(request, node, self.now)
+        self._at(self.now + request.time_left_us, self._due, request.request_id)
         self._tell(node, request)
 
     def _due(self, number: int) -> None:
@@ -304,20 +304,22 @@
     def _do(self, node: int, actions: list[Action]) -> None:
         """Carry out what a node says. Read states take no room here: `Release` changes nothing."""
         for action in actions:
-            if isinstance(action, Send):
-                self._send(self.asked[action.id], action)
-            elif isinstance(action, Refuse | Fail):
-                self._final(self.asked[action.id], "refused" if isinstance(action, Refuse) else "failed")
+            if isinstance(action, SendAttempt):
+                self._send(self.asked[action.request_id], action)
+            elif isinstance(action, Reject | Fail):
+                self._final(
+                    self.asked[action.request_id], "refused" if isinstance(action, Reject) else "failed"
+                )
             elif isinstance(action, SetTimer):
-                self._at(self.now + action.delay, self._tell, node, Timer(action.token))
+                self._at(self.now + action.delay_us, self._tell, node, TimerFired(action.token))
 
-    def _send(self, asked: _Asked, action: Send) -> None:
+    def _send(self, asked: _Asked, action: SendAttempt) -> None:
         self.result.twice += asked.out is not None
         asked.attempt += 1
         attempt = asked.out = asked.attempt
-        engine = asked.engine = self.engines[action.server]
-        if action.timeout:
-            self._at(self.now + action.timeout, self._back, asked, attempt, Status.TIMEOUT, self.now)
+        engine = asked.engine = self.engines[action.endpoint_id]
+        if action.timeout_us:
+            self._at(self.now + action.timeout_us, self._back, asked, attempt, Status.TIMEOUT, self.now)
         self._at(self.now + _LINK_US, self._reach, asked, attempt, engine, self.now)
 
     def _reach(self, asked: _Asked, attempt: int, engine: Engine, sent: int) -> None:
@@ -329,7 +331,7 @@
                 self._tokens += asked.request.prompt_tokens
                 self._found += found
             self._at(done, engine.keep, asked.request)  # Given up or not, it is read.
-            self._at(done + _LINK_US, self._back, asked, attempt, Status.READ, sent, int(found))
+            self._at(done + _LINK_US, self._back, asked, attempt, Status.PREFILLED, sent, int(found))
             return
         engine.running += 1
         first = 15_000 + self.fleet.token_us * (1 + engine.running // 20)
@@ -340,7 +342,9 @@
     def _starts(self, asked: _Asked, attempt: int, engine: Engine, sent: int) -> None:
         if asked.out == attempt and not asked.answered:
             asked.first = self.now
-            self._tell(asked.node, Started(asked.request.id, attempt, engine.info.id, self.now - sent))
+            self._tell(
+                asked.node, StreamStarted(asked.request.request_id, attempt, engine.info.id, self.now - sent)
+            )
 
     def _ends(self, asked: _Asked, attempt: int, engine: Engine, sent: int) -> None:
         engine.running -= 1
@@ -360,18 +364,18 @@
         ):
             return
         asked.out = None
-        load = engine.load(self.now) if status in (Status.READ, Status.OK) else ()
+        load = engine.load(self.now) if status in (Status.PREFILLED, Status.OK) else ()
         self._tell(
             asked.node,
-            Outcome(
-                asked.request.id,
+            AttemptEnded(
+                asked.request.request_id,
                 attempt,
                 engine.info.id,
                 status,
                 self.now - sent,
-                over=status is Status.OK,
-                kept_tokens=found,
-                load=load,
+                is_final=status is Status.OK,
+                cached_tokens=found,
+                load_report=load,
             ),
         )
 
@@ -383,7 +387,10 @@
     # -- the clock
 
     def _tell(self, node: int, event: Event) -> None:
-        if isinstance(event, Started | Outcome) and self.asked[event.id].answered == "lost":
+        if (
+            isinstance(event, StreamStarted | AttemptEnded)
+            and self.asked[event.request_id].answered == "lost"
+        ):
             return  # Its node is another one now.
         self._do(node, self.nodes[node].handle(self.now, [event]))
         self.watch(node)
@@ -402,17 +409,21 @@
         out: list[Action] = []
         for event in events:
             if isinstance(event, Request):
-                out.append(Send(event.id, self.pick(0, event)))
-            elif isinstance(event, Outcome) and not event.over:
-                if event.status is Status.READ:
-                    out.append(Send(event.id, self.pick(1, self.twin.asked[event.id].request)))
+                out.append(SendAttempt(event.request_id, self.pick(0, event)))
+            elif isinstance(event, AttemptEnded) and not event.is_final:
+                if event.status is Status.PREFILLED:
+                    out.append(
+                        SendAttempt(event.request_id, self.pick(1, self.twin.asked[event.request_id].request))
+                    )
                 else:
-                    out.append(Fail(event.id))
+                    out.append(Fail(event.request_id))
         return out
 
     def up(self, kind: int) -> list[Engine]:
         return [
-            e for e in self.twin.engines.values() if e.info.kind == kind and e.info.state is ServerState.READY
+            e
+            for e in self.twin.engines.values()
+            if e.info.kind == kind and e.info.state is EndpointState.READY
         ]
 
     def pick(self, kind: int, request: Request) -> int:
--- a/tuliptrack/node/attempt_state.py
+++ b/tuliptrack/node/attempt_state.py
@@ -17,7 +17,7 @@
 
 from enum import Enum
 
-from tuliptrack.interface import Effect, ServerState
+from tuliptrack.interface import EndpointState, Idempotency
 
 __all__ = [
     "HELD_UP_US",
@@ -75,7 +75,7 @@
     return delivery in (Delivery.CORROBORATED, Delivery.CONFIRMED)
 
 
-def may_send(ended: bool, client_left: bool, in_flight: bool, server: ServerState | None) -> Verdict:
+def may_send(ended: bool, client_left: bool, in_flight: bool, server: EndpointState | None) -> Verdict:
     """Whether a request's next attempt may begin at a server now."""
     if ended:
         return Verdict.ENDED
@@ -85,27 +85,27 @@
         return Verdict.IN_FLIGHT
     if server is None:
         return Verdict.UNKNOWN_SERVER
-    return Verdict.YES if server is ServerState.READY else Verdict.NOT_READY
+    return Verdict.YES if server is EndpointState.READY else Verdict.NOT_READY
 
 
-def may_repeat(effect: Effect, ran_at: int, window: int, now: int) -> Verdict:
+def may_repeat(effect: Idempotency, ran_at: int, window: int, now: int) -> Verdict:
     """Whether a further attempt may be written now; `ran_at` is the earliest time at which one may have run,
     0 if none."""
-    if not ran_at or effect is Effect.SAFE:
+    if not ran_at or effect is Idempotency.IDEMPOTENT:
         return Verdict.YES
-    if effect is Effect.UNSAFE:
+    if effect is Idempotency.NOT_IDEMPOTENT:
         return Verdict.MAY_HAVE_RUN
     return Verdict.YES if now <= ran_at + window else Verdict.WINDOW_OVER
 
 
-def repeat_by(effect: Effect, ran_at: int, window: int) -> int:
+def repeat_by(effect: Idempotency, ran_at: int, window: int) -> int:
     """By when a further attempt of what may have run has to be written, lest it arrive when its window is
     over; 0: at any time."""
-    if not ran_at or effect is not Effect.KEYED:
+    if not ran_at or effect is not Idempotency.WITH_KEY:
         return 0
     return ran_at + max(window - HELD_UP_US, window // 2)
 
 
-def may_refuse(effect: Effect, ran: bool) -> bool:
+def may_refuse(effect: Idempotency, ran: bool) -> bool:
     """Whether the final answer may promise that trying again is harmless."""
-    return not ran or effect is Effect.SAFE
+    return not ran or effect is Idempotency.IDEMPOTENT
--- a/tuliptrack/node/bills.py
+++ b/tuliptrack/node/bills.py
@@ -33,7 +33,7 @@
 
     def __init__(self, options: BillingOptions, settings: Settings, instance: str, now: int) -> None:
         self.options, self.instance = options, instance
-        self.wall = settings.epoch_offset
+        self.wall = settings.epoch_offset_us
         """What turns the node's clock into microseconds since 1970; taken once."""
         self.budgets: Budgets | None = None
         if options.windows:
@@ -42,7 +42,7 @@
                 BudgetSettings(
                     settings.replicas,
                     options.windows,
-                    settings.slot,
+                    settings.replica_index,
                     self.wall,
                     options.spread,
                     read,
--- a/tuliptrack/node/calls.py
+++ b/tuliptrack/node/calls.py
@@ -107,7 +107,7 @@
 
     def _over(self, record: Record, attempt: Attempt, end: End) -> None:
         status = outcome_of(end)
-        lost = status is io.Status.FULL and end.status.code is Code.FAILED_PRECONDITION
+        lost = status is io.Status.AT_CAPACITY and end.status.code is Code.FAILED_PRECONDITION
         self.core.attempt_over(
             record,
             attempt,
@@ -232,7 +232,7 @@
             on_end=ended,
         )
 
-    def probe(self, server: int, done: Callable[[io.ProbeResult], None]) -> None:
+    def probe(self, server: int, done: Callable[[io.HealthCheckResult], None]) -> None:
         channel, sent = self.channels.channel(server), now_us()
         if channel:
             channel.call(
@@ -240,7 +240,7 @@
                 message=b"",
                 timeout=_SHORT_CALL,
                 on_end=lambda end: done(
-                    io.ProbeResult(server, outcome_of(end), now_us() - sent, load_of(end, server))
+                    io.HealthCheckResult(server, outcome_of(end), now_us() - sent, load_of(end, server))
                 ),
             )
 
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -17,7 +17,6 @@
 import structlog
 
 from tuliptrack import interface as io
-from tuliptrack.brain import Router
 from tuliptrack.decisions.admission import Admission, AdmissionLimits
 from tuliptrack.decisions.models import Model
 from tuliptrack.fronts.port import Answer, Ask, Failure
@@ -27,6 +26,7 @@
 from tuliptrack.node.port import Ended, Engines
 from tuliptrack.node.request_reader import CoreLimits, RequestReader
 from tuliptrack.node.requests import Attempt, Held, Record, State, Table
+from tuliptrack.routing.router import Router
 from tuliptrack.rpc.clock import now_us
 
 __all__ = ["Core"]
@@ -74,7 +74,7 @@
         self.admission = Admission(admission)
         self.engines: Engines
         self.counters = Counters()
-        self.states = HeldStates(settings.release_within, lambda: self.engines, self.now, self.counters)
+        self.states = HeldStates(settings.release_within_us, lambda: self.engines, self.now, self.counters)
         self.source: Any
         self.requests = RequestReader(settings, limits)
         self.stopping = False
@@ -87,20 +87,20 @@
         self._timers: set[asyncio.TimerHandle] = set()
         self._due: dict[int, asyncio.TimerHandle] = {}
         self._acts: dict[type, Callable[[Any], None]] = {
-            io.Send: self._send,
-            io.Cancel: self._cancel,
-            io.Refuse: self._refuse,
+            io.SendAttempt: self._send,
+            io.CancelAttempt: self._cancel,
+            io.Reject: self._refuse,
             io.Fail: self._fail,
             io.Release: self._release,
-            io.HoldAhead: self._hold_ahead,
-            io.HandBack: self._hand_back,
+            io.ReserveCapacity: self._hold_ahead,
+            io.MigrateStream: self._hand_back,
             io.SetTimer: self._set_timer,
-            io.Probe: self._probe,
-            io.CloseIdle: lambda a: self.engines.close_idle(a.server),
+            io.CheckHealth: self._probe,
+            io.CloseIdleConnections: lambda a: self.engines.close_idle(a.endpoint_id),
             io.Subscribe: lambda a: self.source.subscribe(a.on),
-            io.FetchFleet: lambda a: self.source.fetch(),
-            io.TellPeers: lambda a: None,
-            io.Log: lambda a: log.info("router", text=a.text),
+            io.FetchEndpointList: lambda a: self.source.fetch(),
+            io.SendGossip: lambda a: None,
+            io.LogMessage: lambda a: log.info("router", text=a.text),
         }
 
     # -- what a node may add
@@ -118,7 +118,7 @@
     def began(self, record: Record) -> None:
         """Its first token has come."""
 
-    def sent(self, record: Record, attempt: Attempt, action: io.Send) -> None:
+    def sent(self, record: Record, attempt: Attempt, action: io.SendAttempt) -> None:
         """An attempt has left."""
 
     def crossed(self, record: Record, attempt: Attempt, ended: Ended) -> float:
@@ -145,16 +145,16 @@
             while self._events:
                 one, router = self._events.popleft()
                 self.decisions += 1
-                of = self.table.open.get(getattr(one, "id", 0))
+                of = self.table.open.get(getattr(one, "request_id", 0))
                 self._acting = of.router if of else router or self.router
                 try:
                     actions = self._acting.handle(self.now(), [one])
                 except Exception:
                     log.exception("the router failed", event_kind=type(one).__name__)
-                    self._give_up(getattr(one, "id", 0))
+                    self._give_up(getattr(one, "request_id", 0))
                     actions = []
-                record = self.table.open.get(getattr(one, "id", 0))
-                if record and isinstance(one, io.Outcome):
+                record = self.table.open.get(getattr(one, "request_id", 0))
+                if record and isinstance(one, io.AttemptEnded):
                     record.untold -= 1
                 for action in actions:
                     self._acts[type(action)](action)
@@ -169,7 +169,7 @@
         if record and record.end(State.FAILED, "internal"):
             record.answer.failed(Failure.LOST, "internal", record.next_index)
             self.states.release(record)
-            self.tell(io.ClientGone(request), record.router)  # Its books are closed, if it still can.
+            self.tell(io.ClientDisconnected(request), record.router)  # Its books are closed, if it still can.
             if record.out and record.out.call:
                 record.out.call.cancel(io.Status.CANCELLED)
             self._settle(record)
@@ -179,7 +179,7 @@
         now = self.now()
         request = self.requests.read(ask, now)
         model, router, reason = self.choose(ask)
-        record = self.table.take(ask, answer, now + request.time_left, now, router, model)
+        record = self.table.take(ask, answer, now + request.time_left_us, now, router, model)
         if self.stopping:
             reason = "this node shuts down"
         wait, over = 0, False
@@ -187,7 +187,7 @@
             wait = self.advised(self.admission.wait(ask.tenant))
         elif not reason:
             record.placed = True
-            reason, wait, over = self.admit(now, record, request.cls)
+            reason, wait, over = self.admit(now, record, request.class_index)
         if reason:
             self._answer_refused(record, reason, wait)
             self._settle(record)
@@ -196,7 +196,7 @@
         if by is not None:
             left = max(by - self.limits.answer_ahead - now, 0) / 1e6
             self._due[record.id] = asyncio.get_running_loop().call_later(left, self._call_due, record)
-        self.tell(replace(request, id=record.id, over_budget=over))
+        self.tell(replace(request, request_id=record.id, is_over_token_budget=over))
         return _Ticket(self, record)
 
     def outlook(self) -> tuple[str, int]:
@@ -225,7 +225,7 @@
         streaming = record.state is State.STREAMING
         if not record.end(State.LEFT, reason):
             return
-        self.tell(io.ClientGone(record.id))
+        self.tell(io.ClientDisconnected(record.id))
         if record.out and record.out.call and (streaming or not may_have_run(record.out.call.delivery())):
             record.out.call.cancel(
                 io.Status.CANCELLED
@@ -240,14 +240,14 @@
 
     def _may_begin(self, record: Record, server: int, in_flight: bool) -> Verdict:
         """Whether an attempt may begin at a server now; a client found to have gone is told of."""
-        seat = record.router.seats.get(server)
+        seat = record.router.endpoints.get(server)
         state = seat.info.state if seat else None
         verdict = may_send(record.ended, not record.ended and record.ask.left(), in_flight, state)
         if verdict is Verdict.CLIENT_GONE:
             self.client_gone(record, verdict.value)
         if verdict:
             cls = self._class_of(record)
-            verdict = may_repeat(cls.effect, record.ran_at, cls.dedup_window, self.now())
+            verdict = may_repeat(cls.idempotency, record.ran_at, cls.deduplication_window_us, self.now())
         if not verdict:
             record.trace.add(self.now(), f"not sent to {server}: {verdict.value}")
             self.counters.add(f"not_sent_{verdict.name.lower()}")
@@ -269,23 +269,26 @@
 
     # -- actions out
 
-    def _send(self, action: io.Send) -> None:
-        record = self.table.open.get(action.id)
+    def _send(self, action: io.SendAttempt) -> None:
+        record = self.table.open.get(action.request_id)
         now = self.now()
         if record is None:
             return
-        attempt = Attempt(record.attempts, action.server, now)
+        attempt = Attempt(record.attempts, action.endpoint_id, now)
         record.attempts += 1
-        seat = record.router.seats.get(action.server)
-        reached = self.engines.reaches(action.server)
+        seat = record.router.endpoints.get(action.endpoint_id)
+        reached = self.engines.reaches(action.endpoint_id)
         record.untold += 1  # So that it stays while its client's leaving is told.
-        verdict = self._may_begin(record, action.server, in_flight=record.out is not None)
+        verdict = self._may_begin(record, action.endpoint_id, in_flight=record.out is not None)
         record.untold -= 1
         if not verdict or not reached or seat is None:
-            status = io.Status.CONNECT_FAILED if not reached and not record.ended else io.Status.MOOT
+            status = io.Status.CONNECT_FAILED if not reached and not record.ended else io.Status.ABANDONED
             record.untold += 1
             self._events.append(
-                (io.Outcome(record.id, attempt.number, action.server, status, 0, record.ended), None)
+                (
+                    io.AttemptEnded(record.id, attempt.number, action.endpoint_id, status, 0, record.ended),
+                    None,
+                )
             )
             return
         left = record.due - now
@@ -294,13 +297,15 @@
             attempt.connect_by = self.states.connect_by(record)
         if latest := self._repeat_by(record):
             attempt.connect_by = min(attempt.connect_by or latest, latest)
-        attempt.cut_at_due = not action.timeout or action.timeout >= left
-        timeout = max(left if attempt.cut_at_due else action.timeout, 1)
+        attempt.cut_at_due = not action.timeout_us or action.timeout_us >= left
+        timeout = max(left if attempt.cut_at_due else action.timeout_us, 1)
         record.out = attempt
-        record.servers.append(action.server)
-        attempt.reading = seat.role is io.Role.READ
+        record.servers.append(action.endpoint_id)
+        attempt.reading = seat.role is io.Role.PREFILL
         record.go(State.READING if attempt.reading else State.WRITING)
-        record.trace.add(now, f"{'read' if attempt.reading else 'write'} {attempt.number} at {action.server}")
+        record.trace.add(
+            now, f"{'read' if attempt.reading else 'write'} {attempt.number} at {action.endpoint_id}"
+        )
         attempt.call = self.engines.begin(record, attempt, timeout)
         handle = asyncio.get_running_loop().call_later(timeout / 1e6, self._attempt_late, record, attempt)
         self._timers.add(handle)
@@ -312,7 +317,7 @@
         request: within the window for repeats, counted from the earliest moment that the first may have run;
         0: at any time."""
         cls = self._class_of(record)
-        return repeat_by(cls.effect, record.ran_at, cls.dedup_window)
+        return repeat_by(cls.idempotency, record.ran_at, cls.deduplication_window_us)
 
     def _attempt_late(self, record: Record, attempt: Attempt) -> None:
         if attempt.call and record.out is attempt and record.state is not State.STREAMING:
@@ -341,7 +346,7 @@
             self.states.taken(record)
             record.first_token_at = now
             self.began(record)
-            self.tell(io.Started(record.id, attempt.number, attempt.server, now - attempt.sent))
+            self.tell(io.StreamStarted(record.id, attempt.number, attempt.server, now - attempt.sent))
         return record.state is State.STREAMING
 
     def passed(self, record: Record, attempt: Attempt, going: bool) -> None:
@@ -353,7 +358,7 @@
     def place_noted(self, record: Record, attempt: Attempt, server: int, held: bool) -> None:
         """The word on a place that was asked for."""
         if record.out is attempt:
-            self.tell(io.PlaceNote(record.id, attempt.number, server, held))
+            self.tell(io.ReservationResult(record.id, attempt.number, server, held))
 
     def _cancel_timer(self, attempt: Attempt) -> None:
         if attempt.timer:
@@ -378,9 +383,9 @@
         crossed = self.crossed(record, attempt, ended)
         if attempt.reading and record.held is None and told.status in _MAY_HAVE_READ:
             self.states.read_broke_off(record, attempt)
-        read = record.cached_tokens if told.status in (io.Status.OK, io.Status.READ) else 0
+        read = record.cached_tokens if told.status in (io.Status.OK, io.Status.PREFILLED) else 0
         self.tell(
-            io.Outcome(
+            io.AttemptEnded(
                 record.id,
                 attempt.number,
                 attempt.server,
@@ -398,7 +403,7 @@
 
     def _note_effect(self, record: Record, attempt: Attempt, status: io.Status) -> None:
         """From when on the request may have had an effect."""
-        if not record.ran_at and status.may_have_run(attempt.reading):
+        if not record.ran_at and status.may_have_executed(attempt.reading):
             record.ran_at = attempt.sent
 
     def _after_attempt(self, record: Record, attempt: Attempt, ended: Ended) -> _Told:
@@ -420,15 +425,15 @@
         read = (
             record.held is not None and record.held.server == attempt.server and ended.status is io.Status.OK
         )
-        return _Told(io.Status.READ if read else ended.status, ended.state_lost)
+        return _Told(io.Status.PREFILLED if read else ended.status, ended.state_lost)
 
     def _after_read(self, record: Record, ended: Ended) -> _Told:
         """An attempt at a reader is over."""
         status = ended.status
         if status is io.Status.OK:
-            status = io.Status.READ if record.held else io.Status.ERROR
-        record.reads += status is io.Status.READ
-        record.go(State.HELD if status is io.Status.READ else State.TAKEN)
+            status = io.Status.PREFILLED if record.held else io.Status.ERROR
+        record.reads += status is io.Status.PREFILLED
+        record.go(State.HELD if status is io.Status.PREFILLED else State.TAKEN)
         return _Told(status, ended.state_lost)
 
     def _after_no_token(self, record: Record, attempt: Attempt, ended: Ended) -> _Told:
@@ -456,8 +461,8 @@
         if out and out.call:
             out.call.cancel(status)
 
-    def _cancel(self, action: io.Cancel) -> None:
-        record = self.table.open.get(action.id)
+    def _cancel(self, action: io.CancelAttempt) -> None:
+        record = self.table.open.get(action.request_id)
         if (
             record
             and record.out
@@ -467,20 +472,20 @@
         ):
             record.out.call.cancel(io.Status.CANCELLED)
 
-    def _refuse(self, action: io.Refuse) -> None:
-        if record := self.table.open.get(action.id):
+    def _refuse(self, action: io.Reject) -> None:
+        if record := self.table.open.get(action.request_id):
             reason = "no attempt was possible in time" if record.attempts else "overload"
-            self._answer_refused(record, reason, self.advised(action.retry_after))
+            self._answer_refused(record, reason, self.advised(action.retry_after_us))
 
     def _fail(self, action: io.Fail) -> None:
-        if record := self.table.open.get(action.id):
+        if record := self.table.open.get(action.request_id):
             late = self.now() >= record.due
             reason = "no answer came by the deadline" if late else "attempts ended without an answer"
             self._answer_failed(record, Failure.DEADLINE if late else Failure.LOST, reason)
 
     def advised(self, retry_after: int) -> int:
         """Advice that is a guess is cut to what the settings allow."""
-        return min(retry_after, self.settings.max_retry_after)
+        return min(retry_after, self.settings.max_retry_after_us)
 
     def _answer_refused(self, record: Record, reason: str, retry_after: int) -> None:
         if record.end(State.REFUSED, reason):
@@ -491,7 +496,7 @@
             record.answer.failed(how, reason, record.next_index)
 
     def _release(self, action: io.Release) -> None:
-        record = self.table.open.get(action.id)
+        record = self.table.open.get(action.request_id)
         if record is None:
             return
         self.states.release(record)
@@ -499,14 +504,14 @@
             server, record.holding = record.holding, None
             self.engines.release(server, record)
 
-    def _hold_ahead(self, action: io.HoldAhead) -> None:
-        record = self.table.open.get(action.id)
-        if record and record.out and self.engines.reaches(action.server):
-            record.holding = action.server
-            self.engines.hold(action.server, record, record.out)
+    def _hold_ahead(self, action: io.ReserveCapacity) -> None:
+        record = self.table.open.get(action.request_id)
+        if record and record.out and self.engines.reaches(action.endpoint_id):
+            record.holding = action.endpoint_id
+            self.engines.hold(action.endpoint_id, record, record.out)
 
-    def _hand_back(self, action: io.HandBack) -> None:
-        record = self.table.open.get(action.id)
+    def _hand_back(self, action: io.MigrateStream) -> None:
+        record = self.table.open.get(action.request_id)
         if record and record.state is State.STREAMING:
             self._break(
                 record, Failure.HANDED_BACK, "the stream is handed back to be resumed", io.Status.CANCELLED
@@ -517,17 +522,19 @@
 
         def fire() -> None:
             self._timers.discard(handle)
-            self.tell(io.Timer(action.token), router)
+            self.tell(io.TimerFired(action.token), router)
 
-        handle = asyncio.get_running_loop().call_later(max(action.delay, 0) / 1e6, fire)
+        handle = asyncio.get_running_loop().call_later(max(action.delay_us, 0) / 1e6, fire)
         self._timers.add(handle)
 
-    def _probe(self, action: io.Probe) -> None:
+    def _probe(self, action: io.CheckHealth) -> None:
         router = self._acting
-        if not self.engines.reaches(action.server):
-            self._events.append((io.ProbeResult(action.server, io.Status.CONNECT_FAILED, 0), router))
+        if not self.engines.reaches(action.endpoint_id):
+            self._events.append(
+                (io.HealthCheckResult(action.endpoint_id, io.Status.CONNECT_FAILED, 0), router)
+            )
             return
-        self.engines.probe(action.server, lambda result: self.tell(result, router))
+        self.engines.probe(action.endpoint_id, lambda result: self.tell(result, router))
 
     # -- ends and sweeps
 
@@ -597,11 +604,13 @@
                 self._break(record, Failure.BROKEN, reason, io.Status.CANCELLED)
                 continue
             ran = self._may_run(record.out) or record.ran_at > 0
-            if may_refuse(self._class_of(record).effect, ran):
+            if may_refuse(self._class_of(record).idempotency, ran):
                 self._answer_refused(record, reason, 0)
             else:
                 self._answer_failed(record, Failure.LOST, reason)
-            self.tell(io.ClientGone(record.id))  # The router owes it nothing more; it calls off what is out.
+            self.tell(
+                io.ClientDisconnected(record.id)
+            )  # The router owes it nothing more; it calls off what is out.
             self._settle(record)
 
     def _may_run(self, out: Attempt | None) -> bool:
@@ -613,7 +622,7 @@
     def hand_back(self) -> None:
         """Streams that have begun go back to their clients, to be resumed at another node."""
         for record in list(self.table.open.values()):
-            self._hand_back(io.HandBack(record.id))
+            self._hand_back(io.MigrateStream(record.id))
 
     def end(self) -> None:
         """Every request and timer ends; their clients are gone."""
--- a/tuliptrack/node/engines.py
+++ b/tuliptrack/node/engines.py
@@ -23,8 +23,8 @@
 
 _CODES = {
     Code.OK: Status.OK,
-    Code.RESOURCE_EXHAUSTED: Status.FULL,
-    Code.FAILED_PRECONDITION: Status.FULL,
+    Code.RESOURCE_EXHAUSTED: Status.AT_CAPACITY,
+    Code.FAILED_PRECONDITION: Status.AT_CAPACITY,
     Code.DEADLINE_EXCEEDED: Status.TIMEOUT,
     Code.CANCELLED: Status.CANCELLED,
 }
--- a/tuliptrack/node/held_states.py
+++ b/tuliptrack/node/held_states.py
@@ -136,7 +136,7 @@
         what that attempt was waiting for."""
         if self._lease_was_stopped(record):
             self.restart(record)
-        sent = ended.status not in (io.Status.CONNECT_FAILED, io.Status.MOOT)
+        sent = ended.status not in (io.Status.CONNECT_FAILED, io.Status.ABANDONED)
         if not sent or ended.received:
             return
         if not attempt.reading:
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -13,7 +13,6 @@
 import structlog
 
 from tuliptrack import interface as io
-from tuliptrack.brain import Router
 from tuliptrack.config.node import NodeConfig
 from tuliptrack.decisions.admission import AdmissionLimits, ByteBudget
 from tuliptrack.decisions.models import MOST_MODELS, Catalog, Model, NotServed
@@ -29,6 +28,7 @@
 from tuliptrack.node.requests import Attempt, Record
 from tuliptrack.node.zones import Move, ZoneAccount
 from tuliptrack.proto import engine_pb2, fleet_pb2
+from tuliptrack.routing.router import Router
 from tuliptrack.rpc.channel import Channel, ClientCall, End, How
 from tuliptrack.rpc.clock import now_us, wall_us
 from tuliptrack.rpc.core import Limits
@@ -54,7 +54,7 @@
         self.config = config
         # All nodes share wall time: its offset is taken once, so that later jumps of the clock change
         # nothing.
-        settings = replace(config.settings, epoch_offset=wall_us() - now_us())
+        settings = replace(config.settings, epoch_offset_us=wall_us() - now_us())
         limits = config.limits
         self._seed = config.seed or secrets.randbits(63)
         super().__init__(
@@ -96,15 +96,19 @@
         self._save_again = False
         self.bills = Bills(config.billing, self.settings, self.instance, self.now())
         zones = config.zones
-        self.account = ZoneAccount(zones.names, zones.report, zones.report_bytes, config.settings.slot)
+        self.account = ZoneAccount(
+            zones.names, zones.report, zones.report_bytes, config.settings.replica_index
+        )
         self._booked_at = 0
         self._lacking: set[tuple[str, str]] = set()
-        self._acts[io.TellPeers] = self._tell_peers
+        self._acts[io.SendGossip] = self._tell_peers
 
     def _source(self) -> Source:
         options = self.config.source
         if options.feed:
-            return FeedSource(options.feed, str(self.settings.slot), self.config.engines.connect_timeout)
+            return FeedSource(
+                options.feed, str(self.settings.replica_index), self.config.engines.connect_timeout
+            )
         return FileSource(options.file, options.poll)
 
     # -- life
@@ -117,7 +121,7 @@
         except ListError as error:
             log.warning("kept server list not taken", reason=str(error))
         await self.bills.open(self.now())
-        self.listed(kept, io.ListKind.CACHED)
+        self.listed(kept, io.UpdateKind.CACHED)
         self.source.start(self.listed)
         for install in FRONTS:
             install(self.server, self, self.config)
@@ -159,7 +163,7 @@
 
     # -- events in
 
-    def listed(self, message: fleet_pb2.ServerList, kind: io.ListKind | None = None) -> None:
+    def listed(self, message: fleet_pb2.ServerList, kind: io.UpdateKind | None = None) -> None:
         """A server list has come."""
         before = set(self.roster.held)
         try:
@@ -170,7 +174,7 @@
         # The routers go first: what they stop sending to may then be let go.
         self._tell_routers(listing.change, {e.id: Model(e.model, e.model_version) for e in message.servers})
         self.channels.listed(listing.addresses, before - set(self.roster.held))
-        if listing.change.kind in (io.ListKind.FULL, io.ListKind.DELTA):
+        if listing.change.kind in (io.UpdateKind.FULL, io.UpdateKind.DELTA):
             log.info(
                 "server list",
                 kind=listing.change.kind.value,
@@ -182,13 +186,13 @@
             if self.settings.zone_budgets:
                 self._look_at_zones()
 
-    def _tell_routers(self, change: io.FleetChange, labels: dict[int, Model]) -> None:
-        if change.kind is io.ListKind.FAILED:
+    def _tell_routers(self, change: io.EndpointListUpdate, labels: dict[int, Model]) -> None:
+        if change.kind is io.UpdateKind.FAILED:
             self.tell(change)
             return
         changes = self.models.split(change, labels)
-        if change.kind is io.ListKind.CACHED:
-            changes.setdefault(Model(), io.FleetChange(change.kind, change.version))
+        if change.kind is io.UpdateKind.CACHED:
+            changes.setdefault(Model(), io.EndpointListUpdate(change.kind, change.version))
         listed = set(self.models.listed())
         for model, part in changes.items():
             if model not in self.routers:
@@ -196,7 +200,7 @@
                 self.routers[model] = Router(self.settings, self._seed, self.router)
             self.tell(part, self.routers[model])
         for model in self.routers.keys() - listed - {Model()}:
-            if not self.routers[model].flights:  # Else it is looked at again with the next list.
+            if not self.routers[model].in_flight:  # Else it is looked at again with the next list.
                 del self.routers[model]
         if self.models.left_out:
             log.warning("engines of too many models", left_out=len(self.models.left_out), most=MOST_MODELS)
@@ -206,15 +210,15 @@
         seats = [
             s
             for router in self.routers.values()
-            for s in router.seats.values()
-            if s.info.state is io.ServerState.READY
+            for s in router.endpoints.values()
+            if s.info.state is io.EndpointState.READY
         ]
         zones = {s.info.zone for s in seats} | {self.settings.zone, *range(len(self.config.zones.names))}
         lacking = {
             (self.account.name(zone), role.value)
             for zone in zones
-            for role in (io.Role.READ, io.Role.WRITE)
-            if not any(s.info.zone == zone and s.role in (role, io.Role.BOTH) for s in seats)
+            for role in (io.Role.PREFILL, io.Role.DECODE)
+            if not any(s.info.zone == zone and s.role in (role, io.Role.PREFILL_AND_DECODE) for s in seats)
         }
         for zone, role in sorted(lacking - self._lacking):
             log.warning("zone lacks a role", zone=zone, role=role)
@@ -268,10 +272,12 @@
             record.let_in = False
             self.bills.ended(self.now(), record)
 
-    def sent(self, record: Record, attempt: Attempt, action: io.Send) -> None:
-        if action.crossing and isinstance(attempt.call, GrpcCall):
-            attempt.cause = action.crossing
-            self._count(record, attempt, attempt.call.call, record.router.seats[action.server].info.zone)
+    def sent(self, record: Record, attempt: Attempt, action: io.SendAttempt) -> None:
+        if action.cross_zone_cause and isinstance(attempt.call, GrpcCall):
+            attempt.cause = action.cross_zone_cause
+            self._count(
+                record, attempt, attempt.call.call, record.router.endpoints[action.endpoint_id].info.zone
+            )
 
     def crossed(self, record: Record, attempt: Attempt, ended: Ended) -> float:
         for move in attempt.moves:
@@ -305,7 +311,7 @@
         move("prompt", own, zone, lambda: call.traffic.sent, tokens)
         move("answer", zone, own, lambda: call.traffic.received, 0.0)
         if record.held and not attempt.reading:
-            reader = record.router.seats[record.held.server].info.zone
+            reader = record.router.endpoints[record.held.server].info.zone
             move("state", reader, zone, lambda: attempt.state_bytes, tokens)
 
     def _state_moved(self, record: Record, attempt: Attempt, end: End) -> None:
@@ -346,10 +352,12 @@
         attempt.state_bytes = size
         record.state_moved[attempt.reader] = record.state_moved.get(attempt.reader, 0) + size
 
-    def _tell_peers(self, action: io.TellPeers) -> None:
-        message = fleet_pb2.PeerBytes(sender=self.settings.slot, data=action.data).SerializeToString()
+    def _tell_peers(self, action: io.SendGossip) -> None:
+        message = fleet_pb2.PeerBytes(
+            sender=self.settings.replica_index, data=action.data
+        ).SerializeToString()
         for number, channel in enumerate(self.peers):
-            if number != self.settings.slot and action.peer in (None, number):
+            if number != self.settings.replica_index and action.peer in (None, number):
                 channel.call("/tuliptrack.v1.Peers/Tell", message=message, timeout=_SHORT_CALL)
 
     def _install_peers(self) -> None:
@@ -357,7 +365,7 @@
             call.send(b"")
             call.end(Status(Code.OK))
             for router in self.routers.values():
-                self.tell(io.PeerMessage(message.sender, message.data), router)
+                self.tell(io.GossipReceived(message.sender, message.data), router)
 
         if self.peers:
             self.server.add("tuliptrack.v1.Peers", "Tell", unary_request(fleet_pb2.PeerBytes, told))
--- a/tuliptrack/node/port.py
+++ b/tuliptrack/node/port.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, Protocol
 
-from tuliptrack.interface import ProbeResult, Status
+from tuliptrack.interface import HealthCheckResult, Status
 
 if TYPE_CHECKING:
     from tuliptrack.node.attempt_state import Delivery
@@ -97,7 +97,7 @@
     def hold(self, server: int, record: Record, attempt: Attempt) -> None:
         """Ask for a place; the word on it goes to `Core.place_noted`."""
 
-    def probe(self, server: int, done: Callable[[ProbeResult], None]) -> None:
+    def probe(self, server: int, done: Callable[[HealthCheckResult], None]) -> None:
         """Check a server."""
 
     def close_idle(self, server: int) -> None:
--- a/tuliptrack/node/request_reader.py
+++ b/tuliptrack/node/request_reader.py
@@ -123,4 +123,4 @@
         if by is not None:
             return max(by - self.limits.answer_ahead - now, 1)
         cls = self.class_of(ask)
-        return cls.deadline + int(2 * cls.aim_per_1000_tokens * ask.prompt_tokens / 1000)
+        return cls.deadline_us + int(2 * cls.objective_us_per_1000_tokens * ask.prompt_tokens / 1000)
--- a/tuliptrack/node/requests.py
+++ b/tuliptrack/node/requests.py
@@ -17,14 +17,14 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from tuliptrack.brain import Router
 from tuliptrack.decisions.bills import Price
 from tuliptrack.decisions.models import Model
 from tuliptrack.fronts.port import Answer, Ask, Finish
-from tuliptrack.interface import Cause
+from tuliptrack.interface import CrossZoneCause
 from tuliptrack.node.counters import RequestTrace
 from tuliptrack.node.port import Call
 from tuliptrack.node.zones import Move
+from tuliptrack.routing.router import Router
 
 __all__ = ["Attempt", "Held", "Record", "State", "Table"]
 
@@ -73,7 +73,7 @@
     cut_at_due: bool = False
     """Its time-out is the client's deadline, not the router's own."""
     timer: asyncio.TimerHandle | None = None
-    cause: Cause | None = None
+    cause: CrossZoneCause | None = None
     """Why it may cross zones."""
     moves: list[Move] = field(default_factory=list)
     """What it moves between zones."""
--- a/tuliptrack/node/zones.py
+++ b/tuliptrack/node/zones.py
@@ -17,7 +17,7 @@
 
 import structlog
 
-from tuliptrack.interface import Cause
+from tuliptrack.interface import CrossZoneCause
 from tuliptrack.node import line_file
 from tuliptrack.rpc.clock import now_us, wall_us
 
@@ -41,7 +41,7 @@
     """`prompt`, `state` or `answer`."""
     source: int
     target: int
-    cause: Cause
+    cause: CrossZoneCause
     size: Callable[[], int]
     """Bytes so far."""
     tokens: float = 0.0
--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -81,7 +81,7 @@
         idle = config.idle or 15_000_000
         self.pools = EnginePools(
             ClientOptions(
-                connect_timeout=config.settings.connect_timeout,
+                connect_timeout=config.settings.connect_timeout_us,
                 idle=max(idle - 2_000_000, idle // 2),
                 body_bytes=_BODY,
             ),
@@ -106,11 +106,11 @@
             config.discovery,
             lambda: max(self.members.revision, 0),
             lambda told, first: self.listed(told, anew=first),
-            config.settings.drain_grace,
+            config.settings.drain_grace_us,
         )
         self._turned_down = ""
         """Why the last list was, so that it is said once."""
-        self._listed: tuple[io.ListKind, int] | None = None
+        self._listed: tuple[io.UpdateKind, int] | None = None
         """Of the last list taken."""
         self._sweeper: asyncio.Task[None] | None = None
         self._getting_ready: asyncio.TimerHandle | None = None
@@ -151,14 +151,16 @@
             self._turn_down(str(error))
             if not cached:
                 raise
-            change = io.FleetChange(io.ListKind.CACHED)
+            change = io.EndpointListUpdate(io.UpdateKind.CACHED)
         if change is None:
             self._turn_down(f"older than revision {self.members.revision}")
             return False
         self._turned_down = self._turned_down if cached else ""
         self._is_ready()
         known, self._listed = self._listed, (change.kind, change.version)
-        if (known == self._listed and not anew) or (change.kind is io.ListKind.DELTA and not change.servers):
+        if (known == self._listed and not anew) or (
+            change.kind is io.UpdateKind.DELTA and not change.endpoints
+        ):
             return True  # Nothing new: the answer only shows that the agent speaks.
         # The router goes first: what it stops sending to may then be let go.
         self.tell(change)
@@ -168,7 +170,7 @@
             kind=change.kind.value,
             version=change.version,
             servers=len(self.members.addresses),
-            changed=[f"{s.state.value}:{s.id % 1_000_000}" for s in change.servers] if not cached else [],
+            changed=[f"{s.state.value}:{s.id % 1_000_000}" for s in change.endpoints] if not cached else [],
         )
         return True
 
@@ -286,7 +288,7 @@
         relay.reload()
     gc.freeze()
     await stop.wait()
-    longest = max(c.deadline for c in config.settings.classes) / 1e6
+    longest = max(c.deadline_us for c in config.settings.classes) / 1e6
     await relay.stop(longest * 4, min(longest, _KILLED_S[0]) + _KILLED_S[1])
 
 
--- a/tuliptrack/relay/discovery.py
+++ b/tuliptrack/relay/discovery.py
@@ -38,7 +38,7 @@
 
 import structlog
 
-from tuliptrack.interface import FleetChange, ListKind, Server, ServerState
+from tuliptrack.interface import EndpointInfo, EndpointListUpdate, EndpointState, UpdateKind
 from tuliptrack.node.request_reader import key
 from tuliptrack.rpc.clock import now_us, wall_us
 from tuliptrack.rpc.http1_client import ClientOptions
@@ -61,7 +61,7 @@
 MOST_CALLS = 2 * _CALLS  # connections to the agent that is heeded and to the next one
 _OLDER = 3  # answers in a row, older than the list held, after which the agent is taken to have begun anew
 _LONGEST_S = 2.5  # seconds that a call may last, its connection too: two of them and a pause end before 6 s
-_STATES = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
+_STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.REMOVED}
 
 
 class ListError(Exception):
@@ -74,7 +74,7 @@
 
     told: dict[str, Any]
     """Empty where it isn't taken as it was told."""
-    server: Server
+    server: EndpointInfo
     address: str
     name: str
     since: object
@@ -98,11 +98,11 @@
         again."""
         self._starts = Starts()
         self._complained: set[str] = set()
-        self._last: dict[int, tuple[ServerState, object]] = {}
+        self._last: dict[int, tuple[EndpointState, object]] = {}
         """State and start that each server was last told with, the one told last at the end. Bound: twice
         `MOST_MEMBERS`."""
 
-    def take(self, told: Any, cached: bool = False, anew: bool = False) -> FleetChange | None:
+    def take(self, told: Any, cached: bool = False, anew: bool = False) -> EndpointListUpdate | None:
         """A list or a change; None where it is older than what is held. ListError leaves all as it was.
         `anew`: the first whole list of another agent, whose revisions say nothing of those before. Where its
         revision is lower than the one held, it may know less than the agent before: what that one called
@@ -136,8 +136,10 @@
             self._forget_absent(entries)
         for entry in entries.values():
             self._hold(entry)
-        kind = ListKind.CACHED if cached else ListKind.FULL if whole else ListKind.DELTA
-        return FleetChange(kind, revision & 0xFFFFFFFF, tuple(entry.server for entry in entries.values()))
+        kind = UpdateKind.CACHED if cached else UpdateKind.FULL if whole else UpdateKind.DELTA
+        return EndpointListUpdate(
+            kind, revision & 0xFFFFFFFF, tuple(entry.server for entry in entries.values())
+        )
 
     def _read(self, told: Any, place: int, now: int, wall: int) -> _Entry:
         """One entry; ListError where it can't be used."""
@@ -153,21 +155,21 @@
 
     def _as_before(self, entry: _Entry) -> _Entry:
         """An entry of an agent that may know less than the one before: what was said of this start holds."""
-        last, since = self._last.get(entry.server.id, (ServerState.READY, None))
-        if last is ServerState.READY or since != entry.since:
+        last, since = self._last.get(entry.server.id, (EndpointState.READY, None))
+        if last is EndpointState.READY or since != entry.since:
             return entry
         return replace(entry, server=replace(entry.server, state=last), told={})
 
     def _forget_absent(self, entries: dict[int, _Entry]) -> None:
         """A whole list names those that there are."""
         for absent in self.addresses.keys() - entries.keys():
-            self._note(absent, ServerState.GONE, self._last.get(absent, (None, 0))[1])
+            self._note(absent, EndpointState.REMOVED, self._last.get(absent, (None, 0))[1])
             self._drop(absent)
 
     def _hold(self, entry: _Entry) -> None:
         server = entry.server
         self._note(server.id, server.state, entry.since)
-        if server.state is ServerState.GONE:
+        if server.state is EndpointState.REMOVED:
             self._drop(server.id)
         else:
             self.addresses[server.id], self.names[server.id] = entry.address, entry.name
@@ -179,7 +181,7 @@
         self._entries.pop(self.names.pop(server, ""), None)
         self._starts.forget(server)
 
-    def _note(self, server: int, state: ServerState, start: object) -> None:
+    def _note(self, server: int, state: EndpointState, start: object) -> None:
         self._last.pop(server, None)
         self._last[server] = (state, start)
         if len(self._last) > 2 * MOST_MEMBERS:
@@ -191,7 +193,7 @@
             self._complained.add(what)
             log.warning("entry of the list left out", reason=reason)
 
-    def _entry(self, entry: Any, place: str, now: int, wall: int) -> tuple[Server, str, str]:
+    def _entry(self, entry: Any, place: str, now: int, wall: int) -> tuple[EndpointInfo, str, str]:
         if not isinstance(entry, dict):
             raise ListError(f"{place}: must be an object")
         name, state = entry.get("id"), _STATES.get(str(entry.get("phase")))
@@ -202,7 +204,7 @@
         kind = self.kinds.get(str(entry.get("flavor")))
         address = str(entry.get("host_port", ""))
         host, _, port = address.rpartition(":")
-        if state is not ServerState.GONE:
+        if state is not EndpointState.REMOVED:
             if kind is None:
                 raise ListError(
                     f"{place}.flavor: {str(entry.get('flavor'))[:40]!r} is not among the settings' kinds"
@@ -220,12 +222,12 @@
                 raise ListError(f"{place}.{what}: must be a number from 0, is {str(value)[:40]!r}")
         server = key(name)
         zone = self.zones.get(str(entry.get("locality")), 0 if not self.zones else None)
-        if zone is None and state is not ServerState.GONE:
+        if zone is None and state is not EndpointState.REMOVED:
             raise ListError(
                 f"{place}.locality: {str(entry.get('locality'))[:40]!r} is not among the settings' zones"
             )
         return (
-            Server(
+            EndpointInfo(
                 server,
                 kind or 0,
                 state,
--- a/tuliptrack/relay/engines.py
+++ b/tuliptrack/relay/engines.py
@@ -32,7 +32,11 @@
 _REJECTED = "x-rejected"
 _MOST_EVENT = 65_536  # bytes of one event of a stream; past it the stream is spoilt
 _MOST_WORD = 65_536  # bytes of an answer that is no stream
-_STATUS = {How.CONNECT: io.Status.CONNECT_FAILED, How.NO_ROOM: io.Status.MOOT, How.RESET: io.Status.RESET}
+_STATUS = {
+    How.CONNECT: io.Status.CONNECT_FAILED,
+    How.NO_ROOM: io.Status.ABANDONED,
+    How.RESET: io.Status.RESET,
+}
 
 
 @dataclass(slots=True)
@@ -189,7 +193,9 @@
         if how is How.GIVEN_UP and not self.exchange.sent:  # It never ran, and says nothing of its engine.
             late = self._status is io.Status.TIMEOUT
             return Ended(
-                io.Status.CONNECT_FAILED if late else io.Status.MOOT, "given up before it was sent", lone=late
+                io.Status.CONNECT_FAILED if late else io.Status.ABANDONED,
+                "given up before it was sent",
+                lone=late,
             )
         if how is How.GIVEN_UP:
             return self._broke(self._status, "given up")
@@ -197,9 +203,9 @@
             return self._broke(_STATUS[how], reason)
         status = self.exchange.status
         if self._over and status in (503, 504):
-            return Ended(io.Status.FULL, "turned away", load=self._load, received=True)
+            return Ended(io.Status.AT_CAPACITY, "turned away", load=self._load, received=True)
         if self._over and status == 410:
-            return Ended(io.Status.FULL, "the state is gone", True, self._load, received=True)
+            return Ended(io.Status.AT_CAPACITY, "the state is gone", True, self._load, received=True)
         if status == 202 and self.attempt.reading:
             self.engines.core.read(self.record, self.attempt, Held(self.attempt.server, "", ""), self._kept())
             return Ended(io.Status.OK, load=self._load, received=True)
@@ -246,8 +252,8 @@
 
     def __init__(self, core: Core, pools: EnginePools, report_names: tuple[str, ...]) -> None:
         self.core, self.pools, self.report_names = core, pools, report_names
-        self.releases = Releases(pools, core.settings.release_within, core.counters)
-        self.late_releases = LateReleases(pools, core.settings.release_within, core.counters)
+        self.releases = Releases(pools, core.settings.release_within_us, core.counters)
+        self.late_releases = LateReleases(pools, core.settings.release_within_us, core.counters)
         self._served_id = ""
         """A request that has been served: nothing is held for it, so its release has no effect."""
         pools.make_question = self._question
@@ -306,8 +312,8 @@
     def hold(self, server: int, record: Record, attempt: Attempt) -> None:
         self.core.place_noted(record, attempt, server, False)
 
-    def probe(self, server: int, done: Callable[[io.ProbeResult], None]) -> None:
-        asyncio.get_running_loop().call_soon(done, io.ProbeResult(server, io.Status.ERROR, 0))
+    def probe(self, server: int, done: Callable[[io.HealthCheckResult], None]) -> None:
+        asyncio.get_running_loop().call_soon(done, io.HealthCheckResult(server, io.Status.ERROR, 0))
 
     def close_idle(self, server: int) -> None:
         if pool := self.pools.made(server):
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -83,7 +83,7 @@
     def refused(self, reason: str, retry_after: int) -> None:
         self.over()
         advice: Fields = []
-        if retry_after > 0 and self.front.core.settings.may_advise_retry:
+        if retry_after > 0 and self.front.core.settings.may_send_retry_after:
             advice = [("retry-after", f"{max(retry_after / 1e6, _LEAST_ADVICE_S):.3f}")]
         self.call.error(503, refusal_text(reason), advice)
 
--- /dev/null
+++ b/tuliptrack/routing/admission.py
@@ -0,0 +1,141 @@
+"""Decides whether a new request is admitted or shed, and where an admitted one starts.
+
+A request is shed if its estimated time to first token exceeds a share of its latency objective, or if it
+could not be in time for its client. The share depends on its priority weight: requests of the lowest priority
+are shed first, those of the highest last. Before a request is shed, other places are considered: another
+zone, a zone whose traffic is still ramped up, an endpoint in slow start with an open slot, and any idle
+endpoint. Times are microseconds."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from tuliptrack.interface import Request, Role, Settings
+from tuliptrack.routing.eligibility import Eligibility
+from tuliptrack.routing.locality import Locality
+from tuliptrack.routing.node_state import NodeState
+from tuliptrack.routing.outbox import Outbox
+from tuliptrack.routing.prefill_placement import PrefillPlacement
+from tuliptrack.routing.queue_estimate import MAX_QUEUE_SHARE, QueueEstimate
+from tuliptrack.routing.slow_start import SlowStart
+from tuliptrack.routing.tenant_quota import TenantQuotas
+from tuliptrack.state.endpoint import Endpoint
+from tuliptrack.state.in_flight import InFlightRequest
+
+__all__ = ["SHEDDING_CONDITION", "Admission", "AdmissionInputs"]
+
+SHEDDING_CONDITION = "shedding load by priority"
+"""How logs name the time in which requests are shed."""
+LOW_PRIORITY_FACTOR = 0.5
+"""Multiple of the queue limit above which the lowest priority is shed."""
+TOP_PRIORITY_FACTOR = 1.6
+"""Multiple of the queue limit above which the highest priority is shed too: most of it would only be late."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Placement:
+    """Where a request could start, and its estimated time to first token there."""
+
+    endpoint: Endpoint | None
+    wait_us: float
+
+
+@dataclass(frozen=True, slots=True)
+class AdmissionInputs:
+    """The modules that admission asks."""
+
+    eligibility: Eligibility
+    slow_start: SlowStart
+    locality: Locality
+    prefill: PrefillPlacement
+    queue: QueueEstimate
+    quotas: TenantQuotas
+
+
+class Admission:
+    """Admits or sheds the requests of one node."""
+
+    def __init__(self, state: NodeState, outbox: Outbox, inputs: AdmissionInputs) -> None:
+        self._state, self._outbox, self._inputs = state, outbox, inputs
+        self._min_priority_weight, self._max_priority_weight = _priority_range(state.settings)
+
+    def place(self, request: InFlightRequest) -> Endpoint | None:
+        """Return where a new request starts, or None if it is shed."""
+        state = self._state
+        priority_factor = self._priority_factor(request.request)
+        state.record_arrival()
+        self._inputs.locality.record_arrival()
+        limit_us = priority_factor * MAX_QUEUE_SHARE * request.latency_objective_us
+        placement = self._best_placement(request, priority_factor, limit_us)
+        is_shed = placement.wait_us > limit_us or self._is_hopeless(request, placement)
+        if is_shed:
+            state.shed_at_us = state.now_us
+        # Until what waits may be down to the limit.
+        request.retry_after_us = int(placement.wait_us - limit_us) if is_shed else 0
+        self._outbox.announce(SHEDDING_CONDITION, state.is_shedding)
+        return None if is_shed else placement.endpoint
+
+    def _priority_factor(self, request: Request) -> float:
+        """Return the multiple of the queue limit that applies to a request of this priority."""
+        settings = self._state.settings
+        is_over_quota = self._inputs.quotas.is_over_quota(request, self._state.now_us)
+        weight = settings.classes[request.class_index].priority_weight
+        if is_over_quota or request.is_over_token_budget:
+            weight *= settings.over_quota_weight_factor
+        if request.is_resumed:  # What was done for it so far would be lost.
+            return TOP_PRIORITY_FACTOR
+        if weight < self._min_priority_weight:
+            return LOW_PRIORITY_FACTOR
+        return TOP_PRIORITY_FACTOR if weight >= self._max_priority_weight else 1.0
+
+    def _best_placement(
+        self, request: InFlightRequest, priority_factor: float, limit_us: float
+    ) -> _Placement:
+        """Return the preferred placement, or the first alternative that is within the limit."""
+        locality, prefill = self._inputs.locality, self._inputs.prefill
+        placement = self._estimated(request, prefill.choose(request))
+        if placement.wait_us > limit_us and locality.is_budgeted and priority_factor >= 1:
+            # Serving matters more than the zone budget.
+            remote = prefill.choose_remote(request)
+            placement = self._estimated(request, remote) if remote else placement
+        if placement.wait_us > limit_us and locality.is_recovering:
+            # There is no capacity elsewhere, so the recovering zone gets the request ahead of its ramp.
+            request.ignores_recovery_ramp = True
+            placement = self._estimated(request, prefill.choose(request))
+        if placement.wait_us > limit_us / 2:
+            placement = self._relieved(request, placement, limit_us)
+        return placement
+
+    def _estimated(self, request: InFlightRequest, endpoint: Endpoint | None) -> _Placement:
+        return _Placement(endpoint, self._inputs.queue.time_to_first_token_us(request, endpoint))
+
+    def _relieved(self, request: InFlightRequest, placement: _Placement, limit_us: float) -> _Placement:
+        """Return an alternative to a placement that is near the limit, or the placement itself.
+
+        Near the limit an endpoint with an open slot is capacity, as slots expire; above it any idle endpoint
+        is."""
+        inputs, is_over_limit = self._inputs, placement.wait_us > limit_us
+        candidates = inputs.eligibility.candidates(Role.PREFILL, request)
+        with_slot = [
+            one for one in candidates.with_slot if is_over_limit or not inputs.locality.is_remote(one)
+        ]
+        endpoint = inputs.prefill.first_in_order(request, with_slot)
+        if endpoint is None and is_over_limit:
+            endpoint = inputs.prefill.choose_any(request, candidates)
+        if endpoint is None:
+            return placement
+        alternative = self._estimated(request, endpoint)
+        is_idle = 2 * alternative.wait_us <= limit_us
+        if is_idle or inputs.slow_start.has_open_slot(endpoint, request):
+            return alternative
+        return placement
+
+    def _is_hopeless(self, request: InFlightRequest, placement: _Placement) -> bool:
+        """Whether the client leaves before a first token usually comes."""
+        fastest_us = self._inputs.queue.fastest_time_to_first_token_us(request, placement.endpoint)
+        return max(placement.wait_us, fastest_us) > request.request.time_left_us
+
+
+def _priority_range(settings: Settings) -> tuple[float, float]:
+    weights = [cls.priority_weight for cls in settings.classes]
+    return min(weights), max(weights)
--- /dev/null
+++ b/tuliptrack/routing/attempt_timeout.py
@@ -0,0 +1,86 @@
+"""Decides when an attempt that stays silent is given up, so that a retry can still be in time.
+
+The limit is a multiple of what the slowest answers of the role take. There is none where a retry would do
+harm or could not help: no attempt is left, the request may not be repeated, or all endpoints are slow, in
+which case retries would feed the jam. Times are microseconds."""
+
+from __future__ import annotations
+
+import math
+
+from tuliptrack.interface import Idempotency, RequestClass, Role
+from tuliptrack.routing.node_state import NodeState
+from tuliptrack.state.endpoint import Endpoint
+from tuliptrack.state.in_flight import InFlightRequest
+
+__all__ = ["NO_TIMEOUT", "AttemptTimeout"]
+
+NO_TIMEOUT = 0
+"""The attempt is not given up before the client's deadline."""
+MIN_TIMEOUT_SHARE = 0.5
+"""Share of the latency objective before which no attempt is given up: two attempts still fit into it."""
+TIMEOUT_RATIO = 2.5
+"""Multiple of the slowest fifth of the answers."""
+TIMEOUT_GROWTH = 1.5
+"""Factor for each further time-out of one request, so that a slowness causes no retry storm."""
+MAX_TIMEOUT_SHARE = 0.7
+"""Share of attempts that time out from which on there is a jam; then all attempts are waited for."""
+MIN_HIDDEN_SHARE = 0.5
+HIDDEN_SHARE_EXPONENT = 0.75
+"""With few nodes, what is queued explains a wait, and the limit is longer."""
+
+
+class AttemptTimeout:
+    """Chooses the time-out of each attempt."""
+
+    def __init__(self, state: NodeState) -> None:
+        self._state = state
+
+    def timeout_us(self, request: InFlightRequest, endpoint: Endpoint) -> int:
+        """Return the time-out of the attempt that is about to be sent, or `NO_TIMEOUT`."""
+        retry_window_us = _retry_window_us(request.request_class)
+        if not self._has_attempts_left(request, endpoint) or not retry_window_us:
+            return NO_TIMEOUT
+        if self._is_jammed(request, endpoint):
+            return NO_TIMEOUT
+        timeout_us = self._wanted_timeout_us(request, endpoint)
+        has_time_for_retry = self._state.now_us + 2 * timeout_us < request.deadline_us
+        return int(timeout_us) if has_time_for_retry and timeout_us < retry_window_us else NO_TIMEOUT
+
+    def _has_attempts_left(self, request: InFlightRequest, endpoint: Endpoint) -> bool:
+        """Whether a retry is possible. A prefill needs one more attempt for its decode stage."""
+        needed = 1 if endpoint.role is Role.PREFILL else 0
+        return self._state.settings.max_attempts - request.attempts - needed > 0
+
+    def _is_jammed(self, request: InFlightRequest, endpoint: Endpoint) -> bool:
+        """Whether silence may come from a jam, by time-outs, shedding, or prefills with no recent answer."""
+        statistics, now_us = endpoint.statistics, self._state.now_us
+        answered_before_us = now_us - MIN_TIMEOUT_SHARE * request.latency_objective_us
+        is_unheard = endpoint.role is not Role.DECODE and 0 < statistics.answered_at_us < answered_before_us
+        return is_unheard or statistics.timeout_share >= MAX_TIMEOUT_SHARE or self._state.is_shedding
+
+    def _wanted_timeout_us(self, request: InFlightRequest, endpoint: Endpoint) -> float:
+        statistics, state = endpoint.statistics, self._state
+        # The oldest waiting attempt at each peer counts as an answer: a slowness of all shows there first.
+        ages = (
+            (state.now_us - attempt.sent_at_us) / attempt.latency_objective_us
+            for _, attempt in state.table.oldest_waiting(endpoint.role)
+        )
+        latencies = sorted([*statistics.relative_latencies, *ages])
+        slowest_fifth = latencies[-len(latencies) // 5]
+        min_share = MIN_TIMEOUT_SHARE / max(state.hidden_share, MIN_HIDDEN_SHARE) ** HIDDEN_SHARE_EXPONENT
+        timeout_us: float = max(min_share, TIMEOUT_RATIO * slowest_fifth) * request.latency_objective_us
+        timeout_us *= TIMEOUT_GROWTH**request.timeouts
+        # Where reports tell of a queue, silence means waiting, and a retry would only lengthen the queue.
+        queue_factor = 1 + statistics.waiting_tokens / max(statistics.attempt_tokens, 1.0)
+        timeout_us *= queue_factor / max(1 - statistics.timeout_share, 1 - MAX_TIMEOUT_SHARE)
+        return timeout_us
+
+
+def _retry_window_us(request_class: RequestClass) -> float:
+    """Return for how long after the first attempt a retry is harmless; 0 if it never is."""
+    if request_class.idempotency is Idempotency.IDEMPOTENT:
+        return math.inf
+    if request_class.idempotency is Idempotency.WITH_KEY:
+        return request_class.deduplication_window_us
+    return 0
--- /dev/null
+++ b/tuliptrack/routing/eligibility.py
@@ -0,0 +1,83 @@
+"""Decides which endpoints a request may go to now.
+
+An endpoint is eligible if the request was not rejected or failed there, if an attempt there cannot double the
+effect of an earlier one, and if the endpoint is warm or has a slow-start slot open. Among these the usable
+ones are preferred: not ejected for such requests, and in no zone whose traffic is still ramped up. The others
+are used only if nothing else is left."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from tuliptrack.interface import Idempotency, Role
+from tuliptrack.routing.idempotency import may_send_to
+from tuliptrack.routing.locality import Locality
+from tuliptrack.routing.node_state import NodeState
+from tuliptrack.routing.outlier_detection import OutlierDetection
+from tuliptrack.routing.slow_start import SlowStart
+from tuliptrack.state.candidates import Candidates
+from tuliptrack.state.endpoint import Endpoint
+from tuliptrack.state.in_flight import InFlightRequest
+
+__all__ = ["Eligibility"]
+
+
+class Eligibility:
+    """Combines what each module says of an endpoint and a request."""
+
+    def __init__(
+        self, state: NodeState, slow_start: SlowStart, locality: Locality, outliers: OutlierDetection
+    ) -> None:
+        self._state, self._slow_start = state, slow_start
+        self._locality, self._outliers = locality, outliers
+
+    def is_usable(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
+        """Whether an eligible endpoint is preferred to others."""
+        return self._locality.admits(endpoint, request) and self._outliers.is_usable(endpoint, request)
+
+    def candidates(self, role: Role, request: InFlightRequest) -> Candidates:
+        """Return all endpoints of a role that a request may go to; only usable ones if there are any."""
+        state, ready = self._state, self._state.table.ready(role)
+        warming_up = state.table.started_since(role, state.now_us - state.settings.slow_start_us)
+        excluded = {endpoint_id for endpoint_id in request.excluded if endpoint_id in ready}
+        excluded.update(
+            one.id
+            for one in warming_up
+            if one.no_slot_before_us > state.now_us or self._slow_start.is_blocked(one, request)
+        )
+        if self._may_have_effect(request):
+            excluded.update(one.info.id for one in ready if not may_send_to(request, one, state.now_us))
+        examined = ready if self._locality.is_recovering else state.table.ejected(role)
+        unusable = {one.info.id for one in examined if not self.is_usable(one, request)} | excluded
+        if len(unusable) < len(ready):
+            excluded = unusable
+        return Candidates(ready, excluded, [one for one in warming_up if one.id not in excluded])
+
+    def first_eligible(
+        self, endpoints: Iterable[Endpoint], request: InFlightRequest, limit: int
+    ) -> list[Endpoint]:
+        """Return the first `limit` of some endpoints that a request may go to; only usable ones if there are
+        any."""
+        usable: list[Endpoint] = []
+        unusable: list[Endpoint] = []
+        for endpoint in endpoints:
+            if not self._is_eligible(endpoint, request):
+                continue
+            (usable if self.is_usable(endpoint, request) else unusable).append(endpoint)
+            if len(usable) == limit:
+                break
+        return usable or unusable[:limit]
+
+    def _is_eligible(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
+        return (
+            endpoint.info.id not in request.excluded
+            and may_send_to(request, endpoint, self._state.now_us)
+            and not self._slow_start.is_blocked(endpoint, request)
+        )
+
+    @staticmethod
+    def _may_have_effect(request: InFlightRequest) -> bool:
+        """Whether an earlier attempt restricts where the next one may go."""
+        if request.first_execution is None:
+            return False
+        return request.request_class.idempotency is not Idempotency.IDEMPOTENT
--- /dev/null
+++ b/tuliptrack/routing/outlier_detection.py
@@ -0,0 +1,124 @@
+"""Decides which endpoints are ejected, when an ejected one gets a health-check attempt, and when it is
+restored.
+
+A failed attempt ejects an endpoint for the requests that share the cause:
+
+- A connection that breaks or is not established counts against the whole endpoint. If only this one
+  connection failed, `MAX_CONNECTION_FAILURES` in a row are needed.
+- An error or a time-out counts against its service of that request class.
+- A rejection counts against the whole endpoint if it comes at once, which shows a lack of capacity, and
+  against its service of that tenant if it comes late, which shows throttling.
+
+An ejected endpoint is used only if no other is left, or for one attempt when a health check is due. The
+interval of the checks doubles with each failure. An answer restores the endpoint for requests of that kind.
+Times are microseconds."""
+
+from __future__ import annotations
+
+from tuliptrack.interface import AttemptEnded, Status
+from tuliptrack.routing.locality import Locality
+from tuliptrack.routing.node_state import NodeState
+from tuliptrack.routing.outbox import Outbox
+from tuliptrack.state.ejection import SLOW_STREAMS, WHOLE_ENDPOINT, Ejection, EjectionScope
+from tuliptrack.state.endpoint import Endpoint
+from tuliptrack.state.in_flight import InFlightRequest
+
+__all__ = ["OutlierDetection", "ejected_condition"]
+
+CHECK_INTERVAL_US = 700_000
+"""Before the first health-check attempt; doubled at each failure, and jittered."""
+CHECK_INTERVAL_REQUESTS = 20
+"""The interval lasts at least as many requests of this node, since each check delays one of them."""
+MAX_CHECK_INTERVAL_US = 15_000_000
+"""Faults last some tens of seconds, and the capacity is missed after them."""
+EARLY_REJECTION_SHARE = 0.08
+"""A rejection within this share of the latency objective shows a lack of capacity; a later one throttling."""
+MAX_CONNECTION_FAILURES = 4
+"""Consecutive failures of single connections, with no answer between them, that count against the
+endpoint."""
+CONNECTION_STATUSES = (Status.CONNECT_FAILED, Status.RESET)
+"""Statuses that tell of the connection, not of the service behind it."""
+
+
+def ejected_condition(endpoint_id: int) -> str:
+    """Return how logs name an endpoint that is ejected for some requests."""
+    return f"endpoint {endpoint_id} ejected"
+
+
+class OutlierDetection:
+    """Ejects and restores endpoints by the attempts of this node."""
+
+    def __init__(self, state: NodeState, outbox: Outbox, locality: Locality) -> None:
+        self._state, self._outbox, self._locality = state, outbox, locality
+
+    def is_usable(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
+        """Whether an endpoint is not ejected for a request, or is due for a health-check attempt.
+
+        Slow streams do not matter while this node sheds load: then even a slow endpoint is needed.
+        """
+        if not endpoint.ejections:
+            return True
+        scopes: tuple[EjectionScope, ...] = request.ejection_scopes
+        if not self._state.is_shedding:
+            scopes = (SLOW_STREAMS, *scopes)
+        now_us, ejections = self._state.now_us, endpoint.ejections
+        return all(now_us >= ejections[scope].next_check_at_us for scope in scopes if scope in ejections)
+
+    def record_attempt(self, endpoint: Endpoint, request: InFlightRequest) -> None:
+        """Record that an attempt is sent; to an ejected endpoint it is the health check, and the next one
+        waits."""
+        if not endpoint.ejections:
+            return
+        for scope in (SLOW_STREAMS, *request.ejection_scopes):
+            if ejection := endpoint.ejections.get(scope):
+                ejection.next_check_at_us = self._state.now_us + self.check_interval_us(ejection.failures)
+
+    def record_failure(self, endpoint: Endpoint, ended: AttemptEnded, request: InFlightRequest) -> None:
+        """Record an attempt that has failed before its stream began."""
+        whole_endpoint, request_class, tenant = request.ejection_scopes
+        statistics, now_us = endpoint.statistics, self._state.now_us
+        if ended.status in CONNECTION_STATUSES:
+            endpoint.connection_failures += 1
+            if not ended.is_connection_only or endpoint.connection_failures >= MAX_CONNECTION_FAILURES:
+                self._record_ejection(endpoint, whole_endpoint, request.sent_at_us)
+        elif ended.status is Status.ERROR or (
+            ended.status is Status.TIMEOUT and now_us < request.deadline_us
+        ):
+            request.timeouts += 1
+            statistics.record_end(now_us, timeout=1.0)
+            self._record_ejection(endpoint, request_class, request.sent_at_us)
+        elif ended.status is Status.AT_CAPACITY and not ended.is_state_lost:
+            is_early = ended.latency_us < EARLY_REJECTION_SHARE * request.latency_objective_us
+            statistics.record_end(now_us, rejection=float(is_early))
+            self._record_ejection(endpoint, whole_endpoint if is_early else tenant, request.sent_at_us)
+
+    def record_success(self, endpoint: Endpoint, request: InFlightRequest) -> None:
+        """Record an answer: it restores the endpoint for requests of this kind."""
+        endpoint.connection_failures = 0
+        for scope in request.ejection_scopes if endpoint.ejections else ():
+            if endpoint.ejections.pop(scope, None) and scope == WHOLE_ENDPOINT:
+                self._locality.observe_zones()
+        if not endpoint.ejections:
+            self._outbox.announce(ejected_condition(endpoint.id), False)
+
+    def check_interval_us(self, failures: int) -> int:
+        """Return after how many microseconds the next health-check attempt is due."""
+        backoff_us = CHECK_INTERVAL_US * 2 ** (failures - 1)
+        requests_us = CHECK_INTERVAL_REQUESTS * self._state.arrival_gap_us
+        interval_us = min(max(backoff_us, requests_us), MAX_CHECK_INTERVAL_US)
+        return int(interval_us * (0.5 + self._state.random.random()))
+
+    def eject(self, endpoint: Endpoint, scope: EjectionScope, failures: int) -> None:
+        """Eject an endpoint for a scope until its next health check."""
+        now_us = self._state.now_us
+        check_at_us = now_us + self.check_interval_us(failures)
+        self._state.table.eject(endpoint, scope, Ejection(failures, now_us, check_at_us))
+
+    def _record_ejection(self, endpoint: Endpoint, scope: EjectionScope, sent_at_us: int) -> None:
+        known = endpoint.ejections.get(scope)
+        if known and sent_at_us < known.failed_at_us:
+            return  # Many attempts fail at once when a process dies: they count as one failure.
+        self.eject(endpoint, scope, known.failures + 1 if known else 1)
+        if scope == WHOLE_ENDPOINT:
+            self._locality.observe_zones()
+        self._outbox.announce(ejected_condition(endpoint.id), True)
--- /dev/null
+++ b/tuliptrack/routing/prefill_placement.py
@@ -0,0 +1,142 @@
+"""Decides which prefill endpoint gets a new request: by prefix affinity, with spill to others.
+
+Each prefix has affinity endpoints, the first in its rendezvous order, where its prompts are likely to be
+cached. A session stays at one of them, whichever node it comes through. If the queue there exceeds the limit,
+the request spills to the eligible endpoint of the lowest score: (requests in flight + 1) x prefill latency,
+raised by the price of crossing zones. Times are microseconds."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+
+from tuliptrack.interface import Role
+from tuliptrack.routing.eligibility import Eligibility
+from tuliptrack.routing.locality import Locality
+from tuliptrack.routing.node_state import NodeState
+from tuliptrack.routing.queue_estimate import MAX_QUEUE_SHARE, endpoint_queue_us
+from tuliptrack.routing.slow_start import WARM, SlowStart
+from tuliptrack.state.candidates import Candidates
+from tuliptrack.state.endpoint import REPORT_LIFE_US, Endpoint
+from tuliptrack.state.in_flight import InFlightRequest
+from tuliptrack.state.selection import lowest_ranked, random_member
+from tuliptrack.structures.rendezvous import rendezvous_score
+
+__all__ = ["PrefillPlacement"]
+
+SPILL_ENDPOINTS = 3
+"""Endpoints in a prefix's order to spill among, the last affinity endpoint included."""
+MAX_AFFINITY_SHARE = 0.28
+"""Share of the endpoints that may be a prefix's affinity endpoints: nodes see little of the queues there."""
+AFFINITY_HEADROOM = 2.0
+"""How many times a prefix's share of the demand is its share of the endpoints."""
+
+
+class PrefillPlacement:
+    """Chooses prefill endpoints."""
+
+    def __init__(
+        self, state: NodeState, eligibility: Eligibility, slow_start: SlowStart, locality: Locality
+    ) -> None:
+        self._state, self._eligibility = state, eligibility
+        self._slow_start, self._locality = slow_start, locality
+
+    def choose(self, request: InFlightRequest) -> Endpoint | None:
+        """Return the endpoint for a request's first stage; None if there is none."""
+        ranking = self._ranking(request)
+        count = self._affinity_count(request, ranking)
+        eligible = self._eligibility.first_eligible(ranking, request, count + SPILL_ENDPOINTS - 1)
+        if not eligible:
+            return None
+        affine = self._session_endpoint(request, eligible[:count])
+        if endpoint_queue_us(self._state, affine) <= MAX_QUEUE_SHARE * request.latency_objective_us:
+            return affine
+        remote: list[Endpoint] = []
+        if self._locality.is_budgeted:
+            remote = [one for one in self._remote_endpoints(request) if one not in eligible]
+        return self._lowest_score(request, eligible + remote, price_weight=1.0)
+
+    def choose_remote(self, request: InFlightRequest) -> Endpoint | None:
+        """Return the best endpoint of another zone, whatever it costs; None if there is none."""
+        return self._lowest_score(request, self._remote_endpoints(request), price_weight=0.0)
+
+    def choose_any(self, request: InFlightRequest, candidates: Candidates) -> Endpoint | None:
+        """Return the candidate of the lowest score, wherever it stands in the prefix's order."""
+        return self._state.table.choose_lowest_score(
+            candidates,
+            lambda one: self._score(request, one, price_weight=1.0),
+            self._state.now_us - REPORT_LIFE_US,
+            self._state.random,
+        )
+
+    def first_in_order(self, request: InFlightRequest, endpoints: Collection[Endpoint]) -> Endpoint | None:
+        """Return the first of some endpoints in the prefix's order, those of this zone before remote ones."""
+        key = request.request.prefix or request.request.session
+        return min(
+            endpoints,
+            default=None,
+            key=lambda one: (
+                self._locality.is_remote(one),
+                -rendezvous_score(key, one.info.id, one.info.weight),
+            ),
+        )
+
+    def _ranking(self, request: InFlightRequest) -> Collection[Endpoint]:
+        """Return the ready endpoints in the prefix's rendezvous order, those of this zone before remote
+        ones."""
+        key = request.request.prefix or request.request.session
+        ranking = self._state.table.prefill_ranking().ranking(key)
+        return sorted(ranking, key=self._locality.is_remote) if self._locality.is_budgeted else ranking
+
+    def _affinity_count(self, request: InFlightRequest, ranking: Collection[Endpoint]) -> int:
+        """Return how many affinity endpoints the request's prefix has.
+
+        A prefix has several where each of them can prefill it within the limit on queues, and one where it is
+        too long for that. A popular prefix has more, in proportion to its share of the demand."""
+        prefix = request.request.prefix
+        cls, state = request.request_class, self._state
+        local_count = 0
+        if self._locality.is_budgeted:
+            local_count = sum(not self._locality.is_remote(one) for one in ranking)
+        local_count = local_count or len(ranking)
+        granted_us = cls.objective_us_per_1000_tokens * request.request.prefix_tokens / 1000
+        fits = SPILL_ENDPOINTS * granted_us <= MAX_QUEUE_SHARE * (cls.latency_objective_us + granted_us)
+        wanted = max(
+            SPILL_ENDPOINTS if fits else 1,
+            AFFINITY_HEADROOM * state.demand.prefix_share(prefix) * local_count,
+        )
+        if not prefix:
+            return 1
+        return max(1, int(min(MAX_AFFINITY_SHARE * state.hidden_share * local_count, wanted)))
+
+    def _session_endpoint(self, request: InFlightRequest, affinity: list[Endpoint]) -> Endpoint:
+        """Return the affinity endpoint of the request's session; one with an open slot first, as slots
+        expire."""
+        local = [one for one in affinity if not self._locality.is_remote(one)]
+
+        def preference(endpoint: Endpoint) -> tuple[int, float]:
+            score = rendezvous_score(request.request.session, endpoint.info.id, endpoint.info.weight)
+            return self._slow_start.slot_for(endpoint, request) or WARM, score
+
+        return max(local or affinity, key=preference)
+
+    def _remote_endpoints(self, request: InFlightRequest) -> list[Endpoint]:
+        """Return the endpoints of other zones to spill among, in the prefix's order."""
+        remote = [one for one in self._ranking(request) if self._locality.is_remote(one)]
+        return self._eligibility.first_eligible(remote, request, SPILL_ENDPOINTS)
+
+    def _lowest_score(
+        self, request: InFlightRequest, endpoints: list[Endpoint], price_weight: float
+    ) -> Endpoint | None:
+        """Return any endpoint of the lowest score.
+
+        Ties are broken at random: nodes that know equally little must not all choose the same endpoint.
+        """
+        ranked = lowest_ranked(endpoints, lambda one: self._score(request, one, price_weight))
+        return random_member(ranked, self._state.random)
+
+    def _score(self, request: InFlightRequest, endpoint: Endpoint, price_weight: float) -> float:
+        state = self._state
+        is_decode = endpoint.role is not Role.PREFILL
+        price = price_weight * self._locality.price(request, endpoint.info.zone, is_decode)
+        in_flight = endpoint.in_flight(state.now_us, state.are_in_flight_reported)
+        return (in_flight + 1) * endpoint.expected_prefill_latency_us(state.now_us) * (1 + price)
--- /dev/null
+++ b/tuliptrack/routing/queue_estimate.py
@@ -0,0 +1,130 @@
+"""Estimates the time to first token at an endpoint, which admission and placement compare with limits.
+
+The inputs are this node's own attempts, the last load reports and the last answers. A node that gets one
+request in a second has hardly any attempts of its own waiting, so what answers of the whole role have shown
+stands in for what it cannot see; `hidden_share` is the share of the traffic at other nodes. Times are
+microseconds."""
+
+from __future__ import annotations
+
+from tuliptrack.interface import Role
+from tuliptrack.routing.decode_placement import DecodePlacement
+from tuliptrack.routing.locality import Locality
+from tuliptrack.routing.node_state import NodeState
+from tuliptrack.routing.slow_start import SlowStart
+from tuliptrack.state.endpoint import Endpoint
+from tuliptrack.state.in_flight import InFlightRequest
+from tuliptrack.state.role_statistics import RoleStatistics
+from tuliptrack.state.selection import median_low
+
+__all__ = ["MAX_QUEUE_SHARE", "QueueEstimate", "endpoint_queue_us"]
+
+MAX_QUEUE_SHARE = 0.5
+"""Share of the latency objective that a queue may take; above it requests spill, and are shed if all are
+above."""
+STATISTICS_MEMORY_US = 5_000_000
+"""In this time what answers have shown loses its weight, so that shedding all requests does not freeze it."""
+ROLE_QUEUE_WEIGHT = 0.9
+"""Weight of the time to first token that the role shows, times the square of the hidden share."""
+AGE_EXPONENT = 6
+"""Exponent of the hidden share in the weight of waiting attempts' ages: with few nodes the own queue tells
+more."""
+
+
+def endpoint_queue_us(state: NodeState, endpoint: Endpoint) -> float:
+    """Return in how many microseconds an endpoint processes the tokens that wait there, at the speed seen
+    there.
+
+    A limit on it therefore fits fast and slow endpoints, short and long prompts; slowness alone is no
+    overload."""
+    now_us = state.now_us
+    if endpoint.role is Role.PREFILL_AND_DECODE:
+        # A prefill slows down the streams that run there, so they count as prefills that wait.
+        in_flight = endpoint.in_flight(now_us, state.are_in_flight_reported)
+        others = (in_flight - len(endpoint.waiting)) * endpoint.service_tokens / state.settings.replicas
+    else:
+        others = state.hidden_share**2 * endpoint.reported_waiting_tokens * endpoint.report_weight(now_us)
+    return max(endpoint.waiting_tokens, others) * endpoint.us_per_token(now_us)
+
+
+class QueueEstimate:
+    """Estimates for whole requests, from the prefill to the first token."""
+
+    def __init__(
+        self, state: NodeState, slow_start: SlowStart, locality: Locality, decode_placement: DecodePlacement
+    ) -> None:
+        self._state, self._slow_start, self._locality = state, slow_start, locality
+        self._decode_placement = decode_placement
+
+    def time_to_first_token_us(self, request: InFlightRequest, endpoint: Endpoint | None) -> float:
+        """Estimate the time to first token if the request starts at an endpoint (None: there is none).
+
+        The queue of the endpoint does not lower what the role shows: one idle endpoint would hide a jam at
+        all others. At an endpoint in slow start an open slot counts as capacity."""
+        queue_us = self._queue_us(request, endpoint)
+        is_remote = endpoint is not None and self._locality.is_remote(endpoint)
+        role_us = sum(
+            (self._role_queue_us(request, endpoint, role, is_remote) for role in _stages_at(endpoint)), 0.0
+        )
+        if endpoint and self._slow_start.has_open_slot(endpoint, request):
+            return queue_us
+        return max(queue_us, role_us)
+
+    def fastest_time_to_first_token_us(self, request: InFlightRequest, endpoint: Endpoint | None) -> float:
+        """Return a time to first token that only a quarter of the last answers were below."""
+        roles = _stages_at(endpoint)
+        latencies = (self._state.local_statistics(role).fast_relative_latency for role in roles)
+        return sum(latencies) * request.latency_objective_us
+
+    def _queue_us(self, request: InFlightRequest, endpoint: Endpoint | None) -> float:
+        """Return the queue at an endpoint and at the decode endpoint that would follow."""
+        if endpoint is None:
+            return 0.0
+        decode_endpoint = None
+        if endpoint.role is Role.PREFILL:
+            decode_endpoint = self._decode_placement.choose(request)
+        queue_us = endpoint_queue_us(self._state, endpoint)
+        if decode_endpoint:
+            queue_us += decode_endpoint.waiting_tokens * decode_endpoint.us_per_token(self._state.now_us)
+        return queue_us
+
+    def _role_queue_us(
+        self, request: InFlightRequest, endpoint: Endpoint | None, role: Role, is_remote: bool
+    ) -> float:
+        """Return the queue that the endpoints of a role show together."""
+        state = self._state
+        statistics = state.statistics[role, is_remote]
+        weight = max(0.0, 1 - (state.now_us - statistics.observed_at_us) / STATISTICS_MEMORY_US)
+        waiting_tokens = self._waiting_tokens(statistics, endpoint, role)
+        queued_tokens = waiting_tokens + statistics.attempt_tokens
+        shown_us = ROLE_QUEUE_WEIGHT * state.hidden_share**2 * queued_tokens * statistics.us_per_token
+        rejections_us = statistics.rejection_share * request.latency_objective_us
+        return max(weight * (shown_us + rejections_us), self._ages_us(statistics, role))
+
+    def _waiting_tokens(self, statistics: RoleStatistics, endpoint: Endpoint | None, role: Role) -> float:
+        """Return the tokens that wait at an endpoint: by its own fresh report, else by those of its peers."""
+        waiting_tokens = statistics.waiting_tokens
+        if endpoint and endpoint.role is role:
+            own_difference = endpoint.reported_waiting_tokens - waiting_tokens
+            waiting_tokens += own_difference * endpoint.report_weight(self._state.now_us)
+        return waiting_tokens
+
+    def _ages_us(self, statistics: RoleStatistics, role: Role) -> float:
+        """Return the weighted median age of the oldest waiting attempts.
+
+        In a jam no answers come, but attempts grow old. The median is not moved by one silent endpoint.
+        """
+        state = self._state
+        ages_us = [
+            state.now_us - attempt.sent_at_us
+            for endpoint, attempt in state.table.oldest_waiting(role)
+            if endpoint.statistics is statistics
+        ]
+        return state.hidden_share**AGE_EXPONENT * median_low([0, *ages_us])
+
+
+def _stages_at(endpoint: Endpoint | None) -> tuple[Role, ...]:
+    """Return the roles that a request passes if it starts at an endpoint."""
+    if endpoint and endpoint.role is Role.PREFILL:
+        return (Role.PREFILL, Role.DECODE)
+    return (Role.PREFILL_AND_DECODE,)
--- a/tuliptrack/sources/listing.py
+++ b/tuliptrack/sources/listing.py
@@ -17,7 +17,7 @@
 from google.protobuf import text_format
 
 from tuliptrack.config.textformat import ConfigError, read_file
-from tuliptrack.interface import FleetChange, ListKind, Server, ServerState
+from tuliptrack.interface import EndpointInfo, EndpointListUpdate, EndpointState, UpdateKind
 from tuliptrack.proto import fleet_pb2 as pb
 from tuliptrack.rpc.clock import wall_us
 from tuliptrack.sources.starts import Starts
@@ -26,14 +26,14 @@
 
 MOST_SERVERS = 100_000  # entries of one list: a bound, far above any fleet
 _STATES = {
-    pb.ServerEntry.READY: ServerState.READY,
-    pb.ServerEntry.DRAINING: ServerState.DRAINING,
-    pb.ServerEntry.GONE: ServerState.GONE,
+    pb.ServerEntry.READY: EndpointState.READY,
+    pb.ServerEntry.DRAINING: EndpointState.DRAINING,
+    pb.ServerEntry.GONE: EndpointState.REMOVED,
 }
 _KINDS = {
-    pb.ServerList.FULL: ListKind.FULL,
-    pb.ServerList.DELTA: ListKind.DELTA,
-    pb.ServerList.FAILED: ListKind.FAILED,
+    pb.ServerList.FULL: UpdateKind.FULL,
+    pb.ServerList.DELTA: UpdateKind.DELTA,
+    pb.ServerList.FAILED: UpdateKind.FAILED,
 }
 
 
@@ -45,7 +45,7 @@
 class Listing:
     """One change for the router, and the addresses (host:port) of the servers that it names."""
 
-    change: FleetChange
+    change: EndpointListUpdate
     addresses: dict[int, str]
 
 
@@ -73,15 +73,15 @@
         self._starts = Starts()
 
     def take(
-        self, message: pb.ServerList, now: int, kind: ListKind | None = None, wall: int | None = None
+        self, message: pb.ServerList, now: int, kind: UpdateKind | None = None, wall: int | None = None
     ) -> Listing:
         """Apply a list; `now` monotonic, `wall` since 1970, both microseconds. ListError leaves all as it
         was."""
         what = kind or _KINDS.get(message.kind)
         if what is None:
             raise ListError(f"kind: unknown value {message.kind}")
-        if what is ListKind.FAILED:
-            return Listing(FleetChange(ListKind.FAILED), {})
+        if what is UpdateKind.FAILED:
+            return Listing(EndpointListUpdate(UpdateKind.FAILED), {})
         if len(message.servers) > MOST_SERVERS:
             raise ListError(f"servers: {len(message.servers)} entries, {MOST_SERVERS} at most")
         wall = wall_us() if wall is None else wall
@@ -91,7 +91,7 @@
             self._check(entry, f"servers[{place}]", seen)
         for entry in message.servers:
             servers.append(
-                Server(
+                EndpointInfo(
                     entry.id,
                     self.kinds[entry.kind],
                     _STATES[entry.state],
@@ -101,7 +101,7 @@
                     self._starts.monotonic(entry.id, entry.started_unix_us, now, wall),
                 )
             )
-        if what is not ListKind.DELTA:
+        if what is not UpdateKind.DELTA:
             self.held.clear()
         for entry in message.servers:
             if entry.state == pb.ServerEntry.GONE:
@@ -111,7 +111,7 @@
         self._starts.list_heard(now)
         self._starts.keep(self.held.keys() | seen)
         self.version = message.version
-        change = FleetChange(what, message.version & 0xFFFFFFFF, tuple(servers))
+        change = EndpointListUpdate(what, message.version & 0xFFFFFFFF, tuple(servers))
         return Listing(change, {entry.id: entry.address for entry in message.servers})
 
     def _check(self, entry: pb.ServerEntry, place: str, seen: set[int]) -> None:
--- /dev/null
+++ b/tuliptrack/state/candidates.py
@@ -0,0 +1,55 @@
+"""The endpoints that a request may go to."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Iterator
+from dataclasses import dataclass
+from random import Random
+
+from tuliptrack.state.endpoint import Endpoint
+from tuliptrack.state.selection import random_member
+from tuliptrack.structures.sorted_members import SortedMembers
+
+__all__ = ["Candidates"]
+
+MAX_DRAWS = 64
+"""Random draws for a fitting endpoint before all are examined."""
+MAX_MEAN_DRAWS = 8
+"""Draws are only tried where this many find a fitting endpoint on average."""
+
+
+@dataclass(slots=True)
+class Candidates:
+    """The ready endpoints of a role to which a request may go: all except the excluded ones."""
+
+    ready: SortedMembers[Endpoint]
+    excluded: set[int]
+    """Ids of ready endpoints that are no candidates."""
+    with_slot: list[Endpoint]
+    """The candidates in slow start that have a slot open for the request."""
+
+    def __len__(self) -> int:
+        return len(self.ready) - len(self.excluded)
+
+    def __contains__(self, endpoint: Endpoint) -> bool:
+        endpoint_id = endpoint.info.id
+        return endpoint_id not in self.excluded and endpoint_id in self.ready
+
+    def among(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
+        """Return those of some endpoints that are candidates."""
+        ready, excluded = self.ready.keys(), self.excluded
+        return [one for one in endpoints if one.info.id in ready and one.info.id not in excluded]
+
+    def __iter__(self) -> Iterator[Endpoint]:
+        return (endpoint for endpoint in self.ready if endpoint.info.id not in self.excluded)
+
+    def draw(self, fits: Callable[[Endpoint], bool], count: int, random: Random) -> Endpoint | None:
+        """Return any of the `count` candidates that fit, with equal chances.
+
+        Where many fit, random endpoints are tried, so that the cost does not grow with the fleet.
+        """
+        for _ in range(MAX_DRAWS if MAX_MEAN_DRAWS * count >= len(self.ready) else 0):
+            endpoint = self.ready[int(random.random() * len(self.ready))]
+            if fits(endpoint):
+                return endpoint
+        return random_member([endpoint for endpoint in self if fits(endpoint)], random)
--- a/tuliptrack/state/demand.py
+++ b/tuliptrack/state/demand.py
@@ -1,54 +1,92 @@
-"""What a node was asked lately: by class, and by prefix."""
+"""What clients have asked of this node lately: the size of requests by class, and how often each prefix
+came."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from tuliptrack.interface import Role
+from tuliptrack.state.smoothing import smoothed
+
+__all__ = ["MAX_PREFIXES", "REQUEST_WEIGHT", "DemandStatistics", "RequestSize"]
+
+MAX_PREFIXES = 256
+"""Prefixes whose frequency is known; many more than the requests that the averages reflect."""
+REQUEST_WEIGHT = 0.05
+"""Weight of one request in the averages, which so reflect about the last twenty."""
+
+
+@dataclass(frozen=True, slots=True)
+class RequestSize:
+    """Tokens of a request, or of the mean request."""
+
+    prompt_tokens: float = 0.0
+    """Prompt tokens that have to be prefilled."""
+    output_tokens: float = 0.0
 
-__all__ = ["PREFIXES_KEPT", "Asked"]
+    def moved_towards(self, other: RequestSize, weight: float) -> RequestSize:
+        """Return the average of this after a sample of the given weight."""
+        return RequestSize(
+            smoothed(self.prompt_tokens, other.prompt_tokens, weight),
+            smoothed(self.output_tokens, other.output_tokens, weight),
+        )
 
-PREFIXES_KEPT = 256  # prefixes of which is known how often they came: far more than the requests that count
 
+class DemandStatistics:
+    """Mean request sizes by class and in all, and the share of requests that each prefix had.
 
-class Asked:
-    """What this node was asked: mean tokens of prompt to read and of answer, by class and in all, and how
-    much of it each prefix was lately. Bound: `PREFIXES_KEPT`; the one not asked for longest is forgotten."""
+    Bound: `MAX_PREFIXES` prefixes; the one that was not requested for the longest time is forgotten first.
+    """
 
     def __init__(self) -> None:
-        self.count = 0
-        self.all = (0.0, 0.0)
-        self.by_class: dict[int, tuple[float, float]] = {}
+        self.request_count = 0
+        self.mean_size = RequestSize()
+        self.mean_size_by_class: dict[int, RequestSize] = {}
         self._prefixes: dict[int, tuple[float, int]] = {}
-        """Requests with a prefix, fading as others come, and how many had come in all at the last one."""
+        """For each prefix: its requests, decayed by the requests since, and the request count at its last
+        one."""
 
-    def note(self, cls: int, prompt: float, answer: float, weight: float, prefix: int = 0) -> None:
-        """Take one more request, of which the first ones weigh more. What is known of all starts at nil, so
-        that each class looks heavy at first: twice, then half again what it is, and so on."""
-        new = (prompt, answer)
-        self.count += 1
+    def record(self, class_index: int, size: RequestSize, prefix: int = 0) -> None:
+        """Take one more request into account.
+
+        The first requests weigh more than later ones. The overall mean starts at zero, so each class first
+        counts as heavier than it is: twice, then one and a half times, and so on.
+        """
+        self.request_count += 1
         if prefix:
-            seen, at = self._prefixes.pop(prefix, (0.0, 0))
-            self._prefixes[prefix] = (seen * (1 - weight) ** (self.count - at) + 1, self.count)
-            if len(self._prefixes) > PREFIXES_KEPT:
-                del self._prefixes[next(iter(self._prefixes))]
-        weight = max(weight, 1 / (self.count + 1))
-        self.all = _toward(self.all, new, weight)
-        self.by_class[cls] = _toward(self.by_class.get(cls, new), new, weight)
-
-    def part(self, prefix: int, weight: float) -> float:
-        """The part of what was asked lately that had this prefix, 0 to 1; `weight` as in `note`. The first
-        request with one says nothing of how many there are, so only those that came again count; as many
-        requests as the fading spans are taken to have come before the first, each with another prefix, so
-        that a node that has seen little does not call hot what came twice."""
-        seen, at = self._prefixes.get(prefix, (0.0, 0))
-        again = max(seen * (1 - weight) ** (self.count - at) - 1, 0.0)
-        return again * weight / (2 - (1 - weight) ** self.count)
-
-    def heaviness(self, cls: int, role: Role) -> float:
-        """How many mean requests one of this class weighs: by its prompt at readers, by its answer at
-        writers, by whichever is more at mixed servers."""
-        prompt, answer = (own / max(of, 1.0) for own, of in zip(self.by_class[cls], self.all, strict=True))
-        return prompt if role is Role.READ else answer if role is Role.WRITE else max(prompt, answer)
-
-
-def _toward(old: tuple[float, float], new: tuple[float, float], weight: float) -> tuple[float, float]:
-    return old[0] + weight * (new[0] - old[0]), old[1] + weight * (new[1] - old[1])
+            self._record_prefix(prefix)
+        weight = max(REQUEST_WEIGHT, 1 / (self.request_count + 1))
+        self.mean_size = self.mean_size.moved_towards(size, weight)
+        known = self.mean_size_by_class.get(class_index, size)
+        self.mean_size_by_class[class_index] = known.moved_towards(size, weight)
+
+    def _record_prefix(self, prefix: int) -> None:
+        requests, count = self._prefixes.pop(prefix, (0.0, 0))
+        decayed = requests * (1 - REQUEST_WEIGHT) ** (self.request_count - count)
+        self._prefixes[prefix] = (decayed + 1, self.request_count)
+        if len(self._prefixes) > MAX_PREFIXES:
+            del self._prefixes[next(iter(self._prefixes))]
+
+    def prefix_share(self, prefix: int) -> float:
+        """Return the share of recent requests that had this prefix, from 0 to 1.
+
+        A first request says nothing about how many will follow, so only repeated ones count. As many requests
+        with other prefixes as the decay spans are assumed to precede the first one; a node that has seen few
+        requests then does not take a prefix that came twice for a popular one.
+        """
+        requests, count = self._prefixes.get(prefix, (0.0, 0))
+        repeated = max(requests * (1 - REQUEST_WEIGHT) ** (self.request_count - count) - 1, 0.0)
+        return repeated * REQUEST_WEIGHT / (2 - (1 - REQUEST_WEIGHT) ** self.request_count)
+
+    def relative_cost(self, class_index: int, role: Role) -> float:
+        """Return how many mean requests one of this class costs an endpoint of a role.
+
+        Prefill endpoints are charged for the prompt, decode endpoints for the output, endpoints that do both
+        for the larger of the two.
+        """
+        own, mean = self.mean_size_by_class[class_index], self.mean_size
+        prompt = own.prompt_tokens / max(mean.prompt_tokens, 1.0)
+        output = own.output_tokens / max(mean.output_tokens, 1.0)
+        if role is Role.PREFILL:
+            return prompt
+        return output if role is Role.DECODE else max(prompt, output)
--- /dev/null
+++ b/tuliptrack/state/endpoint_table.py
@@ -0,0 +1,368 @@
+"""The endpoint list as this node last received it, with indexes for the questions that decisions ask of
+it."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable, Collection, Iterable, Mapping
+from dataclasses import dataclass, replace
+from random import Random
+
+from tuliptrack.interface import EndpointInfo, EndpointListUpdate, EndpointState, Role, UpdateKind
+from tuliptrack.state.candidates import Candidates
+from tuliptrack.state.capacity_index import CapacityIndex
+from tuliptrack.state.ejection import Ejection, EjectionScope
+from tuliptrack.state.endpoint import Endpoint, WaitingAttempt
+from tuliptrack.state.projected_loads import EndpointGroup
+from tuliptrack.state.role_statistics import AnswerSample
+from tuliptrack.state.selection import lowest_ranked, random_member
+from tuliptrack.state.stream_rate import StreamRate
+from tuliptrack.structures.grouped_values import GroupedValues
+from tuliptrack.structures.rendezvous import RendezvousColumn
+from tuliptrack.structures.sorted_members import SortedMembers
+
+__all__ = ["MAX_REMOVED", "AppliedUpdate", "EndpointTable"]
+
+MAX_REMOVED = 128
+"""Removed endpoints that stay known, so that one which comes and goes keeps its ejections and slots."""
+MIN_WEIGHT = 1e-6
+
+
+@dataclass(frozen=True, slots=True)
+class AppliedUpdate:
+    """What an update of the list has changed."""
+
+    changed: list[Endpoint]
+    """New endpoints, and those whose entry differs now."""
+    forgotten: list[int]
+    """Ids of endpoints of which nothing is known any more."""
+
+
+class EndpointTable:
+    """All known endpoints. Each update maintains the indexes, so no question examines every endpoint.
+
+    Bound: the endpoints of the list and `MAX_REMOVED` removed ones, besides those that are still in use.
+    """
+
+    def __init__(self, roles: tuple[Role, ...], groups_by_zone: bool = False) -> None:
+        """Create an empty table.
+
+        Args:
+            roles: the role of each kind of endpoint, by the kind's index.
+            groups_by_zone: endpoints are grouped by zone too, since cross-zone traffic is budgeted.
+        """
+        self.roles, self.groups_by_zone = roles, groups_by_zone
+        self.endpoints: dict[int, Endpoint] = {}
+        self.waiting: dict[int, Endpoint] = {}
+        """Endpoints at which attempts of this node wait."""
+        self.streaming: dict[int, Endpoint] = {}
+        """Endpoints at which streams of this node run."""
+        self.loaded: dict[int, Endpoint] = {}
+        """Endpoints with projected tokens of this node."""
+        self.stream_rate = StreamRate()
+        """Of all endpoints together."""
+        self.groups: list[EndpointGroup] = []
+        """Every group that was ever listed."""
+        self.memory: GroupedValues[int] = GroupedValues()
+        """Reported memory shares of the ready endpoints that decode."""
+        self.prefill_latency: GroupedValues[int] = GroupedValues()
+        """Smoothed prefill latencies of the ready endpoints that prefill; 0 before the first."""
+        self.capacity = CapacityIndex()
+        self._group_indexes: dict[EndpointGroup, int] = {}
+        self._reported: dict[int, Endpoint] = {}
+        """Endpoints with recent load reports, the last one at the end."""
+        self._ejected: dict[int, Endpoint] = {}
+        self._removed: dict[int, Endpoint] = {}
+        """The last one that was removed stands at the end."""
+        self._ready: dict[Role, SortedMembers[Endpoint]] = {role: SortedMembers() for role in Role}
+        self._started_lately: dict[Role, SortedMembers[Endpoint]] = {role: SortedMembers() for role in Role}
+        """Ready endpoints that were listed with a start time and are not known to be warm yet."""
+        self._earliest_start_us: float = math.inf
+        """At most the earliest start time among them."""
+        self._by_cell: dict[int, SortedMembers[Endpoint]] = {}
+        """Ready endpoints that decode."""
+        self._prefill_column: RendezvousColumn[Endpoint] | None = None
+
+    # -- updates of the list
+
+    def apply(self, update: EndpointListUpdate, now_us: int) -> AppliedUpdate:
+        """Take an update over. In a full list, endpoints that are not named have been removed."""
+        changed: dict[int, Endpoint] = {}
+        for info in self._entries_of(update):
+            endpoint = self._apply_entry(info, now_us)
+            if endpoint is not None:
+                changed[info.id] = endpoint
+        for stage in (Role.PREFILL, Role.DECODE):
+            self.capacity.note_ready_count(stage, len(self._ready[stage]))
+        for members in self._started_lately.values():  # Each endpoint's share of the fleet may have changed.
+            for endpoint in members:
+                endpoint.no_slot_before_us = 0
+        return AppliedUpdate(list(changed.values()), self._forget_removed(now_us))
+
+    def _entries_of(self, update: EndpointListUpdate) -> Iterable[EndpointInfo]:
+        if update.kind is UpdateKind.DELTA:
+            return update.endpoints
+        named = {info.id for info in update.endpoints}
+        absent = [
+            endpoint.info
+            for endpoint in self.endpoints.values()
+            if endpoint.id not in named and endpoint.info.state is not EndpointState.REMOVED
+        ]
+        absent.sort(key=lambda info: info.id)
+        return [*(replace(info, state=EndpointState.REMOVED) for info in absent), *update.endpoints]
+
+    def _apply_entry(self, info: EndpointInfo, now_us: int) -> Endpoint | None:
+        """Take one entry over; None if it is the one that is known already."""
+        endpoint = self.endpoints.get(info.id)
+        if endpoint is None:
+            endpoint = self.endpoints[info.id] = Endpoint(info, self._role_of(info.kind))
+            self.capacity.add_known(endpoint.role, info.weight)
+            self._add_to_indexes(endpoint)
+        elif info is not endpoint.info and info != endpoint.info:
+            self._replace_entry(endpoint, info, now_us)
+        elif info.state is not EndpointState.REMOVED:
+            return None
+        if info.state is EndpointState.REMOVED:
+            self._removed.pop(info.id, None)
+            self._removed[info.id] = endpoint
+        return endpoint
+
+    def _replace_entry(self, endpoint: Endpoint, info: EndpointInfo, now_us: int) -> None:
+        """Give a known endpoint a new entry. With a later start it is another process, and starts afresh."""
+        self._remove_from_indexes(endpoint)
+        self.capacity.change_weight(endpoint.role, endpoint.info.weight, info.weight)
+        if info.started_at_us > endpoint.info.started_at_us:
+            endpoint.ejections = {}
+            endpoint.prefill_latency_us = 0.0
+            endpoint.reported_memory_share = 0.0
+            endpoint.reported_waiting_tokens = 0.0
+            endpoint.last_slot = 0
+            self.reset_stream_rate(endpoint, now_us)
+        endpoint.info = info
+        self._removed.pop(info.id, None)
+        self._add_to_indexes(endpoint)
+
+    def _add_to_indexes(self, endpoint: Endpoint) -> None:
+        info, role = endpoint.info, endpoint.role
+        if info.state is not EndpointState.READY:
+            return
+        for served in _served_roles(role):
+            self._ready[served].put(info.id, endpoint)
+            if info.started_at_us:
+                self._started_lately[served].put(info.id, endpoint)
+                self._earliest_start_us = min(self._earliest_start_us, info.started_at_us)
+        endpoint.group = self._group_index(EndpointGroup(role, info.zone if self.groups_by_zone else 0))
+        if role is not Role.DECODE:
+            self._prefill_column = None
+            self.prefill_latency.put(info.id, endpoint.group, endpoint.prefill_latency_us)
+        if role is not Role.PREFILL:
+            endpoint.projected_load = endpoint.projected_tokens / max(info.weight, MIN_WEIGHT)
+            self.memory.put(info.id, endpoint.group, endpoint.reported_memory_share)
+            self._by_cell.setdefault(info.cell, SortedMembers()).put(info.id, endpoint)
+        self.capacity.add_ready(role, info)
+
+    def _remove_from_indexes(self, endpoint: Endpoint) -> None:
+        info, role = endpoint.info, endpoint.role
+        if info.state is not EndpointState.READY:
+            return
+        for members in (*self._ready.values(), *self._started_lately.values()):
+            members.remove(info.id)
+        if role is not Role.DECODE:
+            self._prefill_column = None
+            self.prefill_latency.remove(info.id)
+        if role is not Role.PREFILL:
+            self.memory.remove(info.id)
+            cell = self._by_cell[info.cell]
+            cell.remove(info.id)
+            if not cell:
+                del self._by_cell[info.cell]
+        self.capacity.remove_ready(role, info)
+
+    def _group_index(self, group: EndpointGroup) -> int:
+        index = self._group_indexes.get(group)
+        if index is None:
+            index = self._group_indexes[group] = len(self.groups)
+            self.groups.append(group)
+        return index
+
+    def _forget_removed(self, now_us: int) -> list[int]:
+        """Forget endpoints that were removed the longest time ago and have nothing of this node in flight."""
+        idle = [one for one in self._removed.values() if not (one.waiting or one.streams)]
+        forgotten = idle[:-MAX_REMOVED]
+        for endpoint in forgotten:
+            del self.endpoints[endpoint.id], self._removed[endpoint.id]
+            self._ejected.pop(endpoint.id, None)
+            self._reported.pop(endpoint.id, None)
+            self.loaded.pop(endpoint.id, None)
+            self.stream_rate.subtract(endpoint.stream_rate, now_us)
+            self.capacity.remove_known(endpoint.role, endpoint.info.weight)
+        return [endpoint.id for endpoint in forgotten]
+
+    def _role_of(self, kind: int) -> Role:
+        return self.roles[kind] if kind < len(self.roles) else Role.DECODE
+
+    # -- this node's own traffic
+
+    def add_waiting(self, endpoint: Endpoint, attempt: WaitingAttempt) -> None:
+        """Record an attempt that was just sent."""
+        endpoint.add_waiting(attempt)
+        self.waiting[endpoint.id] = endpoint
+
+    def remove_waiting(self, endpoint: Endpoint, request_id: int) -> bool:
+        """Remove an attempt that was answered or has ended; False if its stream had begun before."""
+        was_waiting = endpoint.remove_waiting(request_id)
+        if not endpoint.waiting:
+            self.waiting.pop(endpoint.id, None)
+        return was_waiting
+
+    def begin_stream(self, endpoint: Endpoint, request_id: int, now_us: int) -> None:
+        """Record that a stream runs."""
+        endpoint.stream_rate.begin_stream(now_us)
+        self.stream_rate.begin_stream(now_us)
+        endpoint.streams[request_id] = now_us
+        self.streaming[endpoint.id] = endpoint
+
+    def end_stream(self, endpoint: Endpoint, request_id: int, now_us: int, is_completed: bool) -> int:
+        """Record that a stream has ended; return for how many microseconds it ran."""
+        endpoint.stream_rate.end_stream(now_us, is_completed)
+        self.stream_rate.end_stream(now_us, is_completed)
+        began_at_us = endpoint.streams.pop(request_id)
+        if not endpoint.streams:
+            self.streaming.pop(endpoint.id, None)
+        return now_us - began_at_us
+
+    def add_projected_tokens(self, endpoint: Endpoint, tokens: float) -> None:
+        """Add the projected tokens of a request, or subtract them (negative)."""
+        in_use = endpoint.waiting or endpoint.streams
+        endpoint.projected_tokens = max(endpoint.projected_tokens + tokens, 0.0) if in_use else 0.0
+        endpoint.projected_load = endpoint.projected_tokens / max(endpoint.info.weight, MIN_WEIGHT)
+        if endpoint.projected_tokens:
+            self.loaded[endpoint.id] = endpoint
+        else:
+            self.loaded.pop(endpoint.id, None)
+
+    def record_report(self, endpoint: Endpoint, report: Mapping[str, float], now_us: int) -> None:
+        """Take a load report over."""
+        endpoint.record_report(report, now_us)
+        self._reported.pop(endpoint.id, None)
+        self._reported[endpoint.id] = endpoint
+        if endpoint.id in self.memory:
+            self.memory.put(endpoint.id, endpoint.group, endpoint.reported_memory_share)
+
+    def record_answer(self, endpoint: Endpoint, sample: AnswerSample, now_us: int) -> None:
+        """Update the endpoint's averages after an attempt was answered."""
+        endpoint.record_answer(sample, now_us)
+        if endpoint.id in self.prefill_latency:
+            self.prefill_latency.put(endpoint.id, endpoint.group, endpoint.prefill_latency_us)
+
+    def eject(self, endpoint: Endpoint, scope: EjectionScope, ejection: Ejection) -> None:
+        """Record an ejection."""
+        endpoint.ejections[scope] = ejection
+        self._ejected[endpoint.id] = endpoint
+
+    def reset_stream_rate(self, endpoint: Endpoint, now_us: int) -> None:
+        """Start afresh with how fast streams end at an endpoint."""
+        self.stream_rate.subtract(endpoint.stream_rate, now_us)
+        endpoint.stream_rate = StreamRate(endpoint.stream_rate.streams, as_of_us=now_us)
+
+    # -- questions
+
+    def ready(self, role: Role) -> SortedMembers[Endpoint]:
+        """Return the ready endpoints that serve a stage, those of both roles included, by id."""
+        return self._ready[role]
+
+    def in_cell(self, cell: int) -> Collection[Endpoint]:
+        """Return the ready endpoints of a cell that decode, by id."""
+        return self._by_cell.get(cell, ())
+
+    def ejected(self, role: Role) -> list[Endpoint]:
+        """Return the ready endpoints of a role that have any ejection."""
+        for endpoint_id in [key for key, endpoint in self._ejected.items() if not endpoint.ejections]:
+            del self._ejected[endpoint_id]
+        return [endpoint for key, endpoint in self._ejected.items() if key in self._ready[role]]
+
+    def started_since(self, role: Role, since_us: int) -> Collection[Endpoint]:
+        """Return the ready endpoints of a role that started after a moment, by id.
+
+        All others count as warm from now on, so `since_us` may not decrease from call to call.
+        """
+        if self._earliest_start_us <= since_us:
+            self._drop_started_by(since_us)
+        return self._started_lately[role]
+
+    def _drop_started_by(self, since_us: int) -> None:
+        for members in self._started_lately.values():
+            for endpoint in [one for one in members if one.info.started_at_us <= since_us]:
+                members.remove(endpoint.id)
+        starts = (one.info.started_at_us for members in self._started_lately.values() for one in members)
+        self._earliest_start_us = min(starts, default=math.inf)
+
+    def _observed_since(self, since_us: int) -> dict[int, Endpoint]:
+        """Return the endpoints with attempts or streams of this node, or with a report after a moment."""
+        for endpoint_id, endpoint in list(self._reported.items()):
+            if endpoint.reported_at_us > since_us:
+                break
+            del self._reported[endpoint_id]
+        return self._reported | self.waiting | self.streaming
+
+    def choose_lowest_score(
+        self, candidates: Candidates, score: Callable[[Endpoint], float], since_us: int, random: Random
+    ) -> Endpoint | None:
+        """Return any of the prefill candidates with the lowest score, with equal chances.
+
+        Only endpoints that were observed since a moment are examined one by one. For all others the score has
+        to increase with the prefill latency alone, and to be equal within a group where that is unknown.
+        """
+        observed = self._observed_since(since_us)
+        examined = candidates.among(observed.values())
+        left_out = candidates.excluded | {key for key in observed if key in self.prefill_latency}
+        without_latency = self.prefill_latency.counts(0.0, left_out)
+        scores_and_counts: list[tuple[float, int]] = []
+        for group, count in without_latency.items():
+            if count:
+                first = next(key for _, key in self.prefill_latency.rising(group) if key not in left_out)
+                scores_and_counts.append((score(self.endpoints[first]), count))
+            rising = self.prefill_latency.rising(group, 0.0)
+            examined += _first_tied((self.endpoints[key] for _, key in rising if key not in left_out), score)
+        lowest_examined = lowest_ranked(examined, score)
+        scores = [*(own for own, _ in scores_and_counts), *(score(one) for one in lowest_examined[:1])]
+        lowest = min(scores, default=math.inf)
+        tied = [endpoint for endpoint in lowest_examined if score(endpoint) == lowest]
+        unexamined_tied = sum(count for own, count in scores_and_counts if own == lowest)
+        if not unexamined_tied:
+            return random_member(sorted(tied, key=lambda one: one.id), random)
+        return candidates.draw(
+            lambda one: one in candidates and score(one) == lowest, unexamined_tied + len(tied), random
+        )
+
+    def prefill_ranking(self) -> RendezvousColumn[Endpoint]:
+        """Return the ready endpoints that prefill, to be ranked for a prefix."""
+        if self._prefill_column is None:
+            endpoints = list(self._ready[Role.PREFILL])
+            self._prefill_column = RendezvousColumn(
+                endpoints, [one.id for one in endpoints], [one.info.weight for one in endpoints]
+            )
+        return self._prefill_column
+
+    def oldest_waiting(self, role: Role) -> Iterable[tuple[Endpoint, WaitingAttempt]]:
+        """Yield the oldest waiting attempt at each ready endpoint of a role."""
+        ready = self._ready[role]
+        for endpoint_id, endpoint in self.waiting.items():
+            oldest = endpoint.oldest_waiting
+            if oldest and endpoint_id in ready:
+                yield endpoint, oldest
+
+
+def _served_roles(role: Role) -> tuple[Role, ...]:
+    """Return the roles under which an endpoint is indexed."""
+    return (role, Role.PREFILL, Role.DECODE) if role is Role.PREFILL_AND_DECODE else (role,)
+
+
+def _first_tied(endpoints: Iterable[Endpoint], score: Callable[[Endpoint], float]) -> list[Endpoint]:
+    """Return the first of some endpoints, and those after it with the same score."""
+    found: list[Endpoint] = []
+    for endpoint in endpoints:
+        if found and score(endpoint) != score(found[0]):
+            break
+        found.append(endpoint)
+    return found
--- /dev/null
+++ b/tuliptrack/state/role_statistics.py
@@ -0,0 +1,95 @@
+"""What attempts at all endpoints of one role have shown."""
+
+from __future__ import annotations
+
+import math
+from collections import deque
+from dataclasses import dataclass, field
+
+from tuliptrack.state.smoothing import SAMPLE_WEIGHT, smoothed
+
+__all__ = ["MAX_LATENCIES", "AnswerSample", "RoleStatistics"]
+
+MAX_LATENCIES = 15
+"""Latencies that are kept: their slowest fifth is three answers."""
+ASSIGNED_MEMORY_US = 20_000_000
+"""Microseconds in which assigned tokens decay by a factor of e: the time of some tens of requests."""
+
+
+@dataclass(frozen=True, slots=True)
+class AnswerSample:
+    """One attempt that was answered: a finished prefill, or the first token of a stream."""
+
+    latency_us: int
+    latency_objective_us: int
+    """Of the request."""
+    tokens: float
+    """Tokens that the attempt had to prefill or to fetch."""
+    is_prefill: bool
+    """Whether the prompt was prefilled in this attempt."""
+
+
+@dataclass(slots=True)
+class RoleStatistics:
+    """Averages over the last attempts at the endpoints of a role, in this zone or in remote ones."""
+
+    relative_latencies: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_LATENCIES))
+    """Latencies of the last answers, as shares of the latency objective."""
+    waiting_tokens: float = 0.0
+    """Tokens that wait at an endpoint, by load reports."""
+    attempt_tokens: float = 0.0
+    """Tokens of an attempt."""
+    attempt_us: float = 0.0
+    """Latency of an attempt."""
+    queued_tokens: float = 0.0
+    """Tokens of an attempt and of what waited before it."""
+    us_per_token: float = 0.0
+    """Ratio of the two above."""
+    prefill_latency_us: float = 0.0
+    """Latency of a prefill; 0 before the first."""
+    timeout_share: float = 0.0
+    """Share of attempts that ended by this node's own time-out or with an error."""
+    rejection_share: float = 0.0
+    """Share of attempts that an endpoint rejected at once for lack of capacity."""
+    observed_at_us: int = 0
+    """When an attempt was last answered or ended."""
+    answered_at_us: int = 0
+    """When an attempt was last answered."""
+    assigned_tokens: float = 0.0
+    """Projected tokens of requests that were sent to these endpoints, decaying from `assigned_at_us` on."""
+    assigned_at_us: int = 0
+
+    @property
+    def fast_relative_latency(self) -> float:
+        """The first quartile of the last relative latencies; 0 before the first answer."""
+        ordered = sorted(self.relative_latencies)
+        return ordered[len(ordered) // 4] if ordered else 0.0
+
+    def record_answer(self, sample: AnswerSample, waiting_tokens: float, now_us: int) -> None:
+        """Update the averages; `waiting_tokens` waited at the endpoint by its last report.
+
+        The time per token is a ratio of averages. An average of ratios would be dominated by prompts that
+        are nearly all cached, as these have hardly any tokens of their own.
+        """
+        self.attempt_tokens = smoothed(self.attempt_tokens, sample.tokens)
+        self.attempt_us = smoothed(self.attempt_us, sample.latency_us)
+        self.queued_tokens = smoothed(self.queued_tokens, waiting_tokens + sample.tokens)
+        self.us_per_token = self.attempt_us / self.queued_tokens
+        self.relative_latencies.append(sample.latency_us / sample.latency_objective_us)
+        self.answered_at_us = now_us
+        if sample.is_prefill:
+            weight = SAMPLE_WEIGHT if self.prefill_latency_us else 1.0
+            self.prefill_latency_us = smoothed(self.prefill_latency_us, sample.latency_us, weight)
+
+    def record_end(self, now_us: int, timeout: float = 0.0, rejection: float = 0.0) -> None:
+        """Record how an attempt ended; `timeout` and `rejection` are 1 if it ended that way, else 0."""
+        self.timeout_share = smoothed(self.timeout_share, timeout)
+        self.rejection_share = smoothed(self.rejection_share, rejection)
+        self.observed_at_us = now_us
+
+    def assign(self, tokens: float, now_us: int) -> float:
+        """Add projected tokens of a request, and return the decayed sum."""
+        decay = math.exp((self.assigned_at_us - now_us) / ASSIGNED_MEMORY_US)
+        self.assigned_tokens = self.assigned_tokens * decay + tokens
+        self.assigned_at_us = now_us
+        return self.assigned_tokens
--- a/tuliptrack/wirehost.py
+++ b/tuliptrack/wirehost.py
@@ -15,7 +15,7 @@
 from typing import Any, BinaryIO, TypeVar
 
 from tuliptrack import interface as io
-from tuliptrack.brain import Router
+from tuliptrack.routing.router import Router
 
 __all__ = ["WireError", "decode_batch", "encode_reply", "main", "serve", "settings_from_json", "settings_of"]
 
@@ -30,17 +30,22 @@
 _STATUS = {
     1: io.Status.OK,
     0: io.Status.ERROR,
-    2: io.Status.FULL,
+    2: io.Status.AT_CAPACITY,
     3: io.Status.TIMEOUT,
     4: io.Status.CONNECT_FAILED,
     5: io.Status.RESET,
     6: io.Status.CANCELLED,
-    7: io.Status.MOOT,
-    202: io.Status.READ,
+    7: io.Status.ABANDONED,
+    202: io.Status.PREFILLED,
+}
+_STATE = {0: io.EndpointState.READY, 1: io.EndpointState.DRAINING, 2: io.EndpointState.REMOVED}
+_LIST_KIND = {0: io.UpdateKind.DELTA, 1: io.UpdateKind.FULL, 2: io.UpdateKind.CACHED, 3: io.UpdateKind.FAILED}
+_ROLE = {"read": io.Role.PREFILL, "write": io.Role.DECODE, "both": io.Role.PREFILL_AND_DECODE}
+_EFFECT = {
+    "free": io.Idempotency.IDEMPOTENT,
+    "guarded": io.Idempotency.WITH_KEY,
+    "single_shot": io.Idempotency.NOT_IDEMPOTENT,
 }
-_STATE = {0: io.ServerState.READY, 1: io.ServerState.DRAINING, 2: io.ServerState.GONE}
-_LIST_KIND = {0: io.ListKind.DELTA, 1: io.ListKind.FULL, 2: io.ListKind.CACHED, 3: io.ListKind.FAILED}
-_EFFECT = {"free": io.Effect.SAFE, "guarded": io.Effect.KEYED, "single_shot": io.Effect.UNSAFE}
 
 _REPORT = {
     "inflight": "in_flight",
@@ -136,6 +141,13 @@
         raise WireError(f"settings: {what} {value!r} is unknown") from None
 
 
+def _role(name: object) -> io.Role:
+    try:
+        return _ROLE[str(name)]
+    except KeyError:
+        raise WireError(f"settings: specifics.dutyByKind {name!r} is unknown") from None
+
+
 def _settings(env: dict[str, Any]) -> io.Settings:
     facts, limits, duties = env["specifics"], env["limits"], env["obligations"]
     per_1000 = facts.get("aimUsPer1000PromptTokens") or []
@@ -144,52 +156,41 @@
     classes = tuple(
         io.RequestClass(
             name=str(c.get("name", i)),
-            worth=float(c["importance"]),
-            aim=int(c["promise"]),
-            deadline=int(c["deadline"]),
-            aim_per_1000_tokens=float(per_1000[i]) if i < len(per_1000) else 0.0,
-            token_aim=float(token_aim[i]) if i < len(token_aim) else 0.0,
-            late_share=float(c.get("lateShare", 0.0)),
-            effect=_lookup(_EFFECT, c["effect"], "settings: classes[].effect"),
-            key_scope=_enum(io.KeyScope, c.get("keyScope", "all"), "classes[].keyScope"),
-            dedup_window=int(c.get("dedupWindow", 0)),
-            streamed=bool(c.get("stream", False)),
+            priority_weight=float(c["importance"]),
+            latency_objective_us=int(c["promise"]),
+            deadline_us=int(c["deadline"]),
+            objective_us_per_1000_tokens=float(per_1000[i]) if i < len(per_1000) else 0.0,
+            inter_token_objective_us=float(token_aim[i]) if i < len(token_aim) else 0.0,
+            idempotency=_lookup(_EFFECT, c["effect"], "settings: classes[].effect"),
+            idempotency_scope=_enum(io.IdempotencyScope, c.get("keyScope", "all"), "classes[].keyScope"),
+            deduplication_window_us=int(c.get("dedupWindow", 0)),
         )
         for i, c in enumerate(env["classes"])
     )
     return io.Settings(
         replicas=int(env["replicasOfMe"]),
         classes=classes,
-        roles=tuple(_enum(io.Role, r, "specifics.dutyByKind") for r in facts["dutyByKind"]),
-        memory_tokens=tuple(float(m) for m in facts.get("kvTokens") or ()),
+        roles=tuple(_role(name) for name in facts["dutyByKind"]),
         tenants=tuple(
             io.Tenant(str(t.get("name", "")), float(t.get("share", 0.0)), float(t["quotaPerS"]))
             for t in env.get("projects") or ()
         ),
-        slot=int(env.get("slotNo", 0)),
+        replica_index=int(env.get("slotNo", 0)),
         zone=int(env.get("az", 0)),
-        over_share_worth=float(env.get("overShareWorth", 1.0)),
+        over_quota_weight_factor=float(env.get("overShareWorth", 1.0)),
         max_attempts=int(limits["mostTries"]),
-        release_within=int(facts["letGoBy"]),
-        answer_slack=int(duties.get("answerSlack", 0)),
-        drain_grace=int(duties["drainGrace"]),
-        ask_within=int(duties.get("askWithin", 0)),
+        release_within_us=int(facts["letGoBy"]),
+        drain_grace_us=int(duties["drainGrace"]),
         must_subscribe=env.get("discovery") == "subscribe",
-        cold_for=int(duties["cold"]),
-        cold_from=float(duties["coldFrom"]),
-        fall_multiple=float(duties["fallMultiple"]),
-        fall_window=int(duties["fall"]),
-        tick=int(env.get("granularity", 1000)),
-        connect_timeout=int(limits.get("connectTimeout", 0)),
+        slow_start_us=int(duties["cold"]),
+        slow_start_initial_share=float(duties["coldFrom"]),
+        slow_start_overload_factor=float(duties["fallMultiple"]),
+        slow_start_window_us=int(duties["fall"]),
+        connect_timeout_us=int(limits.get("connectTimeout", 0)),
         may_cancel=bool(limits.get("cancel", False)),
-        may_probe=bool(limits.get("mayProbe", False)),
-        may_hold_ahead=bool(facts.get("earlyPairing", False)),
-        may_advise_retry=bool(limits.get("retryAfter", False)),
+        may_send_retry_after=bool(limits.get("retryAfter", False)),
         may_resume=bool(facts.get("resume", False)),
-        writers_read=bool(facts.get("writersRead", False)),
-        second_copies=bool(limits.get("secondCopies", False)),
-        max_retry_after=int(limits.get("maxRetryAfter", 0)),
-        far_price=float(facts.get("farPrice", 0.0)),
+        max_retry_after_us=int(limits.get("maxRetryAfter", 0)),
         report_fields=tuple(
             _REPORT.get(f, f) for f in reporting.get("fields") or () if reporting.get("how") != "silent"
         ),
@@ -204,15 +205,17 @@
     return Start(settings_from_json(r.blob("I")), seed)
 
 
-def _roster(r: _Reader) -> io.FleetChange:
+def _roster(r: _Reader) -> io.EndpointListUpdate:
     kind, version, count = r.take("BII")
     servers = []
     for _ in range(count):
         zone, since, server, sort, state, weight, cell = r.take(_ENTRY.format[1:])
         servers.append(
-            io.Server(server, sort, _lookup(_STATE, state, f"{r.what}: health"), weight, cell, zone, since)
+            io.EndpointInfo(
+                server, sort, _lookup(_STATE, state, f"{r.what}: health"), weight, cell, zone, since
+            )
         )
-    return io.FleetChange(_lookup(_LIST_KIND, kind, f"{r.what}: kind"), version, tuple(servers))
+    return io.EndpointListUpdate(_lookup(_LIST_KIND, kind, f"{r.what}: kind"), version, tuple(servers))
 
 
 def _request(r: _Reader) -> io.Request:
@@ -233,21 +236,21 @@
     )
 
 
-def _started(r: _Reader) -> io.Started:
+def _started(r: _Reader) -> io.StreamStarted:
     ref, attempt, server, lag = r.take("QBII")
-    return io.Started(ref, attempt, server, lag)
+    return io.StreamStarted(ref, attempt, server, lag)
 
 
-def _note(r: _Reader) -> io.PlaceNote:
+def _note(r: _Reader) -> io.ReservationResult:
     ref, attempt, server, what, _value = r.take("QBIBf")
-    return io.PlaceNote(ref, attempt, server, what == 1)
+    return io.ReservationResult(ref, attempt, server, what == 1)
 
 
-def _verdict(r: _Reader) -> io.Outcome:
+def _verdict(r: _Reader) -> io.AttemptEnded:
     ref, over, note, server, attempt, code, lag = r.take("QBIIBBI")
     status = _lookup(_STATUS, code, f"{r.what}: disposition")
-    kept = note if status in (io.Status.OK, io.Status.READ) else 0
-    return io.Outcome(
+    kept = note if status in (io.Status.OK, io.Status.PREFILLED) else 0
+    return io.AttemptEnded(
         ref,
         attempt,
         server,
@@ -255,19 +258,19 @@
         lag,
         bool(over),
         kept,
-        status is io.Status.FULL and note == 1,
+        status is io.Status.AT_CAPACITY and note == 1,
         r.floats(),
     )
 
 
-def _probed(r: _Reader) -> io.ProbeResult:
+def _probed(r: _Reader) -> io.HealthCheckResult:
     server, code, lag = r.take("IBI")
-    return io.ProbeResult(server, _lookup(_STATUS, code, f"{r.what}: disposition"), lag, r.floats())
+    return io.HealthCheckResult(server, _lookup(_STATUS, code, f"{r.what}: disposition"), lag, r.floats())
 
 
-def _peer(r: _Reader) -> io.PeerMessage:
+def _peer(r: _Reader) -> io.GossipReceived:
     (sender,) = r.take("H")
-    return io.PeerMessage(sender, r.blob("H"))
+    return io.GossipReceived(sender, r.blob("H"))
 
 
 _EVENTS: dict[int, tuple[str, Callable[[_Reader], object]]] = {
@@ -276,8 +279,8 @@
     258: ("KNOCK", _request),
     259: ("STARTED", _started),
     260: ("VERDICT", _verdict),
-    261: ("ABORTED", lambda r: io.ClientGone(r.take("Q")[0])),
-    262: ("DEADLINE_HIT", lambda r: io.Timer(r.take("Q")[0])),
+    261: ("ABORTED", lambda r: io.ClientDisconnected(r.take("Q")[0])),
+    262: ("DEADLINE_HIT", lambda r: io.TimerFired(r.take("Q")[0])),
     263: ("PING_RESULT", _probed),
     264: ("MEMO", _peer),
     265: ("HALT", lambda r: Halt()),
@@ -315,23 +318,26 @@
 
 
 _ACTIONS: dict[type, tuple[int, Callable[[Any], bytes]]] = {
-    io.SetTimer: (256, lambda a: struct.pack("<IQ", min(max(a.delay, 0), _MAX_U32), a.token)),
-    io.FetchFleet: (257, lambda a: b""),
-    io.TellPeers: (
+    io.SetTimer: (256, lambda a: struct.pack("<IQ", min(max(a.delay_us, 0), _MAX_U32), a.token)),
+    io.FetchEndpointList: (257, lambda a: b""),
+    io.SendGossip: (
         258,
         lambda a: struct.pack("<IH", _MAX_U32 if a.peer is None else a.peer, len(a.data)) + a.data,
     ),
-    io.HandBack: (259, lambda a: struct.pack("<Q", a.id)),
-    io.Fail: (260, lambda a: struct.pack("<Q", a.id)),
-    io.Cancel: (261, lambda a: struct.pack("<QB", a.id, a.attempt)),
+    io.MigrateStream: (259, lambda a: struct.pack("<Q", a.request_id)),
+    io.Fail: (260, lambda a: struct.pack("<Q", a.request_id)),
+    io.CancelAttempt: (261, lambda a: struct.pack("<QB", a.request_id, a.attempt)),
     io.Subscribe: (262, lambda a: struct.pack("<B", a.on)),
-    io.Probe: (263, lambda a: struct.pack("<I", a.server)),
-    io.Send: (265, lambda a: struct.pack("<QII", a.id, a.server, min(max(a.timeout, 0), _MAX_U32))),
-    io.CloseIdle: (266, lambda a: struct.pack("<I", a.server)),
-    io.HoldAhead: (267, lambda a: struct.pack("<QI", a.id, a.server)),
-    io.Release: (268, lambda a: struct.pack("<Q", a.id)),
-    io.Log: (269, lambda a: _text(a.text)),
-    io.Refuse: (270, lambda a: struct.pack("<QI", a.id, min(max(a.retry_after, 0), _MAX_U32))),
+    io.CheckHealth: (263, lambda a: struct.pack("<I", a.endpoint_id)),
+    io.SendAttempt: (
+        265,
+        lambda a: struct.pack("<QII", a.request_id, a.endpoint_id, min(max(a.timeout_us, 0), _MAX_U32)),
+    ),
+    io.CloseIdleConnections: (266, lambda a: struct.pack("<I", a.endpoint_id)),
+    io.ReserveCapacity: (267, lambda a: struct.pack("<QI", a.request_id, a.endpoint_id)),
+    io.Release: (268, lambda a: struct.pack("<Q", a.request_id)),
+    io.LogMessage: (269, lambda a: _text(a.text)),
+    io.Reject: (270, lambda a: struct.pack("<QI", a.request_id, min(max(a.retry_after_us, 0), _MAX_U32))),
 }
 
 
