--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -16,7 +16,7 @@
 
 import click
 
-from tuliptrack.decisions.bills import SERVED, Part, Price, fold
+from tuliptrack.decisions.billing import SERVED, TokenPrice, UsageRecord, fold
 from tuliptrack.store.ledger import Ledger
 from tuliptrack.store.ledger_reading import read_parts, verify
 from tuliptrack.structures.sketch import Sketch
@@ -40,7 +40,7 @@
         for start in range(0, parts, batch):
             for n in range(start, start + batch):
                 ledger.add(
-                    Part(
+                    UsageRecord(
                         "0123456789ab",
                         n,
                         f"tenant{n % 1000}",
@@ -51,7 +51,7 @@
                         0,
                         120,
                         SERVED,
-                        price=Price(2, 1, 10),
+                        price=TokenPrice(2, 1, 10),
                         request_class="question",
                     )
                 )
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -6,7 +6,13 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from tuliptrack.decisions.admission import LEAST_WAIT_US, MOST_WAIT_US, Admission, AdmissionLimits, ByteBudget
+from tuliptrack.decisions.concurrency_limit import (
+    LEAST_WAIT_US,
+    MOST_WAIT_US,
+    ByteBudget,
+    ConcurrencyLimiter,
+    ConcurrencyLimits,
+)
 
 WHO = st.tuples(st.sampled_from("abc"), st.integers(0, 3))
 
@@ -16,7 +22,7 @@
 def test_no_count_passes_its_limit_and_what_ends_gives_back_its_place(
     steps: list[tuple[str, int] | int],
 ) -> None:
-    admission, held, now = Admission(AdmissionLimits(8, 5, 3)), list[tuple[str, int]](), 0
+    admission, held, now = ConcurrencyLimiter(ConcurrencyLimits(8, 5, 3)), list[tuple[str, int]](), 0
     for step in steps:
         now += 1000
         if isinstance(step, int):
@@ -43,7 +49,10 @@
 
 
 def test_the_advice_follows_the_pace_at_which_places_come_free() -> None:
-    quick, slow = Admission(AdmissionLimits(100, 100, 100)), Admission(AdmissionLimits(100, 100, 100))
+    quick, slow = (
+        ConcurrencyLimiter(ConcurrencyLimits(100, 100, 100)),
+        ConcurrencyLimiter(ConcurrencyLimits(100, 100, 100)),
+    )
     for admission, gap in ((quick, 1_000), (slow, 50_000)):
         for _ in range(100):
             admission.enter("a", 1)
--- a/tests/decisions/test_bills.py
+++ b/tests/decisions/test_bills.py
@@ -9,21 +9,31 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from tuliptrack.decisions.bills import CUT, NOTHING, OPEN, SERVED, Part, Price, fold, later, totals
+from tuliptrack.decisions.billing import (
+    CUT,
+    NOTHING,
+    OPEN,
+    SERVED,
+    TokenPrice,
+    UsageRecord,
+    fold,
+    later,
+    totals,
+)
 from tuliptrack.structures.spans import Spans
 
-PRICE = Price(2, 1, 10)
+PRICE = TokenPrice(2, 1, 10)
 
 
 def part(
     node: str, number: int, first: int = 0, next_: int = 0, outcome: int = SERVED, at: int = 0, **more: object
-) -> Part:
-    return Part(node, number, "a", "w", at, 100, 40, first, next_, outcome, price=PRICE, **more)  # type: ignore[arg-type]
+) -> UsageRecord:
+    return UsageRecord(node, number, "a", "w", at, 100, 40, first, next_, outcome, price=PRICE, **more)  # type: ignore[arg-type]
 
 
 PARTS = st.lists(
     st.builds(
-        lambda node, number, work, at, first, size, outcome, price, lost: Part(
+        lambda node, number, work, at, first, size, outcome, price, lost: UsageRecord(
             f"n{node}",
             number,
             "ab"[work % 2],
@@ -36,7 +46,7 @@
             outcome,
             lost,
             lost,
-            Price(2, 1, price),
+            TokenPrice(2, 1, price),
         ),
         st.integers(0, 2),
         st.integers(0, 5),
@@ -54,14 +64,16 @@
 
 @examples(max_examples=300, deadline=None, derandomize=True)
 @given(PARTS, PARTS, st.randoms(use_true_random=False))
-def test_merging_is_a_union(ours: list[Part], theirs: list[Part], chance: random.Random) -> None:
+def test_merging_is_a_union(
+    ours: list[UsageRecord], theirs: list[UsageRecord], chance: random.Random
+) -> None:
     whole = fold([*ours, *theirs])
     mixed = [*ours, *theirs, *ours, *theirs[:3]]
     chance.shuffle(mixed)
     assert fold(mixed) == whole == fold([*theirs, *ours])
     for bill in whole:
         # No token of an answer is billed twice, and no more than any client can have got.
-        last: dict[tuple[str, int], Part] = {}
+        last: dict[tuple[str, int], UsageRecord] = {}
         for p in [*ours, *theirs]:
             last[p.name] = later(last[p.name], p) if p.name in last else p
         own = [p for p in last.values() if (p.tenant, p.work) == (bill.tenant, bill.work)]
@@ -96,17 +108,19 @@
     assert twice.amount == fold([part("n1", 1, 0, 20, at=1)])[0].amount
     assert fold([part("n1", 1, 0, 0, NOTHING, lost_read=100)])[0].amount == 0
     assert (
-        fold([Part("n1", 1, "b", "w", 0, 100, 0, 0, 5, SERVED, price=PRICE), part("n1", 2, 0, 5)])[1].tenant
+        fold([UsageRecord("n1", 1, "b", "w", 0, 100, 0, 0, 5, SERVED, price=PRICE), part("n1", 2, 0, 5)])[
+            1
+        ].tenant
         == "b"
     )  # the
     # same name of work at two tenants is two works
 
 
 def test_the_price_is_that_of_the_earliest_part_of_each_token() -> None:
-    dear = Price(0, 0, 100)
+    dear = TokenPrice(0, 0, 100)
     early, late = (
         part("n1", 1, 0, 10, CUT, at=1),
-        Part("n2", 1, "a", "w", 9, 100, 0, 5, 20, SERVED, price=dear),
+        UsageRecord("n2", 1, "a", "w", 9, 100, 0, 5, 20, SERVED, price=dear),
     )
     assert fold([late, early])[0].amount == 60 * 2 + 40 + 10 * 10 + 10 * 100
 
@@ -116,7 +130,7 @@
     assert fold(states)[0].written == 9 and not fold(states)[0].whole
     assert fold([*states, part("n1", 1, 0, 12, SERVED)])[0].written == 12
     sums = totals(
-        fold([*states, Part("n1", 2, "a", "other", 86_400_000_000, 10, 0, 0, 1, SERVED, price=PRICE)])
+        fold([*states, UsageRecord("n1", 2, "a", "other", 86_400_000_000, 10, 0, 0, 1, SERVED, price=PRICE)])
     )
     assert [(key, total.works, total.written) for key, total in sorted(sums.items())] == [
         (("a", 0), 1, 9),
--- a/tests/decisions/test_budgets.py
+++ b/tests/decisions/test_budgets.py
@@ -11,12 +11,20 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from tuliptrack.decisions.budgets import LEND_US, Budgets, BudgetSettings, Verdict, Window
+from tuliptrack.decisions.token_budget import (
+    LEND_US,
+    BudgetVerdict,
+    BudgetWindow,
+    TokenBudgets,
+    TokenBudgetSettings,
+)
 
 S, DAY = 1_000_000, 86_400_000_000
 
 
-def budgets(windows: Mapping[str, tuple[Window, ...]], now: int = 100 * S, **more: object) -> Budgets:
+def budgets(
+    windows: Mapping[str, tuple[BudgetWindow, ...]], now: int = 100 * S, **more: object
+) -> TokenBudgets:
     made: dict[str, object] = {
         "replicas": 1,
         "windows": windows,
@@ -26,12 +34,18 @@
         "lend": False,
         **more,
     }
-    return Budgets(BudgetSettings(**made), now)  # type: ignore[arg-type]
+    return TokenBudgets(TokenBudgetSettings(**made), now)  # type: ignore[arg-type]
 
 
 def let_in(
-    one: Budgets, now: int, request: int, tenant: str = "a", prompt: int = 100, most: int = 200, cls: int = 0
-) -> Verdict:
+    one: TokenBudgets,
+    now: int,
+    request: int,
+    tenant: str = "a",
+    prompt: int = 100,
+    most: int = 200,
+    cls: int = 0,
+) -> BudgetVerdict:
     verdict = one.ask(now, tenant, cls, prompt, 0, most)
     if not verdict.over:
         one.take(now, request, tenant, cls, prompt, verdict)
@@ -52,7 +66,7 @@
 ) -> None:
     """Whatever is asked where; with lending, tenants together stay within what theirs add up to, moved by
     LEND_US."""
-    window = Window(S, units, units // turns)
+    window = BudgetWindow(S, units, units // turns)
     nodes = [
         budgets({"a": (window,), "b": (window,)}, replicas=replicas, slot=slot, lend=lend)
         for slot in range(replicas)
@@ -84,7 +98,7 @@
 
 
 def test_every_window_must_have_room_and_the_time_of_return_is_true() -> None:
-    one = budgets({"a": (Window(S, 1000, 100), Window(60 * S, 3000, 300))})
+    one = budgets({"a": (BudgetWindow(S, 1000, 100), BudgetWindow(60 * S, 3000, 300))})
     now, number = 100 * S + 60 * S, 0
     assert one.ask(now, "a", 0, 100, 0, 0).over is False
     while not (verdict := let_in(one, now, number, prompt=300, most=0)).over:
@@ -105,7 +119,7 @@
 
 
 def test_a_tenant_with_less_than_a_request_for_each_node_gets_its_turns() -> None:
-    window = Window(S, 2000, 1000)  # two requests a second, at 190 nodes
+    window = BudgetWindow(S, 2000, 1000)  # two requests a second, at 190 nodes
     nodes = [budgets({"a": (window,)}, replicas=190, slot=slot) for slot in range(190)]
     served = [0] * 190
     for step in range(0, 190 * S, 100_000):
@@ -117,7 +131,7 @@
 
 
 def test_an_estimate_is_learnt_by_class_and_tenant_and_a_tenant_poisons_only_its_own() -> None:
-    one = budgets({"a": (Window(S, 10**9),), "b": (Window(S, 10**9),)})
+    one = budgets({"a": (BudgetWindow(S, 10**9),), "b": (BudgetWindow(S, 10**9),)})
     assert one.estimate("a", 0, 1000) == 500
     chance = random.Random(1)
     for n in range(200):
@@ -136,7 +150,7 @@
 
 
 def test_what_was_written_beyond_the_estimate_is_paid_from_turns_to_come() -> None:
-    one = budgets({"a": (Window(S, 1000, 100),)})
+    one = budgets({"a": (BudgetWindow(S, 1000, 100),)})
     now = 102 * S
     let_in(one, now, 1, prompt=100, most=200)  # thought to be 100 + 100
     one.settle(now, 1, 0, 900, True)
@@ -148,7 +162,7 @@
 
 def test_idle_budget_is_lent_and_the_owner_finds_its_own_untouched() -> None:
     def served(lend: bool, owner_busy: bool) -> tuple[int, int]:
-        windows = {"a": (Window(S, 1000, 100),), "b": (Window(S, 1000, 100),)}
+        windows = {"a": (BudgetWindow(S, 1000, 100),), "b": (BudgetWindow(S, 1000, 100),)}
         one, counts = budgets(windows, lend=lend), [0, 0]
         for n in range(4000):
             now = 101 * S + n * 5_000
@@ -166,7 +180,7 @@
 
 
 def test_a_day_is_counted_by_the_calendar_over_restarts_and_clocks_that_step_back() -> None:
-    day = {"a": (Window(DAY, 40_000),)}
+    day = {"a": (BudgetWindow(DAY, 40_000),)}
     one = budgets(day, replicas=8, spread=4.0)
     for n in range(20):  # its part: half, since its traffic may meet every second node only
         assert not let_in(one, 100 * S, n, prompt=1000, most=0).over
@@ -187,4 +201,4 @@
 def test_windows_that_mean_nothing_are_turned_down() -> None:
     for wrong in ((0, 1, 0), (1, 0, 0), (1, 1, 2)):
         with pytest.raises(ValueError, match="window"):
-            Window(*wrong)
+            BudgetWindow(*wrong)
--- a/tests/decisions/test_models.py
+++ b/tests/decisions/test_models.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from tuliptrack.decisions.models import MOST_MODELS, Catalog, Model, NotServed
+from tuliptrack.decisions.model_catalog import MAX_MODELS, Model, ModelCatalog, NotServedError
 from tuliptrack.interface import (
     EndpointInfo,
     EndpointListUpdate,
@@ -37,18 +37,19 @@
     return EndpointListUpdate(kind, 1, servers), {i: m for i, (_, m) in labels.items()}
 
 
-def catalog(labels: dict[int, tuple[int, Model]] = FLEET) -> Catalog:
-    made = Catalog(ROLES)
+def catalog(labels: dict[int, tuple[int, Model]] = FLEET) -> ModelCatalog:
+    made = ModelCatalog(ROLES)
     made.split(*change(labels))
     return made
 
 
 def test_each_router_hears_of_its_own_engines_and_of_its_part_of_the_quotas() -> None:
-    found = Catalog(ROLES).split(*change(FLEET))
+    found = ModelCatalog(ROLES).split(*change(FLEET))
     assert {m: [s.id for s in c.endpoints] for m, c in found.items()} == {A: [1, 2], B: [3, 4], B2: [5, 6]}
     assert all(c.quota_share == pytest.approx(1 / 3) for c in found.values())
     assert (
-        Catalog(ROLES).split(*change({1: (READ, Model()), 2: (WRITE, Model())}))[Model()].quota_share == 1.0
+        ModelCatalog(ROLES).split(*change({1: (READ, Model()), 2: (WRITE, Model())}))[Model()].quota_share
+        == 1.0
     )
 
 
@@ -65,16 +66,16 @@
 def test_what_cant_be_served_is_told_by_field_and_whether_it_may_come_back() -> None:
     made = catalog()
     for name, version, field in (("", "", "model"), ("z", "", "model"), ("b", "9", "model_version")):
-        with pytest.raises(NotServed) as caught:
+        with pytest.raises(NotServedError) as caught:
             made.choose(name, version, "s")
         assert (caught.value.field, caught.value.known) == (field, False)
     made.split(*change({2: (WRITE, A)}, UpdateKind.DELTA, EndpointState.DRAINING))
-    with pytest.raises(NotServed) as caught:
+    with pytest.raises(NotServedError) as caught:
         made.choose("a", "", "s")
     assert caught.value.known
     assert catalog({1: (READ, A), 2: (WRITE, A)}).choose("", "", "s") == A  # the only one need not be named
     assert catalog({1: (READ, Model()), 2: (WRITE, Model())}).choose("any", "", "s") == Model()
-    assert Catalog(ROLES).choose("any", "", "s") == Model()  # before the first list
+    assert ModelCatalog(ROLES).choose("any", "", "s") == Model()  # before the first list
 
 
 def test_a_rollout_moves_as_many_sessions_as_there_are_engines_and_each_once() -> None:
@@ -92,16 +93,16 @@
 
 
 def test_models_past_the_bound_are_left_out_and_told_and_come_in_when_there_is_room() -> None:
-    labels = {n: (READ, Model(f"m{n}")) for n in range(1, MOST_MODELS + 4)}
+    labels = {n: (READ, Model(f"m{n}")) for n in range(1, MAX_MODELS + 4)}
     made = catalog(labels)
-    assert len(made.listed()) == MOST_MODELS and made.left_out == {
-        MOST_MODELS + 1,
-        MOST_MODELS + 2,
-        MOST_MODELS + 3,
+    assert len(made.listed()) == MAX_MODELS and made.left_out == {
+        MAX_MODELS + 1,
+        MAX_MODELS + 2,
+        MAX_MODELS + 3,
     }
     del labels[1]
     made.split(*change(labels))
-    assert len(made.listed()) == MOST_MODELS and len(made.left_out) == 2
+    assert len(made.listed()) == MAX_MODELS and len(made.left_out) == 2
 
 
 STEP = st.tuples(
@@ -124,7 +125,7 @@
 def test_over_any_changes_each_engine_is_ready_at_the_router_of_its_label_and_at_no_other(
     steps: list[tuple[UpdateKind, list[tuple[int, int, Model, EndpointState]]]],
 ) -> None:
-    made, seen = Catalog(ROLES), dict[Model, dict[int, EndpointState]]()
+    made, seen = ModelCatalog(ROLES), dict[Model, dict[int, EndpointState]]()
     wanted: dict[int, tuple[Model, EndpointState]] = {}
     for kind, entries in steps:
         servers = tuple(EndpointInfo(i, k, state) for i, k, _, state in entries)
--- a/tests/decisions/test_register.py
+++ b/tests/decisions/test_register.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from tuliptrack.decisions import register
-from tuliptrack.decisions.register import Acceptor, Mark, Proposer, epoch_after
+from tuliptrack.decisions import consensus
+from tuliptrack.decisions.consensus import Acceptor, Ballot, Proposer, epoch_after
 
 AGENTS = ("a", "b", "c")
 
@@ -22,7 +22,7 @@
     controllers: list[Proposer]
     agents: dict[str, Acceptor]
     wires: list[tuple[object, ...]] = field(default_factory=list)
-    settled: list[tuple[Mark, bytes]] = field(default_factory=list)
+    settled: list[tuple[Ballot, bytes]] = field(default_factory=list)
     wrote: int = 0
 
     def claim(self, i: int) -> None:
@@ -117,7 +117,7 @@
         monkeypatch.setattr(Acceptor, "promise", promise)
     elif broken == "accept":
 
-        def accept(self: Acceptor, mark: Mark, value: bytes) -> bool:
+        def accept(self: Acceptor, mark: Ballot, value: bytes) -> bool:
             self.mark, self.value = mark, value
             return True
 
@@ -125,7 +125,7 @@
     elif broken == "adopt":
         adopting = Proposer.promised
 
-        def promised(self: Proposer, agent: str, epoch: int, mark: Mark, value: bytes) -> bool:
+        def promised(self: Proposer, agent: str, epoch: int, mark: Ballot, value: bytes) -> bool:
             return adopting(self, agent, epoch, (0, 0), b"")
 
         monkeypatch.setattr(Proposer, "promised", promised)
@@ -151,8 +151,8 @@
         p.write(b"x")
     assert [p.promised(a, epoch, (0, 0), b"") for a in AGENTS] == [False, True, False]
     with pytest.raises(ValueError, match="bytes"):
-        p.write(b"x" * (register.MOST_BYTES + 1))
-    assert not Acceptor().accept((epoch, 9), b"x" * (register.MOST_BYTES + 1))
+        p.write(b"x" * (consensus.MOST_BYTES + 1))
+    assert not Acceptor().accept((epoch, 9), b"x" * (consensus.MOST_BYTES + 1))
 
 
 def test_a_lost_answer_is_given_again_and_an_older_order_is_not() -> None:
--- a/tests/decisions/test_zones.py
+++ b/tests/decisions/test_zones.py
@@ -12,15 +12,15 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from tuliptrack.decisions.zones import (
+from tuliptrack.decisions.cross_zone_budget import (
     DARK_US,
     FORGET_US,
     PRICE_EMPTY,
     PRICE_FULL,
     RETURN_FROM,
     RETURN_US,
-    Crossings,
-    Returns,
+    CrossZoneBudgets,
+    ZoneRecovery,
 )
 from tuliptrack.interface import (
     Action,
@@ -45,8 +45,8 @@
 )
 
 
-def crossings(replicas: int, slot: int, budget: ZoneBudget, offset: int = 0) -> Crossings:
-    return Crossings(
+def crossings(replicas: int, slot: int, budget: ZoneBudget, offset: int = 0) -> CrossZoneBudgets:
+    return CrossZoneBudgets(
         settings(replicas=replicas, replica_index=slot, zone_budgets=(budget,), epoch_offset_us=offset)
     )
 
@@ -119,7 +119,7 @@
     each = part * budget.bytes_per_s / 100
     offsets = [10**16 + skew * slot for slot in range(replicas)]
     nodes = [
-        Crossings(
+        CrossZoneBudgets(
             settings(
                 replicas=replicas,
                 replica_index=slot,
@@ -154,7 +154,7 @@
     for part in (0.0, 1.0):
         budget = ZoneBudget(1_000_000.0, 5_000_000.0, 50_000.0, by_traffic=part)
         nodes = [
-            Crossings(
+            CrossZoneBudgets(
                 settings(
                     replicas=20,
                     replica_index=slot,
@@ -225,7 +225,7 @@
 
 def test_a_class_is_counted_by_its_own_budget_and_others_by_that_for_all() -> None:
     own, rest = ZoneBudget(1e6, 1e5, 1e4, frozenset({1})), ZoneBudget(1e6, 2e5, 1e4)
-    node = Crossings(settings(zone_budgets=(own, rest)))
+    node = CrossZoneBudgets(settings(zone_budgets=(own, rest)))
     assert node.purse(1) is node.purses[0] and node.purse(0) is node.purses[1]
     with pytest.raises(ValueError, match="quantum"):
         ZoneBudget(1.0, 5.0, 6.0)
@@ -402,7 +402,7 @@
 
 
 def test_a_zone_that_was_dark_takes_its_traffic_back_by_parts_and_the_same_sessions_everywhere() -> None:
-    returns, key = Returns(), (1, Role.PREFILL)
+    returns, key = ZoneRecovery(), (1, Role.PREFILL)
     assert returns.note(0, [key] * 4 + [(2, Role.PREFILL)]) == []
     assert returns.note(1 * S, [key] * 2 + [(2, Role.PREFILL)]) == []  # half is left: not dark
     assert returns.note(2 * S, [(2, Role.PREFILL)]) == [(1, "prefill servers dark")]
--- a/tests/fronts/test_kserve.py
+++ b/tests/fronts/test_kserve.py
@@ -487,7 +487,7 @@
             assert status == 408 and "0.7 s" in got["error"]
             await until(lambda: w.node.bodies.held == 0)
             deaf.generate("q1 what?", stream=True)
-            await until(lambda: any(record.paused_at for record in w.node.table.open.values()))
+            await until(lambda: any(record.paused_at_us for record in w.node.table.open.values()))
             async with rest(w) as other:
                 other.generate("q2 what?", max_tokens=20)
                 assert (await other.answer())[1]["completion_tokens"] == 20
--- a/tests/fronts/test_tensors.py
+++ b/tests/fronts/test_tensors.py
@@ -24,7 +24,7 @@
     from_raw,
     to_raw,
 )
-from tuliptrack.fronts.port import AskError
+from tuliptrack.fronts.port import InvalidRequestError
 from tuliptrack.proto import kserve_pb2 as pb
 
 SHAPES = st.lists(st.integers(0, 4), max_size=3)
@@ -126,7 +126,7 @@
     ):
         try:
             act()
-        except AskError as error:
+        except InvalidRequestError as error:
             assert error.field
 
 
@@ -139,7 +139,7 @@
         return
     try:
         grpc_infer(message)
-    except AskError as error:
+    except InvalidRequestError as error:
         assert error.field
 
 
@@ -162,6 +162,6 @@
         (body, str(len(body) + 1), "Inference-Header"),
         (body, "-1", "Inference-Header"),
     ):
-        with pytest.raises(AskError) as caught:
+        with pytest.raises(InvalidRequestError) as caught:
             rest_infer("m", "1", wrong, header)
         assert caught.value.field.startswith(field)
--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -25,14 +25,14 @@
 )
 
 from tuliptrack import interface as io
-from tuliptrack.decisions.admission import AdmissionLimits
-from tuliptrack.fronts.port import Ask, Failure, Finish
+from tuliptrack.decisions.concurrency_limit import ConcurrencyLimits
+from tuliptrack.fronts.port import ClientRequest, Failure, FinishReason
 from tuliptrack.node import core as core_module
 from tuliptrack.node.attempt_state import Delivery, may_have_run
 from tuliptrack.node.core import Core
-from tuliptrack.node.port import Ended
+from tuliptrack.node.port import AttemptResult
 from tuliptrack.node.request_reader import CoreLimits
-from tuliptrack.node.requests import Attempt, Held, Record
+from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
 
 US = 1_000_000
 SLACK_US = 300_000  # what the platform allows past the settings' time for a held state
@@ -80,7 +80,7 @@
     """An attempt that is out, as the core's `Call`."""
 
     engines: Engines
-    record: Record
+    record: RequestRecord
     attempt: Attempt
     sent_at: int = 0
     """When its last byte was written; 0: it was not."""
@@ -91,11 +91,15 @@
 
     def cancel(self, status: io.Status) -> None:
         if self.sent_at:
-            self.end(Ended(status, "given up"))
+            self.end(AttemptResult(status, "given up"))
         else:
             late = status is io.Status.TIMEOUT
             self.end(
-                Ended(io.Status.CONNECT_FAILED if late else io.Status.ABANDONED, "never sent", lone=late)
+                AttemptResult(
+                    io.Status.CONNECT_FAILED if late else io.Status.ABANDONED,
+                    "never sent",
+                    is_connection_only=late,
+                )
             )
 
     def delivery(self) -> Delivery:
@@ -104,15 +108,15 @@
             return Delivery.NOT_SENT
         return Delivery.CONFIRMED if self.streams else Delivery.POSSIBLE
 
-    def seek_arrival(self) -> None: ...
+    def confirm_arrival(self) -> None: ...
 
-    def doubt(self) -> None: ...
+    def mark_doubtful(self) -> None: ...
 
     def pause(self) -> None: ...
 
     def resume(self) -> None: ...
 
-    def end(self, ended: Ended) -> None:
+    def end(self, ended: AttemptResult) -> None:
         """Once; the engines' truth first."""
         if not self.over:
             self.over = True
@@ -152,7 +156,7 @@
     def served(self) -> None:
         self.ends.append("served")
 
-    def refused(self, reason: str, retry_after: int) -> None:
+    def rejected(self, reason: str, retry_after: int) -> None:
         self.ends.append("refused")
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
@@ -162,9 +166,9 @@
 class Engines:
     """The core's `Engines`, and what is true of them."""
 
-    reads_have_no_effect = False
-    one_release_for_all = True
-    release_travel = 0
+    prefills_have_no_effect = False
+    releases_are_global = True
+    release_transit_us = 0
 
     def __init__(self, core: Core) -> None:
         self.core = core
@@ -176,37 +180,37 @@
     def now(self) -> int:
         return self.core.now()
 
-    def reaches(self, server: int) -> bool:
+    def is_reachable(self, server: int) -> bool:
         return True
 
-    def begin(self, record: Record, attempt: Attempt, timeout: int) -> Call:
+    def start(self, record: RequestRecord, attempt: Attempt, timeout: int) -> Call:
         assert not any(call.record is record and not call.over for call in self.calls), (
             "rule 2: two attempts at once"
         )
-        assert timeout <= max(record.due - self.now, 1), "an attempt outlives its client's deadline"
+        assert timeout <= max(record.deadline_us - self.now, 1), "an attempt outlives its client's deadline"
         call = Call(self, record, attempt)
         self.calls.append(call)
         left = self.core.settings.connect_timeout_us
-        if attempt.connect_by:
-            left = min(left, max(attempt.connect_by - self.now, 0))
+        if attempt.connect_by_us:
+            left = min(left, max(attempt.connect_by_us - self.now, 0))
         asyncio.get_running_loop().call_later(left / US, self.never_connected, call)
         return call
 
     def never_connected(self, call: Call) -> None:
         if not call.sent_at:
-            call.end(Ended(io.Status.CONNECT_FAILED, "connect", lone=True))
+            call.end(AttemptResult(io.Status.CONNECT_FAILED, "connect", is_connection_only=True))
 
     def send(self, call: Call, reached: bool) -> None:
         """Its connection is up: it is written, unless it isn't wanted any more."""
         if call.over or call.sent_at:
             return
-        if not self.core.wanted(call.record, call.attempt.server):
-            call.end(Ended(io.Status.CONNECT_FAILED, "not wanted", lone=True))
+        if not self.core.wanted(call.record, call.attempt.endpoint_id):
+            call.end(AttemptResult(io.Status.CONNECT_FAILED, "not wanted", is_connection_only=True))
             return
         life = self.lives[call.record.id]
         assert not life.left_at, "sent for a client that has gone"
         assert not life.answer.ends, "rule 1: sent after the end"
-        assert call.attempt.server not in self.draining_since, "rule 3: sent to a server that drains"
+        assert call.attempt.endpoint_id not in self.draining_since, "rule 3: sent to a server that drains"
         if life.ran_at and life.effect is not io.Idempotency.IDEMPOTENT:
             assert life.effect is io.Idempotency.WITH_KEY, "rule 2: sent again though it may have run"
             window = self.core.settings.classes[0].deduplication_window_us
@@ -215,13 +219,13 @@
         if reached:
             life.held_since = 0
 
-    def ended(self, call: Call, ended: Ended) -> None:
+    def ended(self, call: Call, ended: AttemptResult) -> None:
         """The truth after an attempt."""
         life = self.lives[call.record.id]
         if life.holds and call.reached and not call.streams:
             life.held_since = self.now
         proven = ended.status in (io.Status.CONNECT_FAILED, io.Status.ABANDONED, io.Status.AT_CAPACITY)
-        may_run = ended.status is io.Status.TIMEOUT if call.attempt.reading else not proven
+        may_run = ended.status is io.Status.TIMEOUT if call.attempt.is_prefill else not proven
         if call.sent_at and may_run and not life.ran_at:
             life.ran_at = call.sent_at
 
@@ -233,7 +237,7 @@
     def waits(self, request: int) -> bool:
         """Whether an attempt at a writer waits for the request's state."""
         return any(
-            not call.over and call.reached and not call.attempt.reading
+            not call.over and call.reached and not call.attempt.is_prefill
             for call in self.calls
             if call.record.id == request
         )
@@ -243,21 +247,21 @@
         if not self.waits(request):
             life.holds, life.held_since = False, 0
 
-    def release(self, server: int, record: Record, unsure: bool = False) -> None:
+    def release(self, server: int, record: RequestRecord, unsure: bool = False) -> None:
         self.let_go(record.id)
         if unsure:
             after = self.core.settings.release_within_us / 2 / US
             asyncio.get_running_loop().call_later(after, self.let_go, record.id)
 
-    def release_late(self, server: int, record: Record) -> None: ...
+    def release_later(self, server: int, record: RequestRecord) -> None: ...
 
-    def cancel_release(self, record: Record) -> None: ...
+    def cancel_release(self, record: RequestRecord) -> None: ...
 
-    def hold(self, server: int, record: Record, attempt: Attempt) -> None: ...
+    def reserve(self, server: int, record: RequestRecord, attempt: Attempt) -> None: ...
 
-    def probe(self, server: int, done: Callable[[io.HealthCheckResult], None]) -> None: ...
+    def check_health(self, server: int, done: Callable[[io.HealthCheckResult], None]) -> None: ...
 
-    def close_idle(self, server: int) -> None: ...
+    def close_idle_connections(self, server: int) -> None: ...
 
 
 class Source:
@@ -303,7 +307,7 @@
             7,
             "n",
             CoreLimits(answer_ahead=20_000),
-            AdmissionLimits(64, 64, 64),
+            ConcurrencyLimits(64, 64, 64),
         )
         self.engines = Engines(self.core)
         self.core.engines, self.core.source = self.engines, Source()
@@ -335,7 +339,7 @@
         if "reached" in wanted:
             calls = [call for call in calls if call.reached is wanted["reached"]]
         if "reading" in wanted:
-            calls = [call for call in calls if call.attempt.reading is wanted["reading"]]
+            calls = [call for call in calls if call.attempt.is_prefill is wanted["reading"]]
         return calls
 
     def waiting(self) -> list[int]:
@@ -349,7 +353,7 @@
             number = self.core.table._next
             life = Life(answer, self.core.settings.classes[0].idempotency, now + budget)
             self.engines.lives[number] = life
-            ask = Ask(
+            ask = ClientRequest(
                 "plain",
                 "prompt",
                 "a",
@@ -358,9 +362,9 @@
                 1_000,
                 800,
                 200,
-                first_by=now + budget,
+                first_token_deadline_us=now + budget,
                 payload=object(),
-                left=lambda: bool(life.left_at),
+                is_disconnected=lambda: bool(life.left_at),
             )
             self.tickets[number] = self.core.submit(ask, answer)
 
@@ -397,7 +401,7 @@
                 self.time_passes(0.21)
             self.do(self.engines.send, call, True)
             if breaks:
-                self.do(call.end, Ended(io.Status.RESET, "failed"))
+                self.do(call.end, AttemptResult(io.Status.RESET, "failed"))
 
     @precondition(lambda self: self.waiting())
     @rule(number=st.integers(0, 9), unread=st.booleans())
@@ -406,7 +410,7 @@
         request = self.one(number, self.waiting())
         self.engines.lives[request].left_at = self.core.now()
         if not unread:
-            self.do(self.tickets[request].gone, "left")
+            self.do(self.tickets[request].disconnected, "left")
 
     @precondition(lambda self: self.engines.lives)
     @rule(number=st.integers(0, 9))
@@ -415,12 +419,15 @@
         request = self.one(number, list(self.engines.lives))
         life = self.engines.lives[request]
         if life.left_at:
-            self.do(self.tickets[request].gone, "left once more")
+            self.do(self.tickets[request].disconnected, "left once more")
         for call in self.engines.calls:
             if call.over and call.record.id == request:
                 self.do(call.cancel, io.Status.CANCELLED)
                 self.do(
-                    self.core.attempt_over, call.record, call.attempt, Ended(io.Status.RESET, "once more")
+                    self.core.attempt_over,
+                    call.record,
+                    call.attempt,
+                    AttemptResult(io.Status.RESET, "once more"),
                 )
         if life.answer.ends or life.left_at:
             self.do(self.core._release, io.Release(request))
@@ -440,7 +447,9 @@
     @precondition(lambda self: self.out(sent=False))
     @rule(number=st.integers(0, 9))
     def a_connection_is_refused(self, number: int) -> None:
-        self.do(self.one(number, self.out(sent=False)).end, Ended(io.Status.CONNECT_FAILED, "refused"))
+        self.do(
+            self.one(number, self.out(sent=False)).end, AttemptResult(io.Status.CONNECT_FAILED, "refused")
+        )
 
     @precondition(lambda self: self.out(reached=True, reading=True))
     @rule(number=st.integers(0, 9), broke=st.booleans())
@@ -452,10 +461,12 @@
         def end() -> None:
             self.engines.hold_state(call)
             if broke:
-                call.end(Ended(io.Status.RESET, "broke as it ended"))
+                call.end(AttemptResult(io.Status.RESET, "broke as it ended"))
             else:
-                self.core.read(call.record, call.attempt, Held(call.attempt.server, "", ""), 0)
-                call.end(Ended(io.Status.OK, received=True))
+                self.core.read(
+                    call.record, call.attempt, KvStateLocation(call.attempt.endpoint_id, "", ""), 0
+                )
+                call.end(AttemptResult(io.Status.OK, is_confirmed=True))
 
         self.do(end)
 
@@ -471,10 +482,10 @@
             return
         if status is not io.Status.RESET and not call.reached:
             return
-        lost = gone and status is io.Status.AT_CAPACITY and not call.attempt.reading
+        lost = gone and status is io.Status.AT_CAPACITY and not call.attempt.is_prefill
         if lost:
             self.engines.lives[call.record.id].holds = False  # Its word is right.
-        self.do(call.end, Ended(status, "failed", lost, received=status is not io.Status.RESET))
+        self.do(call.end, AttemptResult(status, "failed", lost, is_confirmed=status is not io.Status.RESET))
 
     @precondition(lambda self: self.out(reached=True, reading=False))
     @rule(number=st.integers(0, 9), last=st.booleans())
@@ -488,8 +499,8 @@
             if self.core.answers(call.record, call.attempt):
                 life.answer.events()
             if last and not call.over:
-                call.record.finish = Finish.STOP
-                call.end(Ended(io.Status.OK, received=True))
+                call.record.finish_reason = FinishReason.STOP
+                call.end(AttemptResult(io.Status.OK, is_confirmed=True))
 
         self.do(go)
 
@@ -583,8 +594,8 @@
     """The fault of the incident: bytes that were written stop the lease."""
     overdue = core.states.overdue
 
-    def unless_written(record: Record) -> None:
-        if not (record.out and record.out.call and may_have_run(record.out.call.delivery())):
+    def unless_written(record: RequestRecord) -> None:
+        if not (record.attempt and record.attempt.call and may_have_run(record.attempt.call.delivery())):
             overdue(record)
 
     core.states.overdue = unless_written  # type: ignore[method-assign]
@@ -602,7 +613,7 @@
 def reads_break_unseen(core: Core) -> None:
     release = core.engines.release
 
-    def sure_only(server: int, record: Record, unsure: bool = False) -> None:
+    def sure_only(server: int, record: RequestRecord, unsure: bool = False) -> None:
         if not unsure:
             release(server, record)
 
@@ -612,7 +623,7 @@
 def leavers_untold(core: Core) -> None:
     core.client_gone = lambda record, reason: None  # type: ignore[method-assign]
     submit = core.submit
-    core.submit = lambda ask, answer: submit(replace(ask, left=lambda: False), answer)  # type: ignore[method-assign]
+    core.submit = lambda ask, answer: submit(replace(ask, is_disconnected=lambda: False), answer)  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize(
--- a/tests/node/test_held_states.py
+++ b/tests/node/test_held_states.py
@@ -12,9 +12,9 @@
 from tuliptrack.interface import Status
 from tuliptrack.node.attempt_state import Delivery
 from tuliptrack.node.counters import Counters, RequestTrace
-from tuliptrack.node.held_states import HeldStates
-from tuliptrack.node.port import Ended, Engines
-from tuliptrack.node.requests import Attempt, Held, Record
+from tuliptrack.node.kv_state_leases import KvStateLeases
+from tuliptrack.node.port import AttemptResult, EngineClient
+from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
 from tuliptrack.rpc.clock import now_us
 
 WITHIN_US = 300_000
@@ -28,39 +28,39 @@
     def delivery(self) -> Delivery:
         return Delivery.CORROBORATED
 
-    def seek_arrival(self) -> None: ...
+    def confirm_arrival(self) -> None: ...
 
-    def doubt(self) -> None: ...
+    def mark_doubtful(self) -> None: ...
 
 
 class Releases:
     """Engines that note what is let go."""
 
-    release_travel = 0
-    one_release_for_all = True
+    release_transit_us = 0
+    releases_are_global = True
 
     def __init__(self) -> None:
         self.released_at: list[int] = []
 
-    def release(self, server: int, record: Record, unsure: bool = False) -> None:
+    def release(self, server: int, record: RequestRecord, unsure: bool = False) -> None:
         self.released_at.append(now_us())
 
-    def cancel_release(self, record: Record) -> None: ...
+    def cancel_release(self, record: RequestRecord) -> None: ...
 
 
-def open_request() -> Record:
+def open_request() -> RequestRecord:
     made: Any = SimpleNamespace(
-        held=None,
-        maybe_held=None,
-        held_at=0,
-        hold_timer=None,
-        release_asked=False,
-        release_may_cross=False,
-        out=None,
-        unheard=set(),
+        kv_state=None,
+        possible_kv_state_at=None,
+        lease_began_at_us=0,
+        lease_timer=None,
+        was_release_sent=False,
+        needs_second_release=False,
+        attempt=None,
+        unconfirmed_endpoints=set(),
         trace=RequestTrace(now_us()),
     )
-    return cast(Record, made)
+    return cast(RequestRecord, made)
 
 
 @pytest.mark.parametrize(
@@ -74,19 +74,21 @@
 
     async def go() -> None:
         engines = Releases()
-        states = HeldStates(WITHIN_US, lambda: cast(Engines, engines), now_us, Counters())
+        states = KvStateLeases(WITHIN_US, lambda: cast(EngineClient, engines), now_us, Counters())
         record = open_request()
         if reading:
-            record.maybe_held = 1
+            record.possible_kv_state_at = 1
             states.restart(record)
         else:
-            states.hold(record, Held(1, "", ""))
-        attempt = Attempt(1, 2, now_us(), call=cast(Any, Call()), reading=reading, reader=0 if reading else 1)
-        record.out = attempt
+            states.hold(record, KvStateLocation(1, "", ""))
+        attempt = Attempt(
+            1, 2, now_us(), call=cast(Any, Call()), is_prefill=reading, state_endpoint_id=0 if reading else 1
+        )
+        record.attempt = attempt
         await asyncio.sleep(2 * WITHIN_S)
         assert not engines.released_at, "it is out at its engine"
-        record.out, ended_at = None, now_us()
-        ended = Ended(status, arrived=True)
+        record.attempt, ended_at = None, now_us()
+        ended = AttemptResult(status, is_corroborated=True)
         states.attempt_ended(record, attempt, ended)
         if not reading:
             states.lost_with(record, attempt, ended)
--- a/tests/node/test_zone_account.py
+++ b/tests/node/test_zone_account.py
@@ -11,17 +11,17 @@
 
 from tuliptrack.cli.report import read_rows
 from tuliptrack.interface import CrossZoneCause
-from tuliptrack.node import zones
-from tuliptrack.node.zones import Move, ZoneAccount
+from tuliptrack.node import cross_zone_account
+from tuliptrack.node.cross_zone_account import CrossZoneAccount, Transfer
 
 
-def account(path: Path) -> ZoneAccount:
-    return ZoneAccount(("north", "south"), str(path), 1 << 20, 0)
+def account(path: Path) -> CrossZoneAccount:
+    return CrossZoneAccount(("north", "south"), str(path), 1 << 20, 0)
 
 
-def moved(books: ZoneAccount, size: int, cls: str = "question") -> None:
+def moved(books: CrossZoneAccount, size: int, cls: str = "question") -> None:
     books.take(
-        Move(cls, "a", "prompt", 0, 1, CrossZoneCause.BUDGET, lambda: size, tokens=size / 4)
+        Transfer(cls, "a", "prompt", 0, 1, CrossZoneCause.BUDGET, lambda: size, tokens=size / 4)
     ).over = True
 
 
@@ -66,7 +66,7 @@
 
 
 def test_what_waits_to_be_written_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(zones, "MOST_KEYS", 3)
+    monkeypatch.setattr(cross_zone_account, "MOST_KEYS", 3)
     books = account(tmp_path / "no folder" / "report")
     for number in range(6):
         moved(books, 10, f"class-{number}")
@@ -78,7 +78,7 @@
 def test_what_comes_after_a_call_has_ended_is_counted_however_often_intervals_end(tmp_path: Path) -> None:
     """A reset of ours crosses tokens that are under way: they come up to a round trip later."""
     books, size = account(tmp_path / "report"), [100]
-    books.take(Move("question", "a", "answer", 1, 0, CrossZoneCause.BUDGET, lambda: size[0])).over = True
+    books.take(Transfer("question", "a", "answer", 1, 0, CrossZoneCause.BUDGET, lambda: size[0])).over = True
     for more in (14, 28):
         books.book()
         size[0] += more
@@ -89,7 +89,7 @@
 def test_a_move_that_makes_room_for_another_is_booked_as_it_stands(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(zones, "MOST_MOVES", 2)
+    monkeypatch.setattr(cross_zone_account, "MOST_MOVES", 2)
     books = account(tmp_path / "report")
     for size in (1, 10, 100):
         moved(books, size)
--- a/tests/oracle/brain.py
+++ b/tests/oracle/brain.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from oracle.state import Asked, Blame, Fleet, Flight, Kind, Seat, any_of, least_of, median_low, mix
-from tuliptrack.decisions.zones import Crossings, Returns
+from tuliptrack.decisions.cross_zone_budget import CrossZoneBudgets, ZoneRecovery
 from tuliptrack.interface import (
     Action,
     AttemptEnded,
@@ -113,9 +113,9 @@
         self.acts: dict[type, Callable[[Any], None]] = {
             Request: self._arrive, AttemptEnded: self._outcome, StreamStarted: self._started, EndpointListUpdate: self._listed,
             ClientDisconnected: self._client_gone, TimerFired: lambda _: self.out.append(Subscribe(True))}
-        self.zones: Crossings | None = (
-            beside.zones if beside else Crossings(settings) if settings.zone_budgets else None)
-        self.returns = Returns()
+        self.zones: CrossZoneBudgets | None = (
+            beside.zones if beside else CrossZoneBudgets(settings) if settings.zone_budgets else None)
+        self.returns = ZoneRecovery()
         self.has_depth = "in_flight" in settings.report_fields
         self.low_worth, self.top_worth = (pick(c.priority_weight for c in settings.classes) for pick in (min, max))
 
--- a/tests/relay/test_corroboration.py
+++ b/tests/relay/test_corroboration.py
@@ -162,7 +162,7 @@
         engines = Engines()
         async with platform(PATIENT, **engines.scripts) as p:
             await engines.warm_up(p)
-            p.relay.channels.close_idle(key("w0"))
+            p.relay.channels.close_idle_connections(key("w0"))
             engines.jammed = True
             await p.say(request("watched"))
             assert engines.released_at and engines.released_at[0] - engines.read_at <= IN_TIME_S
--- a/tests/relay/test_deadlines.py
+++ b/tests/relay/test_deadlines.py
@@ -87,10 +87,10 @@
     async def go() -> None:
         told = Told()
         async with platform(r0=told.breaks_late(reads, 1, 0.4), w0=told.breaks_late(writes, 0, 0.0)) as p:
-            begin = p.relay.engines.begin
+            begin = p.relay.engines.start
             monkeypatch.setattr(
                 p.relay.engines,
-                "begin",
+                "start",
                 lambda record, attempt, _: begin(record, attempt, int(BUDGET_S * 1e6)),
             )
             assert await told.ask(p) == 200
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -126,7 +126,7 @@
 
 
 def _record(call_id: str) -> Any:
-    return SimpleNamespace(ask=SimpleNamespace(call_id=call_id))
+    return SimpleNamespace(client_request=SimpleNamespace(call_id=call_id))
 
 
 RUDE = {
--- a/tests/relay/test_releases.py
+++ b/tests/relay/test_releases.py
@@ -17,7 +17,7 @@
 
 from tuliptrack import interface as io
 from tuliptrack.node.request_reader import key
-from tuliptrack.node.requests import Record
+from tuliptrack.node.requests import RequestRecord
 
 ALLOWED_S = SETTINGS["specifics"]["letGoBy"] / 1e6
 IN_TIME_S = ALLOWED_S + 0.3
@@ -84,8 +84,8 @@
 
 def release(p: Platform, call_id: str, engine: str, unsure: bool = False) -> None:
     """Let go of what one engine holds for a request that has ended."""
-    record = SimpleNamespace(ask=SimpleNamespace(call_id=call_id))
-    p.relay.channels.release(key(engine), cast(Record, record), unsure=unsure)
+    record = SimpleNamespace(client_request=SimpleNamespace(call_id=call_id))
+    p.relay.channels.release(key(engine), cast(RequestRecord, record), unsure=unsure)
 
 
 def test_a_release_asked_for_between_two_rounds_of_an_earlier_one_does_not_wait_for_the_next() -> None:
--- a/tests/relay/test_view.py
+++ b/tests/relay/test_view.py
@@ -12,7 +12,7 @@
 from world import run, until
 
 from tuliptrack import interface as io
-from tuliptrack.relay.engines import HttpEngines, _Attempt
+from tuliptrack.relay.engine_client import HttpEngineClient, _Attempt
 from tuliptrack.routing.router import Router
 
 
@@ -43,7 +43,7 @@
         async with platform(None, **{name: unsteady for name in names}) as p:
             readers = {p.engines[name].address for name in names if name[0] == "r"}
             core, engines, looked, most = p.relay, p.relay.channels, 0, 0
-            assert isinstance(engines, HttpEngines)
+            assert isinstance(engines, HttpEngineClient)
             handle = core.tell
             differ: list[tuple[int, ...]] = []
 
@@ -55,7 +55,7 @@
                     for seat in router.endpoints.values()
                     for number in (*seat.waiting, *seat.streams)
                 }
-                out = {record.id: record.out for record in core.table.open.values() if record.out}
+                out = {record.id: record.attempt for record in core.table.open.values() if record.attempt}
                 pools = engines.pools.all()
                 on_links = {link.exchange for pool in pools for link in pool.links if link.exchange}
                 coming_up = {borrow.exchange for pool in pools for borrow in pool.borrows}
@@ -65,7 +65,9 @@
                     if exchange.open and exchange.method == "POST"
                 }
                 calls = {call.exchange for a in out.values() if isinstance(call := a.call, _Attempt)}
-                if carried != calls or books != {(number, attempt.server) for number, attempt in out.items()}:
+                if carried != calls or books != {
+                    (number, attempt.endpoint_id) for number, attempt in out.items()
+                }:
                     differ.append((len(books), len(out), len(calls), len(carried)))
                 looked, most = looked + 1, max(most, len(calls))
 
--- a/tests/rpc/test_failing_calls.py
+++ b/tests/rpc/test_failing_calls.py
@@ -16,7 +16,7 @@
 from relay_world import Vanished
 from world import run, until
 
-from tuliptrack.decisions.admission import ByteBudget
+from tuliptrack.decisions.concurrency_limit import ByteBudget
 from tuliptrack.lab.soak.shim import CallFaults, FaultySelector, FaultySocket
 from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer
 from tuliptrack.rpc.http1_client import ClientOptions
--- a/tests/rpc/test_http1.py
+++ b/tests/rpc/test_http1.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 from world import run, until
 
-from tuliptrack.decisions.admission import ByteBudget
+from tuliptrack.decisions.concurrency_limit import ByteBudget
 from tuliptrack.rpc import http1
 from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Refusal
 from tuliptrack.rpc.http1_client import ClientOptions
--- a/tests/sources/test_lists.py
+++ b/tests/sources/test_lists.py
@@ -11,9 +11,9 @@
 from tuliptrack.interface import EndpointState, UpdateKind
 from tuliptrack.lab.feed import Feed
 from tuliptrack.proto import fleet_pb2 as pb
+from tuliptrack.sources.endpoint_list import EndpointList, InvalidListError, load_cache, save_cache
 from tuliptrack.sources.feed import FeedSource
 from tuliptrack.sources.file import FileSource
-from tuliptrack.sources.listing import ListError, Roster, load_cache, save_cache
 
 DAY = 86_400_000_000
 
@@ -24,7 +24,7 @@
 
 
 def test_changes_add_up_and_a_start_keeps_its_time_whatever_the_wall_clock_does() -> None:
-    roster = Roster(["r", "w"])
+    roster = EndpointList(["r", "w"])
     first = pb.ServerList(version=1, servers=[entry(1), entry(2, started_unix_us=DAY)])
     one = roster.take(first, 50_000_000, wall=DAY + 3_000_000)
     assert [s.started_at_us for s in one.change.endpoints] == [0, 47_000_000]
@@ -75,13 +75,13 @@
     ],
 )
 def test_a_list_with_anything_wrong_is_turned_down_whole(bad: dict[str, object], field: str) -> None:
-    roster = Roster(["r"])
+    roster = EndpointList(["r"])
     roster.take(pb.ServerList(version=1, servers=[entry(7)]), 1)
     wrong = entry(2)
     wrong.MergeFrom(pb.ServerEntry(**bad))  # type: ignore[arg-type]
     if bad.get("id") == 0:
         wrong.id = 0
-    with pytest.raises(ListError, match=field.replace("[", r"\[")):
+    with pytest.raises(InvalidListError, match=field.replace("[", r"\[")):
         roster.take(pb.ServerList(version=2, servers=[entry(1), wrong]), 2)
     assert list(roster.held) == [7] and roster.version == 1
 
@@ -94,7 +94,7 @@
     kept = load_cache(path)
     assert kept.version == 5 and [e.id for e in kept.servers] == [1, 2]
     (tmp_path / "list").write_text("servers { id: 3 addre")
-    with pytest.raises(ListError):
+    with pytest.raises(InvalidListError):
         load_cache(path)
 
 
--- a/tests/sources/test_starts.py
+++ b/tests/sources/test_starts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tuliptrack.sources.starts import Starts
+from tuliptrack.sources.start_times import StartTimes
 
 S = 1_000_000
 HOUR = 3_600 * S
@@ -13,7 +13,7 @@
 
 
 def test_a_start_is_told_the_same_whatever_the_clock_does_and_long_ago_stays() -> None:
-    starts = Starts()
+    starts = StartTimes()
     first = starts.monotonic(1, WALL - 5 * S, NOW, WALL)
     assert first == NOW - 5 * S
     assert starts.monotonic(1, WALL - 5 * S, NOW + S, WALL + HOUR) == first
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR, 5 * S, -5 * S])
 def test_a_server_that_restarts_after_a_step_is_cold_at_a_node_that_runs(step: int) -> None:
-    starts = Starts()
+    starts = StartTimes()
     starts.monotonic(1, WALL - HOUR, NOW, WALL)
     starts.list_heard(NOW)
     restarted = WALL + 60 * S  # by the right clock
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
 def test_a_server_that_restarts_is_cold_at_a_node_that_began_after_the_step(step: int) -> None:
-    starts = Starts()
+    starts = StartTimes()
     starts.monotonic(1, WALL - 2 * HOUR, NOW, WALL + step)
     starts.list_heard(NOW)
     now = NOW + 30 * S
@@ -42,7 +42,7 @@
 
 
 def test_a_warm_server_is_not_taken_for_a_cold_one_where_the_clock_is_right() -> None:
-    starts = Starts()
+    starts = StartTimes()
     assert NOW - starts.monotonic(1, WALL - 20 * S, NOW, WALL) == 20 * S > COLD
     starts.list_heard(NOW)
     late = NOW + 25 * S  # after an outage of discovery
--- a/tests/store/test_billing_machine.py
+++ b/tests/store/test_billing_machine.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tuliptrack.decisions.bills import CUT, NOTHING, OPEN, SERVED, Part, Price, fold
+from tuliptrack.decisions.billing import CUT, NOTHING, OPEN, SERVED, TokenPrice, UsageRecord, fold
 from tuliptrack.store.ledger import Ledger
 from tuliptrack.store.ledger_reading import read_parts, verify
 
@@ -30,11 +30,11 @@
         self.lives = [0] * NODES
         self.number = 0
         self.ledgers = [self.ledger(n) for n in range(NODES)]
-        self.running: list[dict[int, Part]] = [{} for _ in range(NODES)]
+        self.running: list[dict[int, UsageRecord]] = [{} for _ in range(NODES)]
         self.got: dict[str, set[int]] = {f"w{w}": set() for w in range(WORKS)}
         self.told: dict[str, set[int]] = {f"w{w}": set() for w in range(WORKS)}
         """Tokens that a commit has vouched for."""
-        self.committed: list[Part] = []
+        self.committed: list[UsageRecord] = []
 
     def ledger(self, node: int) -> Ledger:
         return Ledger(str(self.folder / f"n{node}"))
@@ -46,7 +46,7 @@
         got = self.got[f"w{work}"]
         first = max(len(got) - back, 0) if len(got) < LENGTH else 0
         self.number += 1
-        self.running[node][self.number] = Part(
+        self.running[node][self.number] = UsageRecord(
             f"n{node}-{self.lives[node]}",
             self.number,
             "a",
@@ -57,11 +57,11 @@
             first,
             first,
             OPEN,
-            price=Price(0, 0, 1),
+            price=TokenPrice(0, 0, 1),
         )
 
-    def change(self, node: int, part: Part, **fields: Any) -> Part:
-        made: Part = replace(part, **fields)
+    def change(self, node: int, part: UsageRecord, **fields: Any) -> UsageRecord:
+        made: UsageRecord = replace(part, **fields)
         self.running[node][part.number] = made
         self.ledgers[node].add(made)
         return made
@@ -111,7 +111,7 @@
 
     @rule(twice=st.booleans(), order=st.permutations(range(NODES)))
     def bill(self, twice: bool, order: list[int]) -> None:
-        parts: list[Part] = []
+        parts: list[UsageRecord] = []
         for node in order:  # from copies, as another process would see them
             copy = self.folder / f"copy{self.number}-{node}"
             shutil.rmtree(copy, ignore_errors=True)
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -19,24 +19,24 @@
 import lmdb
 import pytest
 
-from tuliptrack.decisions.bills import CUT, OPEN, SERVED, Part, Price, fold, totals
+from tuliptrack.decisions.billing import CUT, OPEN, SERVED, TokenPrice, UsageRecord, fold, totals
 from tuliptrack.store.ledger import Ledger, LedgerError, LedgerFull
 from tuliptrack.store.ledger_format import digest_of
 from tuliptrack.store.ledger_reading import read_parts, read_sums, verify
 
-PRICE = Price(2, 1, 10)
+PRICE = TokenPrice(2, 1, 10)
 WRITER = """
 import sys
 import threading
-from tuliptrack.decisions.bills import OPEN, SERVED, Part, Price
+from tuliptrack.decisions.billing import OPEN, SERVED, TokenPrice, UsageRecord
 from tuliptrack.store.ledger import Ledger
 ledger, life, number = Ledger(sys.argv[1]), sys.argv[2], 0
 print(ledger.recovery.cut, flush=True)
 while True:
     for step in range(4):  # four works, written token by token, the last state at a later commit
         for k in range(4):
-            ledger.add(Part(life, number + k, "a", f"{life}-{number + k}", 0, 100, 0, 0, 5 * step + 1,
-                            SERVED if step == 3 else OPEN, price=Price(2, 1, 10)))
+            ledger.add(UsageRecord(life, number + k, "a", f"{life}-{number + k}", 0, 100, 0, 0, 5 * step + 1,
+                            SERVED if step == 3 else OPEN, price=TokenPrice(2, 1, 10)))
         ledger.commit()
         print(number, step, flush=True)
     number += 4
@@ -45,8 +45,8 @@
 
 def part(
     number: int, next_: int = 5, outcome: int = SERVED, at: int = 0, tenant: str = "a", work: str = ""
-) -> Part:
-    return Part("n", number, tenant, work or f"w{number}", at, 100, 0, 0, next_, outcome, price=PRICE)
+) -> UsageRecord:
+    return UsageRecord("n", number, tenant, work or f"w{number}", at, 100, 0, 0, next_, outcome, price=PRICE)
 
 
 def filled(path: Path, batches: int = 6, size: int = 5) -> Ledger:
@@ -238,7 +238,7 @@
 
 FULL_FOR_A_WHILE = """
 import os, resource, sys
-from tuliptrack.decisions.bills import SERVED, Part, Price
+from tuliptrack.decisions.billing import SERVED, TokenPrice, UsageRecord
 from tuliptrack.store.ledger import Ledger, LedgerError
 
 def limit(size):  # a write past it fails with EFBIG, which the interpreter does not die of
@@ -246,7 +246,7 @@
 
 def add(numbers):
     for n in numbers:
-        ledger.add(Part("n", n, "a", f"w{n}" + "x" * 300, 0, 100, 0, 0, 5, SERVED, price=Price(2, 1, 10)))
+        ledger.add(UsageRecord("n", n, "a", f"w{n}" + "x" * 300, 0, 100, 0, 0, 5, SERVED, price=TokenPrice(2, 1, 10)))
 
 def commit():
     try:
--- a/tests/test_actions.py
+++ b/tests/test_actions.py
@@ -49,7 +49,7 @@
             assert (note.request_id, note.attempt, note.endpoint_id, note.is_reserved) == (number, 0, 2, True)
             record = w.node.table.open[number]
             act(w, io.Release(number))
-            assert record.holding is None
+            assert record.reserved_endpoint_id is None
             assert (await one.wait()).status.code is Code.OK
 
     run(go, virtual=True)
--- a/tests/test_bills_path.py
+++ b/tests/test_bills_path.py
@@ -14,7 +14,7 @@
 from world import World, run, until, world
 
 from tuliptrack.cli.main import main
-from tuliptrack.decisions.bills import fold
+from tuliptrack.decisions.billing import fold
 from tuliptrack.node.node import Node
 from tuliptrack.proto import generation_pb2 as pb
 from tuliptrack.proto import lab_pb2
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -9,7 +9,7 @@
 from world import GENERATE, World, run, until, world
 
 from tuliptrack.lab.engine import Engine
-from tuliptrack.node.requests import LEGAL, State
+from tuliptrack.node.requests import LEGAL, RequestState
 from tuliptrack.proto import fleet_pb2, lab_pb2
 from tuliptrack.proto import generation_pb2 as pb
 from tuliptrack.rpc.channel import Channel, How, Options
@@ -57,8 +57,8 @@
                 await asyncio.sleep(0)
             assert {a.end.how for a in asked} <= {How.STATUS, How.CANCELLED}
             await until(lambda: not w.node.table.open)
-            ends = w.node.table.ends
-            assert ends[State.SERVED] + ends[State.LEFT] == 30 and states(w) == 0
+            ends = w.node.table.end_counts
+            assert ends[RequestState.SERVED] + ends[RequestState.LEFT] == 30 and states(w) == 0
 
     run(go, virtual=True)
 
@@ -291,11 +291,11 @@
             doubtful = [w.ask(request_class="order") for _ in range(4)]
             for name in ("w0", "w1"):
                 w.engines[name].apply(lab_pb2.Trouble(pause_ms=5000))
-            await until(lambda: sum(r.state is State.WRITING for r in w.node.table.open.values()) >= 1)
+            await until(lambda: sum(r.state is RequestState.WRITING for r in w.node.table.open.values()) >= 1)
             writing = {
-                r.ask.prompt
+                r.client_request.prompt
                 for r in w.node.table.open.values()
-                if r.state is State.WRITING and r.ask.request_class == "order"
+                if r.state is RequestState.WRITING and r.client_request.request_class == "order"
             }
             await w.node.stop(0.1)
             for one in doubtful:  # What may have run is not called harmless.
@@ -316,10 +316,10 @@
 
 
 def test_the_end_states_are_final_and_every_state_is_in_the_table() -> None:
-    assert set(LEGAL) == set(State)
-    for end in (State.SERVED, State.REFUSED, State.FAILED, State.LEFT):
+    assert set(LEGAL) == set(RequestState)
+    for end in (RequestState.SERVED, RequestState.REFUSED, RequestState.FAILED, RequestState.LEFT):
         assert not LEGAL[end]
-    assert all(LEGAL[s] & {State.FAILED, State.LEFT} for s in State if LEGAL[s])
+    assert all(LEGAL[s] & {RequestState.FAILED, RequestState.LEFT} for s in RequestState if LEGAL[s])
 
 
 def test_the_last_list_is_kept_for_a_restart_without_its_feed() -> None:
@@ -350,7 +350,7 @@
             await until(lambda: one.tokens)
             assert one.call
             one.call.pause()
-            await until(lambda: w.node.table.ends[State.FAILED] == 1)
+            await until(lambda: w.node.table.end_counts[RequestState.FAILED] == 1)
             await until(lambda: w.seen("gone", kind="write"))
             one.call.resume()
             end = await one.wait()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tuliptrack import interface as face
-from tuliptrack import wirehost
+from tuliptrack import simulator_adapter
 
 ENV: dict[str, Any] = {
     "replicasOfMe": 2,
@@ -102,20 +102,20 @@
 
 @pytest.mark.parametrize(("code", "body", "expected"), EVENTS)
 def test_events_from_golden_bytes(code: int, body: str, expected: Any) -> None:
-    assert list(wirehost.decode_batch(record(code, body), 1)) == [(7, expected)]
+    assert list(simulator_adapter.decode_batch(record(code, body), 1)) == [(7, expected)]
 
 
 @pytest.mark.parametrize(("action", "code", "body"), ACTIONS)
 def test_actions_to_golden_bytes(action: face.Action, code: int, body: str) -> None:
     one = record(code, body)
-    assert wirehost.encode_reply([(7, action)]) == struct.pack("<II", 1, len(one)) + one
+    assert simulator_adapter.encode_reply([(7, action)]) == struct.pack("<II", 1, len(one)) + one
 
 
 def test_start_and_halt_from_golden_bytes() -> None:
     text = json.dumps(ENV).encode()
     start = record(256, "0700 0900000000000000" + struct.pack("<I", len(text)).hex() + text.hex())
-    ((node, event), (_, halt)) = wirehost.decode_batch(start + record(265, "0700"), 2)
-    assert node == 7 and event.seed == 9 and isinstance(halt, wirehost.Halt)
+    ((node, event), (_, halt)) = simulator_adapter.decode_batch(start + record(265, "0700"), 2)
+    assert node == 7 and event.seed == 9 and isinstance(halt, simulator_adapter.Halt)
     assert event.settings.roles == (face.Role.PREFILL, face.Role.DECODE)
     assert event.settings.report_fields == ("in_flight", "memory_share")
     assert event.settings.max_attempts == 4 and event.settings.release_within_us == 300000
@@ -142,7 +142,7 @@
 
 def run(*frames: bytes) -> bytes:
     sink = io.BytesIO()
-    wirehost.serve(io.BytesIO(b"".join(frames)), sink)
+    simulator_adapter.serve(io.BytesIO(b"".join(frames)), sink)
     return sink.getvalue()
 
 
@@ -176,7 +176,9 @@
     ],
 )
 def test_malformed_input_ends_with_one_plain_line(data: bytes, words: str) -> None:
-    done = subprocess.run([sys.executable, "-m", "tuliptrack.wirehost"], input=data, capture_output=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "tuliptrack.simulator_adapter"], input=data, capture_output=True
+    )
     assert done.returncode == 2
     lines = done.stderr.decode().splitlines()
     assert len(lines) == 1 and words in lines[0], lines
--- a/tuliptrack/cli/bills.py
+++ b/tuliptrack/cli/bills.py
@@ -9,7 +9,7 @@
 
 import click
 
-from tuliptrack.decisions.bills import Bill, Part, Total, fold, later, latest, totals
+from tuliptrack.decisions.billing import Bill, DailyTotal, UsageRecord, fold, later, latest, totals
 from tuliptrack.store.ledger import Ledger, LedgerError
 from tuliptrack.store.ledger_reading import read_parts, read_sums, verify
 
@@ -24,7 +24,7 @@
     """Bills from the ledgers of one node or of several."""
 
 
-def _parts(ledgers: tuple[str, ...]) -> list[Part]:
+def _parts(ledgers: tuple[str, ...]) -> list[UsageRecord]:
     try:
         return [part for path in ledgers for part in read_parts(path)]
     except LedgerError as error:
@@ -43,7 +43,7 @@
     for path in ledgers:
         for old in read_sums(path):
             row = rows.setdefault((old.tenant, old.day), {})
-            for name in Total.__dataclass_fields__:
+            for name in DailyTotal.__dataclass_fields__:
                 row[name] = row.get(name, 0) + getattr(old, name)
     table = [{"tenant": tenant, "day": day, **row} for (tenant, day), row in sorted(rows.items())]
     if as_json:
--- a/tuliptrack/cli/fleet.py
+++ b/tuliptrack/cli/fleet.py
@@ -11,7 +11,7 @@
 import click
 
 from tuliptrack.cli.running import run_until_told
-from tuliptrack.decisions.register import MOST_CONTROLLERS
+from tuliptrack.decisions.consensus import MAX_CONTROLLERS
 from tuliptrack.fleet.ask import Unanswered, ask
 from tuliptrack.fleet.controller import Controller, Host
 from tuliptrack.node.logs import set_up
@@ -42,7 +42,7 @@
 
 
 @fleet.command()
-@click.argument("number", type=click.IntRange(0, MOST_CONTROLLERS - 1))
+@click.argument("number", type=click.IntRange(0, MAX_CONTROLLERS - 1))
 @click.argument("hosts", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option("--listen", default="127.0.0.1:0", help="host:port for operators; port 0: the kernel chooses.")
 @click.option(
--- a/tuliptrack/config/node.py
+++ b/tuliptrack/config/node.py
@@ -15,8 +15,8 @@
 from google.protobuf.message import Message
 
 from tuliptrack.config.textformat import Located, read_file, read_text
-from tuliptrack.decisions.bills import Price
-from tuliptrack.decisions.budgets import Window
+from tuliptrack.decisions.billing import TokenPrice
+from tuliptrack.decisions.token_budget import BudgetWindow
 from tuliptrack.interface import (
     Idempotency,
     IdempotencyScope,
@@ -224,12 +224,12 @@
     ledger_bytes: int = 1 << 30
     refuse_when_full: bool = False
     keep_days: int = 400
-    windows: dict[str, tuple[Window, ...]] = field(default_factory=dict)
+    windows: dict[str, tuple[BudgetWindow, ...]] = field(default_factory=dict)
     weights: tuple[int, int, int] = (10, 1, 30)
     """Units of a token read, kept, written."""
     spread: float = 4.0
     lend: bool = True
-    prices: tuple[tuple[int, Price], ...] = ()
+    prices: tuple[tuple[int, TokenPrice], ...] = ()
     refuse_over: frozenset[str] = frozenset()
     """Classes whose requests over budget are refused."""
 
@@ -527,7 +527,7 @@
 
 
 def _billing(b: _Block, file: pb.Config, located: Located) -> BillingOptions:
-    windows: dict[str, tuple[Window, ...]] = {}
+    windows: dict[str, tuple[BudgetWindow, ...]] = {}
     for t, tenant in enumerate(file.tenant):
         found = []
         for n, one in enumerate(tenant.budget):
@@ -537,10 +537,10 @@
             if turn > tokens:
                 w.wrong("turn_tokens", f"must be at most tokens ({tokens:g}), is {turn:g}")
             elif length and tokens:
-                found.append(Window(length, max(int(tokens * _UNIT), 1), int(turn * _UNIT)))
+                found.append(BudgetWindow(length, max(int(tokens * _UNIT), 1), int(turn * _UNIT)))
         if found:
             windows[tenant.name] = tuple(found)
-    prices: list[tuple[int, Price]] = []
+    prices: list[tuple[int, TokenPrice]] = []
     for n, message in enumerate(file.billing.price):
         p = _Block(message, f"billing.price[{n}]", located)
         if prices and message.from_unix_us <= prices[-1][0]:
@@ -548,7 +548,7 @@
         for name in ("from_unix_us", "read", "kept", "written"):
             if getattr(message, name) < 0:
                 p.wrong(name, f"must not be negative, is {getattr(message, name)}")
-        prices.append((message.from_unix_us, Price(message.read, message.kept, message.written)))
+        prices.append((message.from_unix_us, TokenPrice(message.read, message.kept, message.written)))
     weights = [round(b.number(f"{name}_weight", 0, 1e6) * _UNIT) for name in ("read", "kept", "written")]
     return BillingOptions(
         b.value("ledger"),
--- a/tuliptrack/decisions/bills.py
+++ b/tuliptrack/decisions/billing.py
@@ -22,13 +22,13 @@
 
 from tuliptrack.structures.spans import Spans
 
-__all__ = ["Bill", "Part", "Price", "Total", "fold", "later", "latest", "totals"]
+__all__ = ["Bill", "DailyTotal", "TokenPrice", "UsageRecord", "fold", "later", "latest", "totals"]
 
 OPEN, SERVED, CUT, NOTHING = range(4)
 
 
 @dataclass(frozen=True, slots=True)
-class Price:
+class TokenPrice:
     """Millionths of the currency for a token read, kept, written."""
 
     read: int = 0
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class UsageRecord:
     """One node's part of one piece of work; see `billing.proto`."""
 
     node: str
@@ -52,7 +52,7 @@
     outcome: int = OPEN
     lost_read: int = 0
     lost_written: int = 0
-    price: Price = field(default_factory=Price)
+    price: TokenPrice = field(default_factory=TokenPrice)
     request_class: str = ""
     model: str = ""
     model_version: str = ""
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class Total:
+class DailyTotal:
     """What a tenant's works of one day come to."""
 
     works: int = 0
@@ -98,12 +98,12 @@
     lost_written: int = 0
 
 
-def later(a: Part, b: Part) -> Part:
+def later(a: UsageRecord, b: UsageRecord) -> UsageRecord:
     """Of two states of one part, the one that counts."""
     return max(a, b, key=_late)
 
 
-def _late(p: Part) -> tuple[object, ...]:
+def _late(p: UsageRecord) -> tuple[object, ...]:
     """All fields stand in it, so that two states which a sane node can't have written still have an order."""
     return (
         p.outcome != OPEN,
@@ -127,8 +127,8 @@
 
 
 def latest(
-    parts: Iterable[Part], known: dict[tuple[str, int], Part] | None = None
-) -> dict[tuple[str, int], Part]:
+    parts: Iterable[UsageRecord], known: dict[tuple[str, int], UsageRecord] | None = None
+) -> dict[tuple[str, int], UsageRecord]:
     """The state of each part that counts, by its name; added to what is `known` already, where that is
     given."""
     found = {} if known is None else known
@@ -138,15 +138,15 @@
     return found
 
 
-def fold(parts: Iterable[Part]) -> list[Bill]:
+def fold(parts: Iterable[UsageRecord]) -> list[Bill]:
     """The bills of all works, by tenant and work."""
-    works: dict[tuple[str, str], list[Part]] = {}
+    works: dict[tuple[str, str], list[UsageRecord]] = {}
     for part in latest(parts).values():
         works.setdefault((part.tenant, part.work), []).append(part)
     return [_bill(sorted(found, key=lambda p: p.order)) for _, found in sorted(works.items())]
 
 
-def _bill(parts: list[Part]) -> Bill:
+def _bill(parts: list[UsageRecord]) -> Bill:
     """One work, its parts from the earliest to the latest."""
     first = parts[0]
     bill = Bill(first.tenant, first.work, first.at_us, parts=len(parts))
@@ -171,11 +171,11 @@
     return bill
 
 
-def totals(bills: Iterable[Bill], day_us: int = 86_400_000_000) -> dict[tuple[str, int], Total]:
+def totals(bills: Iterable[Bill], day_us: int = 86_400_000_000) -> dict[tuple[str, int], DailyTotal]:
     """By tenant and day (of the work's earliest part), counted from 1970."""
-    found: dict[tuple[str, int], Total] = {}
+    found: dict[tuple[str, int], DailyTotal] = {}
     for bill in bills:
-        total = found.setdefault((bill.tenant, bill.at_us // day_us), Total())
+        total = found.setdefault((bill.tenant, bill.at_us // day_us), DailyTotal())
         total.works += bill.written > 0
         for name in ("read", "kept", "written", "amount", "lost_read", "lost_written"):
             setattr(total, name, getattr(total, name) + getattr(bill, name))
--- a/tuliptrack/decisions/admission.py
+++ b/tuliptrack/decisions/concurrency_limit.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass, field
 
-__all__ = ["BODIES_FULL", "Admission", "AdmissionLimits", "ByteBudget", "refusal_text"]
+__all__ = ["BODIES_FULL", "ByteBudget", "ConcurrencyLimiter", "ConcurrencyLimits", "rejection_text"]
 
 SMOOTHING = 0.05  # weight of one more end in the mean time between two: some twenty tell the pace
 BODIES_FULL = "too many bytes of requests are arriving"
@@ -20,7 +20,7 @@
 MOST_WAIT_US = 2_000_000
 
 
-def refusal_text(reason: str) -> str:
+def rejection_text(reason: str) -> str:
     """What clients read of a refusal."""
     return f"refused: {reason}; trying again is harmless"
 
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AdmissionLimits:
+class ConcurrencyLimits:
     """Requests that may be open at once."""
 
     requests: int
@@ -56,10 +56,10 @@
 
 
 @dataclass(slots=True)
-class Admission:
+class ConcurrencyLimiter:
     """Counts what is open; `enter` gives a reason to refuse, or none and a place that `leave` gives back."""
 
-    limits: AdmissionLimits
+    limits: ConcurrencyLimits
     open: int = 0
     tenants: dict[str, int] = field(default_factory=dict)
     connections: dict[object, int] = field(default_factory=dict)
--- a/tuliptrack/decisions/register.py
+++ b/tuliptrack/decisions/consensus.py
@@ -14,22 +14,22 @@
 
 from dataclasses import dataclass, field
 
-__all__ = ["MOST_CONTROLLERS", "Acceptor", "Mark", "Proposer", "epoch_after"]
+__all__ = ["MAX_CONTROLLERS", "Acceptor", "Ballot", "Proposer", "epoch_after"]
 
 MOST_BYTES = 1 << 20
-MOST_CONTROLLERS = 64
+MAX_CONTROLLERS = 64
 """Epochs of controller i are i modulo this: two controllers never claim the same one."""
 
-Mark = tuple[int, int]
+Ballot = tuple[int, int]
 """Epoch and number of a value within it; the greater is the newer."""
 
 
 def epoch_after(seen: int, controller: int) -> int:
     """The least epoch of this controller's that is above one that was seen."""
-    if not 0 <= controller < MOST_CONTROLLERS:
-        raise ValueError(f"controller: must lie in [0, {MOST_CONTROLLERS}), got {controller!r}")
-    made = seen - seen % MOST_CONTROLLERS + controller
-    return made if made > seen else made + MOST_CONTROLLERS
+    if not 0 <= controller < MAX_CONTROLLERS:
+        raise ValueError(f"controller: must lie in [0, {MAX_CONTROLLERS}), got {controller!r}")
+    made = seen - seen % MAX_CONTROLLERS + controller
+    return made if made > seen else made + MAX_CONTROLLERS
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
     """What one agent has promised and accepted. Its fields must be on disk before an answer leaves."""
 
     promised: int = 0
-    mark: Mark = (0, 0)
+    mark: Ballot = (0, 0)
     value: bytes = b""
 
     def promise(self, epoch: int) -> bool:
@@ -47,7 +47,7 @@
         self.promised = epoch
         return True
 
-    def accept(self, mark: Mark, value: bytes) -> bool:
+    def accept(self, mark: Ballot, value: bytes) -> bool:
         """Whether this value is taken: from the newest epoch promised, and newer than the one that is held.
         The very value that is held is taken again, as its answer may have been lost."""
         if mark[0] < self.promised or mark < self.mark or len(value) > MOST_BYTES:
@@ -69,13 +69,13 @@
     """A majority has promised this epoch, and no newer one has been heard of."""
     seen: int = 0
     """The newest epoch heard of."""
-    mark: Mark = (0, 0)
+    mark: Ballot = (0, 0)
     """Of the value that is being written."""
     value: bytes = b""
-    settled: tuple[Mark, bytes] | None = None
+    settled: tuple[Ballot, bytes] | None = None
     """The newest value that a majority has accepted under this epoch."""
     _promises: set[str] = field(default_factory=set)
-    _newest: tuple[Mark, bytes] = ((0, 0), b"")
+    _newest: tuple[Ballot, bytes] = ((0, 0), b"")
     _accepts: set[str] = field(default_factory=set)
 
     @property
@@ -89,7 +89,7 @@
         self._promises, self._newest, self._accepts = set(), ((0, 0), b""), set()
         return self.epoch
 
-    def promised(self, agent: str, epoch: int, mark: Mark, value: bytes) -> bool:
+    def promised(self, agent: str, epoch: int, mark: Ballot, value: bytes) -> bool:
         """An agent has promised this epoch and told what it holds. True once, when that makes a majority:
         what the newest of them held is then being written anew (`mark`, `value`)."""
         if epoch != self.epoch or agent not in self.agents or self.leads or self.seen > self.epoch:
@@ -103,7 +103,7 @@
         self.write(self._newest[1])
         return True
 
-    def write(self, value: bytes) -> Mark:
+    def write(self, value: bytes) -> Ballot:
         """Begin to write a value; only who leads may. What was being written before may still be settled by
         others."""
         if not self.leads:
@@ -113,7 +113,7 @@
         self.mark, self.value, self._accepts = (self.epoch, self.mark[1] + 1), value, set()
         return self.mark
 
-    def accepted(self, agent: str, mark: Mark) -> bool:
+    def accepted(self, agent: str, mark: Ballot) -> bool:
         """An agent has accepted a value. True once, when that settles the newest one."""
         if not self.leads or mark != self.mark or agent not in self.agents:
             return False
--- a/tuliptrack/decisions/zones.py
+++ b/tuliptrack/decisions/cross_zone_budget.py
@@ -29,10 +29,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from tuliptrack.decisions.turns import Purse, Turn
+from tuliptrack.decisions.shared_token_bucket import BudgetGrant, SharedTokenBucket
 from tuliptrack.interface import CrossZoneCause, Request, Role, Settings
 
-__all__ = ["Crossing", "Crossings", "Returns"]
+__all__ = ["CrossZoneBudgets", "CrossZoneReservation", "ZoneRecovery"]
 
 PRICE_FULL = 0.5  # of a mean load (or of the score): what a crossing costs while the whole burst is there
 PRICE_EMPTY = 8.0  # and where nothing is left: a crossing is chosen only if home is that much worse
@@ -46,22 +46,22 @@
 
 
 @dataclass(slots=True)
-class Crossing:
+class CrossZoneReservation:
     """What one attempt has reserved."""
 
-    budget: Purse
+    budget: SharedTokenBucket
     size: float
-    parts: list[tuple[Turn, float]]
+    parts: list[tuple[BudgetGrant, float]]
 
 
-class Crossings:
+class CrossZoneBudgets:
     """One node's decisions on crossing: asked for a price before a choice, told of each attempt and its
     end."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.purses = [
-            Purse(
+            SharedTokenBucket(
                 b.bytes_per_s,
                 b.burst,
                 b.quantum,
@@ -77,7 +77,7 @@
             next((p for p, b in budgets if not b.classes or cls in b.classes), None)
             for cls in range(len(settings.classes))
         ]
-        self.open: dict[int, Crossing] = {}
+        self.open: dict[int, CrossZoneReservation] = {}
         """Reservations by request; a request has one attempt out at most."""
         quotas = sum(tenant.quota_per_s for tenant in settings.tenants)
         self.earners = [
@@ -108,7 +108,7 @@
                 size += s.state_bytes * request.prompt_tokens
         return size
 
-    def purse(self, cls: int) -> Purse | None:
+    def purse(self, cls: int) -> SharedTokenBucket | None:
         """The first budget that counts this class."""
         return self.by_class[cls]
 
@@ -132,7 +132,7 @@
             return None
         if purse.left(now) < size:
             return CrossZoneCause.FORCED
-        self.open[request] = Crossing(purse, size, purse.take(size))
+        self.open[request] = CrossZoneReservation(purse, size, purse.take(size))
         return CrossZoneCause.RETRY if retry else CrossZoneCause.BUDGET
 
     def settle(self, now: int, request: int, crossed: float) -> None:
@@ -158,7 +158,7 @@
     back_from: int | None = None
 
 
-class Returns:
+class ZoneRecovery:
     """Which zones were dark and take their traffic back, by role. All nodes are told of a return at nearly
     the same moment; so the sessions that go back first are the same at all of them, and grow evenly to all in
     RETURN_US."""
--- a/tuliptrack/decisions/models.py
+++ b/tuliptrack/decisions/model_catalog.py
@@ -10,7 +10,7 @@
 weighted by what they can do. So a rollout moves as much of the traffic as there are engines for it, each
 session moves once, and every node picks alike.
 
-No I/O, no clock, no chance. Bound: `MOST_MODELS` models and versions; engines of one more are not served, and
+No I/O, no clock, no chance. Bound: `MAX_MODELS` models and versions; engines of one more are not served, and
 named."""
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 
 from tuliptrack.interface import EndpointInfo, EndpointListUpdate, EndpointState, Role, UpdateKind
 
-__all__ = ["Catalog", "Model", "NotServed"]
+__all__ = ["Model", "ModelCatalog", "NotServedError"]
 
-MOST_MODELS = 256
+MAX_MODELS = 256
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -37,7 +37,7 @@
     version: str = ""
 
 
-class NotServed(Exception):
+class NotServedError(Exception):
     """No engines can serve what was asked for. `known` tells whether the list names it, so that it may come
     back."""
 
@@ -46,7 +46,7 @@
         self.field, self.reason, self.known = field, reason, known
 
 
-class Catalog:
+class ModelCatalog:
     """The engines by model. `split` takes changes of the server list, `choose` answers requests."""
 
     def __init__(self, roles: tuple[Role, ...]) -> None:
@@ -85,7 +85,7 @@
                 self.left_out.discard(server.id)
                 told[old[0] if old else label].append(server)
                 continue
-            if label not in taken and len(taken) >= MOST_MODELS:
+            if label not in taken and len(taken) >= MAX_MODELS:
                 self.left_out.add(server.id)
                 self.servers.pop(server.id, None)
                 continue
@@ -152,22 +152,22 @@
         if not listed:
             return Model()  # Nothing is known yet: its router refuses.
         if not name and len(names) > 1:
-            raise NotServed("model", f"is required, as more than one is served: {_some(names)}")
+            raise NotServedError("model", f"is required, as more than one is served: {_some(names)}")
         name = name or next(iter(names))
         if name not in names:
             if names == {""} and not version:
                 return Model()  # The engines carry no labels: they serve whatever is asked for.
-            raise NotServed("model", f"{name[:60]!r} is not served here; {_some(names)}")
+            raise NotServedError("model", f"{name[:60]!r} is not served here; {_some(names)}")
         versions = [m for m in listed if m.name == name and version in ("", m.version)]
         if not versions:
-            raise NotServed(
+            raise NotServedError(
                 "model_version",
                 f"{version[:40]!r} of {name[:60]!r} is not served here; "
                 + _some({m.version for m in listed if m.name == name}),
             )
         able = [m for m in versions if self._can(m) > 0]
         if not able:
-            raise NotServed("model", f"no engines of {name[:60]!r} are ready", known=True)
+            raise NotServedError("model", f"no engines of {name[:60]!r} are ready", known=True)
         return able[0] if len(able) == 1 else max(able, key=lambda m: self._rank(m, session))
 
     def _rank(self, model: Model, session: str) -> float:
--- a/tuliptrack/decisions/budgets.py
+++ b/tuliptrack/decisions/token_budget.py
@@ -2,11 +2,11 @@
 
 Tokens are weighed (read, kept and written ones differ) into whole units. A tenant has a budget for each of
 several windows; a request is within it when every window has room for what it is thought to use. Windows of
-up to LONG_US are dealt out by turns (`decisions/turns.py`): all nodes together use at most tokens x (W /
-window + 1) and a turn in any W, whatever the traffic. Longer windows, a day's, are counted by the calendar:
-each node's part is the tokens x spread / nodes, and its use is handed back in after a restart, since a turn
-of a day would be lost with it. `spread` says how uneven a tenant's traffic may be: a tenant that meets nodes
-/ spread of them can use all, one that meets all of them spread times as much, at most.
+up to LONG_US are dealt out by turns (`decisions/shared_token_bucket.py`): all nodes together use at most
+tokens x (W / window + 1) and a turn in any W, whatever the traffic. Longer windows, a day's, are counted by
+the calendar: each node's part is the tokens x spread / nodes, and its use is handed back in after a restart,
+since a turn of a day would be lost with it. `spread` says how uneven a tenant's traffic may be: a tenant that
+meets nodes / spread of them can use all, one that meets all of them spread times as much, at most.
 
 The answer's length is not known before: a request reserves an estimate, learnt for its class and tenant and
 bounded by its max_tokens, and settles by what was streamed. What a window lacked at settling is taken from
@@ -27,13 +27,13 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from tuliptrack.decisions.turns import Purse, Turn
+from tuliptrack.decisions.shared_token_bucket import BudgetGrant, SharedTokenBucket
 from tuliptrack.structures.sketch import Heavy, Sketch
 from tuliptrack.structures.wheel import Wheel
 
-__all__ = ["BudgetSettings", "Budgets", "Use", "Verdict", "Window"]
+__all__ = ["BudgetUsage", "BudgetVerdict", "BudgetWindow", "TokenBudgetSettings", "TokenBudgets"]
 
-LONG_US = 3_600_000_000  # windows longer than an hour go by the calendar
+MAX_GRANTED_WINDOW_US = 3_600_000_000  # windows longer than an hour go by the calendar
 LEND_US = 2_000_000  # microseconds for which lapsed turns are lent: a burst's length, so that idleness of a minute ago isn't
 SMOOTHING = 0.1  # weight of one more answer in an estimate: ten tell its class
 MARGIN = 1.0  # mean deviations above the mean that an estimate reserves: covers about four answers in five
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Window:
+class BudgetWindow:
     """Units that a tenant may use in so long, all nodes together. `quantum`: one node's turn; 0: a tenth."""
 
     length: int
@@ -56,12 +56,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetSettings:
+class TokenBudgetSettings:
     """The same for every node but for `slot`. `offset` turns a node's clock into microseconds since 1970, a
     time that all share, and is taken at the start."""
 
     replicas: int
-    windows: Mapping[str, tuple[Window, ...]]
+    windows: Mapping[str, tuple[BudgetWindow, ...]]
     """By tenant; tenants without any have no budget."""
     slot: int = 0
     offset: int = 0
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class BudgetVerdict:
     """What a request meets. `over`: some window has no room for it; `wait`: microseconds until it would have,
     -1 for never."""
 
@@ -87,7 +87,7 @@
 
 
 @dataclass(slots=True)
-class Use:
+class BudgetUsage:
     """What the operators see of the estimates."""
 
     reserved: int = 0
@@ -106,7 +106,7 @@
     cls: int
     units: int
     prompt: int
-    parts: list[tuple[Purse, list[tuple[Turn, float]]]]
+    parts: list[tuple[SharedTokenBucket, list[tuple[BudgetGrant, float]]]]
     counted: bool
 
 
@@ -114,7 +114,7 @@
 class _Day:
     """One calendar window of one tenant at this node."""
 
-    window: Window
+    window: BudgetWindow
     part: int
     number: int = -1
     used: int = 0
@@ -122,24 +122,24 @@
 
 @dataclass(slots=True)
 class _Tenant:
-    purses: list[tuple[Window, Purse]]
+    purses: list[tuple[BudgetWindow, SharedTokenBucket]]
     days: list[_Day]
-    use: Use = field(default_factory=Use)
+    use: BudgetUsage = field(default_factory=BudgetUsage)
 
 
-class Budgets:
+class TokenBudgets:
     """One node's part of every tenant's budgets."""
 
-    def __init__(self, settings: BudgetSettings, now: int) -> None:
+    def __init__(self, settings: TokenBudgetSettings, now: int) -> None:
         self.settings = s = settings
         self.tenants: dict[str, _Tenant] = {}
-        self.lenders: dict[str, Purse] = {}
+        self.lenders: dict[str, SharedTokenBucket] = {}
         self.wheel: Wheel[str] = Wheel(now)
         for name, windows in s.windows.items():
             purses = [
                 (
                     w,
-                    Purse(
+                    SharedTokenBucket(
                         w.units / w.length * 1e6,
                         w.units,
                         w.quantum or max(w.units / 10, 1),
@@ -149,12 +149,12 @@
                     ),
                 )
                 for w in windows
-                if w.length <= LONG_US
+                if w.length <= MAX_GRANTED_WINDOW_US
             ]
             days = [
                 _Day(w, max(int(w.units * min(s.spread / s.replicas, 1.0)), 1))
                 for w in windows
-                if w.length > LONG_US
+                if w.length > MAX_GRANTED_WINDOW_US
             ]
             self.tenants[name] = _Tenant(purses, days)
             for _, purse in purses:
@@ -165,7 +165,7 @@
         self.open: dict[int, _Reserved] = {}
         self.estimates: OrderedDict[tuple[str, int], tuple[float, float, int]] = OrderedDict()
         """Mean, mean deviation and number of answers' tokens, by tenant and class."""
-        self.pool: deque[Turn] = deque()
+        self.pool: deque[BudgetGrant] = deque()
         """What has lapsed unused and may be lent."""
         self.heavy = Sketch(HEAVY)
         self._last_wall = 0
@@ -192,7 +192,7 @@
 
     # -- requests
 
-    def _number(self, window: Window, now: int) -> tuple[int, int]:
+    def _number(self, window: BudgetWindow, now: int) -> tuple[int, int]:
         """Which calendar window it is, and microseconds until the next. A clock that steps back starts none
         anew."""
         self._last_wall = wall = max(now + self.settings.offset, self._last_wall)
@@ -205,14 +205,14 @@
             day.number, day.used = number, 0
         return rest
 
-    def ask(self, now: int, tenant: str, cls: int, prompt: int, kept: int, most: int) -> Verdict:
+    def ask(self, now: int, tenant: str, cls: int, prompt: int, kept: int, most: int) -> BudgetVerdict:
         """Whether a request is within its tenant's budgets; nothing is reserved. `kept`: prompt tokens that
         are likely to need no reading."""
         self._lapse(now)
         one = self.tenants.get(tenant)
         units = self.units(max(prompt - kept, 0), kept, self.estimate(tenant, cls, most))
         if one is None:
-            return Verdict(False, units)
+            return BudgetVerdict(False, units)
         wait, short = 0, 0
         for day in one.days:
             rest = self._today(day, now)
@@ -225,19 +225,21 @@
         if (
             short
             and self.settings.lend
-            and short <= LONG_US
+            and short <= MAX_GRANTED_WINDOW_US
             and sum(turn.left for turn in self.pool) >= units
         ):
-            return Verdict(False, units, lent=True)
-        return Verdict(bool(short), units, wait, short)
+            return BudgetVerdict(False, units, lent=True)
+        return BudgetVerdict(bool(short), units, wait, short)
 
-    def take(self, now: int, request: int, tenant: str, cls: int, prompt: int, verdict: Verdict) -> None:
+    def take(
+        self, now: int, request: int, tenant: str, cls: int, prompt: int, verdict: BudgetVerdict
+    ) -> None:
         """The request is let in, within its budget or over it: reserve."""
         one = self.tenants.get(tenant)
         self.heavy.add(tenant, verdict.reserved)
         if one is None:
             return
-        parts: list[tuple[Purse, list[tuple[Turn, float]]]] = []
+        parts: list[tuple[SharedTokenBucket, list[tuple[BudgetGrant, float]]]] = []
         if verdict.lent:
             self._borrow(verdict.reserved)
         elif not verdict.over:
@@ -296,7 +298,7 @@
             purse = self.lenders[name]
             purse.left(now)
             if purse.lapsed > 0:
-                self.pool.append(Turn(now + LEND_US, purse.lapsed))
+                self.pool.append(BudgetGrant(now + LEND_US, purse.lapsed))
                 purse.lapsed = 0.0
             due = purse.turns[0].lapses if purse.turns else now + int(purse.every * purse.replicas)
             self.wheel.set(name, min(max(due, now + LEAST_LOOK_US), now + MOST_LOOK_US))
@@ -310,7 +312,7 @@
             self._today(day, now)
             day.used += units
 
-    def use(self, tenant: str) -> Use:
+    def use(self, tenant: str) -> BudgetUsage:
         """Raises KeyError for a tenant without budgets."""
         return self.tenants[tenant].use
 
--- a/tuliptrack/fleet/agent.py
+++ b/tuliptrack/fleet/agent.py
@@ -23,7 +23,7 @@
 
 import structlog
 
-from tuliptrack.decisions.register import Acceptor
+from tuliptrack.decisions.consensus import Acceptor
 from tuliptrack.decisions.rollout import Release
 from tuliptrack.fleet.measures import LogCounts
 from tuliptrack.proto import rollout_pb2 as pb
--- a/tuliptrack/fleet/controller.py
+++ b/tuliptrack/fleet/controller.py
@@ -14,7 +14,7 @@
 
 import structlog
 
-from tuliptrack.decisions.register import Proposer
+from tuliptrack.decisions.consensus import Proposer
 from tuliptrack.decisions.rollout import (
     Command,
     Phase,
--- a/tuliptrack/fronts/codes.py
+++ b/tuliptrack/fronts/codes.py
@@ -5,7 +5,7 @@
 
 from google.rpc import error_details_pb2
 
-from tuliptrack.fronts.port import AskError, Failure
+from tuliptrack.fronts.port import Failure, InvalidRequestError
 from tuliptrack.rpc.status import Code, Status, with_details
 
 __all__ = ["bad_request", "failure"]
@@ -13,17 +13,17 @@
 _CODES = {
     Failure.DEADLINE: Code.DEADLINE_EXCEEDED,
     Failure.BROKEN: Code.ABORTED,
-    Failure.HANDED_BACK: Code.ABORTED,
+    Failure.MIGRATED: Code.ABORTED,
     Failure.LOST: Code.UNKNOWN,
     Failure.STALLED: Code.CANCELLED,
 }
 
 
-def bad_request(error: AskError) -> Status:
+def bad_request(error: InvalidRequestError) -> Status:
     """What was asked for can't be taken, or isn't served here; names the field."""
     bad = error_details_pb2.BadRequest()
     bad.field_violations.add(field=error.field, description=error.reason)
-    return with_details(Code.NOT_FOUND if error.unknown else Code.INVALID_ARGUMENT, str(error), bad)
+    return with_details(Code.NOT_FOUND if error.is_unknown else Code.INVALID_ARGUMENT, str(error), bad)
 
 
 def failure(how: Failure, text: str, **facts: str) -> Status:
--- a/tuliptrack/fronts/generation.py
+++ b/tuliptrack/fronts/generation.py
@@ -5,7 +5,15 @@
 
 from tuliptrack.config.node import NodeConfig
 from tuliptrack.fronts.codes import bad_request, failure
-from tuliptrack.fronts.port import Ask, AskError, Core, Failure, Finish, Ticket, Usage
+from tuliptrack.fronts.port import (
+    ClientRequest,
+    Core,
+    Failure,
+    FinishReason,
+    InvalidRequestError,
+    RequestHandle,
+    Usage,
+)
 from tuliptrack.proto import generation_pb2 as pb
 from tuliptrack.rpc.server import Server, ServerCall, unary_request
 from tuliptrack.rpc.status import Code, Status, refusal
@@ -13,7 +21,7 @@
 __all__ = ["SERVICE", "install"]
 
 SERVICE = "tuliptrack.v1.Generation"
-_FINISH = {Finish.STOP: pb.STOP, Finish.LENGTH: pb.LENGTH}
+_FINISH = {FinishReason.STOP: pb.STOP, FinishReason.LENGTH: pb.LENGTH}
 _OK = Status(Code.OK)
 
 
@@ -24,9 +32,9 @@
 
     def __init__(self, call: ServerCall) -> None:
         self.call = call
-        self.ticket: Ticket | None = None
+        self.ticket: RequestHandle | None = None
 
-    def token(self, index: int, text: str, finish: Finish | None, usage: Usage | None) -> bool:
+    def token(self, index: int, text: str, finish: FinishReason | None, usage: Usage | None) -> bool:
         message = pb.GenerateResponse(index=index, text=text)
         if finish:
             message.finish_reason = _FINISH[finish]
@@ -39,7 +47,7 @@
     def served(self) -> None:
         self.call.end(_OK)
 
-    def refused(self, reason: str, retry_after: int) -> None:
+    def rejected(self, reason: str, retry_after: int) -> None:
         self.call.end(refusal(reason, retry_after))
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
@@ -50,7 +58,7 @@
     """Serve the protocol on this server, for this core."""
 
     def generate(call: ServerCall, request: pb.GenerateRequest) -> None:
-        ask = Ask(
+        ask = ClientRequest(
             request.request_class,
             request.prompt,
             request.tenant,
@@ -71,9 +79,9 @@
         stream = _Stream(call)
         try:
             ticket = stream.ticket = core.submit(ask, stream)
-        except AskError as error:
+        except InvalidRequestError as error:
             call.end(bad_request(error))
             return
-        call.on_gone, call.on_writable = ticket.gone, ticket.writable
+        call.on_gone, call.on_writable = ticket.disconnected, ticket.writable
 
     server.add(SERVICE, "Generate", unary_request(pb.GenerateRequest, generate), early=True)
--- a/tuliptrack/fronts/installed.py
+++ b/tuliptrack/fronts/installed.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from tuliptrack.config.node import NodeConfig
-from tuliptrack.decisions.admission import ByteBudget
+from tuliptrack.decisions.concurrency_limit import ByteBudget
 from tuliptrack.fronts import generation
 from tuliptrack.fronts.kserve import grpc as kserve_grpc
 from tuliptrack.fronts.kserve import rest as kserve_rest
--- a/tuliptrack/fronts/kserve/grpc.py
+++ b/tuliptrack/fronts/kserve/grpc.py
@@ -9,7 +9,7 @@
 from google.protobuf.message import DecodeError
 
 from tuliptrack.config.node import NodeConfig
-from tuliptrack.decisions.admission import refusal_text
+from tuliptrack.decisions.concurrency_limit import rejection_text
 from tuliptrack.fronts.codes import bad_request, failure
 from tuliptrack.fronts.kserve.mapping import (
     INPUTS,
@@ -25,7 +25,7 @@
     wants_stream,
 )
 from tuliptrack.fronts.kserve.tensors import TensorError, from_contents, from_raw
-from tuliptrack.fronts.port import AskError, Core, Failure, Finish, Ticket, Usage
+from tuliptrack.fronts.port import Core, Failure, FinishReason, InvalidRequestError, RequestHandle, Usage
 from tuliptrack.proto import kserve_pb2 as pb
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.server import Server, ServerCall, unary_request
@@ -43,7 +43,7 @@
     for name, one in parameters.items():
         kind = one.WhichOneof("parameter_choice")
         if kind is None:
-            raise AskError(f"parameters.{name[:60]}", "has no value")
+            raise InvalidRequestError(f"parameters.{name[:60]}", "has no value")
         found[name] = getattr(one, kind)
     return found
 
@@ -59,11 +59,11 @@
     )
     raw = list(request.raw_input_contents)
     if raw and len(raw) != len(request.inputs):
-        raise AskError("raw_input_contents", f"{len(raw)} came for {len(request.inputs)} inputs")
+        raise InvalidRequestError("raw_input_contents", f"{len(raw)} came for {len(request.inputs)} inputs")
     try:
         for number, one in enumerate(request.inputs):
             if raw and one.HasField("contents"):
-                raise AskError(
+                raise InvalidRequestError(
                     f"inputs.{one.name[:60]}.contents", "must not be set beside raw_input_contents"
                 )
             infer.inputs.append(
@@ -72,7 +72,7 @@
                 else from_contents(one.name, one.datatype, one.shape, one.contents)
             )
     except TensorError as error:
-        raise AskError(f"inputs.{error.field}", error.reason) from None
+        raise InvalidRequestError(f"inputs.{error.field}", error.reason) from None
     return infer
 
 
@@ -108,7 +108,7 @@
         self.call.send(_response(self.infer, self.text, self.facts).SerializeToString())
         self.call.end(_OK)
 
-    def refused(self, reason: str, retry_after: int) -> None:
+    def rejected(self, reason: str, retry_after: int) -> None:
         self.call.end(refusal(reason, retry_after))
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
@@ -130,9 +130,9 @@
         )
         self.raw = self.message.infer_response.raw_output_contents
         self.index = self.message.infer_response.parameters["index"]
-        self.ticket: Ticket | None = None
+        self.ticket: RequestHandle | None = None
 
-    def token(self, index: int, text: str, finish: Finish | None, usage: Usage | None) -> bool:
+    def token(self, index: int, text: str, finish: FinishReason | None, usage: Usage | None) -> bool:
         if finish is None and self.live:
             data = text.encode()
             self.raw[0] = len(data).to_bytes(4, "little") + data
@@ -155,8 +155,8 @@
             self.stream.send(_response(self.infer, None, {"triton_final_response": True}))
         self.stream.ended(self)
 
-    def refused(self, reason: str, retry_after: int) -> None:
-        self._error(refusal_text(reason), {"error": "REFUSED", "retry_after_ms": retry_after // 1000})
+    def rejected(self, reason: str, retry_after: int) -> None:
+        self._error(rejection_text(reason), {"error": "REFUSED", "retry_after_ms": retry_after // 1000})
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
         self._error(failure_text(how, reason, next_index), {"error": how.name, "next_index": next_index})
@@ -192,7 +192,7 @@
         try:
             infer = infer_of(request)
             if infer.id and infer.id in self.ids:
-                raise AskError("id", f"{infer.id[:60]!r} is still open on this stream")
+                raise InvalidRequestError("id", f"{infer.id[:60]!r} is still open on this stream")
             ask = ask_of(infer, self.config.kserve, now_us(), self.call.deadline, self.call.link)
             part = _Part(self, infer)
             self.open[part] = None
@@ -200,14 +200,14 @@
                 self.ids.add(infer.id)
             try:
                 part.ticket = self.core.submit(ask, part)
-            except AskError:
+            except InvalidRequestError:
                 self._forget(part)
                 raise
-        except AskError as error:
+        except InvalidRequestError as error:
             self.error(
                 infer,
                 str(error),
-                {"error": "NOT_FOUND" if error.unknown else "INVALID_ARGUMENT", "field": error.field},
+                {"error": "NOT_FOUND" if error.is_unknown else "INVALID_ARGUMENT", "field": error.field},
             )
 
     def send(self, response: pb.ModelInferResponse) -> bool:
@@ -240,7 +240,7 @@
         for part in list(self.open):
             self._forget(part)
             if part.ticket:
-                part.ticket.gone(reason)
+                part.ticket.disconnected(reason)
 
     def writable(self) -> None:
         for part in list(self.open):
@@ -263,7 +263,9 @@
             field = "version" if any(m.name == request.name for m in core.models.listed()) else "name"
             call.end(
                 bad_request(
-                    AskError(field, f"{getattr(request, field)[:60]!r} is not served here", unknown=True)
+                    InvalidRequestError(
+                        field, f"{getattr(request, field)[:60]!r} is not served here", is_unknown=True
+                    )
                 )
             )
             return
@@ -281,10 +283,10 @@
             ask = ask_of(taken, config.kserve, now_us(), call.deadline, call.link)
             whole = _Whole(call, taken, config.limits.message_bytes)
             whole.ticket = core.submit(ask, whole)
-        except AskError as error:
+        except InvalidRequestError as error:
             call.end(bad_request(error))
             return
-        call.on_gone, call.on_writable = whole.ticket.gone, whole.ticket.writable
+        call.on_gone, call.on_writable = whole.ticket.disconnected, whole.ticket.writable
 
     def stream(call: ServerCall) -> None:
         _Stream(call, core, config)
--- a/tuliptrack/fronts/kserve/mapping.py
+++ b/tuliptrack/fronts/kserve/mapping.py
@@ -11,7 +11,14 @@
 
 from tuliptrack.config.node import KserveOptions
 from tuliptrack.fronts.kserve.tensors import Tensor
-from tuliptrack.fronts.port import Ask, AskError, Failure, Finish, Ticket, Usage
+from tuliptrack.fronts.port import (
+    ClientRequest,
+    Failure,
+    FinishReason,
+    InvalidRequestError,
+    RequestHandle,
+    Usage,
+)
 
 __all__ = [
     "INPUTS",
@@ -34,6 +41,8 @@
 _COUNTS = frozenset({"INT32", "INT64", "UINT32", "UINT64"})
 _TEXTS = ("session", "prefix", "tenant", "request_class", "resume_text", "work")
 _NUMBERS = ("prompt_tokens", "prefix_tokens", "max_tokens", "resume_index")
+_FIELDS = {"sequence_id": "session", "work": "work_id", "repeat": "is_retry"}
+"""Fields of a `ClientRequest` that have another name than their parameter."""
 _MOST_TIMEOUT = 86_400_000_000  # microseconds: a day
 
 
@@ -52,48 +61,52 @@
 
 def _one(tensor: Tensor, place: str) -> Any:
     if len(tensor.values) != 1:
-        raise AskError(place, f"one element expected, shape is {list(tensor.shape)}")
+        raise InvalidRequestError(place, f"one element expected, shape is {list(tensor.shape)}")
     return tensor.values[0]
 
 
-def ask_of(infer: Infer, options: KserveOptions, now: int, deadline: int | None, connection: object) -> Ask:
+def ask_of(
+    infer: Infer, options: KserveOptions, now: int, deadline: int | None, connection: object
+) -> ClientRequest:
     """The core's request; AskError names what can't be taken. `now` and `deadline` in monotonic
     microseconds."""
     given: dict[str, Any] = {}
     for tensor in infer.inputs:
         place = f"inputs.{tensor.name[:60]}"
         if tensor.name in given:
-            raise AskError(place, "stands twice")
+            raise InvalidRequestError(place, "stands twice")
         value: Any = _one(tensor, place) if tensor.name in ("text_input", "max_tokens", "stream") else None
         if tensor.name == "text_input" and tensor.datatype == "BYTES":
             try:
                 given["text_input"] = value.decode()
             except UnicodeDecodeError as error:
-                raise AskError(place, f"is not UTF-8: {error}") from None
+                raise InvalidRequestError(place, f"is not UTF-8: {error}") from None
         elif tensor.name == "max_tokens" and tensor.datatype in _COUNTS:
             given["max_tokens"] = value
         elif tensor.name == "stream" and tensor.datatype == "BOOL":
             given["stream"] = value
         elif value is not None:
             wanted = next(kind for name, kind, _ in INPUTS if name == tensor.name)
-            raise AskError(place, f"must be {wanted}, is {tensor.datatype[:20]}")
+            raise InvalidRequestError(place, f"must be {wanted}, is {tensor.datatype[:20]}")
         else:
-            raise AskError(
+            raise InvalidRequestError(
                 place, f"is no input of this model; {', '.join(name for name, _, _ in INPUTS)} are"
             )
     if "text_input" not in given:
-        raise AskError("inputs.text_input", "is required")
+        raise InvalidRequestError("inputs.text_input", "is required")
     for name in infer.outputs:
         if name not in {out for out, _, _ in OUTPUTS}:
-            raise AskError(f"outputs.{name[:60]}", f"is no output of this model; {OUTPUTS[0][0]} is")
+            raise InvalidRequestError(
+                f"outputs.{name[:60]}", f"is no output of this model; {OUTPUTS[0][0]} is"
+            )
     words = _parameters(infer.parameters, options)
     timeout = words.pop("timeout", None)
     if timeout is not None:
         deadline = min(deadline, now + timeout) if deadline is not None else now + timeout
     counted = words.pop("max_tokens", 0)
-    ask = Ask(
+    ask = ClientRequest(
         prompt=given["text_input"],
-        deadline=deadline,
+        deadline_us=deadline,
         model=infer.model,
         model_version=infer.version,
         connection=connection,
@@ -101,7 +114,7 @@
         **words,
     )
     if given.get("max_tokens") is not None and given["max_tokens"] <= 0:
-        raise AskError("inputs.max_tokens", f"must be above 0, is {given['max_tokens']}")
+        raise InvalidRequestError("inputs.max_tokens", f"must be above 0, is {given['max_tokens']}")
     return ask
 
 
@@ -110,15 +123,17 @@
     if "priority" in parameters:
         rank = _whole(parameters, "priority", 0, 2**63)
         if not options.priority_classes:
-            raise AskError("parameters.priority", "is not known here: the settings name no priority_class")
+            raise InvalidRequestError(
+                "parameters.priority", "is not known here: the settings name no priority_class"
+            )
         if rank:
             words["request_class"] = options.priority_classes[min(rank, len(options.priority_classes)) - 1]
     for name, value in parameters.items():
         place = f"parameters.{name[:60]}"
         if name in _TEXTS or (name == "sequence_id" and isinstance(value, str)):
             if not isinstance(value, str):
-                raise AskError(place, f"must be a string, is {value!r}"[:120])
-            words["session" if name == "sequence_id" else name] = value
+                raise InvalidRequestError(place, f"must be a string, is {value!r}"[:120])
+            words[_FIELDS.get(name, name)] = value
         elif name == "sequence_id":
             words["session"] = str(_whole(parameters, name, 0, 2**64)) if value else ""
         elif name in _NUMBERS:
@@ -128,10 +143,10 @@
                 words["timeout"] = wait
         elif name == "repeat":
             if not isinstance(value, bool):
-                raise AskError(place, f"must be true or false, is {value!r}"[:120])
-            words["repeat"] = value
+                raise InvalidRequestError(place, f"must be true or false, is {value!r}"[:120])
+            words[_FIELDS[name]] = value
         elif name not in _IGNORED:
-            raise AskError(place, "is not known here")
+            raise InvalidRequestError(place, "is not known here")
     return words
 
 
@@ -152,7 +167,7 @@
     if isinstance(value, str) and value.isascii() and value.isdigit() and len(value) < 21:
         value = int(value)
     if not isinstance(value, int) or isinstance(value, bool) or not least <= value <= most:
-        raise AskError(
+        raise InvalidRequestError(
             f"parameters.{name}", f"must be a whole number from {least} to {most}, is {value!r}"[:160]
         )
     return value
@@ -170,7 +185,7 @@
     return infer.parameters.get("triton_enable_empty_final_response") is True
 
 
-def facts_of(finish: Finish | None, usage: Usage | None) -> dict[str, Value]:
+def facts_of(finish: FinishReason | None, usage: Usage | None) -> dict[str, Value]:
     """Parameters of a response that ends an answer."""
     facts: dict[str, Value] = {}
     if finish:
@@ -192,18 +207,18 @@
         self.parts: list[str] = []
         self.facts: dict[str, Value] = {}
         """What its last token tells."""
-        self.ticket: Ticket | None = None
+        self.ticket: RequestHandle | None = None
 
     @property
     def text(self) -> str:
         return "".join(self.parts)
 
-    def token(self, index: int, text: str, finish: Finish | None, usage: Usage | None) -> bool:
+    def token(self, index: int, text: str, finish: FinishReason | None, usage: Usage | None) -> bool:
         self.left -= len(text.encode())
         if self.left < 0:
             self.too_large("failed: the answer is too large for one response; stream it")
             if self.ticket:
-                self.ticket.gone("the answer is too large for one response")
+                self.ticket.disconnected("the answer is too large for one response")
             return True
         self.parts.append(text)
         if finish:
@@ -216,5 +231,5 @@
 
 
 def failure_text(how: Failure, reason: str, next_index: int) -> str:
-    resume = f"; it can go on from token {next_index}" if how in (Failure.BROKEN, Failure.HANDED_BACK) else ""
+    resume = f"; it can go on from token {next_index}" if how in (Failure.BROKEN, Failure.MIGRATED) else ""
     return f"failed ({how.name}): {reason}{resume}"
--- a/tuliptrack/fronts/kserve/rest.py
+++ b/tuliptrack/fronts/kserve/rest.py
@@ -11,7 +11,7 @@
 from urllib.parse import unquote, urlsplit
 
 from tuliptrack.config.node import NodeConfig
-from tuliptrack.decisions.admission import ByteBudget, refusal_text
+from tuliptrack.decisions.concurrency_limit import ByteBudget, rejection_text
 from tuliptrack.fronts.kserve.grpc import EXTENSIONS
 from tuliptrack.fronts.kserve.mapping import (
     INPUTS,
@@ -24,7 +24,7 @@
     failure_text,
 )
 from tuliptrack.fronts.kserve.tensors import Tensor, TensorError, from_json, from_raw
-from tuliptrack.fronts.port import AskError, Core, Failure, Finish, Ticket, Usage
+from tuliptrack.fronts.port import Core, Failure, FinishReason, InvalidRequestError, RequestHandle, Usage
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Refusal
 
@@ -34,7 +34,7 @@
 _STATUS = {
     Failure.DEADLINE: 504,
     Failure.BROKEN: 502,
-    Failure.HANDED_BACK: 502,
+    Failure.MIGRATED: 502,
     Failure.LOST: 500,
     Failure.STALLED: 499,
 }
@@ -55,25 +55,25 @@
 
 
 def _refuse(call: HttpCall, reason: str, retry_after: int) -> None:
-    call.error(503, refusal_text(reason), _retry(retry_after), retry_after_ms=retry_after // 1000)
+    call.error(503, rejection_text(reason), _retry(retry_after), retry_after_ms=retry_after // 1000)
 
 
 def _object(body: bytes, place: str) -> dict[str, Any]:
     try:
         found = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise AskError(place, f"is not JSON ({error})"[:200]) from None
+        raise InvalidRequestError(place, f"is not JSON ({error})"[:200]) from None
     if not isinstance(found, dict):
-        raise AskError(place, "must be a JSON object")
+        raise InvalidRequestError(place, "must be a JSON object")
     return found
 
 
 def _parameters(given: Any, place: str = "parameters") -> dict[str, Any]:
     if not isinstance(given, dict):
-        raise AskError(place, "must be a JSON object")
+        raise InvalidRequestError(place, "must be a JSON object")
     wrong = next((k for k, v in given.items() if not isinstance(v, bool | int | float | str)), None)
     if wrong is not None:
-        raise AskError(f"{place}.{wrong[:60]}", "must be a boolean, a number or a string")
+        raise InvalidRequestError(f"{place}.{wrong[:60]}", "must be a boolean, a number or a string")
     return dict(given)
 
 
@@ -82,7 +82,7 @@
     size = len(body)
     if header is not None:
         if not header.isascii() or not header.isdigit() or int(header) > len(body):
-            raise AskError(
+            raise InvalidRequestError(
                 "Inference-Header-Content-Length",
                 f"must be at most the body's {len(body)}, is {header[:20]!r}",
             )
@@ -93,10 +93,10 @@
     binary = infer.parameters.get("binary_data_output") is True
     inputs, outputs = data.get("inputs"), data.get("outputs", [])
     if not isinstance(inputs, list) or not isinstance(outputs, list):
-        raise AskError("inputs" if not isinstance(inputs, list) else "outputs", "must be a list")
+        raise InvalidRequestError("inputs" if not isinstance(inputs, list) else "outputs", "must be a list")
     for number, one in enumerate(inputs):
         if not isinstance(one, dict) or not isinstance(one.get("name"), str):
-            raise AskError(f"inputs[{number}].name", "is required")
+            raise InvalidRequestError(f"inputs[{number}].name", "is required")
         name, datatype, shape = one["name"], one.get("datatype", ""), one.get("shape", [])
         told = _parameters(one.get("parameters", {}), f"inputs.{name[:60]}.parameters").get(
             "binary_data_size"
@@ -106,20 +106,20 @@
                 infer.inputs.append(from_json(name, datatype, shape, one.get("data")))
                 continue
             if not isinstance(told, int) or isinstance(told, bool) or not 0 <= told <= len(body) - at:
-                raise AskError(
+                raise InvalidRequestError(
                     f"inputs.{name[:60]}.parameters.binary_data_size", f"{len(body) - at} bytes are left"
                 )
             if not isinstance(datatype, str) or not isinstance(shape, list):
-                raise AskError(f"inputs.{name[:60]}", "shape must be a list, datatype a string")
+                raise InvalidRequestError(f"inputs.{name[:60]}", "shape must be a list, datatype a string")
             infer.inputs.append(from_raw(name, datatype, shape, body[at : at + told]))
             at += told
         except TensorError as error:
-            raise AskError(f"inputs.{error.field}", error.reason) from None
+            raise InvalidRequestError(f"inputs.{error.field}", error.reason) from None
     if at != len(body):
-        raise AskError("body", f"{len(body) - at} bytes are left behind the tensors")
+        raise InvalidRequestError("body", f"{len(body) - at} bytes are left behind the tensors")
     for number, one in enumerate(outputs):
         if not isinstance(one, dict) or not isinstance(one.get("name"), str):
-            raise AskError(f"outputs[{number}].name", "is required")
+            raise InvalidRequestError(f"outputs[{number}].name", "is required")
         infer.outputs.append(one["name"])
         wanted = _parameters(one.get("parameters", {}), f"outputs.{one['name'][:60]}.parameters").get(
             "binary_data"
@@ -136,7 +136,7 @@
     )
     text, told = data.pop("text_input", None), str(data.pop("id", ""))
     if not isinstance(text, str):
-        raise AskError("text_input", "is required and must be a string")
+        raise InvalidRequestError("text_input", "is required and must be a string")
     parameters = {**parameters, **_parameters(data)}
     return Infer(model, version, told, parameters, [Tensor("text_input", "BYTES", (1,), [text.encode()])])
 
@@ -154,7 +154,7 @@
     def served(self) -> None:
         self.write(self)
 
-    def refused(self, reason: str, retry_after: int) -> None:
+    def rejected(self, reason: str, retry_after: int) -> None:
         _refuse(self.call, reason, retry_after)
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
@@ -167,7 +167,7 @@
 
     def __init__(self, call: HttpCall, infer: Infer) -> None:
         self.call, self.infer = call, infer
-        self.ticket: Ticket | None = None
+        self.ticket: RequestHandle | None = None
         head = {
             "model_name": infer.model,
             "model_version": infer.version,
@@ -179,7 +179,7 @@
         self.call.start(200, "text/event-stream")
         return self.call.send(b"data: " + json.dumps(facts, ensure_ascii=False).encode() + b"\n\n")
 
-    def token(self, index: int, text: str, finish: Finish | None, usage: Usage | None) -> bool:
+    def token(self, index: int, text: str, finish: FinishReason | None, usage: Usage | None) -> bool:
         tail = (
             "".join(f', "{k}": {json.dumps(v)}' for k, v in facts_of(finish, usage).items()) if finish else ""
         )
@@ -191,7 +191,7 @@
     def served(self) -> None:
         self.call.end()
 
-    def refused(self, reason: str, retry_after: int) -> None:
+    def rejected(self, reason: str, retry_after: int) -> None:
         _refuse(self.call, reason, retry_after)
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
@@ -237,9 +237,9 @@
     def early(self, call: HttpCall) -> Refusal | None:
         """What is known from the headers: the node is full, so the body need not come."""
         if call.method == "POST":
-            reason, wait = self.core.outlook()
+            reason, wait = self.core.overload()
             if reason:
-                return Refusal(503, refusal_text(reason), tuple(_retry(wait)))
+                return Refusal(503, rejection_text(reason), tuple(_retry(wait)))
         return None
 
     def handle(self, call: HttpCall) -> None:
@@ -281,8 +281,8 @@
             return
         try:
             self._submit(call, model, version, what)
-        except AskError as error:
-            call.error(404 if error.unknown else 400, str(error), field=error.field)
+        except InvalidRequestError as error:
+            call.error(404 if error.is_unknown else 400, str(error), field=error.field)
 
     def _metadata(self, call: HttpCall, model: str, version: str) -> None:
         found = [m for m in self.core.models.listed() if m.name == model and version in ("", m.version)]
@@ -323,7 +323,7 @@
             )
             answer = _Whole(call, infer, self.config.limits.message_bytes, write)
         answer.ticket = self.core.submit(ask, answer)
-        call.on_gone, call.on_writable = answer.ticket.gone, answer.ticket.writable
+        call.on_gone, call.on_writable = answer.ticket.disconnected, answer.ticket.writable
 
     # -- answers
 
--- a/tuliptrack/fronts/port.py
+++ b/tuliptrack/fronts/port.py
@@ -1,6 +1,5 @@
-"""What a front and the core say to each other. A front turns its protocol's words into an `Ask` and carries
-an `Answer` out to its client; it decides nothing. The core knows no front.
-"""
+"""What a front and the core say to each other. A front turns its protocol's words into an `ClientRequest` and
+carries an `ResponseWriter` out to its client; it decides nothing. The core knows no front."""
 
 from __future__ import annotations
 
@@ -9,18 +8,29 @@
 from enum import Enum
 from typing import Protocol
 
-from tuliptrack.decisions.models import Model
+from tuliptrack.decisions.model_catalog import Model
 
-__all__ = ["Answer", "Ask", "AskError", "Core", "Failure", "Finish", "Models", "RawAnswer", "Ticket", "Usage"]
+__all__ = [
+    "ClientRequest",
+    "Core",
+    "Failure",
+    "FinishReason",
+    "InvalidRequestError",
+    "ModelDirectory",
+    "RawResponseWriter",
+    "RequestHandle",
+    "ResponseWriter",
+    "Usage",
+]
 
 
-class AskError(Exception):
+class InvalidRequestError(Exception):
     """A request that can't be taken; nothing was done for it."""
 
-    def __init__(self, field: str, reason: str, unknown: bool = False) -> None:
+    def __init__(self, field: str, reason: str, is_unknown: bool = False) -> None:
         super().__init__(f"{field}: {reason}")
         self.field, self.reason = field, reason
-        self.unknown = unknown
+        self.is_unknown = is_unknown
         """It names something that isn't served here, rather than being malformed."""
 
 
@@ -29,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class ClientRequest:
     """A client's request, as every front puts it. Counts are tokens; 0 stands for 'not told'."""
 
     request_class: str
@@ -43,31 +53,31 @@
     resume_index: int = 0
     """Tokens of the answer that the client has from a stream that broke."""
     resume_text: str = ""
-    repeat: bool = False
-    deadline: int | None = None
+    is_retry: bool = False
+    deadline_us: int | None = None
     """When the client gives up the whole call, monotonic microseconds; None: it waits."""
     model: str = ""
     model_version: str = ""
-    work: str = ""
+    work_id: str = ""
     """The client's name for this piece of work, shared by its retries and resumes; empty: none."""
     connection: object = None
     """What stands for the client's connection; compared by identity."""
-    first_by: int | None = None
+    first_token_deadline_us: int | None = None
     """When the client gives up unless the answer has begun, monotonic microseconds; None: as its class has
     it."""
-    resumed: bool = False
+    is_resumed: bool = False
     """It asks for the rest of a stream that broke, which its engine can tell from the request itself."""
     call_id: str = ""
     """The client's own name for this request, for the log; empty: none."""
     payload: object = None
     """The request in the client's own protocol, where engines get it unchanged; its front and its engines
     know it."""
-    left: Callable[[], bool] = _unknown
-    """Whether the client's connection has ended, as far as the system knows, though `Ticket.gone` has not
-    been called yet."""
+    is_disconnected: Callable[[], bool] = _unknown
+    """Whether the client's connection has ended, as far as the system knows, though `RequestHandle.gone` has
+    not been called yet."""
 
 
-class Finish(Enum):
+class FinishReason(Enum):
     """Why an answer ended."""
 
     STOP = "stop"
@@ -90,51 +100,52 @@
     """No first token, or no last one, by the client's deadline."""
     BROKEN = "broken"
     """A stream that had begun broke; it can be resumed from its next token."""
-    HANDED_BACK = "handed back"
+    MIGRATED = "handed back"
     """A stream that had begun is given back for the client to resume elsewhere."""
     LOST = "lost"
     """An attempt ended with no word on whether it had run."""
     STALLED = "stalled"
     """The client has left its answer unread for too long."""
-    UNUSABLE = "unusable"
+    INVALID = "unusable"
     """An engine has looked at the request and can't make anything of it."""
 
 
-class Answer(Protocol):
+class ResponseWriter(Protocol):
     """A front's side of one request. Exactly one of the last three is called, once, unless the client
     left."""
 
-    def token(self, index: int, text: str, finish: Finish | None, usage: Usage | None) -> bool:
-        """The next token; `finish` and `usage` with the last. False asks to pause until `Ticket.writable`."""
+    def token(self, index: int, text: str, finish: FinishReason | None, usage: Usage | None) -> bool:
+        """The next token; `finish` and `usage` with the last. False asks to pause until
+        `RequestHandle.writable`."""
 
     def served(self) -> None:
         """All was sent."""
 
-    def refused(self, reason: str, retry_after: int) -> None:
+    def rejected(self, reason: str, retry_after: int) -> None:
         """Not served, and trying again is harmless, after so many microseconds."""
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
         """Not served whole; `next_index` is where a resumed stream would go on."""
 
 
-class RawAnswer(Answer, Protocol):
+class RawResponseWriter(ResponseWriter, Protocol):
     """That of a front whose clients speak the engines' own protocol."""
 
     def events(self, data: bytes) -> bool:
         """Whole events of the engine's stream, unchanged; as `token` in all else."""
 
 
-class Ticket(Protocol):
+class RequestHandle(Protocol):
     """The core's side of one request."""
 
-    def gone(self, reason: str) -> None:
+    def disconnected(self, reason: str) -> None:
         """The client has left; nothing more is owed."""
 
     def writable(self) -> None:
         """The client has taken enough to be sent more."""
 
 
-class Models(Protocol):
+class ModelDirectory(Protocol):
     """What is served, for fronts that tell it."""
 
     def listed(self) -> list[Model]:
@@ -151,14 +162,14 @@
     """What takes requests."""
 
     @property
-    def models(self) -> Models: ...
+    def models(self) -> ModelDirectory: ...
 
     def serving(self) -> bool:
         """Whether requests are taken: started, and not about to stop."""
 
-    def outlook(self) -> tuple[str, int]:
+    def overload(self) -> tuple[str, int]:
         """Why any request would be refused now, whoever sends it, and after how many microseconds to come
         back; an empty reason where it would be looked at."""
 
-    def submit(self, ask: Ask, answer: Answer) -> Ticket:
+    def submit(self, ask: ClientRequest, answer: ResponseWriter) -> RequestHandle:
         """Take a request; AskError where it can't be one. The answer may begin before this returns."""
--- a/tuliptrack/lab/capacity/roles.py
+++ b/tuliptrack/lab/capacity/roles.py
@@ -398,7 +398,7 @@
         lambda r, t: t.nodes * r.at("record.bytes", t.nodes),
         "a rollout",
         11 * 9 * 20_000.0,
-        "`decisions/register.py`, a copy at each agent: " + MISSING + " a few holders",
+        "`decisions/consensus.py`, a copy at each agent: " + MISSING + " a few holders",
     ),
     Row(
         "record holder",
--- a/tuliptrack/lab/hollow/agents.py
+++ b/tuliptrack/lab/hollow/agents.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tuliptrack.decisions.register import Acceptor
+from tuliptrack.decisions.consensus import Acceptor
 from tuliptrack.proto import rollout_pb2 as pb
 from tuliptrack.rpc.server import Server, ServerCall, unary_request
 from tuliptrack.rpc.status import Code, Status
--- a/tuliptrack/lab/soak/engine.py
+++ b/tuliptrack/lab/soak/engine.py
@@ -12,7 +12,7 @@
 import time
 from pathlib import Path
 
-from tuliptrack.decisions.admission import ByteBudget
+from tuliptrack.decisions.concurrency_limit import ByteBudget
 from tuliptrack.lab.soak.records import Recorder
 from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Refusal
 
--- a/tuliptrack/node/bills.py
+++ b/tuliptrack/node/billing.py
@@ -1,5 +1,5 @@
-"""Budgets and bills of a running node: what the core's requests become in `decisions/budgets.py` and in the
-ledger.
+"""Budgets and bills of a running node: what the core's requests become in `decisions/token_budget.py` and in
+the ledger.
 
 A part of a bill is written when its request ends, and while it streams at each commit, so that a killed node
 loses at most what has left since the last one. Commits run in a thread, one at a time. Where they fail, parts
@@ -14,32 +14,37 @@
 import structlog
 
 from tuliptrack.config.node import BillingOptions
-from tuliptrack.decisions.bills import CUT, NOTHING, OPEN, SERVED, Part, Price, fold
-from tuliptrack.decisions.budgets import LONG_US, Budgets, BudgetSettings, Verdict
+from tuliptrack.decisions.billing import CUT, NOTHING, OPEN, SERVED, TokenPrice, UsageRecord, fold
+from tuliptrack.decisions.token_budget import (
+    MAX_GRANTED_WINDOW_US,
+    BudgetVerdict,
+    TokenBudgets,
+    TokenBudgetSettings,
+)
 from tuliptrack.interface import Settings
-from tuliptrack.node.requests import Record, State
+from tuliptrack.node.requests import RequestRecord, RequestState
 from tuliptrack.rpc.clock import wall_us
 from tuliptrack.store.ledger import Ledger, LedgerError
 
-__all__ = ["Bills"]
+__all__ = ["Billing"]
 
 log = structlog.get_logger("bills")
 _TELL_S = 60.0  # seconds between two lines on budgets
 _COMPACT_S = 3_600.0  # seconds between two looks at what is past its retention
 
 
-class Bills:
+class Billing:
     """One node's. `open` first; `close` commits what is left."""
 
     def __init__(self, options: BillingOptions, settings: Settings, instance: str, now: int) -> None:
         self.options, self.instance = options, instance
         self.wall = settings.epoch_offset_us
         """What turns the node's clock into microseconds since 1970; taken once."""
-        self.budgets: Budgets | None = None
+        self.budgets: TokenBudgets | None = None
         if options.windows:
             read, kept, written = options.weights
-            self.budgets = Budgets(
-                BudgetSettings(
+            self.budgets = TokenBudgets(
+                TokenBudgetSettings(
                     settings.replicas,
                     options.windows,
                     settings.replica_index,
@@ -56,7 +61,7 @@
         self.failing = ""
         """Why the last commit failed; empty where it did not."""
         self.unbilled = 0
-        self.streaming: dict[int, tuple[Record, int]] = {}
+        self.streaming: dict[int, tuple[RequestRecord, int]] = {}
         """Requests that stream, and the token up to which the ledger has them."""
         self._task: asyncio.Task[None] | None = None
         self._compacted = self._told = time.monotonic()
@@ -80,7 +85,13 @@
             trouble=found.trouble,
         )
         longest = max(
-            (w.length for ws in self.options.windows.values() for w in ws if w.length > LONG_US), default=0
+            (
+                w.length
+                for ws in self.options.windows.values()
+                for w in ws
+                if w.length > MAX_GRANTED_WINDOW_US
+            ),
+            default=0,
         )
         if self.budgets and longest:
             wall = now + self.wall
@@ -105,50 +116,57 @@
         """Why new requests are refused, where they are for want of bills."""
         return "bills can't be written" if self.failing and self.options.refuse_when_full else ""
 
-    def ask(self, now: int, record: Record, cls: int) -> Verdict:
+    def ask(self, now: int, record: RequestRecord, cls: int) -> BudgetVerdict:
         """Whether a request is within its tenant's budgets; what it needs is reserved if it is let in."""
         if self.budgets is None:
-            return Verdict(False)
-        ask = record.ask
+            return BudgetVerdict(False)
+        ask = record.client_request
         kept = ask.prefix_tokens if ask.prefix else 0
         return self.budgets.ask(
             now, ask.tenant, cls, ask.prompt_tokens, kept, ask.max_tokens - ask.resume_index
         )
 
-    def let_in(self, now: int, record: Record, cls: int, verdict: Verdict) -> None:
+    def let_in(self, now: int, record: RequestRecord, cls: int, verdict: BudgetVerdict) -> None:
         record.price = self._price(now + self.wall)
         if self.budgets:
-            self.budgets.take(now, record.id, record.ask.tenant, cls, record.ask.prompt_tokens, verdict)
+            self.budgets.take(
+                now,
+                record.id,
+                record.client_request.tenant,
+                cls,
+                record.client_request.prompt_tokens,
+                verdict,
+            )
 
-    def _price(self, wall: int) -> Price:
+    def _price(self, wall: int) -> TokenPrice:
         prices = self.options.prices
         place = bisect_right([at for at, _ in prices], wall)
-        return prices[place - 1][1] if place else Price()
+        return prices[place - 1][1] if place else TokenPrice()
 
-    def began(self, record: Record) -> None:
+    def began(self, record: RequestRecord) -> None:
         if self.ledger:
-            self.streaming[record.id] = (record, record.ask.resume_index)
+            self.streaming[record.id] = (record, record.client_request.resume_index)
 
-    def ended(self, now: int, record: Record) -> None:
+    def ended(self, now: int, record: RequestRecord) -> None:
         """A request that had been let in is over."""
         self.streaming.pop(record.id, None)
-        got = record.next_index - record.ask.resume_index
-        whole = record.state is State.SERVED
+        got = record.next_index - record.client_request.resume_index
+        whole = record.state is RequestState.SERVED
         if self.budgets:
             self.budgets.settle(now, record.id, record.cached_tokens, got if got else -1, whole)
         if self.ledger:
             self._add(self._part(record, SERVED if whole else CUT if got else NOTHING))
 
-    def _part(self, record: Record, outcome: int) -> Part:
-        ask, got = record.ask, record.next_index > record.ask.resume_index
-        lost = max(record.reads - got, 0) * max(ask.prompt_tokens - record.cached_tokens, 0)
-        work = ask.work or record.name
-        return Part(
+    def _part(self, record: RequestRecord, outcome: int) -> UsageRecord:
+        ask, got = record.client_request, record.next_index > record.client_request.resume_index
+        lost = max(record.prefills - got, 0) * max(ask.prompt_tokens - record.cached_tokens, 0)
+        work = ask.work_id or record.name
+        return UsageRecord(
             self.instance,
             record.id,
             ask.tenant,
             work,
-            record.taken_at + self.wall,
+            record.accepted_at_us + self.wall,
             ask.prompt_tokens,
             record.cached_tokens,
             ask.resume_index,
@@ -162,7 +180,7 @@
             record.model.version,
         )
 
-    def _add(self, part: Part) -> None:
+    def _add(self, part: UsageRecord) -> None:
         assert self.ledger
         if not self.ledger.add(part):
             self.unbilled += 1
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -17,15 +17,15 @@
 import structlog
 
 from tuliptrack import interface as io
-from tuliptrack.decisions.admission import Admission, AdmissionLimits
-from tuliptrack.decisions.models import Model
-from tuliptrack.fronts.port import Answer, Ask, Failure
+from tuliptrack.decisions.concurrency_limit import ConcurrencyLimiter, ConcurrencyLimits
+from tuliptrack.decisions.model_catalog import Model
+from tuliptrack.fronts.port import ClientRequest, Failure, ResponseWriter
 from tuliptrack.node.attempt_state import Verdict, may_have_run, may_refuse, may_repeat, may_send, repeat_by
 from tuliptrack.node.counters import Counters
-from tuliptrack.node.held_states import HeldStates
-from tuliptrack.node.port import Ended, Engines
+from tuliptrack.node.kv_state_leases import KvStateLeases
+from tuliptrack.node.port import AttemptResult, EngineClient
 from tuliptrack.node.request_reader import CoreLimits, RequestReader
-from tuliptrack.node.requests import Attempt, Held, Record, State, Table
+from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord, RequestState, RequestTable
 from tuliptrack.routing.router import Router
 from tuliptrack.rpc.clock import now_us
 
@@ -45,15 +45,15 @@
     state_lost: bool
 
 
-class _Ticket:
+class _RequestHandle:
     """A front's hold on one request."""
 
     __slots__ = ("core", "record")
 
-    def __init__(self, core: Core, record: Record) -> None:
+    def __init__(self, core: Core, record: RequestRecord) -> None:
         self.core, self.record = core, record
 
-    def gone(self, reason: str) -> None:
+    def disconnected(self, reason: str) -> None:
         self.core.client_gone(self.record, reason)
 
     def writable(self) -> None:
@@ -64,17 +64,22 @@
     """What a node does with requests, between its fronts and its engines."""
 
     def __init__(
-        self, settings: io.Settings, seed: int, instance: str, limits: CoreLimits, admission: AdmissionLimits
+        self,
+        settings: io.Settings,
+        seed: int,
+        instance: str,
+        limits: CoreLimits,
+        admission: ConcurrencyLimits,
     ) -> None:
         self.settings, self.limits, self.instance = settings, limits, instance
         self.router = Router(settings, seed)
         """That of engines without a label; it also keeps the subscription, and what routers of all models
         share."""
-        self.table = Table(instance)
-        self.admission = Admission(admission)
-        self.engines: Engines
+        self.table = RequestTable(instance)
+        self.admission = ConcurrencyLimiter(admission)
+        self.engines: EngineClient
         self.counters = Counters()
-        self.states = HeldStates(settings.release_within_us, lambda: self.engines, self.now, self.counters)
+        self.states = KvStateLeases(settings.release_within_us, lambda: self.engines, self.now, self.counters)
         self.source: Any
         self.requests = RequestReader(settings, limits)
         self.stopping = False
@@ -96,7 +101,7 @@
             io.MigrateStream: self._hand_back,
             io.SetTimer: self._set_timer,
             io.CheckHealth: self._probe,
-            io.CloseIdleConnections: lambda a: self.engines.close_idle(a.endpoint_id),
+            io.CloseIdleConnections: lambda a: self.engines.close_idle_connections(a.endpoint_id),
             io.Subscribe: lambda a: self.source.subscribe(a.on),
             io.FetchEndpointList: lambda a: self.source.fetch(),
             io.SendGossip: lambda a: None,
@@ -105,27 +110,27 @@
 
     # -- what a node may add
 
-    def choose(self, ask: Ask) -> tuple[Model, Router, str]:
+    def choose(self, ask: ClientRequest) -> tuple[Model, Router, str]:
         """The model and router of a request, and why it is refused, if it is; AskError where it names nothing
         served."""
         return Model(), self.router, ""
 
-    def admit(self, now: int, record: Record, cls: int) -> tuple[str, int, bool]:
+    def admit(self, now: int, record: RequestRecord, cls: int) -> tuple[str, int, bool]:
         """Why a request is refused (empty: it isn't), when to come back, and whether it's past its tenant's
         budget."""
         return "", 0, False
 
-    def began(self, record: Record) -> None:
+    def began(self, record: RequestRecord) -> None:
         """Its first token has come."""
 
-    def sent(self, record: Record, attempt: Attempt, action: io.SendAttempt) -> None:
+    def sent(self, record: RequestRecord, attempt: Attempt, action: io.SendAttempt) -> None:
         """An attempt has left."""
 
-    def crossed(self, record: Record, attempt: Attempt, ended: Ended) -> float:
+    def crossed(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> float:
         """Bytes that an attempt has moved between zones."""
         return 0.0
 
-    def dropped(self, record: Record) -> None:
+    def dropped(self, record: RequestRecord) -> None:
         """It has left the table."""
 
     # -- events in
@@ -155,7 +160,7 @@
                     actions = []
                 record = self.table.open.get(getattr(one, "request_id", 0))
                 if record and isinstance(one, io.AttemptEnded):
-                    record.untold -= 1
+                    record.pending_events -= 1
                 for action in actions:
                     self._acts[type(action)](action)
                 if record:
@@ -166,106 +171,120 @@
     def _give_up(self, request: int) -> None:
         """The router has failed on this request: nothing more is known of it, so it fails."""
         record = self.table.open.get(request)
-        if record and record.end(State.FAILED, "internal"):
-            record.answer.failed(Failure.LOST, "internal", record.next_index)
+        if record and record.conclude(RequestState.FAILED, "internal"):
+            record.response.failed(Failure.LOST, "internal", record.next_index)
             self.states.release(record)
             self.tell(io.ClientDisconnected(request), record.router)  # Its books are closed, if it still can.
-            if record.out and record.out.call:
-                record.out.call.cancel(io.Status.CANCELLED)
+            if record.attempt and record.attempt.call:
+                record.attempt.call.cancel(io.Status.CANCELLED)
             self._settle(record)
 
-    def submit(self, ask: Ask, answer: Answer) -> _Ticket:
+    def submit(self, ask: ClientRequest, answer: ResponseWriter) -> _RequestHandle:
         """Take a request from a front; AskError where it can't be one."""
         now = self.now()
         request = self.requests.read(ask, now)
         model, router, reason = self.choose(ask)
-        record = self.table.take(ask, answer, now + request.time_left_us, now, router, model)
+        record = self.table.add(ask, answer, now + request.time_left_us, now, router, model)
         if self.stopping:
             reason = "this node shuts down"
         wait, over = 0, False
         if not reason and (reason := self.admission.enter(ask.tenant, ask.connection)):
             wait = self.advised(self.admission.wait(ask.tenant))
         elif not reason:
-            record.placed = True
+            record.has_concurrency_slot = True
             reason, wait, over = self.admit(now, record, request.class_index)
         if reason:
             self._answer_refused(record, reason, wait)
             self._settle(record)
-            return _Ticket(self, record)
-        by = ask.deadline if ask.first_by is None else ask.first_by
+            return _RequestHandle(self, record)
+        by = ask.deadline_us if ask.first_token_deadline_us is None else ask.first_token_deadline_us
         if by is not None:
             left = max(by - self.limits.answer_ahead - now, 0) / 1e6
             self._due[record.id] = asyncio.get_running_loop().call_later(left, self._call_due, record)
         self.tell(replace(request, request_id=record.id, is_over_token_budget=over))
-        return _Ticket(self, record)
+        return _RequestHandle(self, record)
 
-    def outlook(self) -> tuple[str, int]:
+    def overload(self) -> tuple[str, int]:
         if self.stopping:
             return "this node shuts down", 0
         if self.admission.full():
             return "too many requests are open at this node", self.advised(self.admission.wait(""))
         return "", 0
 
-    def _call_due(self, record: Record) -> None:
+    def _call_due(self, record: RequestRecord) -> None:
         """The client's deadline for the whole call is about to pass: what streams is ended in time. What
         hasn't begun is the router's, by the attempt's time-out."""
         self._due.pop(record.id, None)
-        if record.state is State.STREAMING:
-            if record.ask.deadline is None:
+        if record.state is RequestState.STREAMING:
+            if record.client_request.deadline_us is None:
                 return  # What has begun has no deadline.
             self._break(
                 record, Failure.DEADLINE, "the client's deadline came in mid-stream", io.Status.TIMEOUT
             )
-        elif not record.ended and record.out is None:
+        elif not record.is_concluded and record.attempt is None:
             log.error("request unanswered at its deadline", request=record.id, state=record.state.value)
             self._give_up(record.id)
 
-    def client_gone(self, record: Record, reason: str) -> None:
+    def client_gone(self, record: RequestRecord, reason: str) -> None:
         """The client has left, or its connection has."""
-        streaming = record.state is State.STREAMING
-        if not record.end(State.LEFT, reason):
+        streaming = record.state is RequestState.STREAMING
+        if not record.conclude(RequestState.LEFT, reason):
             return
         self.tell(io.ClientDisconnected(record.id))
-        if record.out and record.out.call and (streaming or not may_have_run(record.out.call.delivery())):
-            record.out.call.cancel(
+        if (
+            record.attempt
+            and record.attempt.call
+            and (streaming or not may_have_run(record.attempt.call.delivery()))
+        ):
+            record.attempt.call.cancel(
                 io.Status.CANCELLED
             )  # What nobody reads ends; what has not begun never does.
         self._settle(record)
 
-    def wanted(self, record: Record, server: int) -> bool:
+    def wanted(self, record: RequestRecord, server: int) -> bool:
         """Whether an attempt there may still begin, as its connection is there: its client may have gone
         though the loop has not read that yet, and the server may have begun to drain since the attempt was
         decided."""
         return bool(self._may_begin(record, server, in_flight=False))
 
-    def _may_begin(self, record: Record, server: int, in_flight: bool) -> Verdict:
+    def _may_begin(self, record: RequestRecord, server: int, in_flight: bool) -> Verdict:
         """Whether an attempt may begin at a server now; a client found to have gone is told of."""
         seat = record.router.endpoints.get(server)
         state = seat.info.state if seat else None
-        verdict = may_send(record.ended, not record.ended and record.ask.left(), in_flight, state)
+        verdict = may_send(
+            record.is_concluded,
+            not record.is_concluded and record.client_request.is_disconnected(),
+            in_flight,
+            state,
+        )
         if verdict is Verdict.CLIENT_GONE:
             self.client_gone(record, verdict.value)
         if verdict:
             cls = self._class_of(record)
-            verdict = may_repeat(cls.idempotency, record.ran_at, cls.deduplication_window_us, self.now())
+            verdict = may_repeat(
+                cls.idempotency, record.executed_at_us, cls.deduplication_window_us, self.now()
+            )
         if not verdict:
             record.trace.add(self.now(), f"not sent to {server}: {verdict.value}")
             self.counters.add(f"not_sent_{verdict.name.lower()}")
             if verdict in _NEVER_ORDERED:
                 self.counters.violated(
-                    verdict.name.lower(), record.trace, request=record.id, call_id=record.ask.call_id
+                    verdict.name.lower(),
+                    record.trace,
+                    request=record.id,
+                    call_id=record.client_request.call_id,
                 )
         return verdict
 
-    def _class_of(self, record: Record) -> io.RequestClass:
-        return self.requests.class_of(record.ask)
+    def _class_of(self, record: RequestRecord) -> io.RequestClass:
+        return self.requests.class_of(record.client_request)
 
-    def client_reads(self, record: Record) -> None:
+    def client_reads(self, record: RequestRecord) -> None:
         """The client has taken what waited for it: its engine stream goes on."""
-        if record.paused_at and record.out and record.out.call:
-            record.paused_at = 0
-            record.heard_at = now_us()
-            record.out.call.resume()
+        if record.paused_at_us and record.attempt and record.attempt.call:
+            record.paused_at_us = 0
+            record.last_output_at_us = now_us()
+            record.attempt.call.resume()
 
     # -- actions out
 
@@ -274,90 +293,96 @@
         now = self.now()
         if record is None:
             return
-        attempt = Attempt(record.attempts, action.endpoint_id, now)
-        record.attempts += 1
+        attempt = Attempt(record.attempt_count, action.endpoint_id, now)
+        record.attempt_count += 1
         seat = record.router.endpoints.get(action.endpoint_id)
-        reached = self.engines.reaches(action.endpoint_id)
-        record.untold += 1  # So that it stays while its client's leaving is told.
-        verdict = self._may_begin(record, action.endpoint_id, in_flight=record.out is not None)
-        record.untold -= 1
+        reached = self.engines.is_reachable(action.endpoint_id)
+        record.pending_events += 1  # So that it stays while its client's leaving is told.
+        verdict = self._may_begin(record, action.endpoint_id, in_flight=record.attempt is not None)
+        record.pending_events -= 1
         if not verdict or not reached or seat is None:
-            status = io.Status.CONNECT_FAILED if not reached and not record.ended else io.Status.ABANDONED
-            record.untold += 1
+            status = (
+                io.Status.CONNECT_FAILED if not reached and not record.is_concluded else io.Status.ABANDONED
+            )
+            record.pending_events += 1
             self._events.append(
                 (
-                    io.AttemptEnded(record.id, attempt.number, action.endpoint_id, status, 0, record.ended),
+                    io.AttemptEnded(
+                        record.id, attempt.number, action.endpoint_id, status, 0, record.is_concluded
+                    ),
                     None,
                 )
             )
             return
-        left = record.due - now
-        if record.held:
-            attempt.reader = record.held.server
-            attempt.connect_by = self.states.connect_by(record)
+        left = record.deadline_us - now
+        if record.kv_state:
+            attempt.state_endpoint_id = record.kv_state.endpoint_id
+            attempt.connect_by_us = self.states.connect_by(record)
         if latest := self._repeat_by(record):
-            attempt.connect_by = min(attempt.connect_by or latest, latest)
-        attempt.cut_at_due = not action.timeout_us or action.timeout_us >= left
-        timeout = max(left if attempt.cut_at_due else action.timeout_us, 1)
-        record.out = attempt
-        record.servers.append(action.endpoint_id)
-        attempt.reading = seat.role is io.Role.PREFILL
-        record.go(State.READING if attempt.reading else State.WRITING)
+            attempt.connect_by_us = min(attempt.connect_by_us or latest, latest)
+        attempt.ends_at_deadline = not action.timeout_us or action.timeout_us >= left
+        timeout = max(left if attempt.ends_at_deadline else action.timeout_us, 1)
+        record.attempt = attempt
+        record.endpoint_ids.append(action.endpoint_id)
+        attempt.is_prefill = seat.role is io.Role.PREFILL
+        record.enter(RequestState.READING if attempt.is_prefill else RequestState.WRITING)
         record.trace.add(
-            now, f"{'read' if attempt.reading else 'write'} {attempt.number} at {action.endpoint_id}"
+            now, f"{'read' if attempt.is_prefill else 'write'} {attempt.number} at {action.endpoint_id}"
         )
-        attempt.call = self.engines.begin(record, attempt, timeout)
+        attempt.call = self.engines.start(record, attempt, timeout)
         handle = asyncio.get_running_loop().call_later(timeout / 1e6, self._attempt_late, record, attempt)
         self._timers.add(handle)
         attempt.timer = handle
         self.sent(record, attempt, action)
 
-    def _repeat_by(self, record: Record) -> int:
+    def _repeat_by(self, record: RequestRecord) -> int:
         """By when a further attempt of what may have run has to be sent, lest its engine take it for another
         request: within the window for repeats, counted from the earliest moment that the first may have run;
         0: at any time."""
         cls = self._class_of(record)
-        return repeat_by(cls.idempotency, record.ran_at, cls.deduplication_window_us)
+        return repeat_by(cls.idempotency, record.executed_at_us, cls.deduplication_window_us)
 
-    def _attempt_late(self, record: Record, attempt: Attempt) -> None:
-        if attempt.call and record.out is attempt and record.state is not State.STREAMING:
-            if attempt.cut_at_due:
-                self._now = max(self._now, record.due)  # A timer may fire a hair early.
+    def _attempt_late(self, record: RequestRecord, attempt: Attempt) -> None:
+        if attempt.call and record.attempt is attempt and record.state is not RequestState.STREAMING:
+            if attempt.ends_at_deadline:
+                self._now = max(self._now, record.deadline_us)  # A timer may fire a hair early.
             attempt.call.cancel(io.Status.TIMEOUT)
 
     # -- what engines tell
 
-    def read(self, record: Record, attempt: Attempt, held: Held, kept: int) -> None:
+    def read(self, record: RequestRecord, attempt: Attempt, held: KvStateLocation, kept: int) -> None:
         """The prompt has been read: `held` waits there, `kept` tokens of it needed no reading."""
-        record.cached_tokens = max(0, min(kept, record.ask.prompt_tokens))
-        record.trace.add(self.now(), f"held at {held.server}")
+        record.cached_tokens = max(0, min(kept, record.client_request.prompt_tokens))
+        record.trace.add(self.now(), f"held at {held.endpoint_id}")
         self.states.hold(record, held)
 
-    def answers(self, record: Record, attempt: Attempt) -> bool:
+    def answers(self, record: RequestRecord, attempt: Attempt) -> bool:
         """A part of the answer has come; True where it is to be passed on. With the first one the stream has
         begun."""
-        if record.out is not attempt or record.ended:
+        if record.attempt is not attempt or record.is_concluded:
             return False
-        now = record.heard_at = self.now()
-        if record.state is State.WRITING:
+        now = record.last_output_at_us = self.now()
+        if record.state is RequestState.WRITING:
             self._cancel_timer(attempt)
-            record.go(State.STREAMING)
+            record.enter(RequestState.STREAMING)
             record.trace.add(now, "first token")
             self.states.taken(record)
-            record.first_token_at = now
+            record.first_token_at_us = now
             self.began(record)
-            self.tell(io.StreamStarted(record.id, attempt.number, attempt.server, now - attempt.sent))
-        return record.state is State.STREAMING
+            self.tell(
+                io.StreamStarted(record.id, attempt.number, attempt.endpoint_id, now - attempt.sent_at_us)
+            )
+        return record.state is RequestState.STREAMING
 
-    def passed(self, record: Record, attempt: Attempt, going: bool) -> None:
+    def passed(self, record: RequestRecord, attempt: Attempt, going: bool) -> None:
         """What came was given to the front, which may want no more for now."""
-        if not going and attempt.call and record.out is attempt:
-            record.paused_at = record.paused_at or self.now()
+        if not going and attempt.call and record.attempt is attempt:
+            record.paused_at_us = record.paused_at_us or self.now()
             attempt.call.pause()
 
-    def place_noted(self, record: Record, attempt: Attempt, server: int, held: bool) -> None:
+    def place_noted(self, record: RequestRecord, attempt: Attempt, server: int, held: bool) -> None:
         """The word on a place that was asked for."""
-        if record.out is attempt:
+        if record.attempt is attempt:
             self.tell(io.ReservationResult(record.id, attempt.number, server, held))
 
     def _cancel_timer(self, attempt: Attempt) -> None:
@@ -367,96 +392,98 @@
 
     # -- ends of attempts
 
-    def attempt_over(self, record: Record, attempt: Attempt, ended: Ended) -> None:
+    def attempt_over(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> None:
         """An attempt has ended: the router is told, and the client where its stream is over with it."""
-        if record.out is not attempt:
+        if record.attempt is not attempt:
             return
         self._cancel_timer(attempt)
-        record.out = None
-        record.untold += 1
-        latency = self.now() - attempt.sent
+        record.attempt = None
+        record.pending_events += 1
+        latency = self.now() - attempt.sent_at_us
         self.states.attempt_ended(record, attempt, ended)
         told = self._after_attempt(record, attempt, ended)
         why = f" ({ended.reason})" if ended.reason else ""
         record.trace.add(self.now(), f"{told.status.value} {attempt.number}{why}")
         self._note_effect(record, attempt, told.status)
         crossed = self.crossed(record, attempt, ended)
-        if attempt.reading and record.held is None and told.status in _MAY_HAVE_READ:
+        if attempt.is_prefill and record.kv_state is None and told.status in _MAY_HAVE_READ:
             self.states.read_broke_off(record, attempt)
         read = record.cached_tokens if told.status in (io.Status.OK, io.Status.PREFILLED) else 0
         self.tell(
             io.AttemptEnded(
                 record.id,
                 attempt.number,
-                attempt.server,
+                attempt.endpoint_id,
                 told.status,
                 latency,
-                record.ended,
+                record.is_concluded,
                 read,
                 told.state_lost,
-                ended.load,
+                ended.load_report,
                 crossed,
-                ended.lone,
+                ended.is_connection_only,
             )
         )
         self._settle(record)
 
-    def _note_effect(self, record: Record, attempt: Attempt, status: io.Status) -> None:
+    def _note_effect(self, record: RequestRecord, attempt: Attempt, status: io.Status) -> None:
         """From when on the request may have had an effect."""
-        if not record.ran_at and status.may_have_executed(attempt.reading):
-            record.ran_at = attempt.sent
+        if not record.executed_at_us and status.may_have_executed(attempt.is_prefill):
+            record.executed_at_us = attempt.sent_at_us
 
-    def _after_attempt(self, record: Record, attempt: Attempt, ended: Ended) -> _Told:
+    def _after_attempt(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> _Told:
         """Bring the request's state up to the end of its attempt; what the router is to be told of it."""
-        if ended.unusable:
-            self._answer_failed(record, Failure.UNUSABLE, ended.reason)
-            return _Told(ended.status, ended.state_lost)
-        if record.ended:
+        if ended.is_invalid_request:
+            self._answer_failed(record, Failure.INVALID, ended.reason)
+            return _Told(ended.status, ended.is_state_lost)
+        if record.is_concluded:
             return self._after_end(record, attempt, ended)
-        if attempt.reading:
+        if attempt.is_prefill:
             return self._after_read(record, ended)
-        if record.state is State.WRITING:
+        if record.state is RequestState.WRITING:
             return self._after_no_token(record, attempt, ended)
         return self._after_stream(record, ended)
 
-    def _after_end(self, record: Record, attempt: Attempt, ended: Ended) -> _Told:
+    def _after_end(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> _Told:
         """The request had ended before its attempt. A read that ended well has left a state, which is to be
         let go."""
         read = (
-            record.held is not None and record.held.server == attempt.server and ended.status is io.Status.OK
+            record.kv_state is not None
+            and record.kv_state.endpoint_id == attempt.endpoint_id
+            and ended.status is io.Status.OK
         )
-        return _Told(io.Status.PREFILLED if read else ended.status, ended.state_lost)
+        return _Told(io.Status.PREFILLED if read else ended.status, ended.is_state_lost)
 
-    def _after_read(self, record: Record, ended: Ended) -> _Told:
+    def _after_read(self, record: RequestRecord, ended: AttemptResult) -> _Told:
         """An attempt at a reader is over."""
         status = ended.status
         if status is io.Status.OK:
-            status = io.Status.PREFILLED if record.held else io.Status.ERROR
-        record.reads += status is io.Status.PREFILLED
-        record.go(State.HELD if status is io.Status.PREFILLED else State.TAKEN)
-        return _Told(status, ended.state_lost)
+            status = io.Status.PREFILLED if record.kv_state else io.Status.ERROR
+        record.prefills += status is io.Status.PREFILLED
+        record.enter(RequestState.HELD if status is io.Status.PREFILLED else RequestState.TAKEN)
+        return _Told(status, ended.is_state_lost)
 
-    def _after_no_token(self, record: Record, attempt: Attempt, ended: Ended) -> _Told:
+    def _after_no_token(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> _Told:
         """An attempt at a writer is over without a token. Its state is held on, or the prompt has to be read
         anew."""
         status = io.Status.ERROR if ended.status is io.Status.OK else ended.status
         lost = self.states.lost_with(record, attempt, ended)
-        record.go(State.HELD if record.held else State.TAKEN)
+        record.enter(RequestState.HELD if record.kv_state else RequestState.TAKEN)
         return _Told(status, lost)
 
-    def _after_stream(self, record: Record, ended: Ended) -> _Told:
+    def _after_stream(self, record: RequestRecord, ended: AttemptResult) -> _Told:
         """An attempt whose answer had begun is over."""
-        if record.finish:
-            if record.end(State.SERVED, record.finish.value):
-                record.answer.served()
-            return _Told(io.Status.OK, ended.state_lost)
+        if record.finish_reason:
+            if record.conclude(RequestState.SERVED, record.finish_reason.value):
+                record.response.served()
+            return _Told(io.Status.OK, ended.is_state_lost)
         status = io.Status.ERROR if ended.status is io.Status.OK else ended.status
         self._answer_failed(record, Failure.BROKEN, f"the stream broke: {ended.reason or status.value}")
-        return _Told(status, ended.state_lost)
+        return _Told(status, ended.is_state_lost)
 
-    def _break(self, record: Record, how: Failure, reason: str, status: io.Status) -> None:
+    def _break(self, record: RequestRecord, how: Failure, reason: str, status: io.Status) -> None:
         """End a stream that has begun, from our side."""
-        out = record.out
+        out = record.attempt
         self._answer_failed(record, how, reason)
         if out and out.call:
             out.call.cancel(status)
@@ -465,21 +492,21 @@
         record = self.table.open.get(action.request_id)
         if (
             record
-            and record.out
-            and record.out.number == action.attempt
-            and record.out.call
-            and (record.state is not State.STREAMING)
+            and record.attempt
+            and record.attempt.number == action.attempt
+            and record.attempt.call
+            and (record.state is not RequestState.STREAMING)
         ):
-            record.out.call.cancel(io.Status.CANCELLED)
+            record.attempt.call.cancel(io.Status.CANCELLED)
 
     def _refuse(self, action: io.Reject) -> None:
         if record := self.table.open.get(action.request_id):
-            reason = "no attempt was possible in time" if record.attempts else "overload"
+            reason = "no attempt was possible in time" if record.attempt_count else "overload"
             self._answer_refused(record, reason, self.advised(action.retry_after_us))
 
     def _fail(self, action: io.Fail) -> None:
         if record := self.table.open.get(action.request_id):
-            late = self.now() >= record.due
+            late = self.now() >= record.deadline_us
             reason = "no answer came by the deadline" if late else "attempts ended without an answer"
             self._answer_failed(record, Failure.DEADLINE if late else Failure.LOST, reason)
 
@@ -487,34 +514,34 @@
         """Advice that is a guess is cut to what the settings allow."""
         return min(retry_after, self.settings.max_retry_after_us)
 
-    def _answer_refused(self, record: Record, reason: str, retry_after: int) -> None:
-        if record.end(State.REFUSED, reason):
-            record.answer.refused(reason, retry_after)
+    def _answer_refused(self, record: RequestRecord, reason: str, retry_after: int) -> None:
+        if record.conclude(RequestState.REFUSED, reason):
+            record.response.rejected(reason, retry_after)
 
-    def _answer_failed(self, record: Record, how: Failure, reason: str) -> None:
-        if record.end(State.FAILED, reason):
-            record.answer.failed(how, reason, record.next_index)
+    def _answer_failed(self, record: RequestRecord, how: Failure, reason: str) -> None:
+        if record.conclude(RequestState.FAILED, reason):
+            record.response.failed(how, reason, record.next_index)
 
     def _release(self, action: io.Release) -> None:
         record = self.table.open.get(action.request_id)
         if record is None:
             return
         self.states.release(record)
-        if record.holding is not None:
-            server, record.holding = record.holding, None
+        if record.reserved_endpoint_id is not None:
+            server, record.reserved_endpoint_id = record.reserved_endpoint_id, None
             self.engines.release(server, record)
 
     def _hold_ahead(self, action: io.ReserveCapacity) -> None:
         record = self.table.open.get(action.request_id)
-        if record and record.out and self.engines.reaches(action.endpoint_id):
-            record.holding = action.endpoint_id
-            self.engines.hold(action.endpoint_id, record, record.out)
+        if record and record.attempt and self.engines.is_reachable(action.endpoint_id):
+            record.reserved_endpoint_id = action.endpoint_id
+            self.engines.reserve(action.endpoint_id, record, record.attempt)
 
     def _hand_back(self, action: io.MigrateStream) -> None:
         record = self.table.open.get(action.request_id)
-        if record and record.state is State.STREAMING:
+        if record and record.state is RequestState.STREAMING:
             self._break(
-                record, Failure.HANDED_BACK, "the stream is handed back to be resumed", io.Status.CANCELLED
+                record, Failure.MIGRATED, "the stream is handed back to be resumed", io.Status.CANCELLED
             )
 
     def _set_timer(self, action: io.SetTimer) -> None:
@@ -529,31 +556,34 @@
 
     def _probe(self, action: io.CheckHealth) -> None:
         router = self._acting
-        if not self.engines.reaches(action.endpoint_id):
+        if not self.engines.is_reachable(action.endpoint_id):
             self._events.append(
                 (io.HealthCheckResult(action.endpoint_id, io.Status.CONNECT_FAILED, 0), router)
             )
             return
-        self.engines.probe(action.endpoint_id, lambda result: self.tell(result, router))
+        self.engines.check_health(action.endpoint_id, lambda result: self.tell(result, router))
 
     # -- ends and sweeps
 
-    def _settle(self, record: Record) -> None:
+    def _settle(self, record: RequestRecord) -> None:
         """Once a request has ended and no attempt is out, it is dropped, with one line for the operators."""
-        if not self.table.settle(record):
+        if not self.table.remove_if_over(record):
             return
         if handle := self._due.pop(record.id, None):
             handle.cancel()
         now = self.now()
         self.states.request_over(record)
         self.counters.add(f"requests_{record.state.value}")
-        if record.state in (State.REFUSED, State.FAILED) and now > record.due + _LATE_US:
+        if (
+            record.state in (RequestState.REFUSED, RequestState.FAILED)
+            and now > record.deadline_us + _LATE_US
+        ):
             self.counters.add("answers_late")
         self.dropped(record)
-        if record.placed:
-            record.placed = False
-            self.admission.leave(now, record.ask.tenant, record.ask.connection)
-        ask = record.ask
+        if record.has_concurrency_slot:
+            record.has_concurrency_slot = False
+            self.admission.leave(now, record.client_request.tenant, record.client_request.connection)
+        ask = record.client_request
         log.info(
             "request",
             end=record.state.value,
@@ -562,14 +592,14 @@
             call_id=ask.call_id,
             request_class=ask.request_class,
             tenant=ask.tenant,
-            attempts=record.attempts,
-            servers=record.servers,
+            attempts=record.attempt_count,
+            servers=record.endpoint_ids,
             prompt_tokens=ask.prompt_tokens,
             cached_tokens=record.cached_tokens,
             tokens=record.next_index - ask.resume_index,
-            ms=round((now - record.taken_at) / 1000, 1),
-            first_ms=round((record.first_token_at - record.taken_at) / 1000, 1)
-            if record.first_token_at
+            ms=round((now - record.accepted_at_us) / 1000, 1),
+            first_ms=round((record.first_token_at_us - record.accepted_at_us) / 1000, 1)
+            if record.first_token_at_us
             else None,
             steps=str(record.trace),
         )
@@ -582,13 +612,13 @@
         """Look at times that need no timer of their own; to be called now and then."""
         now = now_us()
         for record in list(self.table.open.values()):
-            if record.state is not State.STREAMING:
+            if record.state is not RequestState.STREAMING:
                 continue
-            if record.paused_at and now - record.paused_at > self.limits.client_stall:
+            if record.paused_at_us and now - record.paused_at_us > self.limits.client_stall:
                 self._break(
                     record, Failure.STALLED, "the client leaves its answer unread", io.Status.CANCELLED
                 )
-            elif not record.paused_at and now - record.heard_at > self.limits.token_silence:
+            elif not record.paused_at_us and now - record.last_output_at_us > self.limits.token_silence:
                 self._break(
                     record, Failure.BROKEN, "the engine has gone silent in mid-stream", io.Status.RESET
                 )
@@ -598,12 +628,12 @@
         can have run."""
         reason = "this node has shut down"
         for record in list(self.table.open.values()):
-            if record.taken_at < since:
+            if record.accepted_at_us < since:
                 continue
-            if record.state is State.STREAMING:
+            if record.state is RequestState.STREAMING:
                 self._break(record, Failure.BROKEN, reason, io.Status.CANCELLED)
                 continue
-            ran = self._may_run(record.out) or record.ran_at > 0
+            ran = self._may_run(record.attempt) or record.executed_at_us > 0
             if may_refuse(self._class_of(record).idempotency, ran):
                 self._answer_refused(record, reason, 0)
             else:
@@ -615,7 +645,7 @@
 
     def _may_run(self, out: Attempt | None) -> bool:
         """Whether an attempt that is called off now may have had an effect, or may have one yet."""
-        if out is None or (out.reading and self.engines.reads_have_no_effect):
+        if out is None or (out.is_prefill and self.engines.prefills_have_no_effect):
             return False
         return out.call is None or may_have_run(out.call.delivery())
 
@@ -628,8 +658,8 @@
         """Every request and timer ends; their clients are gone."""
         for record in list(self.table.open.values()):
             self.client_gone(record, "node stopped")
-            if record.out and record.out.call:  # Also where the settings let nothing be called off.
-                record.out.call.cancel(io.Status.CANCELLED)
+            if record.attempt and record.attempt.call:  # Also where the settings let nothing be called off.
+                record.attempt.call.cancel(io.Status.CANCELLED)
             self.states.stop(record)
         for handle in [*self._timers, *self._due.values()]:
             handle.cancel()
--- a/tuliptrack/node/zones.py
+++ b/tuliptrack/node/cross_zone_account.py
@@ -21,7 +21,7 @@
 from tuliptrack.node import line_file
 from tuliptrack.rpc.clock import now_us, wall_us
 
-__all__ = ["Move", "ZoneAccount"]
+__all__ = ["CrossZoneAccount", "Transfer"]
 
 log = structlog.get_logger("zones")
 MOST_KEYS = 50_000
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Move:
+class Transfer:
     """One thing that has crossed, or may still: a prompt, a read state, or an answer."""
 
     cls: str
@@ -61,12 +61,12 @@
         sums[place] += amount
 
 
-class ZoneAccount:
+class CrossZoneAccount:
     """One node's account. `take` notes a move, `book` ends an interval."""
 
     def __init__(self, names: tuple[str, ...], path: str, most_bytes: int, node: int) -> None:
         self.names, self.path, self.most_bytes, self.node = names, path, most_bytes, node
-        self.moves: list[Move] = []
+        self.moves: list[Transfer] = []
         self.total: dict[Key, list[float]] = {}
         """Since the start: bytes, tokens and moves by class, tenant, stage, pair and cause."""
         self.unwritten: dict[Key, list[float]] = {}
@@ -77,14 +77,14 @@
     def name(self, zone: int) -> str:
         return self.names[zone] if zone < len(self.names) else str(zone)
 
-    def take(self, move: Move) -> Move:
+    def take(self, move: Transfer) -> Transfer:
         """Count something that has begun to cross."""
         if len(self.moves) >= MOST_MOVES:
             self._book(self.moves.pop(0), self._booked)
         self.moves.append(move)
         return move
 
-    def _key(self, move: Move) -> Key:
+    def _key(self, move: Transfer) -> Key:
         return (
             move.cls,
             move.tenant,
@@ -105,7 +105,7 @@
         self.moves = [move for move in self.moves if not move.over or now < move.let_go_at]
         return rows
 
-    def _book(self, move: Move, rows: dict[Key, list[float]]) -> None:
+    def _book(self, move: Transfer, rows: dict[Key, list[float]]) -> None:
         """Add what a move has come to since it was last looked at."""
         size = move.size()
         if size <= move.booked:
--- a/tuliptrack/node/engines.py
+++ b/tuliptrack/node/engine_channels.py
@@ -16,7 +16,7 @@
 from tuliptrack.rpc.core import Limits
 from tuliptrack.rpc.status import Code
 
-__all__ = ["REPORT_TRAILER", "Engines", "load_of", "outcome_of"]
+__all__ = ["REPORT_TRAILER", "EngineChannels", "load_of", "outcome_of"]
 
 REPORT_TRAILER = "endpoint-load-metrics-bin"
 log = structlog.get_logger("engines")
@@ -64,7 +64,7 @@
     return values
 
 
-class Engines:
+class EngineChannels:
     """One channel for each server that was listed. A server that has gone keeps its channel while calls run
     there."""
 
--- a/tuliptrack/node/calls.py
+++ b/tuliptrack/node/grpc_engine_client.py
@@ -8,18 +8,18 @@
 from google.protobuf.message import DecodeError
 
 from tuliptrack import interface as io
-from tuliptrack.fronts.port import Finish, Usage
+from tuliptrack.fronts.port import FinishReason, Usage
 from tuliptrack.node.attempt_state import Delivery
 from tuliptrack.node.core import Core
-from tuliptrack.node.engines import Engines, load_of, outcome_of
-from tuliptrack.node.port import Ended
-from tuliptrack.node.requests import Attempt, Held, Record
+from tuliptrack.node.engine_channels import EngineChannels, load_of, outcome_of
+from tuliptrack.node.port import AttemptResult
+from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
 from tuliptrack.proto import engine_pb2, generation_pb2
 from tuliptrack.rpc.channel import ClientCall, End, How
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.status import Code
 
-__all__ = ["ENGINE", "GrpcCall", "GrpcEngines"]
+__all__ = ["ENGINE", "GrpcCall", "GrpcEngineClient"]
 
 log = structlog.get_logger("node")
 
@@ -29,7 +29,7 @@
 """Microseconds for each try of a release: by the second one a silent connection is doubted and another one
 used."""
 _RELEASE_TRAVEL_US = 60_000  # a release takes so long at most to its engine, on a busy machine too
-_FINISH = {generation_pb2.STOP: Finish.STOP, generation_pb2.LENGTH: Finish.LENGTH}
+_FINISH = {generation_pb2.STOP: FinishReason.STOP, generation_pb2.LENGTH: FinishReason.LENGTH}
 _HOW = {io.Status.TIMEOUT: How.TIMEOUT, io.Status.RESET: How.RESET}
 
 
@@ -49,10 +49,10 @@
             return Delivery.NOT_SENT
         return Delivery.CONFIRMED if self.call.arrived else Delivery.POSSIBLE
 
-    def seek_arrival(self) -> None:
+    def confirm_arrival(self) -> None:
         """Its connection looks for its own proofs."""
 
-    def doubt(self) -> None:
+    def mark_doubtful(self) -> None:
         """Its connection looks for its own proofs."""
 
     def pause(self) -> None:
@@ -62,39 +62,39 @@
         self.call.resume()
 
 
-class GrpcEngines:
-    """See `node/port.py`; the channels are `Engines`'."""
+class GrpcEngineClient:
+    """See `node/port.py`; the channels are `EngineChannels`'."""
 
-    reads_have_no_effect = True
-    one_release_for_all = False
-    release_travel = _RELEASE_TRAVEL_US
+    prefills_have_no_effect = True
+    releases_are_global = False
+    release_transit_us = _RELEASE_TRAVEL_US
 
-    def __init__(self, core: Core, channels: Engines) -> None:
+    def __init__(self, core: Core, channels: EngineChannels) -> None:
         self.core, self.channels = core, channels
 
-    def reaches(self, server: int) -> bool:
+    def is_reachable(self, server: int) -> bool:
         return self.channels.channel(server) is not None
 
-    def begin(self, record: Record, attempt: Attempt, timeout: int) -> GrpcCall:
-        if attempt.reading:
+    def start(self, record: RequestRecord, attempt: Attempt, timeout: int) -> GrpcCall:
+        if attempt.is_prefill:
             read = engine_pb2.ReadRequest(work=self._work(record, attempt))
             return self._call("Read", read.SerializeToString(), record, attempt, self._read_message)
         write = engine_pb2.WriteRequest(work=self._work(record, attempt))
-        if record.held:
-            write.state.state_id, write.state.address = record.held.state_id, record.held.address
+        if record.kv_state:
+            write.state.state_id, write.state.address = record.kv_state.state_id, record.kv_state.address
         return self._call("Write", write.SerializeToString(), record, attempt, self._token)
 
     def _call(
         self,
         method: str,
         message: bytes,
-        record: Record,
+        record: RequestRecord,
         attempt: Attempt,
-        on_message: Callable[[Record, Attempt, bytes], None],
+        on_message: Callable[[RequestRecord, Attempt, bytes], None],
     ) -> GrpcCall:
-        channel = self.channels.channel(attempt.server)
+        channel = self.channels.channel(attempt.endpoint_id)
         assert channel
-        connect_within = attempt.connect_by - self.core.now() if attempt.connect_by else None
+        connect_within = attempt.connect_by_us - self.core.now() if attempt.connect_by_us else None
         return GrpcCall(
             channel.call(
                 ENGINE + method,
@@ -105,25 +105,25 @@
             )
         )
 
-    def _over(self, record: Record, attempt: Attempt, end: End) -> None:
+    def _over(self, record: RequestRecord, attempt: Attempt, end: End) -> None:
         status = outcome_of(end)
         lost = status is io.Status.AT_CAPACITY and end.status.code is Code.FAILED_PRECONDITION
         self.core.attempt_over(
             record,
             attempt,
-            Ended(
+            AttemptResult(
                 status,
                 end.status.message,
                 lost,
-                load_of(end, attempt.server),
-                received=end.how is How.STATUS,
+                load_of(end, attempt.endpoint_id),
+                is_confirmed=end.how is How.STATUS,
                 detail=end,
-                lone=end.lone,
+                is_connection_only=end.lone,
             ),
         )
 
-    def _work(self, record: Record, attempt: Attempt) -> engine_pb2.Work:
-        ask = record.ask
+    def _work(self, record: RequestRecord, attempt: Attempt) -> engine_pb2.Work:
+        ask = record.client_request
         work = engine_pb2.Work(
             request_id=record.name,
             request_class=ask.request_class,
@@ -142,24 +142,29 @@
             work.resume.next_index, work.resume.text = ask.resume_index, ask.resume_text
         return work
 
-    def _read_message(self, record: Record, attempt: Attempt, data: bytes) -> None:
+    def _read_message(self, record: RequestRecord, attempt: Attempt, data: bytes) -> None:
         try:
             answer = engine_pb2.ReadResponse.FromString(data)
         except DecodeError:
             self._engine_fault(record, attempt, "malformed ReadResponse")
             return
-        address = self.channels.addresses.get(attempt.server, "")
-        self.core.read(record, attempt, Held(attempt.server, answer.state_id, address), answer.kept_tokens)
+        address = self.channels.addresses.get(attempt.endpoint_id, "")
+        self.core.read(
+            record,
+            attempt,
+            KvStateLocation(attempt.endpoint_id, answer.state_id, address),
+            answer.kept_tokens,
+        )
 
-    def _engine_fault(self, record: Record, attempt: Attempt, reason: str) -> None:
+    def _engine_fault(self, record: RequestRecord, attempt: Attempt, reason: str) -> None:
         """An engine speaks nonsense: the attempt is broken off as an error of its."""
-        log.warning("engine fault", request=record.id, server=attempt.server, reason=reason)
+        log.warning("engine fault", request=record.id, server=attempt.endpoint_id, reason=reason)
         if attempt.call:
             attempt.call.cancel(io.Status.RESET)
 
-    def _token(self, record: Record, attempt: Attempt, data: bytes) -> None:
+    def _token(self, record: RequestRecord, attempt: Attempt, data: bytes) -> None:
         """A token has come from a writer."""
-        if record.out is not attempt or record.ended:
+        if record.attempt is not attempt or record.is_concluded:
             return
         try:
             message = generation_pb2.GenerateResponse.FromString(data)
@@ -176,23 +181,23 @@
         record.next_index += 1
         usage = None
         if message.finish_reason:
-            record.finish = _FINISH.get(message.finish_reason, Finish.STOP)
-            ask = record.ask
+            record.finish_reason = _FINISH.get(message.finish_reason, FinishReason.STOP)
+            ask = record.client_request
             usage = Usage(ask.prompt_tokens, record.cached_tokens, record.next_index - ask.resume_index)
         self.core.passed(
-            record, attempt, record.answer.token(message.index, message.text, record.finish, usage)
+            record, attempt, record.response.token(message.index, message.text, record.finish_reason, usage)
         )
 
-    def _in_order(self, record: Record, message: generation_pb2.GenerateResponse) -> bool:
+    def _in_order(self, record: RequestRecord, message: generation_pb2.GenerateResponse) -> bool:
         """No token reaches a client twice, out of turn, or after the last one."""
-        return message.index == record.next_index and not record.finish
+        return message.index == record.next_index and not record.finish_reason
 
-    def release(self, server: int, record: Record, unsure: bool = False) -> None:
+    def release(self, server: int, record: RequestRecord, unsure: bool = False) -> None:
         """Tell an engine to let go of what it holds; once more where that call broke or has had no answer for
         a while."""
         self._release(server, record, _RELEASE_TRIES)
 
-    def _release(self, server: int, record: Record, timeouts: tuple[int, ...]) -> None:
+    def _release(self, server: int, record: RequestRecord, timeouts: tuple[int, ...]) -> None:
         channel = self.channels.channel(server)
         if channel is None:
             return
@@ -206,13 +211,13 @@
             ENGINE + "Release", message=request.SerializeToString(), timeout=timeouts[0], on_end=ended
         )
 
-    def release_late(self, server: int, record: Record) -> None:
+    def release_later(self, server: int, record: RequestRecord) -> None:
         """What it comes to hold ends by its own lease."""
 
-    def cancel_release(self, record: Record) -> None:
+    def cancel_release(self, record: RequestRecord) -> None:
         """A call that is out names the request, not a state: it is left to its end."""
 
-    def hold(self, server: int, record: Record, attempt: Attempt) -> None:
+    def reserve(self, server: int, record: RequestRecord, attempt: Attempt) -> None:
         channel, got = self.channels.channel(server), list[bytes]()
         if channel is None:
             return
@@ -232,7 +237,7 @@
             on_end=ended,
         )
 
-    def probe(self, server: int, done: Callable[[io.HealthCheckResult], None]) -> None:
+    def check_health(self, server: int, done: Callable[[io.HealthCheckResult], None]) -> None:
         channel, sent = self.channels.channel(server), now_us()
         if channel:
             channel.call(
@@ -244,6 +249,6 @@
                 ),
             )
 
-    def close_idle(self, server: int) -> None:
+    def close_idle_connections(self, server: int) -> None:
         if channel := self.channels.channels.get(server):
             channel.close_idle()
