--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -14,19 +14,19 @@
 
 from tuliptrack import interface as io
 from tuliptrack.config.node import NodeConfig
-from tuliptrack.decisions.admission import AdmissionLimits, ByteBudget
-from tuliptrack.decisions.models import MOST_MODELS, Catalog, Model, NotServed
+from tuliptrack.decisions.concurrency_limit import ByteBudget, ConcurrencyLimits
+from tuliptrack.decisions.model_catalog import MAX_MODELS, Model, ModelCatalog, NotServedError
 from tuliptrack.fronts import discovery
 from tuliptrack.fronts.installed import FRONTS, LISTENERS
-from tuliptrack.fronts.port import Ask, AskError
-from tuliptrack.node.bills import Bills
-from tuliptrack.node.calls import ENGINE, GrpcCall, GrpcEngines
+from tuliptrack.fronts.port import ClientRequest, InvalidRequestError
+from tuliptrack.node.billing import Billing
 from tuliptrack.node.core import Core
-from tuliptrack.node.engines import Engines
-from tuliptrack.node.port import Ended
+from tuliptrack.node.cross_zone_account import CrossZoneAccount, Transfer
+from tuliptrack.node.engine_channels import EngineChannels
+from tuliptrack.node.grpc_engine_client import ENGINE, GrpcCall, GrpcEngineClient
+from tuliptrack.node.port import AttemptResult
 from tuliptrack.node.request_reader import CoreLimits
-from tuliptrack.node.requests import Attempt, Record
-from tuliptrack.node.zones import Move, ZoneAccount
+from tuliptrack.node.requests import Attempt, RequestRecord
 from tuliptrack.proto import engine_pb2, fleet_pb2
 from tuliptrack.routing.router import Router
 from tuliptrack.rpc.channel import Channel, ClientCall, End, How
@@ -34,9 +34,16 @@
 from tuliptrack.rpc.core import Limits
 from tuliptrack.rpc.server import Server, ServerCall, unary_request
 from tuliptrack.rpc.status import Code, Status
+from tuliptrack.sources.endpoint_list import (
+    EndpointList,
+    EndpointListSource,
+    InvalidListError,
+    ListedUpdate,
+    load_cache,
+    save_cache,
+)
 from tuliptrack.sources.feed import FeedSource
 from tuliptrack.sources.file import FileSource
-from tuliptrack.sources.listing import ListError, Listing, Roster, Source, load_cache, save_cache
 
 __all__ = ["Node"]
 
@@ -50,7 +57,7 @@
 class Node(Core):
     """One node. `start`, then `stop`; between them it serves."""
 
-    def __init__(self, config: NodeConfig, source: Source | None = None) -> None:
+    def __init__(self, config: NodeConfig, source: EndpointListSource | None = None) -> None:
         self.config = config
         # All nodes share wall time: its offset is taken once, so that later jumps of the clock change
         # nothing.
@@ -68,13 +75,13 @@
                 limits.client_stall,
                 config.engines.token_silence,
             ),
-            AdmissionLimits(limits.open_requests, limits.tenant_requests, limits.connection_requests),
+            ConcurrencyLimits(limits.open_requests, limits.tenant_requests, limits.connection_requests),
         )
         self.routers = {Model(): self.router}
-        self.models = Catalog(config.settings.roles)
+        self.models = ModelCatalog(config.settings.roles)
         self.bodies = ByteBudget(limits.body_bytes)
-        self.channels = Engines(config.engines, limits.message_bytes)
-        self.engines = GrpcEngines(self, self.channels)
+        self.channels = EngineChannels(config.engines, limits.message_bytes)
+        self.engines = GrpcEngineClient(self, self.channels)
         self.server = Server(
             Limits(
                 max_streams=limits.streams_per_connection,
@@ -86,24 +93,24 @@
             limits.connections,
             self.bodies,
         )
-        self.server.outlook = self.outlook
+        self.server.outlook = self.overload
         self.listeners = [made for make in LISTENERS if (made := make(self, config, self.bodies))]
-        self.roster = Roster(config.kinds)
+        self.roster = EndpointList(config.kinds)
         self.source = source if source is not None else self._source()
         self.peers = [Channel(address, self.channels.options) for address in config.peers]
         self._sweeper: asyncio.Task[None] | None = None
         self._saver: asyncio.Task[None] | None = None
         self._save_again = False
-        self.bills = Bills(config.billing, self.settings, self.instance, self.now())
+        self.bills = Billing(config.billing, self.settings, self.instance, self.now())
         zones = config.zones
-        self.account = ZoneAccount(
+        self.account = CrossZoneAccount(
             zones.names, zones.report, zones.report_bytes, config.settings.replica_index
         )
         self._booked_at = 0
         self._lacking: set[tuple[str, str]] = set()
         self._acts[io.SendGossip] = self._tell_peers
 
-    def _source(self) -> Source:
+    def _source(self) -> EndpointListSource:
         options = self.config.source
         if options.feed:
             return FeedSource(
@@ -118,7 +125,7 @@
         kept = fleet_pb2.ServerList()
         try:
             kept = load_cache(self.config.source.cache)
-        except ListError as error:
+        except InvalidListError as error:
             log.warning("kept server list not taken", reason=str(error))
         await self.bills.open(self.now())
         self.listed(kept, io.UpdateKind.CACHED)
@@ -159,7 +166,7 @@
             await self._saver
         self.account.write(self.account.book())
         await self.bills.close()
-        log.info("stopped", **{state.value: n for state, n in self.table.ends.items()})
+        log.info("stopped", **{state.value: n for state, n in self.table.end_counts.items()})
 
     # -- events in
 
@@ -167,8 +174,8 @@
         """A server list has come."""
         before = set(self.roster.held)
         try:
-            listing: Listing = self.roster.take(message, self.now(), kind)
-        except ListError as error:
+            listing: ListedUpdate = self.roster.take(message, self.now(), kind)
+        except InvalidListError as error:
             log.warning("server list not taken", reason=str(error))
             return
         # The routers go first: what they stop sending to may then be let go.
@@ -203,7 +210,7 @@
             if not self.routers[model].in_flight:  # Else it is looked at again with the next list.
                 del self.routers[model]
         if self.models.left_out:
-            log.warning("engines of too many models", left_out=len(self.models.left_out), most=MOST_MODELS)
+            log.warning("engines of too many models", left_out=len(self.models.left_out), most=MAX_MODELS)
 
     def _look_at_zones(self) -> None:
         """Tell the operators of zones that lack readers or writers: each request there must cross."""
@@ -238,24 +245,24 @@
             except OSError as error:
                 log.warning("server list not kept", reason=str(error))
 
-    def choose(self, ask: Ask) -> tuple[Model, Router, str]:
+    def choose(self, ask: ClientRequest) -> tuple[Model, Router, str]:
         model, reason = Model(), ""
         try:
             model = self.models.choose(
                 ask.model, ask.model_version, f"{ask.tenant}\0{ask.session or ask.prompt}"
             )
-        except NotServed as error:
+        except NotServedError as error:
             if not error.known:
-                raise AskError(error.field, error.reason, unknown=True) from None
+                raise InvalidRequestError(error.field, error.reason, is_unknown=True) from None
             reason = error.reason
         return model, self.routers.get(model, self.router), reason or self.bills.refusal()
 
-    def admit(self, now: int, record: Record, cls: int) -> tuple[str, int, bool]:
+    def admit(self, now: int, record: RequestRecord, cls: int) -> tuple[str, int, bool]:
         verdict = self.bills.ask(now, record, cls)
-        if verdict.over and record.ask.request_class in self.config.billing.refuse_over:
+        if verdict.over and record.client_request.request_class in self.config.billing.refuse_over:
             reason = f"the tenant's token budget of {verdict.window / 1e6:g} s is used up"
             return reason, max(verdict.wait, 0), True  # the true time, however long
-        record.let_in = True
+        record.is_billed = True
         self.bills.let_in(now, record, cls, verdict)
         return "", 0, verdict.over
 
@@ -264,44 +271,44 @@
 
     # -- actions out
 
-    def began(self, record: Record) -> None:
+    def began(self, record: RequestRecord) -> None:
         self.bills.began(record)
 
-    def dropped(self, record: Record) -> None:
-        if record.let_in:
-            record.let_in = False
+    def dropped(self, record: RequestRecord) -> None:
+        if record.is_billed:
+            record.is_billed = False
             self.bills.ended(self.now(), record)
 
-    def sent(self, record: Record, attempt: Attempt, action: io.SendAttempt) -> None:
+    def sent(self, record: RequestRecord, attempt: Attempt, action: io.SendAttempt) -> None:
         if action.cross_zone_cause and isinstance(attempt.call, GrpcCall):
-            attempt.cause = action.cross_zone_cause
+            attempt.cross_zone_cause = action.cross_zone_cause
             self._count(
                 record, attempt, attempt.call.call, record.router.endpoints[action.endpoint_id].info.zone
             )
 
-    def crossed(self, record: Record, attempt: Attempt, ended: Ended) -> float:
-        for move in attempt.moves:
+    def crossed(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> float:
+        for move in attempt.transfers:
             move.over = True
         if isinstance(ended.detail, End):
             self._state_moved(record, attempt, ended.detail)
-        return float(sum(m.size() for m in attempt.moves))
+        return float(sum(m.size() for m in attempt.transfers))
 
-    def _count(self, record: Record, attempt: Attempt, call: ClientCall, zone: int) -> None:
+    def _count(self, record: RequestRecord, attempt: Attempt, call: ClientCall, zone: int) -> None:
         """Book what this attempt moves between zones, as it moves."""
-        own, tokens = self.settings.zone, record.ask.prompt_tokens
+        own, tokens = self.settings.zone, record.client_request.prompt_tokens
 
         def move(stage: str, source: int, target: int, size: Callable[[], int], count: float) -> None:
             if source != target:
-                assert attempt.cause
-                attempt.moves.append(
+                assert attempt.cross_zone_cause
+                attempt.transfers.append(
                     self.account.take(
-                        Move(
-                            record.ask.request_class,
-                            record.ask.tenant,
+                        Transfer(
+                            record.client_request.request_class,
+                            record.client_request.tenant,
                             stage,
                             source,
                             target,
-                            attempt.cause,
+                            attempt.cross_zone_cause,
                             size,
                             count,
                         )
@@ -310,26 +317,26 @@
 
         move("prompt", own, zone, lambda: call.traffic.sent, tokens)
         move("answer", zone, own, lambda: call.traffic.received, 0.0)
-        if record.held and not attempt.reading:
-            reader = record.router.endpoints[record.held.server].info.zone
+        if record.kv_state and not attempt.is_prefill:
+            reader = record.router.endpoints[record.kv_state.endpoint_id].info.zone
             move("state", reader, zone, lambda: attempt.state_bytes, tokens)
 
-    def _state_moved(self, record: Record, attempt: Attempt, end: End) -> None:
+    def _state_moved(self, record: RequestRecord, attempt: Attempt, end: End) -> None:
         """How much of a state has crossed: the writer's word, else the reader's is asked for."""
-        state = next((m for m in attempt.moves if m.stage == "state"), None)
+        state = next((m for m in attempt.transfers if m.stage == "state"), None)
         if state is None:
             return
         told = next((v for k, v in end.metadata if k == "tuliptrack-state-bytes"), "")
         if isinstance(told, str) and told.isdigit():
             self._booked_state(record, attempt, int(told))
             return
-        channel = self.channels.channel(attempt.reader)
+        channel = self.channels.channel(attempt.state_endpoint_id)
         if channel is None or end.how is How.CONNECT:
             return
         got: list[bytes] = []
         state.over = False
         # The reader tells what it has sent of this request's states in all, also what is booked already.
-        before = record.state_moved.get(attempt.reader, 0)
+        before = record.state_bytes_moved.get(attempt.state_endpoint_id, 0)
 
         def ended(end: End) -> None:
             state.over = True
@@ -337,7 +344,9 @@
                 total = engine_pb2.UsageResponse.FromString(got[0]).state_bytes
                 self._booked_state(record, attempt, max(total - before, 0))
             else:  # Its reader is gone too: all of it is assumed to have crossed.
-                self._booked_state(record, attempt, int(self.settings.state_bytes * record.ask.prompt_tokens))
+                self._booked_state(
+                    record, attempt, int(self.settings.state_bytes * record.client_request.prompt_tokens)
+                )
 
         request = engine_pb2.UsageRequest(request_id=record.name)
         channel.call(
@@ -348,9 +357,11 @@
             on_end=ended,
         )
 
-    def _booked_state(self, record: Record, attempt: Attempt, size: int) -> None:
+    def _booked_state(self, record: RequestRecord, attempt: Attempt, size: int) -> None:
         attempt.state_bytes = size
-        record.state_moved[attempt.reader] = record.state_moved.get(attempt.reader, 0) + size
+        record.state_bytes_moved[attempt.state_endpoint_id] = (
+            record.state_bytes_moved.get(attempt.state_endpoint_id, 0) + size
+        )
 
     def _tell_peers(self, action: io.SendGossip) -> None:
         message = fleet_pb2.PeerBytes(
--- a/tuliptrack/node/port.py
+++ b/tuliptrack/node/port.py
@@ -1,5 +1,5 @@
-"""What the core and its engines say to each other. An `Engines` carries attempts out in its protocol's words
-and tells the core what came of them; it decides nothing. The core knows no protocol."""
+"""What the core and its engines say to each other. An `EngineClient` carries attempts out in its protocol's
+words and tells the core what came of them; it decides nothing. The core knows no protocol."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 
 if TYPE_CHECKING:
     from tuliptrack.node.attempt_state import Delivery
-    from tuliptrack.node.requests import Attempt, Record
+    from tuliptrack.node.requests import Attempt, RequestRecord
 
-__all__ = ["Call", "Ended", "Engines"]
+__all__ = ["AttemptCall", "AttemptResult", "EngineClient"]
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptResult:
     """How an attempt ended, in the router's terms."""
 
     status: Status
     reason: str = ""
     """For logs and for the client of a stream that broke."""
-    state_lost: bool = False
+    is_state_lost: bool = False
     """The read state that it came for is gone; with `RESET`, most likely: it is let go to be sure."""
-    load: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
     """The load report that came along, in the order of `Settings.report_fields`; nothing where there was
     none."""
-    lone: bool = False
+    is_connection_only: bool = False
     """Only this one connection broke, or brought what can't be read."""
-    unusable: bool = False
+    is_invalid_request: bool = False
     """The engine can't make anything of the request, and no other would."""
-    received: bool = False
+    is_confirmed: bool = False
     """The engine surely had the whole request: it has spoken on that connection since."""
-    arrived: bool = False
+    is_corroborated: bool = False
     """The engine is taken to have had the whole request, though it has said nothing on it."""
     detail: Any = None
     """What the protocol itself says of the end, for accounts that know it."""
 
 
-class Call(Protocol):
+class AttemptCall(Protocol):
     """An attempt that is out."""
 
     def cancel(self, status: Status) -> None:
@@ -50,10 +50,10 @@
     def delivery(self) -> Delivery:
         """How far it has come, as far as this node can know."""
 
-    def seek_arrival(self) -> None:
+    def confirm_arrival(self) -> None:
         """The lease of what it came for ends soon: find out whether it has arrived, as far as that can be."""
 
-    def doubt(self) -> None:
+    def mark_doubtful(self) -> None:
         """It has brought no word for too long: its connection and its machine are not relied upon until they
         speak."""
 
@@ -63,42 +63,42 @@
     def resume(self) -> None: ...
 
 
-class Engines(Protocol):
+class EngineClient(Protocol):
     """What carries out attempts. Ends are told through `Core.attempt_over`, never from within these calls."""
 
-    reads_have_no_effect: bool
+    prefills_have_no_effect: bool
     """A read is a call of its own. Where it is the request itself, an engine that hangs may find it and run
     it later."""
-    one_release_for_all: bool
+    releases_are_global: bool
     """A release, at whatever engine, lets go of all that is held for a request but what an attempt waits for;
     so does the first token of an answer."""
-    release_travel: int
+    release_transit_us: int
     """Microseconds that a release may take until its engine has it, where the time for which a state may be
     held leaves nothing for that."""
 
-    def reaches(self, server: int) -> bool:
+    def is_reachable(self, server: int) -> bool:
         """Whether a list has named this server's address."""
 
-    def begin(self, record: Record, attempt: Attempt, timeout: int) -> Call:
+    def start(self, record: RequestRecord, attempt: Attempt, timeout: int) -> AttemptCall:
         """Make an attempt, for which the node will wait so many microseconds."""
 
-    def release(self, server: int, record: Record, unsure: bool = False) -> None:
+    def release(self, server: int, record: RequestRecord, unsure: bool = False) -> None:
         """Let go of what is held for a request and no attempt waits for; tried again where the engine wasn't
         reached. `unsure`: a read was broken off and may still end well."""
 
-    def release_late(self, server: int, record: Record) -> None:
+    def release_later(self, server: int, record: RequestRecord) -> None:
         """An attempt at this engine ended without its word and the request is over: it may yet come to hold
         something, and is asked to let go itself, until it answers."""
 
-    def cancel_release(self, record: Record) -> None:
+    def cancel_release(self, record: RequestRecord) -> None:
         """Nothing is to be let go for this request any more: what is held now is newer, or an answer has
         taken it."""
 
-    def hold(self, server: int, record: Record, attempt: Attempt) -> None:
+    def reserve(self, server: int, record: RequestRecord, attempt: Attempt) -> None:
         """Ask for a place; the word on it goes to `Core.place_noted`."""
 
-    def probe(self, server: int, done: Callable[[HealthCheckResult], None]) -> None:
+    def check_health(self, server: int, done: Callable[[HealthCheckResult], None]) -> None:
         """Check a server."""
 
-    def close_idle(self, server: int) -> None:
+    def close_idle_connections(self, server: int) -> None:
         """Close idle connections to it."""
--- a/tuliptrack/node/request_reader.py
+++ b/tuliptrack/node/request_reader.py
@@ -8,7 +8,7 @@
 import xxhash
 
 from tuliptrack import interface as io
-from tuliptrack.fronts.port import Ask, AskError
+from tuliptrack.fronts.port import ClientRequest, InvalidRequestError
 
 __all__ = ["CoreLimits", "RequestReader", "key"]
 
@@ -18,7 +18,7 @@
     "max_tokens": "max_tokens",
     "resume_index": "resume.next_index",
 }
-"""Fields of an `Ask` that count tokens, and the names that clients know them by."""
+"""Fields of an `ClientRequest` that count tokens, and the names that clients know them by."""
 _NAME_SHOWN = 60  # characters of a name that an error repeats
 
 
@@ -51,16 +51,16 @@
         self.classes = {one.name: number for number, one in enumerate(settings.classes)}
         self.tenants = {one.name: number for number, one in enumerate(settings.tenants)}
 
-    def class_of(self, ask: Ask) -> io.RequestClass:
+    def class_of(self, ask: ClientRequest) -> io.RequestClass:
         """The class of something that was read."""
         return self.settings.classes[self.classes[ask.request_class]]
 
-    def read(self, ask: Ask, now: int) -> io.Request:
+    def read(self, ask: ClientRequest, now: int) -> io.Request:
         """The request, without its number; AskError names the field that can't be taken. Fills in what the
         client left open: the prompt's tokens and the most that an answer may have."""
         number, tenant = self._class(ask), self._tenant(ask)
         if not ask.prompt and ask.payload is None:
-            raise AskError("prompt", "is required")
+            raise InvalidRequestError("prompt", "is required")
         self._check_counts(ask)
         self._fill_in(ask)
         self._check_resume(ask)
@@ -75,51 +75,53 @@
             key(ask.prefix),
             tenant,
             None,
-            ask.repeat,
-            ask.resumed or ask.resume_index > 0,
+            ask.is_retry,
+            ask.is_resumed or ask.resume_index > 0,
         )
 
-    def _class(self, ask: Ask) -> int:
+    def _class(self, ask: ClientRequest) -> int:
         number = self.classes.get(ask.request_class)
         if number is None:
-            raise AskError(
+            raise InvalidRequestError(
                 "request_class", f"{ask.request_class[:_NAME_SHOWN]!r} is not among {sorted(self.classes)}"
             )
         return number
 
-    def _tenant(self, ask: Ask) -> int:
+    def _tenant(self, ask: ClientRequest) -> int:
         tenant = self.tenants.get(ask.tenant)
         if tenant is None and (self.tenants or ask.tenant):
-            raise AskError("tenant", f"{ask.tenant[:_NAME_SHOWN]!r} is not known")
+            raise InvalidRequestError("tenant", f"{ask.tenant[:_NAME_SHOWN]!r} is not known")
         return tenant or 0
 
-    def _check_counts(self, ask: Ask) -> None:
+    def _check_counts(self, ask: ClientRequest) -> None:
         for name, field in _COUNTS.items():
             count = getattr(ask, name)
             if not 0 <= count <= self.limits.tokens:
-                raise AskError(field, f"must be from 0 to {self.limits.tokens}, is {count}")
+                raise InvalidRequestError(field, f"must be from 0 to {self.limits.tokens}, is {count}")
 
-    def _fill_in(self, ask: Ask) -> None:
+    def _fill_in(self, ask: ClientRequest) -> None:
         limits = self.limits
         if not ask.prompt_tokens:
             guess = round(len(ask.prompt.encode()) / limits.bytes_per_token)
             ask.prompt_tokens = max(1, min(guess, limits.tokens))
         if ask.prefix_tokens > ask.prompt_tokens:
-            raise AskError(
+            raise InvalidRequestError(
                 "prefix_tokens", f"{ask.prefix_tokens} are more than the prompt's {ask.prompt_tokens}"
             )
         ask.max_tokens = ask.max_tokens or limits.tokens
 
-    def _check_resume(self, ask: Ask) -> None:
+    def _check_resume(self, ask: ClientRequest) -> None:
         if ask.resume_index and not self.settings.may_resume:
-            raise AskError("resume", "streams can't be resumed here")
+            raise InvalidRequestError("resume", "streams can't be resumed here")
         if ask.resume_index >= ask.max_tokens:
-            raise AskError("resume.next_index", f"{ask.resume_index} is past max_tokens {ask.max_tokens}")
+            raise InvalidRequestError(
+                "resume.next_index", f"{ask.resume_index} is past max_tokens {ask.max_tokens}"
+            )
 
-    def _time_left(self, ask: Ask, now: int) -> int:
+    def _time_left(self, ask: ClientRequest, now: int) -> int:
         """Microseconds for the first token: by the client's own deadline, else by its class and the prompt's
         length."""
-        by = ask.deadline if ask.first_by is None else ask.first_by
+        by = ask.deadline_us if ask.first_token_deadline_us is None else ask.first_token_deadline_us
         if by is not None:
             return max(by - self.limits.answer_ahead - now, 1)
         cls = self.class_of(ask)
--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -19,14 +19,14 @@
 import structlog
 
 from tuliptrack import interface as io
-from tuliptrack.decisions.admission import AdmissionLimits, ByteBudget
+from tuliptrack.decisions.concurrency_limit import ByteBudget, ConcurrencyLimits
 from tuliptrack.node.core import Core
 from tuliptrack.node.logs import lines_lost, set_up
 from tuliptrack.node.request_reader import CoreLimits
-from tuliptrack.node.requests import Record, State
+from tuliptrack.node.requests import RequestRecord, RequestState
 from tuliptrack.relay.config import RelayConfig, RelayConfigError, RelayConfigUnreadable, load
 from tuliptrack.relay.discovery import MOST_CALLS, Discovery, ListError, Members
-from tuliptrack.relay.engines import HttpEngines
+from tuliptrack.relay.engine_client import HttpEngineClient
 from tuliptrack.relay.front import Front
 from tuliptrack.relay.pools import EnginePools
 from tuliptrack.rpc.http1 import HttpLimits
@@ -76,7 +76,7 @@
             config.seed or random.getrandbits(63),
             config.name,
             CoreLimits(answer_ahead=20_000, token_silence=_SILENCE),
-            AdmissionLimits(min(config.open_requests, clients), clients, 1),
+            ConcurrencyLimits(min(config.open_requests, clients), clients, 1),
         )
         idle = config.idle or 15_000_000
         self.pools = EnginePools(
@@ -87,7 +87,7 @@
             ),
             Connections(engines),
         )
-        self.channels = self.engines = HttpEngines(self, self.pools, config.report_names)
+        self.channels = self.engines = HttpEngineClient(self, self.pools, config.report_names)
         self.front = Front(
             self,
             HttpLimits(
@@ -174,8 +174,8 @@
         )
         return True
 
-    def dropped(self, record: Record) -> None:
-        if record.state is State.SERVED:
+    def dropped(self, record: RequestRecord) -> None:
+        if record.state is RequestState.SERVED:
             self.channels.served(record)
 
     def counted(self) -> dict[str, int]:
@@ -256,7 +256,7 @@
                 await self._sweeper
         await self.channels.close()
         log.info("counters", **self.counted())
-        log.info("stopped", **{state.value: n for state, n in self.table.ends.items()})
+        log.info("stopped", **{state.value: n for state, n in self.table.end_counts.items()})
 
     async def _sweep(self) -> None:
         while True:
--- a/tuliptrack/relay/config.py
+++ b/tuliptrack/relay/config.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from tuliptrack.interface import Settings
-from tuliptrack.wirehost import WireError, settings_of
+from tuliptrack.simulator_adapter import WireError, settings_of
 
 __all__ = ["RelayConfig", "RelayConfigError", "RelayConfigUnreadable", "load", "parse"]
 
--- a/tuliptrack/relay/discovery.py
+++ b/tuliptrack/relay/discovery.py
@@ -44,7 +44,7 @@
 from tuliptrack.rpc.http1_client import ClientOptions
 from tuliptrack.rpc.http1_exchange import Exchange, How
 from tuliptrack.rpc.http1_pool import Connections, Pool
-from tuliptrack.sources.starts import Starts
+from tuliptrack.sources.start_times import StartTimes
 
 __all__ = ["MOST_CALLS", "Discovery", "ListError", "Members"]
 
@@ -96,7 +96,7 @@
         self._entries: dict[str, _Entry] = {}
         """Entries by name, of servers listed and not gone: one that is told again unchanged is not read
         again."""
-        self._starts = Starts()
+        self._starts = StartTimes()
         self._complained: set[str] = set()
         self._last: dict[int, tuple[EndpointState, object]] = {}
         """State and start that each server was last told with, the one told last at the end. Bound: twice
--- a/tuliptrack/relay/engines.py
+++ b/tuliptrack/relay/engine_client.py
@@ -12,11 +12,11 @@
 import structlog
 
 from tuliptrack import interface as io
-from tuliptrack.fronts.port import Finish, RawAnswer
+from tuliptrack.fronts.port import FinishReason, RawResponseWriter
 from tuliptrack.node.attempt_state import Delivery
 from tuliptrack.node.core import Core
-from tuliptrack.node.port import Ended
-from tuliptrack.node.requests import Attempt, Held, Record
+from tuliptrack.node.port import AttemptResult
+from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
 from tuliptrack.relay.corroboration import Corroboration
 from tuliptrack.relay.late_releases import LateReleases
 from tuliptrack.relay.pools import EnginePools
@@ -25,7 +25,7 @@
 from tuliptrack.rpc.http1_exchange import Exchange, How
 from tuliptrack.rpc.http1_pool import Pool
 
-__all__ = ["HttpEngines", "Inbound", "load_of"]
+__all__ = ["HttpEngineClient", "Inbound", "load_of"]
 
 log = structlog.get_logger("engines")
 _REPORT = "x-load-report"
@@ -86,7 +86,12 @@
     )
 
     def __init__(
-        self, engines: HttpEngines, record: Record, attempt: Attempt, exchange: Exchange, pool: Pool
+        self,
+        engines: HttpEngineClient,
+        record: RequestRecord,
+        attempt: Attempt,
+        exchange: Exchange,
+        pool: Pool,
     ) -> None:
         self.engines, self.record, self.attempt, self.exchange = engines, record, attempt, exchange
         self._arrival = Corroboration(engines.pools, pool, exchange)
@@ -108,11 +113,11 @@
             return Delivery.CONFIRMED
         return Delivery.CORROBORATED if self._arrival.holds() else Delivery.POSSIBLE
 
-    def seek_arrival(self) -> None:
+    def confirm_arrival(self) -> None:
         if not self.exchange.heard:
             self._arrival.seek()
 
-    def doubt(self) -> None:
+    def mark_doubtful(self) -> None:
         self.exchange.doubt()
 
     def pause(self) -> None:
@@ -123,7 +128,7 @@
 
     @property
     def _streams(self) -> bool:
-        return self.exchange.status == 200 and not self.attempt.reading
+        return self.exchange.status == 200 and not self.attempt.is_prefill
 
     def _head(self, head: Answer) -> None:
         for name, value in head.fields:
@@ -140,7 +145,7 @@
             self._spoilt("an answer that is too long")
 
     def _spoilt(self, reason: str) -> None:
-        log.warning("engine fault", request=self.record.id, server=self.attempt.server, reason=reason)
+        log.warning("engine fault", request=self.record.id, server=self.attempt.endpoint_id, reason=reason)
         self.exchange.spoilt = True
         self.cancel(io.Status.RESET)
 
@@ -167,9 +172,11 @@
                 return
         if not events or not self.engines.core.answers(self.record, self.attempt):
             return
-        cast(Inbound, self.record.ask.payload).body = b""
+        cast(Inbound, self.record.client_request.payload).body = b""
         data = whole if len(events) == whole.count(b"\n\n") else b"\n\n".join(events) + b"\n\n"
-        self.engines.core.passed(self.record, self.attempt, cast(RawAnswer, self.record.answer).events(data))
+        self.engines.core.passed(
+            self.record, self.attempt, cast(RawResponseWriter, self.record.response).events(data)
+        )
 
     def _note(self, text: bytes) -> None:
         """What the node itself makes of an event: the word that all has come, and the counts that come with
@@ -180,7 +187,7 @@
             try:
                 usage = json.loads(text)["usage"]
                 kept = int(usage["prompt_tokens_details"]["cached_tokens"])
-                self.record.cached_tokens = max(0, min(kept, self.record.ask.prompt_tokens))
+                self.record.cached_tokens = max(0, min(kept, self.record.client_request.prompt_tokens))
                 self.record.next_index = int(usage["completion_tokens"])
             except (ValueError, TypeError, KeyError, RecursionError, OverflowError):
                 pass  # It is for the client; the node does without.
@@ -189,13 +196,13 @@
         self._arrival.close()
         self.engines.core.attempt_over(self.record, self.attempt, self._ended(how, reason))
 
-    def _ended(self, how: How, reason: str) -> Ended:
+    def _ended(self, how: How, reason: str) -> AttemptResult:
         if how is How.GIVEN_UP and not self.exchange.sent:  # It never ran, and says nothing of its engine.
             late = self._status is io.Status.TIMEOUT
-            return Ended(
+            return AttemptResult(
                 io.Status.CONNECT_FAILED if late else io.Status.ABANDONED,
                 "given up before it was sent",
-                lone=late,
+                is_connection_only=late,
             )
         if how is How.GIVEN_UP:
             return self._broke(self._status, "given up")
@@ -203,37 +210,43 @@
             return self._broke(_STATUS[how], reason)
         status = self.exchange.status
         if self._over and status in (503, 504):
-            return Ended(io.Status.AT_CAPACITY, "turned away", load=self._load, received=True)
+            return AttemptResult(
+                io.Status.AT_CAPACITY, "turned away", load_report=self._load, is_confirmed=True
+            )
         if self._over and status == 410:
-            return Ended(io.Status.AT_CAPACITY, "the state is gone", True, self._load, received=True)
-        if status == 202 and self.attempt.reading:
-            self.engines.core.read(self.record, self.attempt, Held(self.attempt.server, "", ""), self._kept())
-            return Ended(io.Status.OK, load=self._load, received=True)
+            return AttemptResult(
+                io.Status.AT_CAPACITY, "the state is gone", True, self._load, is_confirmed=True
+            )
+        if status == 202 and self.attempt.is_prefill:
+            self.engines.core.read(
+                self.record, self.attempt, KvStateLocation(self.attempt.endpoint_id, "", ""), self._kept()
+            )
+            return AttemptResult(io.Status.OK, load_report=self._load, is_confirmed=True)
         if self._streams:
             if self._body or not self._whole:
                 self.exchange.spoilt = True
                 return self._broke(io.Status.RESET, "a stream that isn't whole")
-            self.record.finish = Finish.STOP
-            return Ended(io.Status.OK, load=self._load, received=True)
-        return Ended(
+            self.record.finish_reason = FinishReason.STOP
+            return AttemptResult(io.Status.OK, load_report=self._load, is_confirmed=True)
+        return AttemptResult(
             io.Status.ERROR,
             f"answered {status}",
-            load=self._load,
-            unusable=400 <= status < 500,
-            received=True,
+            load_report=self._load,
+            is_invalid_request=400 <= status < 500,
+            is_confirmed=True,
         )
 
-    def _broke(self, status: io.Status, reason: str) -> Ended:
+    def _broke(self, status: io.Status, reason: str) -> AttemptResult:
         """A stream that was spoilt has run: the state that it came for has gone with it."""
         exchange = self.exchange
-        return Ended(
+        return AttemptResult(
             status,
             reason,
-            exchange.spoilt and not self.attempt.reading,
+            exchange.spoilt and not self.attempt.is_prefill,
             self._load,
-            lone=exchange.spoilt or exchange.lone,
-            received=exchange.heard,
-            arrived=self._arrival.holds(),
+            is_connection_only=exchange.spoilt or exchange.lone,
+            is_confirmed=exchange.heard,
+            is_corroborated=self._arrival.holds(),
         )
 
     def _kept(self) -> int:
@@ -243,12 +256,12 @@
             return 0
 
 
-class HttpEngines:
+class HttpEngineClient:
     """See `node/port.py`. Bounds: the connections of `EnginePools`, what `Releases` keeps."""
 
-    reads_have_no_effect = False
-    one_release_for_all = True
-    release_travel = 0  # the platform allows for it beyond the time that the settings name
+    prefills_have_no_effect = False
+    releases_are_global = True
+    release_transit_us = 0  # the platform allows for it beyond the time that the settings name
 
     def __init__(self, core: Core, pools: EnginePools, report_names: tuple[str, ...]) -> None:
         self.core, self.pools, self.report_names = core, pools, report_names
@@ -258,64 +271,64 @@
         """A request that has been served: nothing is held for it, so its release has no effect."""
         pools.make_question = self._question
 
-    def served(self, record: Record) -> None:
+    def served(self, record: RequestRecord) -> None:
         """A request has been served and is over."""
-        self._served_id = record.ask.call_id
+        self._served_id = record.client_request.call_id
 
     def _question(self, address: str) -> Exchange | None:
         """What shows whether a connection works. An engine closes its connection after it has turned a
         request down, so a request without an id would not do."""
         return release_request(self._served_id, address) if self._served_id else None
 
-    def reaches(self, server: int) -> bool:
+    def is_reachable(self, server: int) -> bool:
         return server in self.pools
 
     # -- attempts
 
-    def begin(self, record: Record, attempt: Attempt, timeout: int) -> _Attempt:
-        inbound, pool = cast(Inbound, record.ask.payload), self.pools.get(attempt.server)
+    def start(self, record: RequestRecord, attempt: Attempt, timeout: int) -> _Attempt:
+        inbound, pool = cast(Inbound, record.client_request.payload), self.pools.get(attempt.endpoint_id)
         assert pool
         exchange = Exchange(inbound.method, inbound.target, [], inbound.body)
-        exchange.validated, exchange.connect_by = True, attempt.connect_by
+        exchange.validated, exchange.connect_by = True, attempt.connect_by_us
         deadline, address = self.core.now() + timeout, pool.address
 
         def say_what_is_left() -> None:
             left = max(deadline - self.core.now(), 1_000)
             exchange.fields = [
                 ("host", address),
-                ("x-call-id", record.ask.call_id),
+                ("x-call-id", record.client_request.call_id),
                 ("x-budget", f"{left / 1e6:.3f}"),
                 *inbound.fields,
             ]
 
         exchange.before_write = say_what_is_left
-        exchange.wanted = lambda: self.core.wanted(record, attempt.server)
+        exchange.wanted = lambda: self.core.wanted(record, attempt.endpoint_id)
         made = _Attempt(self, record, attempt, exchange, pool)
         pool.send(exchange)
         return made
 
     # -- letting go
 
-    def release(self, server: int, record: Record, unsure: bool = False) -> None:
-        self.releases.begin(record.ask.call_id, UNSURE_ROUNDS if unsure else 1)
+    def release(self, server: int, record: RequestRecord, unsure: bool = False) -> None:
+        self.releases.begin(record.client_request.call_id, UNSURE_ROUNDS if unsure else 1)
 
-    def cancel_release(self, record: Record) -> None:
-        call_id = record.ask.call_id
+    def cancel_release(self, record: RequestRecord) -> None:
+        call_id = record.client_request.call_id
         self.releases.forget(call_id)
         self.late_releases.forget(call_id)
 
-    def release_late(self, server: int, record: Record) -> None:
-        self.late_releases.begin(server, record.ask.call_id)
+    def release_later(self, server: int, record: RequestRecord) -> None:
+        self.late_releases.begin(server, record.client_request.call_id)
 
     # -- what this protocol has no word for
 
-    def hold(self, server: int, record: Record, attempt: Attempt) -> None:
+    def reserve(self, server: int, record: RequestRecord, attempt: Attempt) -> None:
         self.core.place_noted(record, attempt, server, False)
 
-    def probe(self, server: int, done: Callable[[io.HealthCheckResult], None]) -> None:
+    def check_health(self, server: int, done: Callable[[io.HealthCheckResult], None]) -> None:
         asyncio.get_running_loop().call_soon(done, io.HealthCheckResult(server, io.Status.ERROR, 0))
 
-    def close_idle(self, server: int) -> None:
+    def close_idle_connections(self, server: int) -> None:
         if pool := self.pools.made(server):
             pool.close_idle()
 
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -1,5 +1,5 @@
-"""Clients on the platform's HTTP: a request's head becomes an `Ask`, its end a status; an engine's events
-pass through."""
+"""Clients on the platform's HTTP: a request's head becomes an `ClientRequest`, its end a status; an engine's
+events pass through."""
 
 from __future__ import annotations
 
@@ -7,10 +7,17 @@
 import math
 import re
 
-from tuliptrack.decisions.admission import ByteBudget, refusal_text
-from tuliptrack.fronts.port import Ask, AskError, Failure, Finish, Ticket, Usage
+from tuliptrack.decisions.concurrency_limit import ByteBudget, rejection_text
+from tuliptrack.fronts.port import (
+    ClientRequest,
+    Failure,
+    FinishReason,
+    InvalidRequestError,
+    RequestHandle,
+    Usage,
+)
 from tuliptrack.node.core import Core
-from tuliptrack.relay.engines import Inbound
+from tuliptrack.relay.engine_client import Inbound
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.h1 import Fields
 from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Refusal
@@ -20,10 +27,10 @@
 _STATUS = {
     Failure.DEADLINE: 504,
     Failure.BROKEN: 502,
-    Failure.HANDED_BACK: 502,
+    Failure.MIGRATED: 502,
     Failure.LOST: 502,
     Failure.STALLED: 502,
-    Failure.UNUSABLE: 400,
+    Failure.INVALID: 400,
 }
 _ID = re.compile(r"[A-Za-z0-9._~-]{1,128}")
 # What a request's head says of one connection only (RFC 9110, section 7.6.1); what the node says anew, or has
@@ -73,19 +80,19 @@
             self.call.start(200, "text/event-stream")
         return self.call.send(data)
 
-    def token(self, index: int, text: str, finish: Finish | None, usage: Usage | None) -> bool:
+    def token(self, index: int, text: str, finish: FinishReason | None, usage: Usage | None) -> bool:
         raise NotImplementedError("engines of this protocol send events")
 
     def served(self) -> None:
         self.over()
         self.call.end()
 
-    def refused(self, reason: str, retry_after: int) -> None:
+    def rejected(self, reason: str, retry_after: int) -> None:
         self.over()
         advice: Fields = []
         if retry_after > 0 and self.front.core.settings.may_send_retry_after:
             advice = [("retry-after", f"{max(retry_after / 1e6, _LEAST_ADVICE_S):.3f}")]
-        self.call.error(503, refusal_text(reason), advice)
+        self.call.error(503, rejection_text(reason), advice)
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
         self.over()
@@ -110,10 +117,10 @@
         """What is known from the head alone. Not that the node ends: its refusal comes when the whole request
         has, lest the close overtake it on its way to a client that still sends."""
         if call.method == "POST" and not self.core.stopping:
-            reason, wait = self.core.outlook()
+            reason, wait = self.core.overload()
             if reason:
                 return Refusal(
-                    503, refusal_text(reason), (("retry-after", f"{wait / 1e6:.3f}"),) if wait else ()
+                    503, rejection_text(reason), (("retry-after", f"{wait / 1e6:.3f}"),) if wait else ()
                 )
         return None
 
@@ -126,8 +133,8 @@
             return
         try:
             self._submit(call)
-        except AskError as error:
-            call.error(404 if error.unknown else 400, str(error), [("connection", "close")])
+        except InvalidRequestError as error:
+            call.error(404 if error.is_unknown else 400, str(error), [("connection", "close")])
 
     def _state(self, call: HttpCall) -> None:
         if call.method not in ("GET", "HEAD"):
@@ -146,42 +153,44 @@
 
     def _submit(self, call: HttpCall) -> None:
         if call.method != "POST":
-            raise AskError("method", f"POST expected, is {call.method[:20]!r}")
+            raise InvalidRequestError("method", f"POST expected, is {call.method[:20]!r}")
         names = [name for name, _ in call.fields]
         for name in _ONCE:
             if names.count(name) > 1:
-                raise AskError(name, "stands twice")
+                raise InvalidRequestError(name, "stands twice")
         head = call.headers
         call_id = head.get("x-call-id", "")
         if not _ID.fullmatch(call_id):
-            raise AskError("x-call-id", "is required" if not call_id else f"{call_id[:60]!r} can't be an id")
+            raise InvalidRequestError(
+                "x-call-id", "is required" if not call_id else f"{call_id[:60]!r} can't be an id"
+            )
         if call_id in self.open:
-            raise AskError("x-call-id", f"{call_id[:60]!r} is open")
+            raise InvalidRequestError("x-call-id", f"{call_id[:60]!r} is open")
         _check_body(call.body)
         ask = self._ask(call, head, call_id)
         if not self.kept.take(len(call.body)):
-            call.error(503, refusal_text("too many bytes of requests are open"), [("retry-after", "0.100")])
+            call.error(503, rejection_text("too many bytes of requests are open"), [("retry-after", "0.100")])
             return
         stream = self.open[call_id] = _Stream(self, call, call_id, len(call.body))
         try:
-            ticket: Ticket = self.core.submit(ask, stream)
-        except AskError:
+            ticket: RequestHandle = self.core.submit(ask, stream)
+        except InvalidRequestError:
             stream.over()
             raise
 
         def gone(reason: str) -> None:
             stream.over()
-            ticket.gone(reason)
+            ticket.disconnected(reason)
 
         call.on_gone, call.on_writable = gone, ticket.writable
 
-    def _ask(self, call: HttpCall, head: dict[str, str], call_id: str) -> Ask:
+    def _ask(self, call: HttpCall, head: dict[str, str], call_id: str) -> ClientRequest:
         info = _info(head.get("x-call-info", ""))
         again = head.get("x-again", "").strip().lower()
         tokens = _count(info, "prompt_len") or max(
             round(len(call.body) / self.core.limits.bytes_per_token), 1
         )
-        return Ask(
+        return ClientRequest(
             head.get("x-call-class", ""),
             "",
             head.get("x-caller", ""),
@@ -190,12 +199,12 @@
             tokens,
             min(_count(info, "prefix_len"), tokens),
             _count(info, "max_out"),
-            repeat=again == "1",
+            is_retry=again == "1",
             connection=call.connection,
-            first_by=_first_by(head.get("x-budget")),
-            resumed=again == "again",
+            first_token_deadline_us=_first_by(head.get("x-budget")),
+            is_resumed=again == "again",
             call_id=call_id,
-            left=call.left,
+            is_disconnected=call.left,
             payload=Inbound(call.method, call.target, call.body, _end_to_end(call.fields)),
         )
 
@@ -214,9 +223,9 @@
     try:
         found = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise AskError("body", f"is not JSON ({error})"[:200]) from None
+        raise InvalidRequestError("body", f"is not JSON ({error})"[:200]) from None
     if not isinstance(found, dict):
-        raise AskError("body", "must be a JSON object")
+        raise InvalidRequestError("body", "must be a JSON object")
 
 
 def _info(text: str) -> dict[str, str]:
@@ -236,7 +245,7 @@
     except ValueError:
         value = math.nan
     if not math.isfinite(value) or value < 0:
-        raise AskError(f"x-call-info.{name}", f"must be a number from 0, is {told[:40]!r}")
+        raise InvalidRequestError(f"x-call-info.{name}", f"must be a number from 0, is {told[:40]!r}")
     return int(value)
 
 
@@ -248,5 +257,5 @@
     except ValueError:
         seconds = math.nan
     if not 0 < seconds <= _LONGEST_S:
-        raise AskError("x-budget", f"must be seconds above 0, is {told[:40]!r}")
+        raise InvalidRequestError("x-budget", f"must be seconds above 0, is {told[:40]!r}")
     return now_us() + int(seconds * 1e6)
--- a/tuliptrack/routing/locality.py
+++ b/tuliptrack/routing/locality.py
@@ -1,12 +1,12 @@
 """Decides what traffic may cross zones, and how fast a recovered zone gets its traffic back.
 
 Only where `zone_budgets` are set; otherwise no zone is remote and nothing has a price. The budgets and
-recovery ramps are those of `decisions/zones.py`; this module asks them about endpoints and requests. Sizes
-are bytes."""
+recovery ramps are those of `decisions/cross_zone_budget.py`; this module asks them about endpoints and
+requests. Sizes are bytes."""
 
 from __future__ import annotations
 
-from tuliptrack.decisions.zones import Crossings, Returns
+from tuliptrack.decisions.cross_zone_budget import CrossZoneBudgets, ZoneRecovery
 from tuliptrack.interface import CrossZoneCause, EndpointState, Role
 from tuliptrack.routing.node_state import NodeState
 from tuliptrack.routing.outbox import Outbox
@@ -21,12 +21,12 @@
 class Locality:
     """One node's view of zones."""
 
-    def __init__(self, state: NodeState, outbox: Outbox, crossings: Crossings | None) -> None:
+    def __init__(self, state: NodeState, outbox: Outbox, crossings: CrossZoneBudgets | None) -> None:
         """`crossings` are this node's zone budgets, shared by its routers of several models; None without
         budgets."""
         self._state, self._outbox = state, outbox
         self.crossings = crossings
-        self.returns = Returns()
+        self.returns = ZoneRecovery()
         classes = state.settings.classes
         self._max_priority_weight = max(cls.priority_weight for cls in classes)
 
@@ -101,7 +101,7 @@
             self._outbox.log(f"zone {zone}: {what}")
 
     def _crossing_bytes(
-        self, crossings: Crossings, request: InFlightRequest, zone: int, is_decode: bool
+        self, crossings: CrossZoneBudgets, request: InFlightRequest, zone: int, is_decode: bool
     ) -> float:
         """Return the bytes that an attempt would move between zones: prompt, KV state, and the answer
         back."""
--- a/tuliptrack/routing/router.py
+++ b/tuliptrack/routing/router.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from tuliptrack.decisions.zones import Crossings
+from tuliptrack.decisions.cross_zone_budget import CrossZoneBudgets
 from tuliptrack.interface import (
     Action,
     AttemptEnded,
@@ -321,7 +321,7 @@
     return arrived.stream_time_hint_us / inter_token_objective_us
 
 
-def _zone_budgets(settings: Settings, peer_router: Router | None) -> Crossings | None:
+def _zone_budgets(settings: Settings, peer_router: Router | None) -> CrossZoneBudgets | None:
     if peer_router:
         return peer_router.locality.crossings
-    return Crossings(settings) if settings.zone_budgets else None
+    return CrossZoneBudgets(settings) if settings.zone_budgets else None
--- a/tuliptrack/rpc/core.py
+++ b/tuliptrack/rpc/core.py
@@ -27,7 +27,7 @@
 from h2.settings import SettingCodes, Settings
 from hyperframe.frame import GoAwayFrame, PingFrame
 
-from tuliptrack.decisions.admission import BODIES_FULL, ByteBudget, refusal_text
+from tuliptrack.decisions.concurrency_limit import BODIES_FULL, ByteBudget, rejection_text
 from tuliptrack.rpc.events import (
     Broken,
     CallEnded,
@@ -370,7 +370,7 @@
                     if not self.bodies.take(size - call.reserved):
                         raise _Fault(
                             Code.UNAVAILABLE,
-                            refusal_text(BODIES_FULL),
+                            rejection_text(BODIES_FULL),
                             *refusal_details("REFUSED", _BODIES_WAIT, reason="bodies"),
                         )
                     call.reserved = size
--- a/tuliptrack/rpc/http1.py
+++ b/tuliptrack/rpc/http1.py
@@ -31,7 +31,7 @@
 
 import structlog
 
-from tuliptrack.decisions.admission import BODIES_FULL, ByteBudget, refusal_text
+from tuliptrack.decisions.concurrency_limit import BODIES_FULL, ByteBudget, rejection_text
 from tuliptrack.rpc.h1 import Body, Fields, Head, Part, ProtocolError, ServerSide
 from tuliptrack.rpc.listener import Listener
 from tuliptrack.rpc.tcp import ended_by_peer, has_unread, send_at_once
@@ -73,7 +73,7 @@
     headers: tuple[tuple[str, str], ...] = ()
 
 
-_NO_ROOM = Refusal(503, refusal_text(BODIES_FULL), (("retry-after", "1"),))
+_NO_ROOM = Refusal(503, rejection_text(BODIES_FULL), (("retry-after", "1"),))
 
 
 def _nothing(*_: Any) -> None:
--- a/tuliptrack/rpc/server.py
+++ b/tuliptrack/rpc/server.py
@@ -14,7 +14,7 @@
 import structlog
 from google.protobuf.message import DecodeError, Message
 
-from tuliptrack.decisions.admission import ByteBudget
+from tuliptrack.decisions.concurrency_limit import ByteBudget
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.core import Core, Limits
 from tuliptrack.rpc.events import (
--- a/tuliptrack/rpc/status.py
+++ b/tuliptrack/rpc/status.py
@@ -14,7 +14,7 @@
 from google.protobuf.message import Message
 from google.rpc import code_pb2, error_details_pb2, status_pb2
 
-from tuliptrack.decisions.admission import refusal_text
+from tuliptrack.decisions.concurrency_limit import rejection_text
 
 __all__ = [
     "Code",
@@ -107,7 +107,7 @@
 def refusal(reason: str, retry_after_us: int) -> Status:
     """A refusal, with its reason and when to come back (microseconds; 0: no advice)."""
     return with_details(
-        Code.UNAVAILABLE, refusal_text(reason), *refusal_details("REFUSED", retry_after_us, reason=reason)
+        Code.UNAVAILABLE, rejection_text(reason), *refusal_details("REFUSED", retry_after_us, reason=reason)
     )
 
 
--- a/tuliptrack/wirehost.py
+++ b/tuliptrack/simulator_adapter.py
@@ -402,7 +402,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
-        print(f"tuliptrack.wirehost: {error}", file=sys.stderr)
+        print(f"tuliptrack.simulator_adapter: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 2
--- a/tuliptrack/sources/listing.py
+++ b/tuliptrack/sources/endpoint_list.py
@@ -1,9 +1,8 @@
 """What a source of server lists tells: a change in the router's terms, and where each server listens.
 
-`Roster` keeps the list that the changes add up to, turns wall times of starts into the node's monotonic time
-once a start, and checks every entry: a list with anything wrong in it is turned down whole, and the old one
-still holds.
-"""
+`EndpointList` keeps the list that the changes add up to, turns wall times of starts into the node's monotonic
+time once a start, and checks every entry: a list with anything wrong in it is turned down whole, and the old
+one still holds."""
 
 from __future__ import annotations
 
@@ -20,9 +19,16 @@
 from tuliptrack.interface import EndpointInfo, EndpointListUpdate, EndpointState, UpdateKind
 from tuliptrack.proto import fleet_pb2 as pb
 from tuliptrack.rpc.clock import wall_us
-from tuliptrack.sources.starts import Starts
+from tuliptrack.sources.start_times import StartTimes
 
-__all__ = ["ListError", "Listing", "Roster", "Source", "load_cache", "save_cache"]
+__all__ = [
+    "EndpointList",
+    "EndpointListSource",
+    "InvalidListError",
+    "ListedUpdate",
+    "load_cache",
+    "save_cache",
+]
 
 MOST_SERVERS = 100_000  # entries of one list: a bound, far above any fleet
 _STATES = {
@@ -37,19 +43,19 @@
 }
 
 
-class ListError(Exception):
+class InvalidListError(Exception):
     """A list that can't be taken; the text names the entry, the field and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class ListedUpdate:
     """One change for the router, and the addresses (host:port) of the servers that it names."""
 
     change: EndpointListUpdate
     addresses: dict[int, str]
 
 
-class Source(Protocol):
+class EndpointListSource(Protocol):
     """A source of server lists. It calls `tell` from the loop, in order; `close` ends its tasks."""
 
     def start(self, tell: Callable[[pb.ServerList], None]) -> None: ...
@@ -63,27 +69,27 @@
     async def close(self) -> None: ...
 
 
-class Roster:
+class EndpointList:
     """The list held, and the translation of changes to it. Bound: `MOST_SERVERS`."""
 
     def __init__(self, kinds: Sequence[str]) -> None:
         self.kinds = {name: number for number, name in enumerate(kinds)}
         self.held: dict[int, pb.ServerEntry] = {}
         self.version = 0
-        self._starts = Starts()
+        self._starts = StartTimes()
 
     def take(
         self, message: pb.ServerList, now: int, kind: UpdateKind | None = None, wall: int | None = None
-    ) -> Listing:
+    ) -> ListedUpdate:
         """Apply a list; `now` monotonic, `wall` since 1970, both microseconds. ListError leaves all as it
         was."""
         what = kind or _KINDS.get(message.kind)
         if what is None:
-            raise ListError(f"kind: unknown value {message.kind}")
+            raise InvalidListError(f"kind: unknown value {message.kind}")
         if what is UpdateKind.FAILED:
-            return Listing(EndpointListUpdate(UpdateKind.FAILED), {})
+            return ListedUpdate(EndpointListUpdate(UpdateKind.FAILED), {})
         if len(message.servers) > MOST_SERVERS:
-            raise ListError(f"servers: {len(message.servers)} entries, {MOST_SERVERS} at most")
+            raise InvalidListError(f"servers: {len(message.servers)} entries, {MOST_SERVERS} at most")
         wall = wall_us() if wall is None else wall
         seen: set[int] = set()
         servers = []
@@ -112,25 +118,27 @@
         self._starts.keep(self.held.keys() | seen)
         self.version = message.version
         change = EndpointListUpdate(what, message.version & 0xFFFFFFFF, tuple(servers))
-        return Listing(change, {entry.id: entry.address for entry in message.servers})
+        return ListedUpdate(change, {entry.id: entry.address for entry in message.servers})
 
     def _check(self, entry: pb.ServerEntry, place: str, seen: set[int]) -> None:
         host, _, port = entry.address.rpartition(":")
         if entry.id == 0:
-            raise ListError(f"{place}.id: is required and not 0")
+            raise InvalidListError(f"{place}.id: is required and not 0")
         if entry.id in seen:
-            raise ListError(f"{place}.id: {entry.id} stands twice")
+            raise InvalidListError(f"{place}.id: {entry.id} stands twice")
         seen.add(entry.id)
         if entry.state not in _STATES:
-            raise ListError(f"{place}.state: unknown value {entry.state}")
+            raise InvalidListError(f"{place}.state: unknown value {entry.state}")
         if entry.kind not in self.kinds:
-            raise ListError(f"{place}.kind: {entry.kind[:40]!r} is not among the settings' kinds")
+            raise InvalidListError(f"{place}.kind: {entry.kind[:40]!r} is not among the settings' kinds")
         if not host or not port.isdigit() or not 0 < int(port) <= 65_535:
-            raise ListError(f"{place}.address: must be host:port, is {entry.address[:80]!r}")
+            raise InvalidListError(f"{place}.address: must be host:port, is {entry.address[:80]!r}")
         if not math.isfinite(entry.weight) or entry.weight < 0:
-            raise ListError(f"{place}.weight: must be a number from 0, is {entry.weight}")
+            raise InvalidListError(f"{place}.weight: must be a number from 0, is {entry.weight}")
         if entry.started_unix_us < 0:
-            raise ListError(f"{place}.started_unix_us: must not be negative, is {entry.started_unix_us}")
+            raise InvalidListError(
+                f"{place}.started_unix_us: must not be negative, is {entry.started_unix_us}"
+            )
 
     def whole(self) -> pb.ServerList:
         """The list held, to be kept on disk."""
@@ -157,5 +165,5 @@
         message, located = read_file(path, pb.ServerList)
         located.check()
     except ConfigError as error:
-        raise ListError(str(error)) from None
+        raise InvalidListError(str(error)) from None
     return message
--- a/tuliptrack/sources/starts.py
+++ b/tuliptrack/sources/start_times.py
@@ -10,13 +10,13 @@
 
 from collections.abc import Container
 
-__all__ = ["Starts"]
+__all__ = ["StartTimes"]
 
 _TOLD_LATE_US = 30_000_000
 """A start is told in the lists at most so much later: outages of discovery last some seconds."""
 
 
-class Starts:
+class StartTimes:
     """Bound: one entry for each server asked for and not forgotten, by `forget` or with the last `keep`."""
 
     def __init__(self) -> None:
--- a/tuliptrack/store/ledger.py
+++ b/tuliptrack/store/ledger.py
@@ -22,7 +22,7 @@
 
 import lmdb
 
-from tuliptrack.decisions.bills import CUT, OPEN, Part, Total, fold, latest, totals
+from tuliptrack.decisions.billing import CUT, OPEN, DailyTotal, UsageRecord, fold, latest, totals
 from tuliptrack.proto import billing_pb2 as pb
 from tuliptrack.store.ledger_format import (
     DIGEST_BYTES,
@@ -58,7 +58,7 @@
 
     sequence: int
     digest: int
-    parts: dict[tuple[str, int], Part]
+    parts: dict[tuple[str, int], UsageRecord]
 
 
 def _own(path: str) -> int:
@@ -82,7 +82,7 @@
     def __init__(self, path: str, most_bytes: int = 1 << 30) -> None:
         begun = time.monotonic_ns()
         self.path, self.most_bytes = path, most_bytes
-        self.waiting: dict[tuple[str, int], Part] = {}
+        self.waiting: dict[tuple[str, int], UsageRecord] = {}
         self._guard = threading.Lock()
         self._one = threading.Lock()
         """Parts come from the loop while a commit runs in a thread."""
@@ -136,7 +136,7 @@
                     if self.waiting.get(name) == part:
                         del self.waiting[name]
 
-    def add(self, part: Part) -> bool:
+    def add(self, part: UsageRecord) -> bool:
         """Put a part, or its newer state, up for the next commit; False where no more may wait."""
         with self._guard:
             if part.name not in self.waiting and len(self.waiting) >= MOST_WAITING:
@@ -206,7 +206,7 @@
         self.sequence, self._before = batch.sequence, digest
         return len(taken)
 
-    def _back(self, taken: dict[tuple[str, int], Part]) -> None:
+    def _back(self, taken: dict[tuple[str, int], UsageRecord]) -> None:
         """A commit has failed: its parts wait again, under what has come meanwhile."""
         with self._guard:
             latest(taken.values(), self.waiting)
@@ -216,7 +216,7 @@
         of their works has parts in later batches; returns how many batches went. One transaction: nothing is
         counted twice."""
         with self.env.begin(write=True) as txn:
-            old: list[tuple[bytes, list[Part]]] = []
+            old: list[tuple[bytes, list[UsageRecord]]] = []
             later_works: set[tuple[str, str]] = set()
             with txn.cursor(self.batches) as cursor:
                 for key, value in cursor:
@@ -243,7 +243,7 @@
                 key = f"{day:010d}\0{tenant}".encode()
                 held = pb.BillSum.FromString(txn.get(key, default=b"", db=self.sums))
                 made = pb.BillSum(tenant=tenant, day=day)
-                for name in Total.__dataclass_fields__:
+                for name in DailyTotal.__dataclass_fields__:
                     setattr(made, name, getattr(held, name) + getattr(total, name))
                 txn.put(key, made.SerializeToString(), db=self.sums)
             for key, _ in old:
@@ -253,10 +253,10 @@
             txn.delete(b"\xff compacted", db=self.open_parts)
         return len(old)
 
-    def used_since(self, wall_us: int) -> list[Part]:
+    def used_since(self, wall_us: int) -> list[UsageRecord]:
         """Parts of requests that came since a wall time: what calendar budgets count on with. Newest batches
         first, until one has nothing of that time."""
-        last: dict[tuple[str, int], Part] = {}
+        last: dict[tuple[str, int], UsageRecord] = {}
         with self.env.begin() as txn, txn.cursor(self.batches) as cursor:
             for key, value in cursor.iterprev():
                 parts = [from_message(m) for m in parse_batch(key, value)[0].part]
--- a/tuliptrack/store/ledger_format.py
+++ b/tuliptrack/store/ledger_format.py
@@ -5,7 +5,7 @@
 
 import xxhash
 
-from tuliptrack.decisions.bills import Part, Price
+from tuliptrack.decisions.billing import TokenPrice, UsageRecord
 from tuliptrack.proto import billing_pb2 as pb
 
 __all__ = [
@@ -30,7 +30,7 @@
     """The file has no room, or the disk hasn't."""
 
 
-def to_message(part: Part) -> pb.BillPart:
+def to_message(part: UsageRecord) -> pb.BillPart:
     """A part as it is written."""
     made = pb.BillPart(
         node=part.node,
@@ -53,9 +53,9 @@
     return made
 
 
-def from_message(m: pb.BillPart) -> Part:
+def from_message(m: pb.BillPart) -> UsageRecord:
     """A part as it was read."""
-    return Part(
+    return UsageRecord(
         m.node,
         m.number,
         m.tenant,
@@ -68,7 +68,7 @@
         m.outcome,
         m.lost_read,
         m.lost_written,
-        Price(m.price.read, m.price.kept, m.price.written),
+        TokenPrice(m.price.read, m.price.kept, m.price.written),
         m.request_class,
         m.model,
         m.model_version,
--- a/tuliptrack/store/ledger_reading.py
+++ b/tuliptrack/store/ledger_reading.py
@@ -10,7 +10,7 @@
 
 import lmdb
 
-from tuliptrack.decisions.bills import OPEN, Part
+from tuliptrack.decisions.billing import OPEN, UsageRecord
 from tuliptrack.proto import billing_pb2 as pb
 from tuliptrack.store.ledger_format import LedgerError, digest_of, from_message, parse_batch
 
@@ -35,7 +35,7 @@
         raise LedgerError(f"{path}: {error}") from None
 
 
-def read_parts(path: str) -> Iterator[Part]:
+def read_parts(path: str) -> Iterator[UsageRecord]:
     """Every part of a ledger, in the order of its commits; LedgerError at the first damage."""
     env, batches, _ = _reader(path)
     try:
@@ -63,7 +63,7 @@
     env, batches, _ = _reader(path)
     problems: list[Problem] = []
     count, expected, before = 0, 0, 0
-    states: dict[tuple[str, int], Part] = {}
+    states: dict[tuple[str, int], UsageRecord] = {}
     digests: dict[int, int] = {}
     try:
         with env.begin() as txn, txn.cursor(batches) as cursor:
