--- a/tests/fronts/test_mapping.py
+++ b/tests/fronts/test_mapping.py
@@ -7,13 +7,13 @@
 from __future__ import annotations
 
 from tuliptrack.config.node import KserveOptions
-from tuliptrack.fronts.kserve.mapping import Infer, ask_of
+from tuliptrack.fronts.kserve.mapping import Infer, Value, ask_of
 from tuliptrack.fronts.kserve.tensors import Tensor
 
 
 def test_every_parameter_reaches_its_field() -> None:
     text = Tensor("text_input", "BYTES", (1,), (b"what?",))
-    parameters = {
+    parameters: dict[str, Value] = {
         "sequence_id": "s1",
         "prefix": "p",
         "tenant": "north",
@@ -26,7 +26,7 @@
         "resume_index": 2,
         "resume_text": "so far",
     }
-    made = ask_of(Infer("m", "1", "id", dict(parameters), [text]), KserveOptions(), 0, None, None)
+    made = ask_of(Infer("m", "1", "id", parameters, [text]), KserveOptions(), 0, None, None)
     assert (made.session, made.prefix, made.tenant, made.request_class) == ("s1", "p", "north", "question")
     assert (made.work_id, made.is_retry) == ("job-7", True)
     assert (made.prompt_tokens, made.prefix_tokens, made.max_tokens) == (40, 30, 9)
--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -121,7 +121,7 @@
         if not self.over:
             self.over = True
             self.engines.ended(self, ended)
-            self.engines.core.attempt_over(self.record, self.attempt, ended)
+            self.engines.core.attempt_ended(self.record, self.attempt, ended)
 
 
 @dataclass(eq=False)
@@ -204,7 +204,7 @@
         """Its connection is up: it is written, unless it isn't wanted any more."""
         if call.over or call.sent_at:
             return
-        if not self.core.wanted(call.record, call.attempt.endpoint_id):
+        if not self.core.may_still_begin(call.record, call.attempt.endpoint_id):
             call.end(AttemptResult(io.Status.CONNECT_FAILED, "not wanted", is_connection_only=True))
             return
         life = self.lives[call.record.id]
@@ -313,7 +313,7 @@
         self.core.engines, self.core.source = self.engines, Source()
         self.tickets: dict[int, Any] = {}
         self.guard(self.core)
-        self.do(self.core.tell, io.EndpointListUpdate(io.UpdateKind.FULL, 1, SERVERS))
+        self.do(self.core.dispatch, io.EndpointListUpdate(io.UpdateKind.FULL, 1, SERVERS))
 
     def do(self, what: Callable[..., Any], *arguments: Any) -> None:
         self.loop.call_soon(what, *arguments)
@@ -424,7 +424,7 @@
             if call.over and call.record.id == request:
                 self.do(call.cancel, io.Status.CANCELLED)
                 self.do(
-                    self.core.attempt_over,
+                    self.core.attempt_ended,
                     call.record,
                     call.attempt,
                     AttemptResult(io.Status.RESET, "once more"),
@@ -463,7 +463,7 @@
             if broke:
                 call.end(AttemptResult(io.Status.RESET, "broke as it ended"))
             else:
-                self.core.read(
+                self.core.prefill_finished(
                     call.record, call.attempt, KvStateLocation(call.attempt.endpoint_id, "", ""), 0
                 )
                 call.end(AttemptResult(io.Status.OK, is_confirmed=True))
@@ -496,7 +496,7 @@
         def go() -> None:
             call.streams = True
             life.holds, life.held_since = False, 0
-            if self.core.answers(call.record, call.attempt):
+            if self.core.output_arrived(call.record, call.attempt):
                 life.answer.events()
             if last and not call.over:
                 call.record.finish_reason = FinishReason.STOP
@@ -519,13 +519,15 @@
         else:
             self.engines.draining_since.setdefault(server, self.core.now())
         state = io.EndpointState.READY if ready else io.EndpointState.DRAINING
-        self.do(self.core.tell, io.EndpointListUpdate(io.UpdateKind.DELTA, 2, (replace(info, state=state),)))
+        self.do(
+            self.core.dispatch, io.EndpointListUpdate(io.UpdateKind.DELTA, 2, (replace(info, state=state),))
+        )
 
     @rule(chance=st.integers(0, 9))
     def the_node_ends(self, chance: int) -> None:
         """Rarely: its streams are handed back, or its grace is over."""
         if chance < 2:
-            self.do((self.core.hand_back, self.core.cut)[chance])
+            self.do((self.core.migrate_streams, self.core.conclude_open_requests)[chance])
 
     @invariant()
     def each_request_has_one_end(self) -> None:
@@ -553,8 +555,8 @@
                     assert life.answer.ends or life.left_at or life.answer.begun, (
                         f"rule 1: {number} has no answer"
                     )
-                self.do(self.core.end)
-                self.do(self.core.end)
+                self.do(self.core.close)
+                self.do(self.core.close)
                 self.loop.advance(1.0, self.nothing_is_held_too_long)
                 self.raise_errors()
                 assert not self.core.table.open and not self.core.router.in_flight, "requests left"
@@ -583,26 +585,26 @@
 
 
 def holds_without_end(core: Core) -> None:
-    core.states.overdue = lambda record: None  # type: ignore[method-assign]
+    core.leases.overdue = lambda record: None  # type: ignore[method-assign]
 
 
 def held_from_any_end(core: Core) -> None:
-    core.states.restart = lambda record: None  # type: ignore[method-assign]
+    core.leases.restart = lambda record: None  # type: ignore[method-assign]
 
 
 def written_counts_as_arrived(core: Core) -> None:
     """The fault of the incident: bytes that were written stop the lease."""
-    overdue = core.states.overdue
+    overdue = core.leases.overdue
 
     def unless_written(record: RequestRecord) -> None:
         if not (record.attempt and record.attempt.call and may_have_run(record.attempt.call.delivery())):
             overdue(record)
 
-    core.states.overdue = unless_written  # type: ignore[method-assign]
+    core.leases.overdue = unless_written  # type: ignore[method-assign]
 
 
 def always_wanted(core: Core) -> None:
-    core.wanted = lambda record, server: True  # type: ignore[method-assign]
+    core.may_still_begin = lambda record, server: True  # type: ignore[method-assign]
 
 
 def windows_forgotten(core: Core) -> None:
@@ -621,7 +623,7 @@
 
 
 def leavers_untold(core: Core) -> None:
-    core.client_gone = lambda record, reason: None  # type: ignore[method-assign]
+    core.client_disconnected = lambda record, reason: None  # type: ignore[method-assign]
     submit = core.submit
     core.submit = lambda ask, answer: submit(replace(ask, is_disconnected=lambda: False), answer)  # type: ignore[method-assign]
 
--- a/tests/relay/test_corroboration.py
+++ b/tests/relay/test_corroboration.py
@@ -105,7 +105,7 @@
             reply = await p.say(request("watched"))
             assert reply.status == 200 and reply.whole
             assert not engines.released_at
-            assert p.relay.counted()["leases_ended_by_arrival"] == 1
+            assert p.relay.counter_values()["leases_ended_by_arrival"] == 1
 
     run(go, virtual=True)
 
--- a/tests/relay/test_counters.py
+++ b/tests/relay/test_counters.py
@@ -50,7 +50,7 @@
             for name in ("first", "second"):
                 assert (await p.say(request(name))).status == 200
                 await asyncio.sleep(0.1)  # A connection rests after an answer.
-            assert p.relay.counted()["connections_silent"] == 1
+            assert p.relay.counter_values()["connections_silent"] == 1
             assert p.engines["w0"].connections == 2
 
     run(go, virtual=True)
--- a/tests/relay/test_endings.py
+++ b/tests/relay/test_endings.py
@@ -51,7 +51,7 @@
             reader, writer = await p.connect()
             writer.write(request("reading"))
             await until(lambda: bool(p.saw()))
-            p.relay.cut()
+            p.relay.conclude_open_requests()
             reply = await asyncio.wait_for(read_reply(reader), 5.0)
             assert (reply.status, reply.whole) == (status, True)
             writer.close()
--- a/tests/relay/test_late_releases.py
+++ b/tests/relay/test_late_releases.py
@@ -103,7 +103,7 @@
             for number in range(late_releases.MOST_PENDING + 5):
                 late.begin(key("r0"), f"many-{number}")
             assert len(late) == late_releases.MOST_PENDING
-            assert p.relay.counted()["late_releases_dropped"] == 5
+            assert p.relay.counter_values()["late_releases_dropped"] == 5
             late.forget("many-7")
             assert len(late) == late_releases.MOST_PENDING - 1
 
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -255,7 +255,7 @@
             for name in ("w0", "w1"):
                 p.engines[name].script = state_gone
             await until(lambda: len(p.engines["r0"].asked()) > 1)
-            p.relay.cut()
+            p.relay.conclude_open_requests()
             assert (await asking).status == 502
 
     run(go, virtual=True)
--- a/tests/relay/test_view.py
+++ b/tests/relay/test_view.py
@@ -44,7 +44,7 @@
             readers = {p.engines[name].address for name in names if name[0] == "r"}
             core, engines, looked, most = p.relay, p.relay.channels, 0, 0
             assert isinstance(engines, HttpEngineClient)
-            handle = core.tell
+            handle = core.dispatch
             differ: list[tuple[int, ...]] = []
 
             def same() -> None:
@@ -77,7 +77,7 @@
                 if outermost:
                     same()
 
-            core.tell = tell  # type: ignore[method-assign]
+            core.dispatch = tell  # type: ignore[method-assign]
             ids = itertools.count()
 
             async def client() -> None:
--- a/tests/test_actions.py
+++ b/tests/test_actions.py
@@ -118,7 +118,7 @@
             await until(lambda: w.seen("call", kind="read"))
             number = next(iter(w.node.table.open))
             act(w, io.SendAttempt(number, 1))  # another is out
-            w.node.tell(io.TimerFired(0))
+            w.node.dispatch(io.TimerFired(0))
             await until(lambda: of(heard, io.AttemptEnded))
             assert of(heard, io.AttemptEnded)[0].status is io.Status.ABANDONED
             act(w, io.SendAttempt(999_999, 1))  # nobody's
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -113,9 +113,9 @@
 
 
 def drains_not_told(w: World, patch: pytest.MonkeyPatch) -> None:
-    tell = w.node.tell
+    tell = w.node.dispatch
     patch.setattr(
-        w.node, "tell", lambda event: None if isinstance(event, io.EndpointListUpdate) else tell(event)
+        w.node, "dispatch", lambda event: None if isinstance(event, io.EndpointListUpdate) else tell(event)
     )
 
 
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -54,10 +54,10 @@
         self.core, self.record = core, record
 
     def disconnected(self, reason: str) -> None:
-        self.core.client_gone(self.record, reason)
+        self.core.client_disconnected(self.record, reason)
 
     def writable(self) -> None:
-        self.core.client_reads(self.record)
+        self.core.client_can_receive(self.record)
 
 
 class Core:
@@ -79,7 +79,7 @@
         self.admission = ConcurrencyLimiter(admission)
         self.engines: EngineClient
         self.counters = Counters()
-        self.states = KvStateLeases(settings.release_within_us, lambda: self.engines, self.now, self.counters)
+        self.leases = KvStateLeases(settings.release_within_us, lambda: self.engines, self.now, self.counters)
         self.source: Any
         self.requests = RequestReader(settings, limits)
         self.stopping = False
@@ -120,17 +120,17 @@
         budget."""
         return "", 0, False
 
-    def began(self, record: RequestRecord) -> None:
+    def stream_began(self, record: RequestRecord) -> None:
         """Its first token has come."""
 
-    def sent(self, record: RequestRecord, attempt: Attempt, action: io.SendAttempt) -> None:
+    def attempt_sent(self, record: RequestRecord, attempt: Attempt, action: io.SendAttempt) -> None:
         """An attempt has left."""
 
-    def crossed(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> float:
+    def cross_zone_bytes(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> float:
         """Bytes that an attempt has moved between zones."""
         return 0.0
 
-    def dropped(self, record: RequestRecord) -> None:
+    def request_removed(self, record: RequestRecord) -> None:
         """It has left the table."""
 
     # -- events in
@@ -139,7 +139,7 @@
         self._now = max(self._now, now_us())
         return self._now
 
-    def tell(self, event: io.Event, router: Router | None = None) -> None:
+    def dispatch(self, event: io.Event, router: Router | None = None) -> None:
         """The one way in for events: each is handled, its actions carried out, before the next. What is of a
         request goes to its router; the rest to the one named, or that which keeps the subscription."""
         self._events.append((event, router))
@@ -173,8 +173,10 @@
         record = self.table.open.get(request)
         if record and record.conclude(RequestState.FAILED, "internal"):
             record.response.failed(Failure.LOST, "internal", record.next_index)
-            self.states.release(record)
-            self.tell(io.ClientDisconnected(request), record.router)  # Its books are closed, if it still can.
+            self.leases.release(record)
+            self.dispatch(
+                io.ClientDisconnected(request), record.router
+            )  # Its books are closed, if it still can.
             if record.attempt and record.attempt.call:
                 record.attempt.call.cancel(io.Status.CANCELLED)
             self._settle(record)
@@ -201,7 +203,7 @@
         if by is not None:
             left = max(by - self.limits.answer_ahead - now, 0) / 1e6
             self._due[record.id] = asyncio.get_running_loop().call_later(left, self._call_due, record)
-        self.tell(replace(request, request_id=record.id, is_over_token_budget=over))
+        self.dispatch(replace(request, request_id=record.id, is_over_token_budget=over))
         return _RequestHandle(self, record)
 
     def overload(self) -> tuple[str, int]:
@@ -225,12 +227,12 @@
             log.error("request unanswered at its deadline", request=record.id, state=record.state.value)
             self._give_up(record.id)
 
-    def client_gone(self, record: RequestRecord, reason: str) -> None:
+    def client_disconnected(self, record: RequestRecord, reason: str) -> None:
         """The client has left, or its connection has."""
         streaming = record.state is RequestState.STREAMING
         if not record.conclude(RequestState.LEFT, reason):
             return
-        self.tell(io.ClientDisconnected(record.id))
+        self.dispatch(io.ClientDisconnected(record.id))
         if (
             record.attempt
             and record.attempt.call
@@ -241,7 +243,7 @@
             )  # What nobody reads ends; what has not begun never does.
         self._settle(record)
 
-    def wanted(self, record: RequestRecord, server: int) -> bool:
+    def may_still_begin(self, record: RequestRecord, server: int) -> bool:
         """Whether an attempt there may still begin, as its connection is there: its client may have gone
         though the loop has not read that yet, and the server may have begun to drain since the attempt was
         decided."""
@@ -258,7 +260,7 @@
             state,
         )
         if verdict is Verdict.CLIENT_GONE:
-            self.client_gone(record, verdict.value)
+            self.client_disconnected(record, verdict.value)
         if verdict:
             cls = self._class_of(record)
             verdict = may_repeat(
@@ -279,7 +281,7 @@
     def _class_of(self, record: RequestRecord) -> io.RequestClass:
         return self.requests.class_of(record.client_request)
 
-    def client_reads(self, record: RequestRecord) -> None:
+    def client_can_receive(self, record: RequestRecord) -> None:
         """The client has taken what waited for it: its engine stream goes on."""
         if record.paused_at_us and record.attempt and record.attempt.call:
             record.paused_at_us = 0
@@ -317,7 +319,7 @@
         left = record.deadline_us - now
         if record.kv_state:
             attempt.state_endpoint_id = record.kv_state.endpoint_id
-            attempt.connect_by_us = self.states.connect_by(record)
+            attempt.connect_by_us = self.leases.connect_by(record)
         if latest := self._repeat_by(record):
             attempt.connect_by_us = min(attempt.connect_by_us or latest, latest)
         attempt.ends_at_deadline = not action.timeout_us or action.timeout_us >= left
@@ -333,7 +335,7 @@
         handle = asyncio.get_running_loop().call_later(timeout / 1e6, self._attempt_late, record, attempt)
         self._timers.add(handle)
         attempt.timer = handle
-        self.sent(record, attempt, action)
+        self.attempt_sent(record, attempt, action)
 
     def _repeat_by(self, record: RequestRecord) -> int:
         """By when a further attempt of what may have run has to be sent, lest its engine take it for another
@@ -350,13 +352,15 @@
 
     # -- what engines tell
 
-    def read(self, record: RequestRecord, attempt: Attempt, held: KvStateLocation, kept: int) -> None:
+    def prefill_finished(
+        self, record: RequestRecord, attempt: Attempt, held: KvStateLocation, kept: int
+    ) -> None:
         """The prompt has been read: `held` waits there, `kept` tokens of it needed no reading."""
         record.cached_tokens = max(0, min(kept, record.client_request.prompt_tokens))
         record.trace.add(self.now(), f"held at {held.endpoint_id}")
-        self.states.hold(record, held)
+        self.leases.hold(record, held)
 
-    def answers(self, record: RequestRecord, attempt: Attempt) -> bool:
+    def output_arrived(self, record: RequestRecord, attempt: Attempt) -> bool:
         """A part of the answer has come; True where it is to be passed on. With the first one the stream has
         begun."""
         if record.attempt is not attempt or record.is_concluded:
@@ -366,24 +370,24 @@
             self._cancel_timer(attempt)
             record.enter(RequestState.STREAMING)
             record.trace.add(now, "first token")
-            self.states.taken(record)
+            self.leases.taken(record)
             record.first_token_at_us = now
-            self.began(record)
-            self.tell(
+            self.stream_began(record)
+            self.dispatch(
                 io.StreamStarted(record.id, attempt.number, attempt.endpoint_id, now - attempt.sent_at_us)
             )
         return record.state is RequestState.STREAMING
 
-    def passed(self, record: RequestRecord, attempt: Attempt, going: bool) -> None:
+    def output_forwarded(self, record: RequestRecord, attempt: Attempt, going: bool) -> None:
         """What came was given to the front, which may want no more for now."""
         if not going and attempt.call and record.attempt is attempt:
             record.paused_at_us = record.paused_at_us or self.now()
             attempt.call.pause()
 
-    def place_noted(self, record: RequestRecord, attempt: Attempt, server: int, held: bool) -> None:
+    def reservation_answered(self, record: RequestRecord, attempt: Attempt, server: int, held: bool) -> None:
         """The word on a place that was asked for."""
         if record.attempt is attempt:
-            self.tell(io.ReservationResult(record.id, attempt.number, server, held))
+            self.dispatch(io.ReservationResult(record.id, attempt.number, server, held))
 
     def _cancel_timer(self, attempt: Attempt) -> None:
         if attempt.timer:
@@ -392,7 +396,7 @@
 
     # -- ends of attempts
 
-    def attempt_over(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> None:
+    def attempt_ended(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> None:
         """An attempt has ended: the router is told, and the client where its stream is over with it."""
         if record.attempt is not attempt:
             return
@@ -400,16 +404,16 @@
         record.attempt = None
         record.pending_events += 1
         latency = self.now() - attempt.sent_at_us
-        self.states.attempt_ended(record, attempt, ended)
+        self.leases.attempt_ended(record, attempt, ended)
         told = self._after_attempt(record, attempt, ended)
         why = f" ({ended.reason})" if ended.reason else ""
         record.trace.add(self.now(), f"{told.status.value} {attempt.number}{why}")
         self._note_effect(record, attempt, told.status)
-        crossed = self.crossed(record, attempt, ended)
+        crossed = self.cross_zone_bytes(record, attempt, ended)
         if attempt.is_prefill and record.kv_state is None and told.status in _MAY_HAVE_READ:
-            self.states.read_broke_off(record, attempt)
+            self.leases.read_broke_off(record, attempt)
         read = record.cached_tokens if told.status in (io.Status.OK, io.Status.PREFILLED) else 0
-        self.tell(
+        self.dispatch(
             io.AttemptEnded(
                 record.id,
                 attempt.number,
@@ -467,7 +471,7 @@
         """An attempt at a writer is over without a token. Its state is held on, or the prompt has to be read
         anew."""
         status = io.Status.ERROR if ended.status is io.Status.OK else ended.status
-        lost = self.states.lost_with(record, attempt, ended)
+        lost = self.leases.lost_with(record, attempt, ended)
         record.enter(RequestState.HELD if record.kv_state else RequestState.TAKEN)
         return _Told(status, lost)
 
@@ -526,7 +530,7 @@
         record = self.table.open.get(action.request_id)
         if record is None:
             return
-        self.states.release(record)
+        self.leases.release(record)
         if record.reserved_endpoint_id is not None:
             server, record.reserved_endpoint_id = record.reserved_endpoint_id, None
             self.engines.release(server, record)
@@ -549,7 +553,7 @@
 
         def fire() -> None:
             self._timers.discard(handle)
-            self.tell(io.TimerFired(action.token), router)
+            self.dispatch(io.TimerFired(action.token), router)
 
         handle = asyncio.get_running_loop().call_later(max(action.delay_us, 0) / 1e6, fire)
         self._timers.add(handle)
@@ -561,7 +565,7 @@
                 (io.HealthCheckResult(action.endpoint_id, io.Status.CONNECT_FAILED, 0), router)
             )
             return
-        self.engines.check_health(action.endpoint_id, lambda result: self.tell(result, router))
+        self.engines.check_health(action.endpoint_id, lambda result: self.dispatch(result, router))
 
     # -- ends and sweeps
 
@@ -572,14 +576,14 @@
         if handle := self._due.pop(record.id, None):
             handle.cancel()
         now = self.now()
-        self.states.request_over(record)
+        self.leases.request_over(record)
         self.counters.add(f"requests_{record.state.value}")
         if (
             record.state in (RequestState.REFUSED, RequestState.FAILED)
             and now > record.deadline_us + _LATE_US
         ):
             self.counters.add("answers_late")
-        self.dropped(record)
+        self.request_removed(record)
         if record.has_concurrency_slot:
             record.has_concurrency_slot = False
             self.admission.leave(now, record.client_request.tenant, record.client_request.connection)
@@ -604,7 +608,7 @@
             steps=str(record.trace),
         )
 
-    def counted(self) -> dict[str, int]:
+    def counter_values(self) -> dict[str, int]:
         """What was counted since the start, by name."""
         return self.counters.as_dict()
 
@@ -623,7 +627,7 @@
                     record, Failure.BROKEN, "the engine has gone silent in mid-stream", io.Status.RESET
                 )
 
-    def cut(self, since: int = 0) -> None:
+    def conclude_open_requests(self, since: int = 0) -> None:
         """The grace is over: what is open and came after `since` ends, as refused only where nothing of it
         can have run."""
         reason = "this node has shut down"
@@ -638,7 +642,7 @@
                 self._answer_refused(record, reason, 0)
             else:
                 self._answer_failed(record, Failure.LOST, reason)
-            self.tell(
+            self.dispatch(
                 io.ClientDisconnected(record.id)
             )  # The router owes it nothing more; it calls off what is out.
             self._settle(record)
@@ -649,18 +653,18 @@
             return False
         return out.call is None or may_have_run(out.call.delivery())
 
-    def hand_back(self) -> None:
+    def migrate_streams(self) -> None:
         """Streams that have begun go back to their clients, to be resumed at another node."""
         for record in list(self.table.open.values()):
             self._hand_back(io.MigrateStream(record.id))
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Every request and timer ends; their clients are gone."""
         for record in list(self.table.open.values()):
-            self.client_gone(record, "node stopped")
+            self.client_disconnected(record, "node stopped")
             if record.attempt and record.attempt.call:  # Also where the settings let nothing be called off.
                 record.attempt.call.cancel(io.Status.CANCELLED)
-            self.states.stop(record)
+            self.leases.stop(record)
         for handle in [*self._timers, *self._due.values()]:
             handle.cancel()
         self._timers.clear()
--- a/tuliptrack/node/grpc_engine_client.py
+++ b/tuliptrack/node/grpc_engine_client.py
@@ -108,7 +108,7 @@
     def _over(self, record: RequestRecord, attempt: Attempt, end: End) -> None:
         status = outcome_of(end)
         lost = status is io.Status.AT_CAPACITY and end.status.code is Code.FAILED_PRECONDITION
-        self.core.attempt_over(
+        self.core.attempt_ended(
             record,
             attempt,
             AttemptResult(
@@ -149,7 +149,7 @@
             self._engine_fault(record, attempt, "malformed ReadResponse")
             return
         address = self.channels.addresses.get(attempt.endpoint_id, "")
-        self.core.read(
+        self.core.prefill_finished(
             record,
             attempt,
             KvStateLocation(attempt.endpoint_id, answer.state_id, address),
@@ -176,7 +176,7 @@
                 record, attempt, f"token {message.index} came, {record.next_index} was to come"
             )
             return
-        if not self.core.answers(record, attempt):
+        if not self.core.output_arrived(record, attempt):
             return
         record.next_index += 1
         usage = None
@@ -184,7 +184,7 @@
             record.finish_reason = _FINISH.get(message.finish_reason, FinishReason.STOP)
             ask = record.client_request
             usage = Usage(ask.prompt_tokens, record.cached_tokens, record.next_index - ask.resume_index)
-        self.core.passed(
+        self.core.output_forwarded(
             record, attempt, record.response.token(message.index, message.text, record.finish_reason, usage)
         )
 
@@ -226,7 +226,7 @@
             held = (
                 end.status.code is Code.OK and bool(got) and engine_pb2.HoldResponse.FromString(got[0]).held
             )
-            self.core.place_noted(record, attempt, server, held)
+            self.core.reservation_answered(record, attempt, server, held)
 
         request = engine_pb2.HoldRequest(work=self._work(record, attempt))
         channel.call(
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -147,11 +147,11 @@
         """Drain, then refuse, then end: what is open has `grace` seconds (None: the settings')."""
         self.health.set(False)
         grace = self.config.shutdown_grace / 1e6 if grace is None else grace
-        self.server.on_cut = self.cut
+        self.server.on_cut = self.conclude_open_requests
         self.stopping = True
         await asyncio.gather(self.server.stop(grace), *(listener.stop(grace) for listener in self.listeners))
         await self.source.close()
-        self.end()
+        self.close()
         await asyncio.sleep(0)  # Releases of what was held go out with this turn of the loop.
         await self.channels.close()
         for peer in self.peers:
@@ -195,7 +195,7 @@
 
     def _tell_routers(self, change: io.EndpointListUpdate, labels: dict[int, Model]) -> None:
         if change.kind is io.UpdateKind.FAILED:
-            self.tell(change)
+            self.dispatch(change)
             return
         changes = self.models.split(change, labels)
         if change.kind is io.UpdateKind.CACHED:
@@ -205,7 +205,7 @@
             if model not in self.routers:
                 self._seed += 1
                 self.routers[model] = Router(self.settings, self._seed, self.router)
-            self.tell(part, self.routers[model])
+            self.dispatch(part, self.routers[model])
         for model in self.routers.keys() - listed - {Model()}:
             if not self.routers[model].in_flight:  # Else it is looked at again with the next list.
                 del self.routers[model]
@@ -271,22 +271,22 @@
 
     # -- actions out
 
-    def began(self, record: RequestRecord) -> None:
+    def stream_began(self, record: RequestRecord) -> None:
         self.bills.began(record)
 
-    def dropped(self, record: RequestRecord) -> None:
+    def request_removed(self, record: RequestRecord) -> None:
         if record.is_billed:
             record.is_billed = False
             self.bills.ended(self.now(), record)
 
-    def sent(self, record: RequestRecord, attempt: Attempt, action: io.SendAttempt) -> None:
+    def attempt_sent(self, record: RequestRecord, attempt: Attempt, action: io.SendAttempt) -> None:
         if action.cross_zone_cause and isinstance(attempt.call, GrpcCall):
             attempt.cross_zone_cause = action.cross_zone_cause
             self._count(
                 record, attempt, attempt.call.call, record.router.endpoints[action.endpoint_id].info.zone
             )
 
-    def crossed(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> float:
+    def cross_zone_bytes(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> float:
         for move in attempt.transfers:
             move.over = True
         if isinstance(ended.detail, End):
@@ -376,7 +376,7 @@
             call.send(b"")
             call.end(Status(Code.OK))
             for router in self.routers.values():
-                self.tell(io.GossipReceived(message.sender, message.data), router)
+                self.dispatch(io.GossipReceived(message.sender, message.data), router)
 
         if self.peers:
             self.server.add("tuliptrack.v1.Peers", "Tell", unary_request(fleet_pb2.PeerBytes, told))
--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -163,7 +163,7 @@
         ):
             return True  # Nothing new: the answer only shows that the agent speaks.
         # The router goes first: what it stops sending to may then be let go.
-        self.tell(change)
+        self.dispatch(change)
         self.pools.update(self.members.addresses)
         log.info(
             "server list",
@@ -174,14 +174,14 @@
         )
         return True
 
-    def dropped(self, record: RequestRecord) -> None:
+    def request_removed(self, record: RequestRecord) -> None:
         if record.state is RequestState.SERVED:
             self.channels.served(record)
 
-    def counted(self) -> dict[str, int]:
+    def counter_values(self) -> dict[str, int]:
         connections = self.pools.connections
         return {
-            **super().counted(),
+            **super().counter_values(),
             "connections_made": connections.made,
             "connections_silent": connections.silent,
             "open_requests": len(self.table.open),
@@ -242,20 +242,20 @@
         await asyncio.sleep(max(killed - _CLOSE_S, 0.0))
         self.stopping = server.last = True
         if self.settings.may_resume:
-            self.hand_back()
+            self.migrate_streams()
         await asyncio.sleep(min(killed, _CLOSE_S - _CUT_S))
-        self.cut(began + int(_FORGIVEN_S * 1e6))
+        self.conclude_open_requests(began + int(_FORGIVEN_S * 1e6))
         await asyncio.sleep(min(killed, _CUT_S))
         await server.stop(grace)
         self._cancel_reload()
         await self.source.close()
-        self.end()
+        self.close()
         if self._sweeper:
             self._sweeper.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._sweeper
         await self.channels.close()
-        log.info("counters", **self.counted())
+        log.info("counters", **self.counter_values())
         log.info("stopped", **{state.value: n for state, n in self.table.end_counts.items()})
 
     async def _sweep(self) -> None:
--- a/tuliptrack/relay/engine_client.py
+++ b/tuliptrack/relay/engine_client.py
@@ -170,11 +170,11 @@
             else:
                 self._spoilt("something that is no event")
                 return
-        if not events or not self.engines.core.answers(self.record, self.attempt):
+        if not events or not self.engines.core.output_arrived(self.record, self.attempt):
             return
         cast(Inbound, self.record.client_request.payload).body = b""
         data = whole if len(events) == whole.count(b"\n\n") else b"\n\n".join(events) + b"\n\n"
-        self.engines.core.passed(
+        self.engines.core.output_forwarded(
             self.record, self.attempt, cast(RawResponseWriter, self.record.response).events(data)
         )
 
@@ -194,7 +194,7 @@
 
     def _end(self, how: How, reason: str) -> None:
         self._arrival.close()
-        self.engines.core.attempt_over(self.record, self.attempt, self._ended(how, reason))
+        self.engines.core.attempt_ended(self.record, self.attempt, self._ended(how, reason))
 
     def _ended(self, how: How, reason: str) -> AttemptResult:
         if how is How.GIVEN_UP and not self.exchange.sent:  # It never ran, and says nothing of its engine.
@@ -218,7 +218,7 @@
                 io.Status.AT_CAPACITY, "the state is gone", True, self._load, is_confirmed=True
             )
         if status == 202 and self.attempt.is_prefill:
-            self.engines.core.read(
+            self.engines.core.prefill_finished(
                 self.record, self.attempt, KvStateLocation(self.attempt.endpoint_id, "", ""), self._kept()
             )
             return AttemptResult(io.Status.OK, load_report=self._load, is_confirmed=True)
@@ -302,7 +302,7 @@
             ]
 
         exchange.before_write = say_what_is_left
-        exchange.wanted = lambda: self.core.wanted(record, attempt.endpoint_id)
+        exchange.wanted = lambda: self.core.may_still_begin(record, attempt.endpoint_id)
         made = _Attempt(self, record, attempt, exchange, pool)
         pool.send(exchange)
         return made
@@ -323,7 +323,7 @@
     # -- what this protocol has no word for
 
     def reserve(self, server: int, record: RequestRecord, attempt: Attempt) -> None:
-        self.core.place_noted(record, attempt, server, False)
+        self.core.reservation_answered(record, attempt, server, False)
 
     def check_health(self, server: int, done: Callable[[io.HealthCheckResult], None]) -> None:
         asyncio.get_running_loop().call_soon(done, io.HealthCheckResult(server, io.Status.ERROR, 0))
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -147,7 +147,7 @@
     def _counters(self, call: HttpCall) -> None:
         """What the node has counted since its start, as one JSON object."""
         if call.method == "GET":
-            call.respond(200, json.dumps(self.core.counted()).encode())
+            call.respond(200, json.dumps(self.core.counter_values()).encode())
         else:
             call.error(405, f"method: GET expected, is {call.method[:20]}", [("allow", "GET")])
 
