--- a/tuliptrack/routing/decode_placement.py
+++ b/tuliptrack/routing/decode_placement.py
@@ -1,11 +1,11 @@
-"""Decides which decode endpoint gets a prefilled request: the one with the fewest projected tokens of this
-node.
+"""Decides which decode endpoint gets a request: the one with the fewest projected tokens of this node.
 
 The projected tokens are the prompt and the expected output of this node's requests there, by unit of the
 endpoint's weight; nothing is reported fast enough to be used. Endpoints with clearly more memory in use than
 the median are left out. Among endpoints of nearly the same load, the cell that holds the KV state is
 preferred. Endpoints without requests of this node are counted by groups, so the cost does not grow with the
-fleet."""
+fleet.
+"""
 
 from __future__ import annotations
 
@@ -116,10 +116,10 @@
         return loads
 
     def _preferred_cell(self, request: InFlightRequest) -> int | None:
-        """Return the cell that holds the KV state, for as many requests as its decode endpoints have capacity
-        for.
+        """Return the cell that holds the KV state, or None if the request may go anywhere.
 
-        The rest of a cell's prefills would overload its decode endpoints; they go anywhere.
+        A cell gets no more of its prefills than its decode endpoints have capacity for: the rest would
+        overload them.
         """
         if request.kv_holder is None:
             return None
@@ -131,8 +131,7 @@
         return cell if self._state.random.random() < decode_share / prefill_share else None
 
     def _preferred(self, choice: _Choice, cell: int | None, limit: float) -> list[Endpoint]:
-        """Return the endpoints up to a load that are preferred: with an open slot, else in the preferred
-        cell."""
+        """Return the preferred endpoints up to a load: with an open slot, else in the preferred cell."""
         preferred = [one for one in choice.candidates.with_slot if choice.load_of(one) <= limit]
         if preferred or cell is None:
             return preferred
--- a/tuliptrack/routing/locality.py
+++ b/tuliptrack/routing/locality.py
@@ -2,7 +2,8 @@
 
 Only where `zone_budgets` are set; otherwise no zone is remote and nothing has a price. The budgets and
 recovery ramps are those of `decisions/cross_zone_budget.py`; this module asks them about endpoints and
-requests. Sizes are bytes."""
+requests. Sizes are bytes.
+"""
 
 from __future__ import annotations
 
@@ -22,8 +23,13 @@
     """One node's view of zones."""
 
     def __init__(self, state: NodeState, outbox: Outbox, crossings: CrossZoneBudgets | None) -> None:
-        """`crossings` are this node's zone budgets, shared by its routers of several models; None without
-        budgets."""
+        """Create the view of a node.
+
+        Args:
+            state: of the node.
+            outbox: for lines about zones.
+            crossings: the zone budgets, shared by the node's routers of several models; None without budgets.
+        """
         self._state, self._outbox = state, outbox
         self.crossings = crossings
         self.returns = ZoneRecovery()
@@ -52,8 +58,7 @@
         return self.returns.admits(self._state.now_us, endpoint.info.zone, endpoint.role, position)
 
     def price(self, request: InFlightRequest, zone: int, is_decode: bool) -> float:
-        """Return what an attempt in a zone costs, as a share of a score or in mean loads; 0 if nothing
-        crosses."""
+        """Return the price of an attempt in a zone, as a share of a score or in mean loads; 0 at home."""
         if self.crossings is None:
             return 0.0
         size = self._crossing_bytes(self.crossings, request, zone, is_decode)
@@ -103,7 +108,6 @@
     def _crossing_bytes(
         self, crossings: CrossZoneBudgets, request: InFlightRequest, zone: int, is_decode: bool
     ) -> float:
-        """Return the bytes that an attempt would move between zones: prompt, KV state, and the answer
-        back."""
+        """Return the bytes that an attempt would move between zones: prompt, KV state and answer."""
         holder_zone = request.kv_holder.info.zone if request.kv_holder and is_decode else None
         return crossings.size(request.request, zone, holder_zone, is_decode, request.projected_tokens)
--- a/tuliptrack/routing/outlier_detection.py
+++ b/tuliptrack/routing/outlier_detection.py
@@ -1,5 +1,4 @@
-"""Decides which endpoints are ejected, when an ejected one gets a health-check attempt, and when it is
-restored.
+"""Decides which endpoints are ejected, when an ejected one is checked, and when it is restored.
 
 A failed attempt ejects an endpoint for the requests that share the cause:
 
@@ -11,7 +10,8 @@
 
 An ejected endpoint is used only if no other is left, or for one attempt when a health check is due. The
 interval of the checks doubles with each failure. An answer restores the endpoint for requests of that kind.
-Times are microseconds."""
+Times are microseconds.
+"""
 
 from __future__ import annotations
 
@@ -65,8 +65,7 @@
         return all(now_us >= ejections[scope].next_check_at_us for scope in scopes if scope in ejections)
 
     def record_attempt(self, endpoint: Endpoint, request: InFlightRequest) -> None:
-        """Record that an attempt is sent; to an ejected endpoint it is the health check, and the next one
-        waits."""
+        """Record that an attempt is sent. At an ejected endpoint it is the health check that was due."""
         if not endpoint.ejections:
             return
         for scope in (SLOW_STREAMS, *request.ejection_scopes):
--- a/tuliptrack/routing/router.py
+++ b/tuliptrack/routing/router.py
@@ -1,5 +1,4 @@
-"""The router of one node: events in, actions out. Its settings, events and actions are in
-`tuliptrack.interface`.
+"""The router of one node: events in, actions out, both defined in `tuliptrack.interface`.
 
 Each event is handled by one method, and each decision is made by one module:
 
--- a/tuliptrack/routing/slow_streams.py
+++ b/tuliptrack/routing/slow_streams.py
@@ -1,11 +1,11 @@
-"""Decides which decode endpoints are ejected because their streams take much longer than those of their
-peers.
+"""Decides which decode endpoints are ejected because their streams are slower than those of their peers.
 
 Such an endpoint answers in time, so no attempt fails. The evidence is how few streams have ended there for
 the time that they have run, compared with its peers in the same seconds; a slowness of all endpoints ejects
 none. Nothing but health checks goes to an ejected endpoint, and its streams are migrated where clients can
 resume them. All this pauses while the node sheds load: then even a slow endpoint is needed. Times are
-microseconds."""
+microseconds.
+"""
 
 from __future__ import annotations
 
@@ -88,8 +88,7 @@
 
     @staticmethod
     def _is_slow(endpoint: Endpoint, peers_completed: float, peers_streamed_us: float) -> bool:
-        """Whether the streams of an endpoint are slow, by the likelihood ratio of a Poisson process of their
-        ends."""
+        """Whether streams are slow, by the likelihood ratio of a Poisson process of their ends."""
         if peers_completed < MIN_PEER_STREAMS or peers_streamed_us <= 0:
             return False
         mean_length_us = max(peers_streamed_us / peers_completed, MIN_MEAN_LENGTH_US)
--- /dev/null
+++ b/tuliptrack/simulator_adapter/records.py
@@ -0,0 +1,50 @@
+"""The fields of one record of a frame."""
+
+from __future__ import annotations
+
+import struct
+from typing import Any
+
+from tuliptrack.simulator_adapter.errors import WireError
+
+__all__ = ["RECORD", "RecordReader"]
+
+RECORD = struct.Struct("<HI")
+"""Code of a record, and the bytes that follow."""
+
+
+class RecordReader:
+    """Reads typed fields one after another; errors name the record."""
+
+    def __init__(self, body: bytes, record: str) -> None:
+        self.body, self.record, self.position = body, record, 0
+
+    def read(self, form: str) -> tuple[Any, ...]:
+        """Return the next fields, in the notation of `struct` (little endian).
+
+        Raises:
+            WireError: the record has fewer bytes.
+        """
+        size = struct.calcsize("<" + form)
+        if self.position + size > len(self.body):
+            needed = self.position + size
+            raise WireError(f"{self.record}: fields end at byte {len(self.body)}, {needed} needed")
+        values = struct.unpack_from("<" + form, self.body, self.position)
+        self.position += size
+        return values
+
+    def read_bytes(self, length_form: str) -> bytes:
+        """Return bytes whose number comes before them."""
+        (size,) = self.read(length_form)
+        return bytes(self.read(f"{size}s")[0])
+
+    def read_floats(self) -> tuple[float, ...]:
+        """Return numbers whose count, one byte, comes before them."""
+        (count,) = self.read("B")
+        return self.read(f"{count}f")
+
+    def end(self) -> None:
+        """Check that all of the record was read; WireError if not."""
+        if self.position != len(self.body):
+            rest = len(self.body) - self.position
+            raise WireError(f"{self.record}: {rest} bytes left over after its fields")
--- a/tuliptrack/state/demand.py
+++ b/tuliptrack/state/demand.py
@@ -1,5 +1,4 @@
-"""What clients have asked of this node lately: the size of requests by class, and how often each prefix
-came."""
+"""Recent demand at this node: the size of requests by class, and how often each prefix was requested."""
 
 from __future__ import annotations
 
--- a/tuliptrack/state/endpoint.py
+++ b/tuliptrack/state/endpoint.py
@@ -1,5 +1,4 @@
-"""What a node knows of one endpoint: its list entry, its last load report and this node's own traffic
-there."""
+"""What a node knows of one endpoint: its list entry, its last load report, the node's own traffic there."""
 
 from __future__ import annotations
 
--- a/tuliptrack/state/endpoint_table.py
+++ b/tuliptrack/state/endpoint_table.py
@@ -1,5 +1,4 @@
-"""The endpoint list as this node last received it, with indexes for the questions that decisions ask of
-it."""
+"""The endpoint list as this node last received it, with indexes for the questions of the decisions."""
 
 from __future__ import annotations
 
--- a/tuliptrack/state/stream_rate.py
+++ b/tuliptrack/state/stream_rate.py
@@ -13,8 +13,7 @@
 
 @dataclass(slots=True)
 class StreamRate:
-    """Streaming time and completed streams; both decay at the same rate, so their ratio is the mean
-    length."""
+    """Streaming time and completed streams. Both decay alike, so their ratio is the mean length."""
 
     streams: int = 0
     """Streams that run now."""
