--- a/tuliptrack/routing/admission.py
+++ b/tuliptrack/routing/admission.py
@@ -33,7 +33,7 @@
 """Multiple of the queue limit above which the highest priority is shed too: most of it would only be late."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class _Placement:
     """Where a request could start, and its estimated time to first token there."""
 
--- a/tuliptrack/routing/eligibility.py
+++ b/tuliptrack/routing/eligibility.py
@@ -34,7 +34,9 @@
 
     def is_usable(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
         """Whether an eligible endpoint is preferred to others."""
-        return self._locality.admits(endpoint, request) and self._outliers.is_usable(endpoint, request)
+        if self._locality.is_recovering and not self._locality.admits(endpoint, request):
+            return False
+        return not endpoint.ejections or self._outliers.is_usable(endpoint, request)
 
     def candidates(self, role: Role, request: InFlightRequest) -> Candidates:
         """Return all endpoints of a role that a request may go to; only usable ones if there are any."""
@@ -42,17 +44,19 @@
         warming_up = state.table.started_since(role, state.now_us - state.settings.slow_start_us)
         excluded = {endpoint_id for endpoint_id in request.excluded if endpoint_id in ready}
         excluded.update(
-            one.id
-            for one in warming_up
-            if one.no_slot_before_us > state.now_us or self._slow_start.is_blocked(one, request)
+            [
+                one.info.id
+                for one in warming_up
+                if one.no_slot_before_us > state.now_us or self._slow_start.slot_for(one, request) is None
+            ]
         )
         if self._may_have_effect(request):
-            excluded.update(one.info.id for one in ready if not may_send_to(request, one, state.now_us))
+            excluded.update([one.info.id for one in ready if not may_send_to(request, one, state.now_us)])
         examined = ready if self._locality.is_recovering else state.table.ejected(role)
         unusable = {one.info.id for one in examined if not self.is_usable(one, request)} | excluded
         if len(unusable) < len(ready):
             excluded = unusable
-        return Candidates(ready, excluded, [one for one in warming_up if one.id not in excluded])
+        return Candidates(ready, excluded, [one for one in warming_up if one.info.id not in excluded])
 
     def first_eligible(
         self, endpoints: Iterable[Endpoint], request: InFlightRequest, limit: int
@@ -72,7 +76,7 @@
         return (
             endpoint.info.id not in request.excluded
             and may_send_to(request, endpoint, self._state.now_us)
-            and not self._slow_start.is_blocked(endpoint, request)
+            and self._slow_start.slot_for(endpoint, request) is not None
         )
 
     @staticmethod
--- a/tuliptrack/routing/locality.py
+++ b/tuliptrack/routing/locality.py
@@ -51,8 +51,8 @@
         return self.crossings is not None and endpoint.info.zone != self._state.settings.zone
 
     def admits(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
-        """Whether a request may go to the endpoint's zone, whose traffic may still be ramped up."""
-        if not self.is_recovering or request.ignores_recovery_ramp:
+        """Whether a request may go to the endpoint's zone while the traffic of some zone is ramped up."""
+        if request.ignores_recovery_ramp:
             return True
         position = mix(request.request.session) / 2**64
         return self.returns.admits(self._state.now_us, endpoint.info.zone, endpoint.role, position)
--- a/tuliptrack/routing/slow_start.py
+++ b/tuliptrack/routing/slow_start.py
@@ -48,9 +48,11 @@
 
         It is `WARM` if the endpoint is not in slow start, and None if no slot of this node is open for it.
         """
-        state, settings = self._state, self._state.settings
         started_at_us = endpoint.info.started_at_us
-        if not started_at_us or state.now_us >= started_at_us + settings.slow_start_us:
+        if not started_at_us:
+            return WARM
+        state, settings = self._state, self._state.settings
+        if state.now_us >= started_at_us + settings.slow_start_us:
             return WARM
         if state.now_us < endpoint.no_slot_before_us:
             return None
@@ -69,10 +71,6 @@
         """Whether an endpoint is in slow start and the request may go there by a slot."""
         return bool(self.slot_for(endpoint, request))
 
-    def is_blocked(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
-        """Whether an endpoint is in slow start and no slot is open for the request."""
-        return self.slot_for(endpoint, request) is None
-
     def use_slot(self, endpoint: Endpoint, request: InFlightRequest) -> None:
         """Record that an attempt is sent there."""
         endpoint.last_slot = self.slot_for(endpoint, request) or endpoint.last_slot
--- a/tuliptrack/state/demand.py
+++ b/tuliptrack/state/demand.py
@@ -15,7 +15,7 @@
 """Weight of one request in the averages, which so reflect about the last twenty."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class RequestSize:
     """Tokens of a request, or of the mean request."""
 
--- a/tuliptrack/state/endpoint.py
+++ b/tuliptrack/state/endpoint.py
@@ -17,7 +17,7 @@
 """Microseconds in which a load report loses its weight: about two of the slowest report intervals."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class WaitingAttempt:
     """An attempt of this node that has neither ended nor been answered."""
 
--- a/tuliptrack/state/endpoint_table.py
+++ b/tuliptrack/state/endpoint_table.py
@@ -205,13 +205,13 @@
     def add_waiting(self, endpoint: Endpoint, attempt: WaitingAttempt) -> None:
         """Record an attempt that was just sent."""
         endpoint.add_waiting(attempt)
-        self.waiting[endpoint.id] = endpoint
+        self.waiting[endpoint.info.id] = endpoint
 
     def remove_waiting(self, endpoint: Endpoint, request_id: int) -> bool:
         """Remove an attempt that was answered or has ended; False if its stream had begun before."""
         was_waiting = endpoint.remove_waiting(request_id)
         if not endpoint.waiting:
-            self.waiting.pop(endpoint.id, None)
+            self.waiting.pop(endpoint.info.id, None)
         return was_waiting
 
     def begin_stream(self, endpoint: Endpoint, request_id: int, now_us: int) -> None:
@@ -219,7 +219,7 @@
         endpoint.stream_rate.begin_stream(now_us)
         self.stream_rate.begin_stream(now_us)
         endpoint.streams[request_id] = now_us
-        self.streaming[endpoint.id] = endpoint
+        self.streaming[endpoint.info.id] = endpoint
 
     def end_stream(self, endpoint: Endpoint, request_id: int, now_us: int, is_completed: bool) -> int:
         """Record that a stream has ended; return for how many microseconds it ran."""
@@ -227,7 +227,7 @@
         self.stream_rate.end_stream(now_us, is_completed)
         began_at_us = endpoint.streams.pop(request_id)
         if not endpoint.streams:
-            self.streaming.pop(endpoint.id, None)
+            self.streaming.pop(endpoint.info.id, None)
         return now_us - began_at_us
 
     def add_projected_tokens(self, endpoint: Endpoint, tokens: float) -> None:
@@ -236,28 +236,28 @@
         endpoint.projected_tokens = max(endpoint.projected_tokens + tokens, 0.0) if in_use else 0.0
         endpoint.projected_load = endpoint.projected_tokens / max(endpoint.info.weight, MIN_WEIGHT)
         if endpoint.projected_tokens:
-            self.loaded[endpoint.id] = endpoint
+            self.loaded[endpoint.info.id] = endpoint
         else:
-            self.loaded.pop(endpoint.id, None)
+            self.loaded.pop(endpoint.info.id, None)
 
     def record_report(self, endpoint: Endpoint, report: Mapping[str, float], now_us: int) -> None:
         """Take a load report over."""
         endpoint.record_report(report, now_us)
-        self._reported.pop(endpoint.id, None)
-        self._reported[endpoint.id] = endpoint
-        if endpoint.id in self.memory:
-            self.memory.put(endpoint.id, endpoint.group, endpoint.reported_memory_share)
+        self._reported.pop(endpoint.info.id, None)
+        self._reported[endpoint.info.id] = endpoint
+        if endpoint.info.id in self.memory:
+            self.memory.put(endpoint.info.id, endpoint.group, endpoint.reported_memory_share)
 
     def record_answer(self, endpoint: Endpoint, sample: AnswerSample, now_us: int) -> None:
         """Update the endpoint's averages after an attempt was answered."""
         endpoint.record_answer(sample, now_us)
-        if endpoint.id in self.prefill_latency:
-            self.prefill_latency.put(endpoint.id, endpoint.group, endpoint.prefill_latency_us)
+        if endpoint.info.id in self.prefill_latency:
+            self.prefill_latency.put(endpoint.info.id, endpoint.group, endpoint.prefill_latency_us)
 
     def eject(self, endpoint: Endpoint, scope: EjectionScope, ejection: Ejection) -> None:
         """Record an ejection."""
         endpoint.ejections[scope] = ejection
-        self._ejected[endpoint.id] = endpoint
+        self._ejected[endpoint.info.id] = endpoint
 
     def reset_stream_rate(self, endpoint: Endpoint, now_us: int) -> None:
         """Start afresh with how fast streams end at an endpoint."""
--- a/tuliptrack/state/role_statistics.py
+++ b/tuliptrack/state/role_statistics.py
@@ -16,7 +16,7 @@
 """Microseconds in which assigned tokens decay by a factor of e: the time of some tens of requests."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class AnswerSample:
     """One attempt that was answered: a finished prefill, or the first token of a stream."""
 
