--- a/deploy/sites/apply.py
+++ b/deploy/sites/apply.py
@@ -18,6 +18,7 @@
 import tomli_w
 
 COMPANIONS = ("real.json", "wire.json", "unlock.txt")
+ARGUMENTS = 3  # overrides, site, output folder
 LIKE = "like"
 
 
@@ -93,7 +94,7 @@
 
 def main(arguments: list[str]) -> int:
     """Run the command; returns its exit status."""
-    if len(arguments) != 3:
+    if len(arguments) != ARGUMENTS:
         print("usage: python deploy/sites/apply.py OVERRIDES SITE OUT", file=sys.stderr)
         return 2
     try:
--- a/tests/oracle/brain.py
+++ b/tests/oracle/brain.py
@@ -1,6 +1,6 @@
 """The decision module as it stood before the indexes: each question looks at every server.
 
-Kept as the oracle of `tests/test_same_decisions.py`. It differs from that text where chance, rounding or order had to be
+Kept as the oracle of `tests/routing/test_same_decisions.py`. It differs from that text where chance, rounding or order had to be
 named, so that an index can follow it to the letter: ties are settled by one draw among the servers in the order of their
 numbers, and not by one draw for each; sums of loads are rounded once; paces are brought up to the moment at which they are
 compared; a server at which nothing of this node's is left has no projected tokens.
--- a/tests/test_same_decisions.py
+++ b/tests/routing/test_same_decisions.py
@@ -43,7 +43,7 @@
 )
 from tuliptrack.routing.router import Router
 from tuliptrack.state.candidates import Candidates
-from tuliptrack.state.ejection import WHOLE_ENDPOINT
+from tuliptrack.state.ejection import ALL_REQUESTS
 from tuliptrack.state.endpoint_table import EndpointTable
 from tuliptrack.state.projected_loads import ProjectedLoads
 
@@ -335,7 +335,7 @@
     for server in servers:
         pair.oracle.now = pair.now
         pair.router.state.advance(pair.now)
-        pair.router.outliers._record_ejection(pair.router.endpoints[server], WHOLE_ENDPOINT, pair.now)
+        pair.router.outliers._record_ejection(pair.router.endpoints[server], ALL_REQUESTS, pair.now)
         pair.oracle._blame(pair.oracle.seats[server], -1, pair.now)
 
 
--- a/tests/test_sequences.py
+++ b/tests/routing/test_sequences.py
@@ -263,7 +263,7 @@
     found = {digest(3)}
     for hash_seed in ("0", "1", "4242"):
         code = "import test_sequences as t; print(t.digest(3))"
-        path = os.pathsep.join([str(here), str(here.parent)])
+        path = os.pathsep.join([str(here), str(here.parent), str(here.parent.parent)])
         done = subprocess.run(
             [sys.executable, "-c", code],
             capture_output=True,
--- a/tests/scale/test_zone_back.py
+++ b/tests/scale/test_zone_back.py
@@ -8,7 +8,7 @@
 
 import pytest
 from helpers import READ, WRITE, S
-from test_cold import Deployment, Service
+from test_slow_start import Deployment, Service
 
 from tuliptrack.routing.slow_start import WARM, SlowStart
 
--- a/tuliptrack/proto/__init__.py
+++ b/tuliptrack/proto/__init__.py
@@ -0,0 +1,1 @@
+"""The `.proto` files and the code generated from them."""
--- a/tuliptrack/routing/attempt_timeout.py
+++ b/tuliptrack/routing/attempt_timeout.py
@@ -44,7 +44,7 @@
             return NO_TIMEOUT
         if self._is_jammed(request, endpoint):
             return NO_TIMEOUT
-        timeout_us = self._wanted_timeout_us(request, endpoint)
+        timeout_us = self._computed_timeout_us(request, endpoint)
         has_time_for_retry = self._state.now_us + 2 * timeout_us < request.deadline_us
         return int(timeout_us) if has_time_for_retry and timeout_us < retry_window_us else NO_TIMEOUT
 
@@ -57,10 +57,12 @@
         """Whether silence may come from a jam, by time-outs, shedding, or prefills with no recent answer."""
         statistics, now_us = endpoint.statistics, self._state.now_us
         answered_before_us = now_us - MIN_TIMEOUT_SHARE * request.latency_objective_us
-        is_unheard = endpoint.role is not Role.DECODE and 0 < statistics.answered_at_us < answered_before_us
-        return is_unheard or statistics.timeout_share >= MAX_TIMEOUT_SHARE or self._state.is_shedding
+        is_unanswered = (
+            endpoint.role is not Role.DECODE and 0 < statistics.answered_at_us < answered_before_us
+        )
+        return is_unanswered or statistics.timeout_share >= MAX_TIMEOUT_SHARE or self._state.is_shedding
 
-    def _wanted_timeout_us(self, request: InFlightRequest, endpoint: Endpoint) -> float:
+    def _computed_timeout_us(self, request: InFlightRequest, endpoint: Endpoint) -> float:
         statistics, state = endpoint.statistics, self._state
         # The oldest waiting attempt at each peer counts as an answer: a slowness of all shows there first.
         ages = (
--- a/tuliptrack/routing/locality.py
+++ b/tuliptrack/routing/locality.py
@@ -11,7 +11,7 @@
 from tuliptrack.interface import CrossZoneCause, EndpointState, Role
 from tuliptrack.routing.node_state import NodeState
 from tuliptrack.routing.outbox import Outbox
-from tuliptrack.state.ejection import WHOLE_ENDPOINT
+from tuliptrack.state.ejection import ALL_REQUESTS
 from tuliptrack.state.endpoint import Endpoint
 from tuliptrack.state.in_flight import InFlightRequest
 from tuliptrack.structures.rendezvous import mix
@@ -100,7 +100,7 @@
         usable = [
             (one.info.zone, one.role)
             for one in endpoints
-            if one.info.state is EndpointState.READY and WHOLE_ENDPOINT not in one.ejections
+            if one.info.state is EndpointState.READY and ALL_REQUESTS not in one.ejections
         ]
         for zone, what in self.returns.note(self._state.now_us, usable):
             self._outbox.log(f"zone {zone}: {what}")
--- a/tuliptrack/routing/outlier_detection.py
+++ b/tuliptrack/routing/outlier_detection.py
@@ -19,7 +19,7 @@
 from tuliptrack.routing.locality import Locality
 from tuliptrack.routing.node_state import NodeState
 from tuliptrack.routing.outbox import Outbox
-from tuliptrack.state.ejection import SLOW_STREAMS, WHOLE_ENDPOINT, Ejection, EjectionScope
+from tuliptrack.state.ejection import ALL_REQUESTS, SLOW_STREAMS, Ejection, EjectionScope
 from tuliptrack.state.endpoint import Endpoint
 from tuliptrack.state.in_flight import InFlightRequest
 
@@ -74,12 +74,12 @@
 
     def record_failure(self, endpoint: Endpoint, ended: AttemptEnded, request: InFlightRequest) -> None:
         """Record an attempt that has failed before its stream began."""
-        whole_endpoint, request_class, tenant = request.ejection_scopes
+        all_requests, request_class, tenant = request.ejection_scopes
         statistics, now_us = endpoint.statistics, self._state.now_us
         if ended.status in CONNECTION_STATUSES:
             endpoint.connection_failures += 1
             if not ended.is_connection_only or endpoint.connection_failures >= MAX_CONNECTION_FAILURES:
-                self._record_ejection(endpoint, whole_endpoint, request.sent_at_us)
+                self._record_ejection(endpoint, all_requests, request.sent_at_us)
         elif ended.status is Status.ERROR or (
             ended.status is Status.TIMEOUT and now_us < request.deadline_us
         ):
@@ -89,13 +89,13 @@
         elif ended.status is Status.AT_CAPACITY and not ended.is_state_lost:
             is_early = ended.latency_us < EARLY_REJECTION_SHARE * request.latency_objective_us
             statistics.record_end(now_us, rejection=float(is_early))
-            self._record_ejection(endpoint, whole_endpoint if is_early else tenant, request.sent_at_us)
+            self._record_ejection(endpoint, all_requests if is_early else tenant, request.sent_at_us)
 
     def record_success(self, endpoint: Endpoint, request: InFlightRequest) -> None:
         """Record an answer: it restores the endpoint for requests of this kind."""
         endpoint.connection_failures = 0
         for scope in request.ejection_scopes if endpoint.ejections else ():
-            if endpoint.ejections.pop(scope, None) and scope == WHOLE_ENDPOINT:
+            if endpoint.ejections.pop(scope, None) and scope == ALL_REQUESTS:
                 self._locality.observe_zones()
         if not endpoint.ejections:
             self._outbox.announce(ejected_condition(endpoint.id), False)
@@ -118,6 +118,6 @@
         if known and sent_at_us < known.failed_at_us:
             return  # Many attempts fail at once when a process dies: they count as one failure.
         self.eject(endpoint, scope, known.failures + 1 if known else 1)
-        if scope == WHOLE_ENDPOINT:
+        if scope == ALL_REQUESTS:
             self._locality.observe_zones()
         self._outbox.announce(ejected_condition(endpoint.id), True)
--- a/tuliptrack/routing/prefill_placement.py
+++ b/tuliptrack/routing/prefill_placement.py
@@ -17,7 +17,7 @@
 from tuliptrack.routing.queue_estimate import MAX_QUEUE_SHARE, endpoint_queue_us
 from tuliptrack.routing.slow_start import WARM, SlowStart
 from tuliptrack.state.candidates import Candidates
-from tuliptrack.state.endpoint import REPORT_LIFE_US, Endpoint
+from tuliptrack.state.endpoint import REPORT_MAX_AGE_US, Endpoint
 from tuliptrack.state.in_flight import InFlightRequest
 from tuliptrack.state.selection import lowest_ranked, random_member
 from tuliptrack.structures.rendezvous import rendezvous_score
@@ -65,7 +65,7 @@
         return self._state.table.choose_lowest_score(
             candidates,
             lambda one: self._score(request, one, price_weight=1.0),
-            self._state.now_us - REPORT_LIFE_US,
+            self._state.now_us - REPORT_MAX_AGE_US,
             self._state.random,
         )
 
@@ -101,13 +101,13 @@
         local_count = local_count or len(ranking)
         granted_us = cls.objective_us_per_1000_tokens * request.request.prefix_tokens / 1000
         fits = SPILL_ENDPOINTS * granted_us <= MAX_QUEUE_SHARE * (cls.latency_objective_us + granted_us)
-        wanted = max(
+        desired = max(
             SPILL_ENDPOINTS if fits else 1,
             AFFINITY_HEADROOM * state.demand.prefix_share(prefix) * local_count,
         )
         if not prefix:
             return 1
-        return max(1, int(min(MAX_AFFINITY_SHARE * state.hidden_share * local_count, wanted)))
+        return max(1, int(min(MAX_AFFINITY_SHARE * state.hidden_share * local_count, desired)))
 
     def _session_endpoint(self, request: InFlightRequest, affinity: list[Endpoint]) -> Endpoint:
         """Return the affinity endpoint of the session. One with an open slot goes first, as slots expire."""
--- a/tuliptrack/routing/router.py
+++ b/tuliptrack/routing/router.py
@@ -56,7 +56,7 @@
 from tuliptrack.routing.slow_streams import SlowStreamDetection, slow_condition
 from tuliptrack.routing.tenant_quota import TenantQuotas
 from tuliptrack.state.demand import RequestSize
-from tuliptrack.state.endpoint import REPORT_LIFE_US, Endpoint, WaitingAttempt
+from tuliptrack.state.endpoint import REPORT_MAX_AGE_US, Endpoint, WaitingAttempt
 from tuliptrack.state.in_flight import Execution, InFlightRequest
 from tuliptrack.state.role_statistics import AnswerSample
 from tuliptrack.state.smoothing import SAMPLE_WEIGHT, smoothed
@@ -265,7 +265,7 @@
         self.state.table.record_report(endpoint, report, self.state.now_us)
         # After a pause the report replaces what was known of the role.
         pause_us = self.state.now_us - endpoint.statistics.answered_at_us
-        weight = max(SAMPLE_WEIGHT, min(pause_us / REPORT_LIFE_US, 1.0))
+        weight = max(SAMPLE_WEIGHT, min(pause_us / REPORT_MAX_AGE_US, 1.0))
         statistics = endpoint.statistics
         statistics.waiting_tokens = smoothed(
             statistics.waiting_tokens, endpoint.reported_waiting_tokens, weight
--- a/tuliptrack/state/ejection.py
+++ b/tuliptrack/state/ejection.py
@@ -8,7 +8,7 @@
 
 from tuliptrack.interface import Request
 
-__all__ = ["SLOW_STREAMS", "WHOLE_ENDPOINT", "Ejection", "EjectionScope", "ScopeKind", "scopes_of"]
+__all__ = ["ALL_REQUESTS", "SLOW_STREAMS", "Ejection", "EjectionScope", "ScopeKind", "scopes_of"]
 
 
 class ScopeKind(IntEnum):
@@ -17,7 +17,7 @@
     An `IntEnum`, since the hash of its members is computed natively.
     """
 
-    WHOLE_ENDPOINT = 0
+    ALL_REQUESTS = 0
     SLOW_STREAMS = 1
     REQUEST_CLASS = 2
     TENANT = 3
@@ -31,7 +31,7 @@
     """Index of the request class or of the tenant; 0 for the other kinds."""
 
 
-WHOLE_ENDPOINT = EjectionScope(ScopeKind.WHOLE_ENDPOINT)
+ALL_REQUESTS = EjectionScope(ScopeKind.ALL_REQUESTS)
 """All requests: connections to the endpoint fail."""
 SLOW_STREAMS = EjectionScope(ScopeKind.SLOW_STREAMS)
 """All requests, unless this node sheds load: streams there take much longer than at its peers."""
@@ -55,7 +55,7 @@
     They are the whole endpoint, the request's class and its tenant, in this order.
     """
     return (
-        WHOLE_ENDPOINT,
+        ALL_REQUESTS,
         EjectionScope(ScopeKind.REQUEST_CLASS, request.class_index),
         EjectionScope(ScopeKind.TENANT, request.tenant),
     )
--- a/tuliptrack/state/endpoint.py
+++ b/tuliptrack/state/endpoint.py
@@ -11,9 +11,9 @@
 from tuliptrack.state.smoothing import SAMPLE_WEIGHT, smoothed
 from tuliptrack.state.stream_rate import StreamRate
 
-__all__ = ["REPORT_LIFE_US", "Endpoint", "WaitingAttempt"]
+__all__ = ["REPORT_MAX_AGE_US", "Endpoint", "WaitingAttempt"]
 
-REPORT_LIFE_US = 2_000_000
+REPORT_MAX_AGE_US = 2_000_000
 """Microseconds in which a load report loses its weight: about two of the slowest report intervals."""
 
 
@@ -103,7 +103,7 @@
 
         An endpoint that gets no requests sends no reports, so an old one is not evidence of load.
         """
-        return max(0.0, 1 - (now_us - self.reported_at_us) / REPORT_LIFE_US)
+        return max(0.0, 1 - (now_us - self.reported_at_us) / REPORT_MAX_AGE_US)
 
     def in_flight(self, now_us: int, are_streams_reported: bool) -> float:
         """Estimate the requests in flight there, from the last load report and this node's own attempts.
