--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -584,23 +584,23 @@
     run_state_machine_as_test(Orders, settings=FAST)
 
 
-def holds_without_end(core: Core) -> None:
-    core.leases.overdue = lambda record: None  # type: ignore[method-assign]
+def leases_never_expire(core: Core) -> None:
+    core.leases.expire = lambda record: None  # type: ignore[method-assign]
 
 
-def held_from_any_end(core: Core) -> None:
+def leases_never_start(core: Core) -> None:
     core.leases.restart = lambda record: None  # type: ignore[method-assign]
 
 
-def written_counts_as_arrived(core: Core) -> None:
+def write_counts_as_arrival(core: Core) -> None:
     """The fault of the incident: bytes that were written stop the lease."""
-    overdue = core.leases.overdue
+    expire = core.leases.expire
 
     def unless_written(record: RequestRecord) -> None:
         if not (record.attempt and record.attempt.call and may_have_run(record.attempt.call.delivery())):
-            overdue(record)
+            expire(record)
 
-    core.leases.overdue = unless_written  # type: ignore[method-assign]
+    core.leases.expire = unless_written  # type: ignore[method-assign]
 
 
 def always_wanted(core: Core) -> None:
@@ -631,9 +631,9 @@
 @pytest.mark.parametrize(
     "removed",
     [
-        holds_without_end,
-        held_from_any_end,
-        written_counts_as_arrived,
+        leases_never_expire,
+        leases_never_start,
+        write_counts_as_arrival,
         always_wanted,
         windows_forgotten,
         reads_break_unseen,
--- /dev/null
+++ b/tests/node/test_kv_state_leases.py
@@ -0,0 +1,107 @@
+"""Leases of KV states whose attempts arrive and end in every way: each lease expires in the end."""
+
+from __future__ import annotations
+
+import asyncio
+from types import SimpleNamespace
+from typing import Any, cast
+
+import pytest
+from world import run
+
+from tuliptrack.interface import Status
+from tuliptrack.node.attempt_state import Delivery
+from tuliptrack.node.counters import Counters, RequestTrace
+from tuliptrack.node.kv_state_leases import KvStateLeases
+from tuliptrack.node.port import AttemptResult, EngineClient
+from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
+from tuliptrack.rpc.clock import now_us
+
+RELEASE_WITHIN_US = 300_000
+RELEASE_WITHIN_S = RELEASE_WITHIN_US / 1e6
+LOOP_LATENCY_US = 1_000
+
+
+class CorroboratedCall:
+    """An attempt that is out and has arrived, as the engine and its other connections show."""
+
+    def delivery(self) -> Delivery:
+        return Delivery.CORROBORATED
+
+    def confirm_arrival(self) -> None: ...
+
+    def mark_doubtful(self) -> None: ...
+
+
+class RecordingEngines:
+    """Engines that record when a state is released."""
+
+    release_transit_us = 0
+    releases_are_global = True
+
+    def __init__(self) -> None:
+        self.released_at: list[int] = []
+
+    def release(self, endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
+        self.released_at.append(now_us())
+
+    def cancel_release(self, record: RequestRecord) -> None: ...
+
+
+def make_record() -> RequestRecord:
+    """A record with only the fields that leases use."""
+    record: Any = SimpleNamespace(
+        kv_state=None,
+        possible_kv_state_at=None,
+        lease_began_at_us=0,
+        lease_timer=None,
+        was_release_sent=False,
+        needs_second_release=False,
+        attempt=None,
+        unconfirmed_endpoints=set(),
+        trace=RequestTrace(now_us()),
+    )
+    return cast(RequestRecord, record)
+
+
+@pytest.mark.parametrize(
+    "status", [Status.AT_CAPACITY, Status.ERROR, Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED]
+)
+@pytest.mark.parametrize("is_prefill", [True, False], ids=["prefill", "decode"])
+def test_lease_stopped_by_an_arrival_restarts_when_the_attempt_ends(status: Status, is_prefill: bool) -> None:
+    """The arrival of an attempt stops the lease of the state. The attempt then ends without using the state,
+    and nobody else knows of it: the engine's memory would stay reserved for good. So the lease has to begin
+    anew, for a prefill (a state that an earlier one may have left) as for a decode (the state that the
+    prefill left)."""
+
+    async def scenario() -> None:
+        engines = RecordingEngines()
+        leases = KvStateLeases(RELEASE_WITHIN_US, lambda: cast(EngineClient, engines), now_us, Counters())
+        record = make_record()
+        if is_prefill:
+            record.possible_kv_state_at = 1
+            leases.restart(record)
+        else:
+            leases.start(record, KvStateLocation(1, "", ""))
+        attempt = Attempt(
+            1,
+            2,
+            now_us(),
+            call=cast(Any, CorroboratedCall()),
+            is_prefill=is_prefill,
+            state_endpoint_id=0 if is_prefill else 1,
+        )
+        record.attempt = attempt
+        await asyncio.sleep(2 * RELEASE_WITHIN_S)
+        assert not engines.released_at, "the attempt is still out at its engine"
+        record.attempt, ended_at = None, now_us()
+        ended = AttemptResult(status, is_corroborated=True)
+        leases.handle_attempt_ended(record, attempt, ended)
+        if not is_prefill:
+            leases.handle_decode_without_token(record, attempt, ended)
+        await asyncio.sleep(2 * RELEASE_WITHIN_S)
+        assert (
+            engines.released_at and engines.released_at[0] - ended_at <= RELEASE_WITHIN_US + LOOP_LATENCY_US
+        )
+
+    run(scenario, virtual=True)
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -319,7 +319,7 @@
         left = record.deadline_us - now
         if record.kv_state:
             attempt.state_endpoint_id = record.kv_state.endpoint_id
-            attempt.connect_by_us = self.leases.connect_by(record)
+            attempt.connect_by_us = self.leases.connect_by_us(record)
         if latest := self._repeat_by(record):
             attempt.connect_by_us = min(attempt.connect_by_us or latest, latest)
         attempt.ends_at_deadline = not action.timeout_us or action.timeout_us >= left
@@ -358,7 +358,7 @@
         """The prompt has been read: `held` waits there, `kept` tokens of it needed no reading."""
         record.cached_tokens = max(0, min(kept, record.client_request.prompt_tokens))
         record.trace.add(self.now(), f"held at {held.endpoint_id}")
-        self.leases.hold(record, held)
+        self.leases.start(record, held)
 
     def output_arrived(self, record: RequestRecord, attempt: Attempt) -> bool:
         """A part of the answer has come; True where it is to be passed on. With the first one the stream has
@@ -370,7 +370,7 @@
             self._cancel_timer(attempt)
             record.enter(RequestState.STREAMING)
             record.trace.add(now, "first token")
-            self.leases.taken(record)
+            self.leases.handle_first_token(record)
             record.first_token_at_us = now
             self.stream_began(record)
             self.dispatch(
@@ -404,14 +404,14 @@
         record.attempt = None
         record.pending_events += 1
         latency = self.now() - attempt.sent_at_us
-        self.leases.attempt_ended(record, attempt, ended)
+        self.leases.handle_attempt_ended(record, attempt, ended)
         told = self._after_attempt(record, attempt, ended)
         why = f" ({ended.reason})" if ended.reason else ""
         record.trace.add(self.now(), f"{told.status.value} {attempt.number}{why}")
         self._note_effect(record, attempt, told.status)
         crossed = self.cross_zone_bytes(record, attempt, ended)
         if attempt.is_prefill and record.kv_state is None and told.status in _MAY_HAVE_READ:
-            self.leases.read_broke_off(record, attempt)
+            self.leases.handle_broken_prefill(record, attempt)
         read = record.cached_tokens if told.status in (io.Status.OK, io.Status.PREFILLED) else 0
         self.dispatch(
             io.AttemptEnded(
@@ -471,7 +471,7 @@
         """An attempt at a writer is over without a token. Its state is held on, or the prompt has to be read
         anew."""
         status = io.Status.ERROR if ended.status is io.Status.OK else ended.status
-        lost = self.leases.lost_with(record, attempt, ended)
+        lost = self.leases.handle_decode_without_token(record, attempt, ended)
         record.enter(RequestState.HELD if record.kv_state else RequestState.TAKEN)
         return _Told(status, lost)
 
@@ -576,7 +576,7 @@
         if handle := self._due.pop(record.id, None):
             handle.cancel()
         now = self.now()
-        self.leases.request_over(record)
+        self.leases.release_all(record)
         self.counters.add(f"requests_{record.state.value}")
         if (
             record.state in (RequestState.REFUSED, RequestState.FAILED)
