--- a/tests/node/test_attempt_state.py
+++ b/tests/node/test_attempt_state.py
@@ -1,4 +1,4 @@
-"""What an attempt's state allows, question by question, and what a node counts of itself."""
+"""What the state of an attempt allows, question by question; what a node counts of itself."""
 
 from __future__ import annotations
 
@@ -8,64 +8,83 @@
 
 from tuliptrack.interface import EndpointState, Idempotency
 from tuliptrack.node.attempt_state import (
-    HELD_UP_US,
+    NODE_STALL_US,
     Delivery,
     Verdict,
     has_arrived,
-    may_have_run,
-    may_refuse,
-    may_repeat,
+    may_have_executed,
+    may_reject,
+    may_retry,
     may_send,
-    repeat_by,
+    retry_by_us,
 )
 from tuliptrack.node.counters import Counters, InvariantError, RequestTrace
 
-WINDOW = 2_000_000
+WINDOW_US = 2_000_000
 
 
-def test_what_may_have_run_and_what_has_arrived_are_different_questions() -> None:
-    assert [may_have_run(state) for state in Delivery] == [False, True, True, True]
+def test_execution_and_arrival_are_different_questions() -> None:
+    assert [may_have_executed(state) for state in Delivery] == [False, True, True, True]
     assert [has_arrived(state) for state in Delivery] == [False, False, True, True]
 
 
-def test_an_attempt_begins_only_for_a_request_that_waits_at_a_server_that_is_ready() -> None:
-    assert may_send(False, False, False, EndpointState.READY)
-    for ended, left, in_flight, server in itertools.product(
+def test_attempt_begins_only_for_a_waiting_request_at_a_ready_endpoint() -> None:
+    assert may_send(
+        is_concluded=False,
+        is_client_disconnected=False,
+        is_in_flight=False,
+        endpoint_state=EndpointState.READY,
+    )
+    for is_concluded, is_disconnected, is_in_flight, endpoint_state in itertools.product(
         (False, True), (False, True), (False, True), (None, *EndpointState)
     ):
-        wanted = not (ended or left or in_flight) and server is EndpointState.READY
-        assert bool(may_send(ended, left, in_flight, server)) is wanted
-    assert may_send(True, True, True, None) is Verdict.ENDED
+        is_ready = endpoint_state is EndpointState.READY
+        expected = is_ready and not (is_concluded or is_disconnected or is_in_flight)
+        verdict = may_send(
+            is_concluded=is_concluded,
+            is_client_disconnected=is_disconnected,
+            is_in_flight=is_in_flight,
+            endpoint_state=endpoint_state,
+        )
+        assert bool(verdict) is expected
+    verdict = may_send(is_concluded=True, is_client_disconnected=True, is_in_flight=True, endpoint_state=None)
+    assert verdict is Verdict.REQUEST_CONCLUDED, "the first reason is the one reported"
 
 
 @pytest.mark.parametrize(
-    ("effect", "late", "verdict"),
+    ("idempotency", "elapsed_us", "verdict"),
     [
-        (Idempotency.IDEMPOTENT, 10 * WINDOW, Verdict.YES),
-        (Idempotency.NOT_IDEMPOTENT, 0, Verdict.MAY_HAVE_RUN),
-        (Idempotency.WITH_KEY, WINDOW, Verdict.YES),
-        (Idempotency.WITH_KEY, WINDOW + 1, Verdict.WINDOW_OVER),
+        (Idempotency.IDEMPOTENT, 10 * WINDOW_US, Verdict.ALLOWED),
+        (Idempotency.NOT_IDEMPOTENT, 0, Verdict.MAY_HAVE_EXECUTED),
+        (Idempotency.WITH_KEY, WINDOW_US, Verdict.ALLOWED),
+        (Idempotency.WITH_KEY, WINDOW_US + 1, Verdict.DEDUPLICATION_WINDOW_OVER),
     ],
 )
-def test_what_may_have_run_is_repeated_by_its_effect(
-    effect: Idempotency, late: int, verdict: Verdict
+def test_retry_of_what_may_have_executed_depends_on_idempotency(
+    idempotency: Idempotency, elapsed_us: int, verdict: Verdict
 ) -> None:
-    assert may_repeat(effect, 1_000, WINDOW, 1_000 + late) is verdict
-    assert may_repeat(effect, 0, WINDOW, 1_000 + late) is Verdict.YES, "nothing has run"
+    assert may_retry(idempotency, 1_000, WINDOW_US, 1_000 + elapsed_us) is verdict
+    assert may_retry(idempotency, 0, WINDOW_US, 1_000 + elapsed_us) is Verdict.ALLOWED, "nothing has executed"
 
 
-def test_a_repeat_leaves_time_for_a_node_that_is_held_up() -> None:
-    assert repeat_by(Idempotency.WITH_KEY, 1_000, WINDOW) == 1_000 + WINDOW - HELD_UP_US
-    assert repeat_by(Idempotency.WITH_KEY, 1_000, 100_000) == 51_000, "a short window is not taken away whole"
-    assert repeat_by(Idempotency.IDEMPOTENT, 1_000, WINDOW) == repeat_by(Idempotency.WITH_KEY, 0, WINDOW) == 0
+def test_retry_leaves_time_for_a_stalled_node() -> None:
+    assert retry_by_us(Idempotency.WITH_KEY, 1_000, WINDOW_US) == 1_000 + WINDOW_US - NODE_STALL_US
+    assert retry_by_us(Idempotency.WITH_KEY, 1_000, 100_000) == 51_000, (
+        "a short window is not used up by the margin"
+    )
+    assert (
+        retry_by_us(Idempotency.IDEMPOTENT, 1_000, WINDOW_US)
+        == retry_by_us(Idempotency.WITH_KEY, 0, WINDOW_US)
+        == 0
+    )
 
 
-def test_only_what_had_no_effect_is_refused() -> None:
-    assert may_refuse(Idempotency.IDEMPOTENT, True) and may_refuse(Idempotency.NOT_IDEMPOTENT, False)
-    assert not may_refuse(Idempotency.NOT_IDEMPOTENT, True) and not may_refuse(Idempotency.WITH_KEY, True)
+def test_only_what_had_no_effect_is_rejected() -> None:
+    assert may_reject(Idempotency.IDEMPOTENT, True) and may_reject(Idempotency.NOT_IDEMPOTENT, False)
+    assert not may_reject(Idempotency.NOT_IDEMPOTENT, True) and not may_reject(Idempotency.WITH_KEY, True)
 
 
-def test_a_broken_invariant_is_counted_with_the_history_and_raised_where_asked_for(
+def test_violated_invariant_is_counted_with_the_trace_and_raised_in_strict_mode(
     no_invariant_is_violated: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     counters, trace = Counters(), RequestTrace(1_000)
@@ -80,7 +99,7 @@
     no_invariant_is_violated.clear()
 
 
-def test_a_history_is_bounded() -> None:
+def test_trace_is_bounded() -> None:
     trace = RequestTrace(0)
     for step in range(1_000):
         trace.add(step, f"step {step}")
--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -28,7 +28,7 @@
 from tuliptrack.decisions.concurrency_limit import ConcurrencyLimits
 from tuliptrack.fronts.port import ClientRequest, Failure, FinishReason
 from tuliptrack.node import core as core_module
-from tuliptrack.node.attempt_state import Delivery, may_have_run
+from tuliptrack.node.attempt_state import Delivery, may_have_executed
 from tuliptrack.node.core import Core
 from tuliptrack.node.port import AttemptResult
 from tuliptrack.node.request_reader import CoreLimits
@@ -597,7 +597,7 @@
     expire = core.leases.expire
 
     def unless_written(record: RequestRecord) -> None:
-        if not (record.attempt and record.attempt.call and may_have_run(record.attempt.call.delivery())):
+        if not (record.attempt and record.attempt.call and may_have_executed(record.attempt.call.delivery())):
             expire(record)
 
     core.leases.expire = unless_written  # type: ignore[method-assign]
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -27,7 +27,7 @@
 from world import run, until
 
 from tuliptrack.interface import Action, EndpointState, Event, LogMessage, Reject, Request, Role
-from tuliptrack.node.attempt_state import HELD_UP_US
+from tuliptrack.node.attempt_state import NODE_STALL_US
 from tuliptrack.relay.discovery import ListError, Members
 
 
@@ -301,7 +301,7 @@
             writer.transport.abort()
 
         held_up = (
-            HELD_UP_US / 1e6
+            NODE_STALL_US / 1e6
         )  # A node may be held up for so long before it writes: its window is that much shorter.
         window = 0.4
         keyed = {
--- a/tuliptrack/node/attempt_state.py
+++ b/tuliptrack/node/attempt_state.py
@@ -1,16 +1,16 @@
-"""What an attempt's state allows now: the one place that is asked before anything is sent, repeated, let go
-or refused.
+"""Decides what the state of an attempt allows now: to send, to retry, to release, to reject.
 
-    NOT_SENT ──▶ POSSIBLE ──▶ CONFIRMED ──▶ (ended)
+This is the one place that is asked before any of these steps.
 
-Two questions are asked of an attempt, and their safe sides are opposite. *May it have run?* is yes as soon as
-its last byte was written, since that may have arrived. *Has it arrived?* is yes only on words of engines
-themselves: one on that connection and after the send, or those that together leave no other account of it
-(`relay/corroboration.py`). What the kernel says of the connection tells nothing of a process behind it, as a
-machine, a proxy or a middlebox may confirm bytes that nobody ever reads. Nothing else may stand in for either
-question.
+    NOT_SENT ──▶ POSSIBLE ──▶ (CORROBORATED ──▶) CONFIRMED ──▶ ended
 
-All times are monotonic microseconds.
+Two questions are asked of an attempt, and their safe answers are opposite. *May it have executed?* is yes as soon
+as its last byte was written, since that byte may have arrived. *Has it arrived?* is yes only by what engines
+themselves send: on that connection after the attempt, or on others where no different explanation is left
+(`relay/corroboration.py`). What the kernel reports of the connection says nothing of the process behind it: a host,
+a proxy or a middlebox may acknowledge bytes that nobody ever reads. Nothing else may answer either question.
+
+All times are monotonic microseconds; the value 0 stands for "never".
 """
 
 from __future__ import annotations
@@ -20,92 +20,121 @@
 from tuliptrack.interface import EndpointState, Idempotency
 
 __all__ = [
-    "HELD_UP_US",
+    "NODE_STALL_US",
     "Delivery",
     "Verdict",
     "has_arrived",
-    "may_have_run",
-    "may_refuse",
-    "may_repeat",
+    "may_have_executed",
+    "may_reject",
+    "may_retry",
     "may_send",
-    "repeat_by",
+    "retry_by_us",
 ]
 
-HELD_UP_US = 150_000
-"""For so long a node may be held up between reading its clock and the bytes on the wire (the platform's
-figure)."""
+NODE_STALL_US = 150_000
+"""How long a node may be stalled between reading its clock and the bytes on the wire (the platform's figure)."""
 
 
 class Delivery(Enum):
-    """How far an attempt's request has come, as far as this node can know."""
+    """How far an attempt has come, as far as this node can know."""
 
     NOT_SENT = "not sent"
-    """Its last byte was not written: it never ran, and ended now it never will."""
+    """Its last byte was not written: it has not executed, and if it ends now it never will."""
     POSSIBLE = "possible"
-    """Its last byte was written. It may have arrived, may arrive yet, or never."""
+    """Its last byte was written. It may have arrived, may still arrive, or never."""
     CORROBORATED = "corroborated"
-    """Its connection proved itself right before, and its engine and other connections have since."""
+    """Its connection was proven right before, and its engine has answered on other connections since."""
     CONFIRMED = "confirmed"
-    """The engine has spoken on that connection since."""
+    """The engine has answered on that connection since."""
 
 
 class Verdict(Enum):
-    """Why something may not be done now; `YES` where it may."""
+    """`ALLOWED`, or why a step may not be taken now."""
 
-    YES = "yes"
-    ENDED = "the request has its final answer"
-    CLIENT_GONE = "the client has closed its connection"
-    IN_FLIGHT = "another attempt is in flight"
-    UNKNOWN_SERVER = "the server is not on the list"
-    NOT_READY = "the server drains or has gone"
-    MAY_HAVE_RUN = "an earlier attempt may have had its effect"
-    WINDOW_OVER = "the window for repeats is over"
+    ALLOWED = "allowed"
+    REQUEST_CONCLUDED = "the request has its final answer"
+    CLIENT_DISCONNECTED = "the client has closed its connection"
+    ATTEMPT_IN_FLIGHT = "another attempt is in flight"
+    UNKNOWN_ENDPOINT = "the endpoint is not on the list"
+    ENDPOINT_NOT_READY = "the endpoint is draining or removed"
+    MAY_HAVE_EXECUTED = "an earlier attempt may have had its effect"
+    DEDUPLICATION_WINDOW_OVER = "the deduplication window is over"
 
     def __bool__(self) -> bool:
-        return self is Verdict.YES
+        return self is Verdict.ALLOWED
 
 
-def may_have_run(delivery: Delivery) -> bool:
-    """Whether the attempt may have had an effect, or may have one yet."""
+def may_have_executed(delivery: Delivery) -> bool:
+    """Return whether the attempt may have had an effect, or may still have one."""
     return delivery is not Delivery.NOT_SENT
 
 
 def has_arrived(delivery: Delivery) -> bool:
-    """Whether the engine surely has the attempt: only then does the clock of what is held for it stop."""
+    """Return whether the engine surely has the attempt: only this stops the lease of a KV state."""
     return delivery in (Delivery.CORROBORATED, Delivery.CONFIRMED)
 
 
-def may_send(ended: bool, client_left: bool, in_flight: bool, server: EndpointState | None) -> Verdict:
-    """Whether a request's next attempt may begin at a server now."""
-    if ended:
-        return Verdict.ENDED
-    if client_left:
-        return Verdict.CLIENT_GONE
-    if in_flight:
-        return Verdict.IN_FLIGHT
-    if server is None:
-        return Verdict.UNKNOWN_SERVER
-    return Verdict.YES if server is EndpointState.READY else Verdict.NOT_READY
-
-
-def may_repeat(effect: Idempotency, ran_at: int, window: int, now: int) -> Verdict:
-    """Whether a further attempt may be written now; `ran_at` is the earliest time at which one may have run,
-    0 if none."""
-    if not ran_at or effect is Idempotency.IDEMPOTENT:
-        return Verdict.YES
-    if effect is Idempotency.NOT_IDEMPOTENT:
-        return Verdict.MAY_HAVE_RUN
-    return Verdict.YES if now <= ran_at + window else Verdict.WINDOW_OVER
-
-
-def repeat_by(effect: Idempotency, ran_at: int, window: int) -> int:
-    """By when a further attempt of what may have run has to be written, lest it arrive when its window is
-    over; 0: at any time."""
-    if not ran_at or effect is not Idempotency.WITH_KEY:
+def may_send(
+    *,
+    is_concluded: bool,
+    is_client_disconnected: bool,
+    is_in_flight: bool,
+    endpoint_state: EndpointState | None,
+) -> Verdict:
+    """Decide whether the next attempt of a request may begin at an endpoint now.
+
+    Args:
+        is_concluded: the request has its final answer.
+        is_client_disconnected: its client has closed the connection.
+        is_in_flight: another attempt of the request is out.
+        endpoint_state: the state of the endpoint; None where it is not on the list.
+    """
+    if is_concluded:
+        return Verdict.REQUEST_CONCLUDED
+    if is_client_disconnected:
+        return Verdict.CLIENT_DISCONNECTED
+    if is_in_flight:
+        return Verdict.ATTEMPT_IN_FLIGHT
+    if endpoint_state is None:
+        return Verdict.UNKNOWN_ENDPOINT
+    if endpoint_state is not EndpointState.READY:
+        return Verdict.ENDPOINT_NOT_READY
+    return Verdict.ALLOWED
+
+
+def may_retry(idempotency: Idempotency, executed_at_us: int, window_us: int, now_us: int) -> Verdict:
+    """Decide whether a further attempt may be written now.
+
+    Args:
+        idempotency: what a repetition of the request does.
+        executed_at_us: the earliest time at which an attempt may have executed; 0: none can have.
+        window_us: the deduplication window of its idempotency key.
+        now_us: the time now.
+    """
+    if not executed_at_us or idempotency is Idempotency.IDEMPOTENT:
+        return Verdict.ALLOWED
+    if idempotency is Idempotency.NOT_IDEMPOTENT:
+        return Verdict.MAY_HAVE_EXECUTED
+    if now_us > executed_at_us + window_us:
+        return Verdict.DEDUPLICATION_WINDOW_OVER
+    return Verdict.ALLOWED
+
+
+def retry_by_us(idempotency: Idempotency, executed_at_us: int, window_us: int) -> int:
+    """Return by when a retry has to be written to arrive within its deduplication window; 0: at any time.
+
+    The arguments are those of `may_retry`.
+    """
+    if not executed_at_us or idempotency is not Idempotency.WITH_KEY:
         return 0
-    return ran_at + max(window - HELD_UP_US, window // 2)
+    return executed_at_us + max(window_us - NODE_STALL_US, window_us // 2)
+
 
+def may_reject(idempotency: Idempotency, has_executed: bool) -> bool:
+    """Return whether the final answer may promise that a retry by the client is harmless.
 
-def may_refuse(effect: Idempotency, ran: bool) -> bool:
-    """Whether the final answer may promise that trying again is harmless."""
-    return not ran or effect is Idempotency.IDEMPOTENT
+    Args:
+        idempotency: what a repetition of the request does.
+        has_executed: an attempt of the request may have had an effect.
+    """
+    return not has_executed or idempotency is Idempotency.IDEMPOTENT
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -20,7 +20,14 @@
 from tuliptrack.decisions.concurrency_limit import ConcurrencyLimiter, ConcurrencyLimits
 from tuliptrack.decisions.model_catalog import Model
 from tuliptrack.fronts.port import ClientRequest, Failure, ResponseWriter
-from tuliptrack.node.attempt_state import Verdict, may_have_run, may_refuse, may_repeat, may_send, repeat_by
+from tuliptrack.node.attempt_state import (
+    Verdict,
+    may_have_executed,
+    may_reject,
+    may_retry,
+    may_send,
+    retry_by_us,
+)
 from tuliptrack.node.counters import Counters
 from tuliptrack.node.kv_state_leases import KvStateLeases
 from tuliptrack.node.port import AttemptResult, EngineClient
@@ -33,7 +40,10 @@
 
 log = structlog.get_logger("node")
 _MAY_HAVE_READ = (io.Status.CANCELLED, io.Status.TIMEOUT, io.Status.RESET)
-_NEVER_ORDERED = (Verdict.IN_FLIGHT, Verdict.MAY_HAVE_RUN)  # verdicts that no order of the router should meet
+_NEVER_ORDERED = (
+    Verdict.ATTEMPT_IN_FLIGHT,
+    Verdict.MAY_HAVE_EXECUTED,
+)  # verdicts that no order of the router should meet
 _LATE_US = 500_000  # after its client's time an answer that is not served counts as late
 
 
@@ -236,7 +246,7 @@
         if (
             record.attempt
             and record.attempt.call
-            and (streaming or not may_have_run(record.attempt.call.delivery()))
+            and (streaming or not may_have_executed(record.attempt.call.delivery()))
         ):
             record.attempt.call.cancel(
                 io.Status.CANCELLED
@@ -254,16 +264,16 @@
         seat = record.router.endpoints.get(server)
         state = seat.info.state if seat else None
         verdict = may_send(
-            record.is_concluded,
-            not record.is_concluded and record.client_request.is_disconnected(),
-            in_flight,
-            state,
+            is_concluded=record.is_concluded,
+            is_client_disconnected=not record.is_concluded and record.client_request.is_disconnected(),
+            is_in_flight=in_flight,
+            endpoint_state=state,
         )
-        if verdict is Verdict.CLIENT_GONE:
+        if verdict is Verdict.CLIENT_DISCONNECTED:
             self.client_disconnected(record, verdict.value)
         if verdict:
             cls = self._class_of(record)
-            verdict = may_repeat(
+            verdict = may_retry(
                 cls.idempotency, record.executed_at_us, cls.deduplication_window_us, self.now()
             )
         if not verdict:
@@ -342,7 +352,7 @@
         request: within the window for repeats, counted from the earliest moment that the first may have run;
         0: at any time."""
         cls = self._class_of(record)
-        return repeat_by(cls.idempotency, record.executed_at_us, cls.deduplication_window_us)
+        return retry_by_us(cls.idempotency, record.executed_at_us, cls.deduplication_window_us)
 
     def _attempt_late(self, record: RequestRecord, attempt: Attempt) -> None:
         if attempt.call and record.attempt is attempt and record.state is not RequestState.STREAMING:
@@ -638,7 +648,7 @@
                 self._break(record, Failure.BROKEN, reason, io.Status.CANCELLED)
                 continue
             ran = self._may_run(record.attempt) or record.executed_at_us > 0
-            if may_refuse(self._class_of(record).idempotency, ran):
+            if may_reject(self._class_of(record).idempotency, ran):
                 self._answer_refused(record, reason, 0)
             else:
                 self._answer_failed(record, Failure.LOST, reason)
@@ -651,7 +661,7 @@
         """Whether an attempt that is called off now may have had an effect, or may have one yet."""
         if out is None or (out.is_prefill and self.engines.prefills_have_no_effect):
             return False
-        return out.call is None or may_have_run(out.call.delivery())
+        return out.call is None or may_have_executed(out.call.delivery())
 
     def migrate_streams(self) -> None:
         """Streams that have begun go back to their clients, to be resumed at another node."""
--- a/tuliptrack/node/kv_state_leases.py
+++ b/tuliptrack/node/kv_state_leases.py
@@ -113,7 +113,8 @@
         """Release what is or may be reserved.
 
         While an attempt is out the state stays on record: the engine spares what that attempt waits for, and
-        it is released when the attempt ends."""
+        it is released when the attempt ends.
+        """
         self._send_release(record)
         if record.attempt is None:
             self._forget(record)
@@ -133,7 +134,8 @@
         """A prefill may have ended well as it broke off, or may do so yet.
 
         Where one release covers all engines, it is sent when no further attempt follows; the first token of
-        an answer makes it needless."""
+        an answer makes it needless.
+        """
         if self._engines().releases_are_global:
             record.possible_kv_state_at = attempt.endpoint_id
             self.restart(record)
