--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -181,16 +181,17 @@
         line("served", 20.0)
         + line("served", 1500.0)
         + "Traceback\n"
-        + line("refused", None)
+        + line("rejected", None)
+        + line("refused", None)  # as a node of the version before logs it
         + line("failed", None)
         + line("failed", 30.0)
         + line("served", 5.0)[:-20]
     )
     counts.read()
     assert dict(counts.counts) == {
-        ("chat", ""): 5,
+        ("chat", ""): 6,
         ("chat", "late"): 1,
-        ("chat", "refused"): 1,
+        ("chat", "refused"): 2,
         ("chat", "failed"): 1,
         ("chat", "broken"): 1,
     }
@@ -198,4 +199,4 @@
         file.write(line("served", 5.0)[-20:])
         file.writelines(line("served", 5.0, f"c{n}") for n in range(100))
     counts.read()
-    assert counts.counts["chat", ""] == 6 and counts.counts["other", ""] == 100 - 63
+    assert counts.counts["chat", ""] == 7 and counts.counts["other", ""] == 100 - 63
--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -350,7 +350,7 @@
     def ask(self, budget: int, prefix: int) -> None:
         def submit() -> None:
             answer, now = Answer(), self.core.now()
-            number = self.core.table._next
+            number = self.core.table._next_id
             life = Life(answer, self.core.settings.classes[0].idempotency, now + budget)
             self.engines.lives[number] = life
             ask = ClientRequest(
--- a/tests/node/test_kv_state_leases.py
+++ b/tests/node/test_kv_state_leases.py
@@ -3,18 +3,19 @@
 from __future__ import annotations
 
 import asyncio
-from types import SimpleNamespace
 from typing import Any, cast
 
 import pytest
 from world import run
 
+from tuliptrack.decisions.model_catalog import Model
+from tuliptrack.fronts.port import ClientRequest
 from tuliptrack.interface import Status
 from tuliptrack.node.attempt_state import Delivery
-from tuliptrack.node.counters import Counters, RequestTrace
+from tuliptrack.node.counters import Counters
 from tuliptrack.node.kv_state_leases import KvStateLeases
 from tuliptrack.node.port import AttemptResult, EngineClient
-from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
+from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord, RequestTable
 from tuliptrack.rpc.clock import now_us
 
 RELEASE_WITHIN_US = 300_000
@@ -49,19 +50,10 @@
 
 
 def make_record() -> RequestRecord:
-    """A record with only the fields that leases use."""
-    record: Any = SimpleNamespace(
-        kv_state=None,
-        possible_kv_state_at=None,
-        lease_began_at_us=0,
-        lease_timer=None,
-        was_release_sent=False,
-        needs_second_release=False,
-        attempt=None,
-        unconfirmed_endpoints=set(),
-        trace=RequestTrace(now_us()),
-    )
-    return cast(RequestRecord, record)
+    """A request as the table makes it; leases use neither its client nor its router."""
+    unused: Any = None
+    table = RequestTable("n")
+    return table.add(ClientRequest("chat", "prompt"), unused, now_us() + 1_000_000, now_us(), unused, Model())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -9,7 +9,7 @@
 from world import GENERATE, World, run, until, world
 
 from tuliptrack.lab.engine import Engine
-from tuliptrack.node.requests import LEGAL, RequestState
+from tuliptrack.node.request_state import FINAL_STATES, TRANSITIONS, RequestState
 from tuliptrack.proto import fleet_pb2, lab_pb2
 from tuliptrack.proto import generation_pb2 as pb
 from tuliptrack.rpc.channel import Channel, How, Options
@@ -58,7 +58,7 @@
             assert {a.end.how for a in asked} <= {How.STATUS, How.CANCELLED}
             await until(lambda: not w.node.table.open)
             ends = w.node.table.end_counts
-            assert ends[RequestState.SERVED] + ends[RequestState.LEFT] == 30 and states(w) == 0
+            assert ends[RequestState.SERVED] + ends[RequestState.DISCONNECTED] == 30 and states(w) == 0
 
     run(go, virtual=True)
 
@@ -291,11 +291,13 @@
             doubtful = [w.ask(request_class="order") for _ in range(4)]
             for name in ("w0", "w1"):
                 w.engines[name].apply(lab_pb2.Trouble(pause_ms=5000))
-            await until(lambda: sum(r.state is RequestState.WRITING for r in w.node.table.open.values()) >= 1)
+            await until(
+                lambda: sum(r.state is RequestState.DECODING for r in w.node.table.open.values()) >= 1
+            )
             writing = {
                 r.client_request.prompt
                 for r in w.node.table.open.values()
-                if r.state is RequestState.WRITING and r.client_request.request_class == "order"
+                if r.state is RequestState.DECODING and r.client_request.request_class == "order"
             }
             await w.node.stop(0.1)
             for one in doubtful:  # What may have run is not called harmless.
@@ -315,11 +317,17 @@
     run(go, virtual=True)
 
 
-def test_the_end_states_are_final_and_every_state_is_in_the_table() -> None:
-    assert set(LEGAL) == set(RequestState)
-    for end in (RequestState.SERVED, RequestState.REFUSED, RequestState.FAILED, RequestState.LEFT):
-        assert not LEGAL[end]
-    assert all(LEGAL[s] & {RequestState.FAILED, RequestState.LEFT} for s in RequestState if LEGAL[s])
+def test_final_states_are_final_and_every_state_has_transitions() -> None:
+    assert set(TRANSITIONS) == set(RequestState)
+    for end in (
+        RequestState.SERVED,
+        RequestState.REJECTED,
+        RequestState.FAILED,
+        RequestState.DISCONNECTED,
+    ):
+        assert end in FINAL_STATES and not TRANSITIONS[end]
+    cut_short = {RequestState.FAILED, RequestState.DISCONNECTED}
+    assert all(TRANSITIONS[state] & cut_short for state in RequestState if TRANSITIONS[state])
 
 
 def test_the_last_list_is_kept_for_a_restart_without_its_feed() -> None:
--- a/tuliptrack/fleet/measures.py
+++ b/tuliptrack/fleet/measures.py
@@ -48,7 +48,9 @@
         if (name, "") not in self.counts and sum(m == "" for _, m in self.counts) >= _MOST_CLASSES:
             name = "other"
         self.counts[name, ""] += 1
-        measure = {"refused": "refused", "failed": "broken" if first is not None else "failed"}.get(end)
+        failed = "broken" if first is not None else "failed"
+        # Nodes of the version before log `refused`, and a rollout compares the two versions.
+        measure = {"rejected": "refused", "refused": "refused", "failed": failed}.get(end)
         if measure:
             self.counts[name, measure] += 1
         if first is not None and first > self.late_ms:
--- a/tuliptrack/node/attempt_state.py
+++ b/tuliptrack/node/attempt_state.py
@@ -4,11 +4,12 @@
 
     NOT_SENT ──▶ POSSIBLE ──▶ (CORROBORATED ──▶) CONFIRMED ──▶ ended
 
-Two questions are asked of an attempt, and their safe answers are opposite. *May it have executed?* is yes as soon
-as its last byte was written, since that byte may have arrived. *Has it arrived?* is yes only by what engines
-themselves send: on that connection after the attempt, or on others where no different explanation is left
-(`relay/corroboration.py`). What the kernel reports of the connection says nothing of the process behind it: a host,
-a proxy or a middlebox may acknowledge bytes that nobody ever reads. Nothing else may answer either question.
+Two questions are asked of an attempt, and their safe answers are opposite. *May it have executed?* is yes as
+soon as its last byte was written, since that byte may have arrived. *Has it arrived?* is yes only by what
+engines themselves send: on that connection after the attempt, or on others where no different explanation is
+left (`relay/corroboration.py`). What the kernel reports of the connection says nothing of the process behind
+it: a host, a proxy or a middlebox may acknowledge bytes that nobody ever reads. Nothing else may answer
+either question.
 
 All times are monotonic microseconds; the value 0 stands for "never".
 """
@@ -32,7 +33,8 @@
 ]
 
 NODE_STALL_US = 150_000
-"""How long a node may be stalled between reading its clock and the bytes on the wire (the platform's figure)."""
+"""How long a node may be stalled between reading its clock and the bytes on the wire (the platform's
+figure)."""
 
 
 class Delivery(Enum):
--- a/tuliptrack/node/billing.py
+++ b/tuliptrack/node/billing.py
@@ -22,7 +22,8 @@
     TokenBudgetSettings,
 )
 from tuliptrack.interface import Settings
-from tuliptrack.node.requests import RequestRecord, RequestState
+from tuliptrack.node.request_state import RequestState
+from tuliptrack.node.requests import RequestRecord
 from tuliptrack.rpc.clock import wall_us
 from tuliptrack.store.ledger import Ledger, LedgerError
 
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -32,7 +32,8 @@
 from tuliptrack.node.kv_state_leases import KvStateLeases
 from tuliptrack.node.port import AttemptResult, EngineClient
 from tuliptrack.node.request_reader import CoreLimits, RequestReader
-from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord, RequestState, RequestTable
+from tuliptrack.node.request_state import RequestState
+from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord, RequestTable
 from tuliptrack.routing.router import Router
 from tuliptrack.rpc.clock import now_us
 
@@ -240,7 +241,7 @@
     def client_disconnected(self, record: RequestRecord, reason: str) -> None:
         """The client has left, or its connection has."""
         streaming = record.state is RequestState.STREAMING
-        if not record.conclude(RequestState.LEFT, reason):
+        if not record.conclude(RequestState.DISCONNECTED, reason):
             return
         self.dispatch(io.ClientDisconnected(record.id))
         if (
@@ -337,7 +338,7 @@
         record.attempt = attempt
         record.endpoint_ids.append(action.endpoint_id)
         attempt.is_prefill = seat.role is io.Role.PREFILL
-        record.enter(RequestState.READING if attempt.is_prefill else RequestState.WRITING)
+        record.enter(RequestState.PREFILLING if attempt.is_prefill else RequestState.DECODING)
         record.trace.add(
             now, f"{'read' if attempt.is_prefill else 'write'} {attempt.number} at {action.endpoint_id}"
         )
@@ -376,7 +377,7 @@
         if record.attempt is not attempt or record.is_concluded:
             return False
         now = record.last_output_at_us = self.now()
-        if record.state is RequestState.WRITING:
+        if record.state is RequestState.DECODING:
             self._cancel_timer(attempt)
             record.enter(RequestState.STREAMING)
             record.trace.add(now, "first token")
@@ -454,7 +455,7 @@
             return self._after_end(record, attempt, ended)
         if attempt.is_prefill:
             return self._after_read(record, ended)
-        if record.state is RequestState.WRITING:
+        if record.state is RequestState.DECODING:
             return self._after_no_token(record, attempt, ended)
         return self._after_stream(record, ended)
 
@@ -474,7 +475,7 @@
         if status is io.Status.OK:
             status = io.Status.PREFILLED if record.kv_state else io.Status.ERROR
         record.prefills += status is io.Status.PREFILLED
-        record.enter(RequestState.HELD if status is io.Status.PREFILLED else RequestState.TAKEN)
+        record.enter(RequestState.PREFILLED if status is io.Status.PREFILLED else RequestState.ACCEPTED)
         return _Told(status, ended.is_state_lost)
 
     def _after_no_token(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> _Told:
@@ -482,7 +483,7 @@
         anew."""
         status = io.Status.ERROR if ended.status is io.Status.OK else ended.status
         lost = self.leases.handle_decode_without_token(record, attempt, ended)
-        record.enter(RequestState.HELD if record.kv_state else RequestState.TAKEN)
+        record.enter(RequestState.PREFILLED if record.kv_state else RequestState.ACCEPTED)
         return _Told(status, lost)
 
     def _after_stream(self, record: RequestRecord, ended: AttemptResult) -> _Told:
@@ -529,7 +530,7 @@
         return min(retry_after, self.settings.max_retry_after_us)
 
     def _answer_refused(self, record: RequestRecord, reason: str, retry_after: int) -> None:
-        if record.conclude(RequestState.REFUSED, reason):
+        if record.conclude(RequestState.REJECTED, reason):
             record.response.rejected(reason, retry_after)
 
     def _answer_failed(self, record: RequestRecord, how: Failure, reason: str) -> None:
@@ -581,7 +582,7 @@
 
     def _settle(self, record: RequestRecord) -> None:
         """Once a request has ended and no attempt is out, it is dropped, with one line for the operators."""
-        if not self.table.remove_if_over(record):
+        if not self.table.remove_if_finished(record):
             return
         if handle := self._due.pop(record.id, None):
             handle.cancel()
@@ -589,7 +590,7 @@
         self.leases.release_all(record)
         self.counters.add(f"requests_{record.state.value}")
         if (
-            record.state in (RequestState.REFUSED, RequestState.FAILED)
+            record.state in (RequestState.REJECTED, RequestState.FAILED)
             and now > record.deadline_us + _LATE_US
         ):
             self.counters.add("answers_late")
--- a/tuliptrack/node/kv_state_leases.py
+++ b/tuliptrack/node/kv_state_leases.py
@@ -173,7 +173,7 @@
             self.release(record)  # Also where an engine reports it as lost: the report may be wrong.
             return True
         has_surely_arrived = ended.is_confirmed or ended.is_corroborated
-        if has_surely_arrived and self._may_be_reserved(record):
+        if has_surely_arrived and record.has_reserved_state:
             self.restart(record)
         return False
 
@@ -219,8 +219,4 @@
 
     def _was_lease_stopped(self, record: RequestRecord) -> bool:
         """Whether a state is or may be reserved whose lease the arrival of an attempt has stopped."""
-        return self._may_be_reserved(record) and record.lease_timer is None and not record.was_release_sent
-
-    @staticmethod
-    def _may_be_reserved(record: RequestRecord) -> bool:
-        return record.kv_state is not None or record.possible_kv_state_at is not None
+        return record.has_reserved_state and record.lease_timer is None and not record.was_release_sent
--- a/tuliptrack/node/port.py
+++ b/tuliptrack/node/port.py
@@ -1,19 +1,21 @@
-"""What the core and its engines say to each other. An `EngineClient` carries attempts out in its protocol's
-words and tells the core what came of them; it decides nothing. The core knows no protocol."""
+"""The port between the core and its engines.
+
+An `EngineClient` carries attempts out in its own protocol and reports to the core how they ended; it decides
+nothing. The core knows no protocol. The core's side of the port are its methods `prefill_finished`,
+`output_arrived`, `output_forwarded`, `reservation_answered` and `attempt_ended`.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any, Protocol
 
 from tuliptrack.interface import HealthCheckResult, Status
+from tuliptrack.node.attempt_call import AttemptCall
+from tuliptrack.node.requests import Attempt, RequestRecord
 
-if TYPE_CHECKING:
-    from tuliptrack.node.attempt_state import Delivery
-    from tuliptrack.node.requests import Attempt, RequestRecord
-
-__all__ = ["AttemptCall", "AttemptResult", "EngineClient"]
+__all__ = ["AttemptResult", "EngineClient"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,81 +26,67 @@
     reason: str = ""
     """For logs and for the client of a stream that broke."""
     is_state_lost: bool = False
-    """The read state that it came for is gone; with `RESET`, most likely: it is let go to be sure."""
+    """The KV state that the attempt came for is lost. With `RESET` only most likely, so it is released
+    too."""
     load_report: tuple[float, ...] = ()
-    """The load report that came along, in the order of `Settings.report_fields`; nothing where there was
-    none."""
+    """The load report that came along, in the order of `Settings.report_fields`; empty where none came."""
     is_connection_only: bool = False
-    """Only this one connection broke, or brought what can't be read."""
+    """Only this one connection broke, or carried what can't be parsed."""
     is_invalid_request: bool = False
-    """The engine can't make anything of the request, and no other would."""
+    """The engine can't process the request, and no other engine could."""
     is_confirmed: bool = False
-    """The engine surely had the whole request: it has spoken on that connection since."""
+    """The engine surely had the complete request: it has answered on that connection since."""
     is_corroborated: bool = False
-    """The engine is taken to have had the whole request, though it has said nothing on it."""
+    """The engine is taken to have had the complete request, though it has not answered it."""
     detail: Any = None
-    """What the protocol itself says of the end, for accounts that know it."""
-
-
-class AttemptCall(Protocol):
-    """An attempt that is out."""
-
-    def cancel(self, status: Status) -> None:
-        """Give it up: the engine sees its connection or stream end. The core is told of the end, as `status`,
-        at once."""
-
-    def delivery(self) -> Delivery:
-        """How far it has come, as far as this node can know."""
-
-    def confirm_arrival(self) -> None:
-        """The lease of what it came for ends soon: find out whether it has arrived, as far as that can be."""
-
-    def mark_doubtful(self) -> None:
-        """It has brought no word for too long: its connection and its machine are not relied upon until they
-        speak."""
-
-    def pause(self) -> None:
-        """Take no more of its answer for now."""
-
-    def resume(self) -> None: ...
+    """What the protocol itself reports of the end, for accounting that knows the protocol."""
 
 
 class EngineClient(Protocol):
-    """What carries out attempts. Ends are told through `Core.attempt_over`, never from within these calls."""
+    """Carries out attempts.
+
+    Ends are reported through `Core.attempt_ended`, never from within these calls.
+    """
 
     prefills_have_no_effect: bool
-    """A read is a call of its own. Where it is the request itself, an engine that hangs may find it and run
-    it later."""
+    """A prefill is a call of its own. Where it is the request itself, a hung engine may still execute it
+    later."""
     releases_are_global: bool
-    """A release, at whatever engine, lets go of all that is held for a request but what an attempt waits for;
-    so does the first token of an answer."""
+    """A release, at any engine, frees all that is reserved for a request but what an attempt waits for; so
+    does the first token of an answer."""
     release_transit_us: int
-    """Microseconds that a release may take until its engine has it, where the time for which a state may be
-    held leaves nothing for that."""
+    """How long a release may take to its engine, where the time for which a state may stay reserved has no
+    margin for that."""
 
     def is_reachable(self, server: int) -> bool:
-        """Whether a list has named this server's address."""
+        """Return whether a list has named an address of this endpoint."""
 
     def start(self, record: RequestRecord, attempt: Attempt, timeout: int) -> AttemptCall:
-        """Make an attempt, for which the node will wait so many microseconds."""
+        """Make an attempt, for which the node will wait `timeout` microseconds."""
 
     def release(self, server: int, record: RequestRecord, unsure: bool = False) -> None:
-        """Let go of what is held for a request and no attempt waits for; tried again where the engine wasn't
-        reached. `unsure`: a read was broken off and may still end well."""
+        """Release what is reserved for a request and no attempt waits for.
+
+        Args:
+            server: the endpoint that is asked; again until the engine was reached.
+            record: the request.
+            unsure: a prefill was broken off and may still end well, so that one release may be too early.
+        """
 
     def release_later(self, server: int, record: RequestRecord) -> None:
-        """An attempt at this engine ended without its word and the request is over: it may yet come to hold
-        something, and is asked to let go itself, until it answers."""
+        """Release what an engine may still come to reserve for a request that is over.
+
+        An attempt there ended unconfirmed. The engine is asked until it answers.
+        """
 
     def cancel_release(self, record: RequestRecord) -> None:
-        """Nothing is to be let go for this request any more: what is held now is newer, or an answer has
-        taken it."""
+        """Send no more releases: what is reserved now is newer, or an answer has used it up."""
 
     def reserve(self, server: int, record: RequestRecord, attempt: Attempt) -> None:
-        """Ask for a place; the word on it goes to `Core.place_noted`."""
+        """Ask for capacity; the answer goes to `Core.reservation_answered`."""
 
     def check_health(self, server: int, done: Callable[[HealthCheckResult], None]) -> None:
-        """Check a server."""
+        """Check an endpoint and call `done` with the result."""
 
     def close_idle_connections(self, server: int) -> None:
-        """Close idle connections to it."""
+        """Close idle connections to an endpoint."""
--- a/tuliptrack/node/requests.py
+++ b/tuliptrack/node/requests.py
@@ -1,178 +1,156 @@
-"""The node's table of requests: what state each is in, and the one place where a request's end is decided.
+"""The node's table of requests: what is known of each from its arrival until nothing of it is left.
 
-    TAKEN ──▶ READING ──▶ HELD ──▶ WRITING ──▶ STREAMING ──▶ SERVED
-      │          │  ▲        │        │  ▲          │
-      │          ▼  │        │        ▼  │          │
-      │         between attempts (TAKEN or HELD)    │
-      └──────────┴──────────┴─────────┴─────────────┴──▶ REFUSED, FAILED, LEFT
+The states of a request and their transitions are in `request_state.py`. `RequestRecord.conclude` is the one
+place where a request gets its final state: it does so once, and returns whether it did. An attempt may still
+be out then; the record stays until the router has handled the end of that attempt.
 
-TAKEN: no attempt out, nothing held. READING: an attempt at a reader is out. HELD: a read state waits, no
-attempt out. WRITING: an attempt at a writer (or mixed server) is out and has not answered. STREAMING: its
-first token has come. The four ends are final: `end` lets a request into one of them once and says whether it
-did. An attempt may still be out then; the record stays until the router has been told of its outcome."""
+All times are monotonic microseconds; 0 stands for "never" where a field says so.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from dataclasses import dataclass, field
-from enum import Enum
 
 from tuliptrack.decisions.billing import TokenPrice
 from tuliptrack.decisions.model_catalog import Model
 from tuliptrack.fronts.port import ClientRequest, FinishReason, ResponseWriter
 from tuliptrack.interface import CrossZoneCause
+from tuliptrack.node.attempt_call import AttemptCall
 from tuliptrack.node.counters import RequestTrace
 from tuliptrack.node.cross_zone_account import Transfer
-from tuliptrack.node.port import AttemptCall
+from tuliptrack.node.request_state import FINAL_STATES, TRANSITIONS, IllegalTransitionError, RequestState
 from tuliptrack.routing.router import Router
 
-__all__ = ["Attempt", "KvStateLocation", "RequestRecord", "RequestState", "RequestTable"]
-
-
-class RequestState(Enum):
-    """See the module's text."""
-
-    TAKEN = "taken"
-    READING = "reading"
-    HELD = "held"
-    WRITING = "writing"
-    STREAMING = "streaming"
-    SERVED = "served"
-    REFUSED = "refused"
-    FAILED = "failed"
-    LEFT = "left"
-
-
-_ENDS = frozenset({RequestState.SERVED, RequestState.REFUSED, RequestState.FAILED, RequestState.LEFT})
-_CUT = frozenset({RequestState.REFUSED, RequestState.FAILED, RequestState.LEFT})
-LEGAL: dict[RequestState, frozenset[RequestState]] = {
-    RequestState.TAKEN: frozenset({RequestState.READING, RequestState.WRITING}) | _CUT,
-    RequestState.READING: frozenset({RequestState.TAKEN, RequestState.HELD}) | _CUT,
-    RequestState.HELD: frozenset({RequestState.READING, RequestState.WRITING}) | _CUT,
-    RequestState.WRITING: frozenset({RequestState.TAKEN, RequestState.HELD, RequestState.STREAMING}) | _CUT,
-    RequestState.STREAMING: _ENDS - {RequestState.REFUSED},
-    RequestState.SERVED: frozenset(),
-    RequestState.REFUSED: frozenset(),
-    RequestState.FAILED: frozenset(),
-    RequestState.LEFT: frozenset(),
-}
-"""From each state, the states that may follow."""
+__all__ = ["Attempt", "KvStateLocation", "RequestRecord", "RequestTable"]
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt that is out."""
+    """One attempt that is out at an engine."""
 
     number: int
     endpoint_id: int
     sent_at_us: int
-    """Monotonic microseconds."""
     call: AttemptCall | None = None
     is_prefill: bool = False
-    """It is out at a reader."""
+    """It is out at a prefill endpoint."""
     ends_at_deadline: bool = False
-    """Its time-out is the client's deadline, not the router's own."""
+    """Its time-out is the deadline of the client, not one that the router chose."""
     timer: asyncio.TimerHandle | None = None
     cross_zone_cause: CrossZoneCause | None = None
-    """Why it may cross zones."""
+    """Why it may cross zones; None where it does not."""
     transfers: list[Transfer] = field(default_factory=list)
-    """What it moves between zones."""
+    """What it transfers between zones."""
     state_endpoint_id: int = 0
-    """The server whose state it fetches, if any."""
+    """The endpoint whose KV state it fetches; 0: none."""
     state_bytes: int = 0
-    """Bytes of that state that have come."""
+    """How much of that state has come."""
     connect_by_us: int = 0
-    """When a connection for it must be up, lest the state that it comes for be held for too long, or the
-    window for repeats be over; 0: no such time."""
+    """By when it needs its connection: later the lease of its KV state, or the deduplication window, is over;
+    0: at any time."""
 
 
 @dataclass(slots=True)
 class KvStateLocation:
-    """A read state that waits at a reader."""
+    """Where a prefill has left a KV state."""
 
     endpoint_id: int
     state_id: str
+    """How the engine identifies the state."""
     address: str
+    """Where a decode endpoint fetches it."""
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request from arrival until its end is told and no attempt is out."""
+    """One request, from its arrival until it has its final state and no attempt is out."""
 
     id: int
     name: str
-    """What engines and bills call it: the same at no other node, nor in another life of this one."""
+    """Its name at engines and in bills: unique over all nodes and all incarnations of this one."""
     client_request: ClientRequest
     response: ResponseWriter
     deadline_us: int
-    """Monotonic microseconds by which a first token, or a final answer, is owed."""
+    """By when a first token, or a final answer, is owed."""
     accepted_at_us: int
     router: Router
-    """That of its model."""
+    """The router of its model."""
     model: Model
     has_concurrency_slot: bool = False
-    """It holds a place of admission's."""
+    """It occupies a slot of the concurrency limit."""
     is_billed: bool = False
-    """It is to be settled with its tenant's budgets, and billed."""
+    """It is settled with the budgets of its tenant, and billed."""
     price: TokenPrice = field(default_factory=TokenPrice)
-    """What was in force when it came."""
+    """The price in force when it came."""
     prefills: int = 0
-    """Attempts that have read its prompt."""
-    state: RequestState = RequestState.TAKEN
+    """Attempts that have prefilled its prompt."""
+    state: RequestState = RequestState.ACCEPTED
     attempt_count: int = 0
     attempt: Attempt | None = None
     kv_state: KvStateLocation | None = None
     possible_kv_state_at: int | None = None
-    """A server at which a read was broken off: it may hold a state all the same."""
+    """The endpoint at which a prefill broke off: it may have reserved a state all the same."""
     lease_began_at_us: int = 0
-    """Since when the state may have been held with no attempt at an engine: the end of its read, or of the
-    last attempt that had surely arrived."""
+    """Since when the state may have been reserved with no attempt at an engine: the end of its prefill, or of
+    the last attempt that had surely arrived."""
     was_release_sent: bool = False
-    """A release was sent since, in case the attempt that is out never reached its engine."""
+    """A release was sent since, in case the attempt that is out never reaches its engine."""
     needs_second_release: bool = False
-    """An attempt at a writer ended without a word: a release may overtake the news of that, so one is not
-    enough."""
+    """A decode attempt ended unconfirmed: a release may reach the engine before that end does, so one release
+    is not enough."""
     unconfirmed_endpoints: set[int] = field(default_factory=set)
-    """Engines at which an attempt of two stages ended without their word: they may come to hold something
-    yet."""
+    """Endpoints at which an attempt of two stages ended unconfirmed: they may still come to reserve
+    something."""
     executed_at_us: int = 0
     """The earliest time at which an attempt may have had an effect; 0: none can have."""
     lease_timer: asyncio.TimerHandle | None = None
-    """When that is due."""
+    """The timer of the lease, while it runs."""
     reserved_endpoint_id: int | None = None
-    """The server at which a place was asked for."""
+    """The endpoint at which capacity was asked for."""
     pending_events: int = 0
-    """Outcomes that the router has yet to hear of: it may still act on them, so the record stays."""
+    """Ends of attempts that the router has yet to handle: it may still act on them, so the record stays."""
     next_index: int = 0
+    """The index of the output token that comes next."""
     cached_tokens: int = 0
     finish_reason: FinishReason | None = None
     first_token_at_us: int = 0
     last_output_at_us: int = 0
-    """When the last token came."""
+    """When the last part of the answer came."""
     paused_at_us: int = 0
-    """Since when the client has taken no more; 0: it takes."""
+    """Since when the client reads no more; 0: it reads."""
     reason: str = ""
+    """Why it has its final state, for the log."""
     trace: RequestTrace = field(init=False)
-    """Its history, for the log."""
+    """Its steps, for the log."""
     endpoint_ids: list[int] = field(default_factory=list)
+    """The endpoints of its attempts, in order."""
     state_bytes_moved: dict[int, int] = field(default_factory=dict)
-    """Bytes of its states that attempts so far have fetched across zones, by reader."""
+    """Bytes of its KV states that attempts have fetched across zones, by prefill endpoint."""
 
     def __post_init__(self) -> None:
         self.trace = RequestTrace(self.accepted_at_us)
 
     @property
     def is_concluded(self) -> bool:
-        return self.state in _ENDS
+        """Whether it has its final state."""
+        return self.state in FINAL_STATES
+
+    @property
+    def has_reserved_state(self) -> bool:
+        """Whether a KV state is reserved for it, or may be."""
+        return self.kv_state is not None or self.possible_kv_state_at is not None
 
     def enter(self, state: RequestState) -> None:
-        """Enter a state; RuntimeError where it may not follow."""
-        if state not in LEGAL[self.state]:
-            raise RuntimeError(f"request {self.id}: {self.state.value} may not be followed by {state.value}")
+        """Enter a state; `IllegalTransitionError` where it may not follow the present one."""
+        if state not in TRANSITIONS[self.state]:
+            raise IllegalTransitionError(
+                f"request {self.id}: {self.state.value} may not be followed by {state.value}"
+            )
         self.state = state
 
     def conclude(self, state: RequestState, reason: str) -> bool:
-        """Enter an end; False where the request had ended."""
+        """Enter a final state; return False where the request already has one."""
         if self.is_concluded:
             return False
         self.enter(state)
@@ -181,35 +159,49 @@
 
 
 class RequestTable:
-    """Every request of the node. Bound: admission's places; those past them are refused and dropped at
-    once."""
+    """Every request of the node.
+
+    Bound: the slots of the concurrency limit; requests beyond them are rejected and removed at once.
+    """
 
     def __init__(self, instance: str) -> None:
+        """Start empty; `instance` makes the names of requests unique."""
         self.instance = instance
         self.open: dict[int, RequestRecord] = {}
-        self.end_counts: dict[RequestState, int] = dict.fromkeys(_ENDS, 0)
-        self._next = 1
+        """Requests without a final state, or with an attempt that is still out, by id."""
+        self.end_counts: dict[RequestState, int] = dict.fromkeys(FINAL_STATES, 0)
+        self._next_id = 1
 
     def add(
-        self, ask: ClientRequest, answer: ResponseWriter, due: int, now: int, router: Router, model: Model
+        self,
+        client_request: ClientRequest,
+        response: ResponseWriter,
+        deadline_us: int,
+        now_us: int,
+        router: Router,
+        model: Model,
     ) -> RequestRecord:
-        name = f"{self.instance}-{self._next}"
+        """Add a request that has just come."""
         record = RequestRecord(
-            self._next, name, ask, answer, due, now, router, model, next_index=ask.resume_index
+            id=self._next_id,
+            name=f"{self.instance}-{self._next_id}",
+            client_request=client_request,
+            response=response,
+            deadline_us=deadline_us,
+            accepted_at_us=now_us,
+            router=router,
+            model=model,
+            next_index=client_request.resume_index,
         )
-        self._next += 1
+        self._next_id += 1
         self.open[record.id] = record
         return record
 
-    def remove_if_over(self, record: RequestRecord) -> bool:
-        """Drop a request that has ended and has no attempt out; True where it was dropped now."""
-        if (
-            record.is_concluded
-            and record.attempt is None
-            and not record.pending_events
-            and record.id in self.open
-        ):
-            del self.open[record.id]
-            self.end_counts[record.state] += 1
-            return True
-        return False
+    def remove_if_finished(self, record: RequestRecord) -> bool:
+        """Remove a request that has its final state and no attempt out; return whether it was removed now."""
+        is_finished = record.is_concluded and record.attempt is None and not record.pending_events
+        if not is_finished or record.id not in self.open:
+            return False
+        del self.open[record.id]
+        self.end_counts[record.state] += 1
+        return True
--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -23,7 +23,8 @@
 from tuliptrack.node.core import Core
 from tuliptrack.node.logs import lines_lost, set_up
 from tuliptrack.node.request_reader import CoreLimits
-from tuliptrack.node.requests import RequestRecord, RequestState
+from tuliptrack.node.request_state import RequestState
+from tuliptrack.node.requests import RequestRecord
 from tuliptrack.relay.config import RelayConfig, RelayConfigError, RelayConfigUnreadable, load
 from tuliptrack.relay.discovery import MOST_CALLS, Discovery, ListError, Members
 from tuliptrack.relay.engine_client import HttpEngineClient
