--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,7 +1,8 @@
 """Time of one decision (`Router.handle` with one event) at a given number of servers, by kind of event.
 
 In process, against engines that answer after drawn times; not in CI. Usage: python bench/decisions.py
-[--servers 190]"""
+[--servers 190]
+"""
 
 from __future__ import annotations
 
--- a/bench/fronts.py
+++ b/bench/fronts.py
@@ -2,7 +2,8 @@
 whole.
 
 One node, one set of engines, the forms in turn within one run; the first front stands in each round, and
-ratios are to it. Not in CI. Usage: python bench/fronts.py [--streams 30] [--tokens 200] [--rounds 5]"""
+ratios are to it. Not in CI. Usage: python bench/fronts.py [--streams 30] [--tokens 200] [--rounds 5]
+"""
 
 from __future__ import annotations
 
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -3,7 +3,8 @@
 
 Same client, same engines, the two in turn within one run; figures are the processes' own CPU time as the
 kernel accounts it. Not in CI. Usage: python bench/relay.py [--streams 10,100,1000] [--tokens 200] [--rounds
-3]"""
+3]
+"""
 
 from __future__ import annotations
 
@@ -56,7 +57,8 @@
     folder: str, tokens: int, step_ms: int, processes: list[subprocess.Popen[bytes]]
 ) -> tuple[Path, list[str]]:
     """A reader and two writers that answer with so many tokens; the file that lists them, and their
-    addresses."""
+    addresses.
+    """
     engines = []
     for role, name in (("READ", "r"), ("WRITE", "w0"), ("WRITE", "w1")):
         model = Path(folder) / f"{name}.model"
--- a/bench/structures.py
+++ b/bench/structures.py
@@ -1,7 +1,8 @@
 """The indexes of the decisions beside plain ones and, where they are installed, libraries of the registry.
 
 In process; not in CI. Usage: python bench/structures.py [--members 2550]; pip install sortedcontainers numpy
-for all rows."""
+for all rows.
+"""
 
 from __future__ import annotations
 
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,5 +1,6 @@
 """The command line as a user meets it: processes on loopback, exit codes, what is printed and what never
-is."""
+is.
+"""
 
 from __future__ import annotations
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,8 @@
     test id | cause | issue
 
 Only these may fail. Each is printed with its cause, and one that passes is printed as ready to be taken out.
-A line with a part missing, a fourth line, or an id that names no test fails the run."""
+A line with a part missing, a fourth line, or an id that names no test fails the run.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +32,8 @@
 
 def known_red(root: Path) -> dict[str, KnownRed]:
     """The file's lines by test; none where there is no file. pytest.UsageError names a line that can't be
-    used."""
+    used.
+    """
     file = root / NAME
     lines = file.read_text().splitlines() if file.exists() else []
     found: dict[str, KnownRed] = {}
@@ -52,7 +54,8 @@
 @pytest.fixture(autouse=True)
 def no_invariant_is_violated() -> Iterator[list[str]]:
     """What nodes in this process count as a broken invariant fails the test; one that means to break it
-    empties the list."""
+    empties the list.
+    """
     broken: list[str] = []
     Counters.watchers.append(broken.append)
     yield broken
--- a/tests/decisions/test_bills.py
+++ b/tests/decisions/test_bills.py
@@ -1,5 +1,6 @@
 """Bills are a function of the set of parts: order, doubling and merging change nothing, and nothing is billed
-twice."""
+twice.
+"""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_budgets.py
+++ b/tests/decisions/test_budgets.py
@@ -1,5 +1,6 @@
 """Token budgets: their bound over all nodes, what is learnt of answers, what is lent, and what ends come
-to."""
+to.
+"""
 
 from __future__ import annotations
 
@@ -65,7 +66,8 @@
     replicas: int, units: int, turns: int, lend: bool, moves: list[tuple[int, int, int, int]]
 ) -> None:
     """Whatever is asked where; with lending, tenants together stay within what theirs add up to, moved by
-    LEND_US."""
+    LEND_US.
+    """
     window = BudgetWindow(S, units, units // turns)
     nodes = [
         budgets({"a": (window,), "b": (window,)}, replicas=replicas, slot=slot, lend=lend)
--- a/tests/decisions/test_register.py
+++ b/tests/decisions/test_register.py
@@ -1,5 +1,6 @@
 """The register that a majority holds: three controllers, five agents, messages in any order, lost and
-doubled."""
+doubled.
+"""
 
 from __future__ import annotations
 
@@ -67,7 +68,8 @@
 
     def check(self) -> None:
         """What was settled is built on everything that was settled before it: nothing is lost, nothing
-        forks."""
+        forks.
+        """
         chain = [value for _, value in sorted(self.settled)]
         for one, two in pairwise(chain):
             assert two.startswith(one), f"{two!r} is settled after {one!r} and forgets it"
--- a/tests/decisions/test_rollout.py
+++ b/tests/decisions/test_rollout.py
@@ -1,5 +1,6 @@
 """Rolling changes decided over a small fleet in process: what is found, what is not blamed, and how many are
-ever out."""
+ever out.
+"""
 
 from __future__ import annotations
 
@@ -278,7 +279,8 @@
 
 def test_the_wager_stands_on_nodes_and_not_on_requests() -> None:
     """A burst that all nodes of a stratum share is no evidence, however many requests it spoils; a stratum
-    without an old node says nothing."""
+    without an old node says nothing.
+    """
     usual, wager = Baseline(), Wager()
     rows = [Row(f"n{i}", ("z", "c"), 100, 2) for i in range(6)]
     for _ in range(60):
--- a/tests/decisions/test_zones.py
+++ b/tests/decisions/test_zones.py
@@ -71,7 +71,8 @@
     epoch: int,
 ) -> None:
     """Whatever is asked where and when, with nodes that start again in between, and clocks with offsets of
-    their own."""
+    their own.
+    """
     budget = ZoneBudget(rate_kb * 1000.0, float(quantum * turns), float(quantum))
     offsets = [epoch + 1_000 * slot for slot in range(replicas)]  # each node's own clock starts elsewhere
     nodes = [crossings(replicas, slot, budget, offsets[slot]) for slot in range(replicas)]
@@ -178,7 +179,8 @@
 
 def test_many_nodes_share_a_budget_of_less_than_a_request_each_and_none_is_starved() -> None:
     """190 nodes, one request of 20,000 bytes every 100 ms for all of them: each gets its turn, none gets
-    two."""
+    two.
+    """
     budget = ZoneBudget(200_000.0, 40_000.0, 20_000.0)
     nodes = [crossings(190, slot, budget) for slot in range(190)]
     used = [0] * 190
@@ -428,7 +430,8 @@
 
 def _return(w: World, near: list[EndpointInfo], busy: bool) -> list[int]:
     """Its zone is told gone, and ready again 5 s later; in which half-seconds after it was read at home how
-    often."""
+    often.
+    """
     w.list(*(replace(s, state=EndpointState.REMOVED) for s in near))
     w.now += 5 * S
     said = w.list(*near)
--- a/tests/deploy/test_sites.py
+++ b/tests/deploy/test_sites.py
@@ -133,7 +133,8 @@
 def test_the_variants_differ_as_they_are_meant_to(given: Path) -> None:
     """One has a connect time-out longer than its release time, a keyed class with a short window and an
     unsafe one; one has a single class. The settings of both are in the files; the rest comes from the site
-    that they are applied to."""
+    that they are applied to.
+    """
     notes, archive = (
         tomllib.loads((SITES / f"{name}.toml").read_text()) for name in ("clinic-notes", "press-archive")
     )
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -1,5 +1,6 @@
 """An agent's promises over its restarts, a full disk and old orders; its node is a small program of the
-test."""
+test.
+"""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,6 +1,7 @@
 """Rolling changes by real processes: three controllers, three agents and their nodes, engines, clients that
 go on asking, and controllers that are killed, paused or cut short in between. Judged by what clients and
-processes show."""
+processes show.
+"""
 
 from __future__ import annotations
 
--- a/tests/fronts/test_kserve.py
+++ b/tests/fronts/test_kserve.py
@@ -1,5 +1,6 @@
 """The v2 protocol's hard cases on real sockets: streams of many requests, models and versions, slow and
-broken clients."""
+broken clients.
+"""
 
 from __future__ import annotations
 
--- a/tests/fronts/test_kserve_peers.py
+++ b/tests/fronts/test_kserve_peers.py
@@ -1,5 +1,6 @@
 """The v2 protocol as its stock clients speak it: Triton's gRPC client (streams included) and its HTTP
-client."""
+client.
+"""
 
 from __future__ import annotations
 
--- a/tests/fronts/test_tensors.py
+++ b/tests/fronts/test_tensors.py
@@ -1,5 +1,6 @@
 """Tensors of the v2 protocol: what is written comes back, and garbage is told, never raised past
-`TensorError`."""
+`TensorError`.
+"""
 
 from __future__ import annotations
 
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,5 +1,6 @@
 """The soak: its schedules, its judge, which finds each invariant broken, and one short seed with real
-processes."""
+processes.
+"""
 
 from __future__ import annotations
 
--- a/tests/lab/test_twin.py
+++ b/tests/lab/test_twin.py
@@ -1,5 +1,6 @@
 """Half-blind nodes by the dozen, engines with caches and a change in the middle, in process on a seeded
-clock."""
+clock.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +18,8 @@
 
 def way(fleet: Fleet) -> float:
     """How far of the way from the blind policy's service to the late-seeing one's, after the change, over all
-    seeds."""
+    seeds.
+    """
 
     def served(policy: object) -> float:
         played = [Twin(fleet, seed, policy).play() for seed in SEEDS]  # type: ignore[arg-type]
@@ -47,7 +49,8 @@
 
 def test_what_a_node_believes_to_be_out_is_out_at_every_event() -> None:
     """Through a release with restarts: the attempts in a node's books are those under way at the engines, no
-    others."""
+    others.
+    """
     fleet = replace(ROLL, nodes=20, readers=5, writers=6, rate=40.0, ends=9 * S)
     twin, seen = Twin(fleet, 3), 0
 
--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -1,7 +1,8 @@
 """Every order of endings against the core: clients that leave, attempts that end in all ways, drains,
 releases, cancels and the node's end, each also twice. Hypothesis plays them on a clock of its own; a model of
 the engines knows what is really held and what has really run, and checks the five rules. Machines without one
-of the core's guards have to be found out."""
+of the core's guards have to be found out.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +28,7 @@
 from tuliptrack import interface as io
 from tuliptrack.decisions.concurrency_limit import ConcurrencyLimits
 from tuliptrack.fronts.port import ClientRequest, Failure, FinishReason
-from tuliptrack.node import core as core_module
+from tuliptrack.node import timers
 from tuliptrack.node.attempt_state import Delivery, may_have_executed
 from tuliptrack.node.core import Core
 from tuliptrack.node.port import AttemptResult
@@ -283,7 +284,7 @@
             lambda loop, context: self.errors.append(context.get("exception") or context)
         )
         self.patch = pytest.MonkeyPatch()
-        self.patch.setattr(core_module, "now_us", lambda: round(self.loop.moment * US))
+        self.patch.setattr(timers, "now_us", lambda: round(self.loop.moment * US))
 
     def guard(self, core: Core) -> None:
         """A machine without one of the core's guards takes it out here."""
@@ -389,7 +390,8 @@
     @rule(prefix=st.integers(1, 3))
     def a_read_breaks_and_the_next_connection_comes_up_late(self, prefix: int) -> None:
         """What may have run is tried anew, on a connection that comes up when the window for repeats is
-        over."""
+        over.
+        """
         self.ask(BUDGETS_US[-1], prefix)
         for breaks in (True, False):
             call = next(
@@ -430,7 +432,7 @@
                     AttemptResult(io.Status.RESET, "once more"),
                 )
         if life.answer.ends or life.left_at:
-            self.do(self.core._release, io.Release(request))
+            self.do(self.core.release, io.Release(request))
 
     @precondition(lambda self: self.out(sent=False))
     @rule(number=st.integers(0, 9), reached=st.sampled_from([True, True, False]))
@@ -560,7 +562,7 @@
                 self.loop.advance(1.0, self.nothing_is_held_too_long)
                 self.raise_errors()
                 assert not self.core.table.open and not self.core.router.in_flight, "requests left"
-                assert not self.core._due and not self.core._timers, "timers left"
+                assert len(self.core.timers) == 0, "timers left"
                 assert not any(
                     seat.waiting or seat.streams for seat in self.core.router.endpoints.values()
                 ), "books left open"
@@ -608,8 +610,8 @@
 
 
 def windows_forgotten(core: Core) -> None:
-    class_of = core._class_of
-    core._class_of = lambda record: replace(class_of(record), idempotency=io.Idempotency.IDEMPOTENT)  # type: ignore[method-assign]
+    class_of = core.class_of
+    core.class_of = lambda record: replace(class_of(record), idempotency=io.Idempotency.IDEMPOTENT)  # type: ignore[method-assign]
 
 
 def reads_break_unseen(core: Core) -> None:
--- a/tests/node/test_line_file.py
+++ b/tests/node/test_line_file.py
@@ -1,5 +1,6 @@
 """A file of whole lines: no half line stays, whatever failed or was killed, and what was told to be there
-is."""
+is.
+"""
 
 from __future__ import annotations
 
--- a/tests/node/test_silent_connections_on_grpc.py
+++ b/tests/node/test_silent_connections_on_grpc.py
@@ -1,5 +1,6 @@
 """Connections to engines of the gRPC node that fall silent with no error: states are let go in time, requests
-are served."""
+are served.
+"""
 
 from __future__ import annotations
 
@@ -66,7 +67,8 @@
 
 def longest_held(w: World, since: int) -> int:
     """For how many microseconds a state was held at most, of those read since a moment: until it was let go,
-    or an attempt that came for it had reached a writer."""
+    or an attempt that came for it had reached a writer.
+    """
     rows = [row for row in w.seen() if row["t"] >= since]
 
     def settled(kept: dict[str, Any]) -> int:
--- a/tests/oracle/brain.py
+++ b/tests/oracle/brain.py
@@ -216,7 +216,8 @@
 
     def _outlook(self, flight: Flight, reader: Seat | None) -> float:
         """Microseconds to a first token where the request would go. An idle server that it would not get
-        can't hide a jam where it would; a turn at a cold one is room; waiting states show late in reports."""
+        can't hide a jam where it would; a turn at a cold one is room; waiting states show late in reports.
+        """
         writer = self._pick_writer(flight) if reader and reader.role is Role.PREFILL else None
         queue, typical = self._queue_us(reader) if reader else 0.0, 0.0
         queue += writer.open_work * self._us_per_token(writer) if writer else 0.0
@@ -316,13 +317,15 @@
 
     def _depth(self, seat: Seat) -> float:
         """What stands there: by the last report, and of this node's own. A mixed server's running answers
-        count as its reports count them, since each read there slows all of them."""
+        count as its reports count them, since each read there slows all of them.
+        """
         own = len(seat.running) if seat.role is Role.PREFILL_AND_DECODE and not self.has_depth else 0
         return seat.depth * self._fresh(seat) + len(seat.open) + own
 
     def _queue_us(self, seat: Seat) -> float:
         """Microseconds in which the tokens that wait there are worked off, at the speed seen here. So
-        the threshold fits fast and slow servers, long and short prompts; slowness alone is no overload."""
+        the threshold fits fast and slow servers, long and short prompts; slowness alone is no overload.
+        """
         # Each read at a mixed server slows the answers that run there: they count like reads that wait.
         others = (self._depth(seat) - len(seat.open)) * seat.busy_tokens / self.settings.replicas
         others = others if seat.role is Role.PREFILL_AND_DECODE else self.unseen**2 * seat.waiting * self._fresh(seat)
@@ -396,7 +399,8 @@
 
     def _loads(self, seats: list[Seat]) -> dict[int, float]:
         """Projected own tokens there, and what all of its role get from this node, each by the list's sizes:
-        a mixed server that has reads of its own takes a state only where writers are as full."""
+        a mixed server that has reads of its own takes a state only where writers are as full.
+        """
         roles = {role: self.kinds[role, False].carry(0.0, self.now, CARRIED_US) / self.fleet.size(role)
                  for role in {s.role for s in seats}}
         return {s.info.id: s.tokens / max(s.info.weight, 1e-6) + roles[s.role] for s in seats}
@@ -469,7 +473,8 @@
         """Find servers that begin answers in time but drag them out. The evidence: how few have ended there
         for the time that they have run, against its peers in the same seconds; a common slowness is nobody's.
         Nothing new goes there but trials; what runs there is handed back, to be resumed elsewhere. Not while
-        this node refuses: then even a slow server is missed."""
+        this node refuses: then even a slow server is missed.
+        """
         for seat in self.seats.values():
             seat.ran(self.now, PACE_US)
         if self.now - self.refused_at < CALM_US:
@@ -495,7 +500,8 @@
     def _patience(self, flight: Flight, seat: Seat) -> int:
         """The attempt's own time-out: silence well past what answers take here, while a retry can still be in
         time. None where most are silent, this node refuses or, of a read, nothing has been heard of its role
-        just now: that is a jam, or may be one, and retries would feed it."""
+        just now: that is a jam, or may be one, and retries would feed it.
+        """
         kind = seat.kind
         left = self.settings.max_attempts - flight.attempts - (seat.role is Role.PREFILL)
         window = {Idempotency.IDEMPOTENT: math.inf, Idempotency.WITH_KEY: flight.cls.deduplication_window_us}.get(flight.cls.idempotency, 0)
@@ -524,7 +530,8 @@
         that came in it, N/3, and unused ones of that before: N/3, one a node at most. The last third is for
         half as many processes as slots again, quotas too high, servers gone before a node's first list.
         Peers, traffic and chance have no part in it: a batch of retries finds one send, a new node leaves
-        what its last life may have used. A class of h mean requests fits one turn in h."""
+        what its last life may have used. A class of h mean requests fits one turn in h.
+        """
         s, start = self.settings, seat.info.started_at_us
         if not start or self.now >= start + s.slow_start_us:
             return 0
@@ -593,7 +600,8 @@
 
     def _bad(self, seat: Seat, event: AttemptEnded, flight: Flight) -> None:
         """What a failed attempt says, and of what: a broken connection of the server, an error or silence of
-        its service of one class, a slow `full` of one tenant's; a quick one tells lack of room."""
+        its service of one class, a slow `full` of one tenant's; a quick one tells lack of room.
+        """
         everything, cls, tenant = self._keys(flight)
         early = event.latency_us < EARLY * flight.aim
         if event.status in _BROKEN:
--- a/tests/oracle/state.py
+++ b/tests/oracle/state.py
@@ -37,7 +37,8 @@
 
 def median_low(values: Iterable[float]) -> float:
     """The middle one of these, the lower of two; ValueError where there are none. Its namesake in the
-    standard library costs a process a twentieth of the time in which it gets ready."""
+    standard library costs a process a twentieth of the time in which it gets ready.
+    """
     ordered = sorted(values)
     if not ordered:
         raise ValueError("no median of nothing")
@@ -106,7 +107,8 @@
         self, flight: Flight, latency: int, waiting: float, weight: float, read: bool, now: int
     ) -> None:
         """Bring the averages up to an answer. The time per token is a ratio of two averages: a prompt that is
-        nearly all kept has a few tokens of its own and would swamp an average of ratios."""
+        nearly all kept has a few tokens of its own and would swamp an average of ratios.
+        """
         self.work += weight * (flight.work - self.work)
         self.time += weight * (latency - self.time)
         self.tokens += weight * (waiting + flight.work - self.tokens)
@@ -250,7 +252,8 @@
     def tried_at(self, seat: Seat, status: Status, again: bool, writers: int) -> None:
         """Note where an attempt has ended, for the choice of the next server. Once its prompt has been read,
         it may go to any of the writers but those that gave no answer, if there are others; `again`: it may go
-        to the same server once more."""
+        to the same server once more.
+        """
         no_answer = seat.role is not Role.PREFILL and status in (Status.TIMEOUT, Status.CONNECT_FAILED)
         if no_answer and seat.info.id not in self.unanswering:
             self.unanswering.append(seat.info.id)
@@ -281,7 +284,8 @@
 
     def apply(self, change: EndpointListUpdate) -> list[int]:
         """Take a change, or a whole list, in which what isn't named has gone. Returns the servers forgotten:
-        those gone the longest, with nothing of this node's there, past `GONE_KEPT`."""
+        those gone the longest, with nothing of this node's there, past `GONE_KEPT`.
+        """
         self.orders.clear()
         self._ready.clear()
         self._parts.clear()
@@ -345,7 +349,8 @@
 
     def share(self, seat: Seat) -> float:
         """The part that a ready server is of all that do its stage, by its listed size within its role and
-        the most of them ever listed here: it doesn't grow when others go. A mixed server does both stages."""
+        the most of them ever listed here: it doesn't grow when others go. A mixed server does both stages.
+        """
         if seat.role not in self._means:
             sizes = [round(s.info.weight * SIZE_UNIT) for s in self.seats.values() if s.role is seat.role]
             self._means[seat.role] = (sum(sizes) / SIZE_UNIT or 1.0) / len(sizes)
@@ -355,7 +360,8 @@
 
 class Asked:
     """What this node was asked: mean tokens of prompt to read and of answer, by class and in all, and how
-    much of it each prefix was lately. Bound: `PREFIXES_KEPT`; the one not asked for longest is forgotten."""
+    much of it each prefix was lately. Bound: `PREFIXES_KEPT`; the one not asked for longest is forgotten.
+    """
 
     def __init__(self) -> None:
         self.count = 0
@@ -366,7 +372,8 @@
 
     def note(self, cls: int, prompt: float, answer: float, weight: float, prefix: int = 0) -> None:
         """Take one more request, of which the first ones weigh more. What is known of all starts at nil, so
-        that each class looks heavy at first: twice, then half again what it is, and so on."""
+        that each class looks heavy at first: twice, then half again what it is, and so on.
+        """
         new = (prompt, answer)
         self.count += 1
         if prefix:
@@ -382,14 +389,16 @@
         """The part of what was asked lately that had this prefix, 0 to 1; `weight` as in `note`. The first
         request with one says nothing of how many there are, so only those that came again count; as many
         requests as the fading spans are taken to have come before the first, each with another prefix, so
-        that a node that has seen little does not call hot what came twice."""
+        that a node that has seen little does not call hot what came twice.
+        """
         seen, at = self._prefixes.get(prefix, (0.0, 0))
         again = max(seen * (1 - weight) ** (self.count - at) - 1, 0.0)
         return again * weight / (2 - (1 - weight) ** self.count)
 
     def heaviness(self, cls: int, role: Role) -> float:
         """How many mean requests one of this class weighs: by its prompt at readers, by its answer at
-        writers, by whichever is more at mixed servers."""
+        writers, by whichever is more at mixed servers.
+        """
         prompt, answer = (own / max(of, 1.0) for own, of in zip(self.by_class[cls], self.all, strict=True))
         return prompt if role is Role.PREFILL else answer if role is Role.DECODE else max(prompt, answer)
 
--- a/tests/peers/triton.py
+++ b/tests/peers/triton.py
@@ -1,5 +1,6 @@
 """Triton's own clients against a node, in an environment of their own; one JSON object out. Arguments: gRPC,
-REST address."""
+REST address.
+"""
 
 import json
 import queue
--- a/tests/relay/test_agents.py
+++ b/tests/relay/test_agents.py
@@ -41,7 +41,8 @@
 
 def test_what_a_silent_agent_has_at_its_return_is_heeded_within_the_drain_grace() -> None:
     """Calls that are open in an outage are never answered; a watch alone falls silent while new calls are
-    answered."""
+    answered.
+    """
 
     async def go() -> None:
         async with platform(r0=reads, r1=reads, w0=writes, w1=writes) as p:
--- a/tests/relay/test_corroboration.py
+++ b/tests/relay/test_corroboration.py
@@ -1,5 +1,6 @@
 """Attempts that bring no word for longer than a lease: those that surely wait at their engine, and those that
-never came."""
+never came.
+"""
 
 from __future__ import annotations
 
@@ -80,7 +81,8 @@
 
     async def warm_up(self, p: Platform) -> None:
         """Have a request that has been served, and one kept connection to each engine that was asked, which
-        has rested."""
+        has rested.
+        """
         for _ in range(4):
             await p.ask()
             await asyncio.sleep(0.1)
--- a/tests/relay/test_deadlines.py
+++ b/tests/relay/test_deadlines.py
@@ -1,5 +1,6 @@
 """The deadline that an attempt tells its engine is at most what its client has left, on further attempts
-too."""
+too.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +23,8 @@
 
     def breaks_late(self, script: Script, failures: int, after: float) -> Script:
         """An engine that breaks the connection of its first requests `after` seconds, and then plays
-        `script`."""
+        `script`.
+        """
         left = failures
 
         async def noting(one: Seen, writer: asyncio.StreamWriter) -> None:
--- a/tests/relay/test_descriptors.py
+++ b/tests/relay/test_descriptors.py
@@ -1,5 +1,6 @@
 """Clients that say nothing may fill the descriptors while discovery is down: engines, the list, the settings
-and those who ask have what they need, under the system's own limit too. One node as a process."""
+and those who ask have what they need, under the system's own limit too. One node as a process.
+"""
 
 from __future__ import annotations
 
--- a/tests/relay/test_discovery.py
+++ b/tests/relay/test_discovery.py
@@ -1,5 +1,6 @@
 """A change of the list is heeded within 6 s of the moment from which its agent has it and can be reached,
-whatever calls came to nothing before, by what engines and the agent saw on their sockets."""
+whatever calls came to nothing before, by what engines and the agent saw on their sockets.
+"""
 
 from __future__ import annotations
 
--- a/tests/relay/test_endings.py
+++ b/tests/relay/test_endings.py
@@ -1,5 +1,6 @@
 """What is owed in the instant in which something ends: a request, a connection, a node. Each test forces one
-crossing."""
+crossing.
+"""
 
 from __future__ import annotations
 
--- a/tests/relay/test_floods.py
+++ b/tests/relay/test_floods.py
@@ -1,5 +1,6 @@
 """Clients that send hundreds at once, drip their heads, read a byte now and then or say nothing, all
-together: others are served as without them, and what the node keeps is bounded. One node as a process."""
+together: others are served as without them, and what the node keeps is bounded. One node as a process.
+"""
 
 from __future__ import annotations
 
--- a/tests/relay/test_gone.py
+++ b/tests/relay/test_gone.py
@@ -1,6 +1,7 @@
 """A client that has ended its sending, or reset its connection, has gone: no attempt for it begins more than
 0.1 s later, wherever its request is just then, and however late the node reads that it has. Judged by what
-engines saw."""
+engines saw.
+"""
 
 from __future__ import annotations
 
@@ -182,7 +183,8 @@
 
 def test_an_attempt_given_up_before_it_was_sent_never_ran() -> None:
     """Its engine took no connection until the node's patience ended: though not to be repeated, it goes
-    elsewhere."""
+    elsewhere.
+    """
 
     async def go() -> None:
         keyed = {**SETTINGS["classes"][0], "effect": "guarded", "keyScope": "zone", "dedupWindow": 1}
--- a/tests/relay/test_late_releases.py
+++ b/tests/relay/test_late_releases.py
@@ -1,5 +1,6 @@
 """An engine that hangs through a request and ends its read later is asked itself to let go, and does so in
-time."""
+time.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +19,8 @@
 @dataclass
 class StoppedReader:
     """A reader whose process is stopped: what reached it is taken up as it goes on, also what was given up
-    meanwhile."""
+    meanwhile.
+    """
 
     goes_on: asyncio.Event = field(default_factory=asyncio.Event)
     read_at: dict[str, float] = field(default_factory=dict)
--- a/tests/relay/test_process_failures.py
+++ b/tests/relay/test_process_failures.py
@@ -1,5 +1,6 @@
 """A node's own process: its log, settings' file, listening socket and signals, where the system fails for a
-while."""
+while.
+"""
 
 from __future__ import annotations
 
--- a/tests/relay/test_ready.py
+++ b/tests/relay/test_ready.py
@@ -1,5 +1,6 @@
 """How soon a node that was started serves: all of a fleet at once, on a part of a core each, and never so
-early that what it is asked first is lost."""
+early that what it is asked first is lost.
+"""
 
 from __future__ import annotations
 
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -234,7 +234,8 @@
 
 def test_what_may_have_run_is_not_refused_as_the_node_ends() -> None:
     """Its prompt is being read anew, after an attempt at a writer that broke: a refusal would say that it
-    never ran."""
+    never ran.
+    """
 
     async def go() -> None:
         async def breaks(one: Seen, writer: asyncio.StreamWriter) -> None:
--- a/tests/relay/test_releases.py
+++ b/tests/relay/test_releases.py
@@ -44,7 +44,8 @@
 
     async def deaf_to_releases(self, one: Seen, writer: asyncio.StreamWriter) -> None:
         """A reader whose machine is cut off once it has read: a release to it is never answered and does not
-        count."""
+        count.
+        """
         if one.method == "DELETE":
             await hangs(one, writer)
         await self.reader(one, writer)
@@ -65,7 +66,8 @@
 
 class Mute(Peer):
     """An engine whose machine has fallen silent: connections come up, most of what is written to them is
-    never confirmed."""
+    never confirmed.
+    """
 
     def __init__(self) -> None:
         super().__init__(hangs)
@@ -118,7 +120,8 @@
 
 def test_an_attempt_that_has_brought_no_word_goes_on_and_what_it_may_have_left_is_let_go_in_time() -> None:
     """That its bytes were confirmed tells nothing of its engine, so the state is let go beside it; the engine
-    spares it."""
+    spares it.
+    """
 
     async def go() -> None:
         line = Timeline()
@@ -207,7 +210,8 @@
 
 def test_no_release_is_made_while_another_attempt_of_the_request_goes_on() -> None:
     """The first read is given up on, the second one's state goes to a writer, whose first token frees
-    whatever was held."""
+    whatever was held.
+    """
 
     async def go() -> None:
         line = Timeline()
--- a/tests/relay/test_restarts.py
+++ b/tests/relay/test_restarts.py
@@ -87,7 +87,8 @@
 def test_two_nodes_restarted_in_turn_under_load_answer_all_that_they_take(tmp_path: Path) -> None:
     """Slow readers, and a writer that hangs, then all of them; each node is killed as soon after SIGTERM as
     the platform may. Clients keep their connections for as long as these stay open, and come again at
-    once."""
+    once.
+    """
     deadline, load, hanging = (
         2.0,
         6,
--- a/tests/relay/test_silent_connections.py
+++ b/tests/relay/test_silent_connections.py
@@ -2,7 +2,8 @@
 
 Judged by what reached the engines, never by what the node believes: a read state has to be taken by a
 request, or let go by a release, whose last byte has come to a running engine within the settings' time and
-what the platform adds to it."""
+what the platform adds to it.
+"""
 
 from __future__ import annotations
 
--- a/tests/relay/test_streams_in_time.py
+++ b/tests/relay/test_streams_in_time.py
@@ -1,5 +1,6 @@
 """Events are passed on as they come, from an engine to a client, beside slow readers, silent engines and
-floods."""
+floods.
+"""
 
 from __future__ import annotations
 
--- a/tests/relay/test_view.py
+++ b/tests/relay/test_view.py
@@ -1,5 +1,6 @@
 """What the router's books say is out, the node's table, and the connections on which something is out: the
-same at every event, while engines break, hang, drain and are replaced and clients leave."""
+same at every event, while engines break, hang, drain and are replaced and clients leave.
+"""
 
 from __future__ import annotations
 
@@ -72,7 +73,7 @@
                 looked, most = looked + 1, max(most, len(calls))
 
             def tell(event: io.Event, router: Router | None = None) -> None:
-                outermost = not core._running
+                outermost = not core.dispatcher.is_running
                 handle(event, router)
                 if outermost:
                     same()
--- a/tests/relay_node.py
+++ b/tests/relay_node.py
@@ -86,7 +86,8 @@
 ) -> asyncio.subprocess.Process:
     """A node's process with these settings, which may not serve yet. `standard_error`: a descriptor, PIPE or
     CLOSED; `shim`: what else is run as it starts; `descriptors`: the system's limit on them, 0 for the usual
-    one."""
+    one.
+    """
     path.write_text(settings)
     (path.parent / "sitecustomize.py").write_text(REFUSED + shim)
     line = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"].replace(
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -1,5 +1,6 @@
 """A platform to test the relay against: discovery, engines and clients on raw sockets, which note what they
-saw."""
+saw.
+"""
 
 from __future__ import annotations
 
--- a/tests/rpc/test_arrival.py
+++ b/tests/rpc/test_arrival.py
@@ -1,5 +1,6 @@
 """Proofs of arrival by a clock of the test's own: when the peer is pinged, what its answer proves, when it is
-doubted."""
+doubted.
+"""
 
 from __future__ import annotations
 
--- a/tests/rpc/test_failing_calls.py
+++ b/tests/rpc/test_failing_calls.py
@@ -1,5 +1,6 @@
 """System calls that fail for a while, in each way that Linux documents, at a listener and at connections to
-engines."""
+engines.
+"""
 
 from __future__ import annotations
 
@@ -166,7 +167,8 @@
     pool: Pool, faults: CallFaults, call: str, number: int, seconds: float
 ) -> tuple[How, bool, int]:
     """How an exchange ends whose connection can't be opened for so long, as this call fails; whether it was
-    alone; tries."""
+    alone; tries.
+    """
     setattr(faults, call, (number,))
     faults.share, faults.failed = 1.0, 0
     asyncio.get_running_loop().call_later(seconds, lambda: setattr(faults, "share", 0.0))
--- a/tests/rpc/test_http1.py
+++ b/tests/rpc/test_http1.py
@@ -1,5 +1,6 @@
 """The HTTP/1 shell at arbitrary chunking and with garbage: the same answers however bytes come, and nothing
-stops it."""
+stops it.
+"""
 
 from __future__ import annotations
 
@@ -322,7 +323,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The request comes in the instant in which its connection, idle for longest, would be closed for a new
-    one."""
+    one.
+    """
 
     async def go() -> None:
         server = HttpServer(echo, early, HttpLimits(connections=2))
@@ -354,7 +356,8 @@
 
 def test_a_connection_with_a_request_that_was_read_and_waits_for_its_turn_makes_no_room() -> None:
     """Its client has sent many requests at once; a new connection comes while some of them wait in the
-    node."""
+    node.
+    """
     asks, spares = 40, []
 
     async def go() -> None:
@@ -380,7 +383,8 @@
 
 def test_nothing_is_sent_on_a_kept_connection_whose_peer_has_just_closed_it() -> None:
     """Its end has come, but the loop has not read it: what is sent there would end as a reset, which may have
-    run."""
+    run.
+    """
 
     async def go() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/rpc/test_stock_peers.py
+++ b/tests/rpc/test_stock_peers.py
@@ -1,5 +1,6 @@
 """The stock gRPC client against our server, and a stock server against our channel: peers that nobody here
-wrote."""
+wrote.
+"""
 
 from __future__ import annotations
 
@@ -250,7 +251,8 @@
 
 def test_a_thousand_streams_on_one_connection() -> None:
     """Each is served, on a slow machine too: their class waits as long as it takes, so that none is refused
-    for overload."""
+    for overload.
+    """
 
     async def go() -> None:
         model = (
@@ -278,7 +280,8 @@
 
 def test_pings_for_proofs_do_not_make_a_stock_server_end_the_connection() -> None:
     """It does after a few that come with no data between. Calls that wait long, one after another, ask for
-    many proofs."""
+    many proofs.
+    """
 
     async def go() -> None:
         answer = asyncio.Event()
--- a/tests/scale/test_costs.py
+++ b/tests/scale/test_costs.py
@@ -1,5 +1,6 @@
 """What decisions and list changes cost as the fleet grows, by counts of operations: the same on every
-machine."""
+machine.
+"""
 
 from __future__ import annotations
 
@@ -63,7 +64,8 @@
 
 def test_a_request_at_ten_times_the_engines_costs_no_more_than_its_streams_ask_for() -> None:
     """Ten times the engines spread a node's streams over more of them, which is what the growth left is
-    for."""
+    for.
+    """
     assert request_cost(Router, LARGE) < 1.6 * request_cost(Router, SMALL)
 
 
--- a/tests/scale/test_zone_back.py
+++ b/tests/scale/test_zone_back.py
@@ -1,5 +1,6 @@
 """A zone's engines are back cold, at once or one after another, before 350 nodes: together these keep within
-the budget."""
+the budget.
+"""
 
 from __future__ import annotations
 
--- a/tests/store/test_billing_machine.py
+++ b/tests/store/test_billing_machine.py
@@ -1,5 +1,6 @@
 """Nodes that serve, break, resume, commit, die and start again, in any order: bills over all their ledgers
-stay honest."""
+stay honest.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +23,8 @@
 
 class Billing(RuleBasedStateMachine):
     """Two nodes with a ledger each, three works of eight tokens. What clients have got is kept beside
-    them."""
+    them.
+    """
 
     @initialize()
     def start(self) -> None:
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -1,5 +1,6 @@
 """The ledger: killed at any moment, damaged, full, folded together. What is committed stays, and nothing
-counts twice."""
+counts twice.
+"""
 
 from __future__ import annotations
 
--- a/tests/store/test_sealed.py
+++ b/tests/store/test_sealed.py
@@ -1,5 +1,6 @@
 """A sealed file: whole or as it was, whatever byte its writer died at, and never taken for empty when it is
-damaged."""
+damaged.
+"""
 
 from __future__ import annotations
 
--- a/tests/tcp_state.py
+++ b/tests/tcp_state.py
@@ -1,5 +1,6 @@
 """What the kernel holds between the TCP sockets of one process: bytes, connections and ends that have not
-arrived yet."""
+arrived yet.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +29,8 @@
 
 def anything_on_its_way(descriptors: Iterable[int]) -> bool:
     """Whether something that one of these sockets did has not arrived at the other end yet, as far as both
-    are among them. The end of a connection can't be told so."""
+    are among them. The end of a connection can't be told so.
+    """
     ends: dict[tuple[Any, Any], _End] = {}
     listeners: set[Any] = set()
     for descriptor in descriptors:
--- a/tests/test_actions.py
+++ b/tests/test_actions.py
@@ -1,5 +1,6 @@
 """Every action of the interface carried out on sockets, and the event that comes back: those that the router
-itself seldom or never says are put into its mouth."""
+itself seldom or never says are put into its mouth.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +30,7 @@
 
 
 def act(w: World, action: io.Action) -> None:
-    w.node._acts[type(action)](action)
+    w.node.action_handlers[type(action)](action)
 
 
 def of(heard: list[Any], kind: type) -> list[Any]:
--- a/tests/test_bills_path.py
+++ b/tests/test_bills_path.py
@@ -1,5 +1,6 @@
 """Budgets and bills on real sockets: against what the stand-in engines wrote, through faults, retries,
-resumes and kills."""
+resumes and kills.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -88,7 +88,8 @@
 class Service:
     """Nodes before a fleet: requests come by chance, each attempt ends soon after it was sent. `replicas`: of
     how many the settings tell, where there are not that many; `late`: seconds within which the list tells
-    each node of the start; `pace`: microseconds to a read's end, to a first token and to an answer's end."""
+    each node of the start; `pace`: microseconds to a read's end, to a first token and to an answer's end.
+    """
 
     def __init__(
         self,
@@ -218,7 +219,8 @@
 
     def worst(self, number: int, allowed: Callable[[float], float] = lambda budget: budget) -> float:
         """The most of what the budget allows that any window has used, each send as the mean work of its
-        class."""
+        class.
+        """
         mean = 1 + MIX * (HEAVY - 1)
         weights = (1 / mean, HEAVY / mean)
         sends, used, work, end = self.sent[number], 0.0, 0.0, 0
@@ -388,7 +390,8 @@
 def turns(nodes: int) -> Callable[[float], float]:
     """What `routing/slow_start.py` argues for a window: its own turns, a third of the budget (and the ramp's
     growth meanwhile); of the window before, one for each process, a third at most; chance in the mix of
-    classes."""
+    classes.
+    """
     return lambda n: 1.07 * n / 3 + min(n / 3, nodes) + math.sqrt(n) + 2
 
 
--- a/tests/test_dragging.py
+++ b/tests/test_dragging.py
@@ -11,7 +11,8 @@
 
 class Streams:
     """A world with streams under way, twelve requests a second; each answer ends after `LENGTH` times what
-    its writer's slowness says."""
+    its writer's slowness says.
+    """
 
     def __init__(self, writers: int = 4, resume: bool = True) -> None:
         self.w = world(fleet(writers=writers), may_resume=resume)
@@ -91,7 +92,8 @@
 
 def test_a_short_halt_amid_very_short_answers_is_no_dragging() -> None:
     """A machine may stand still for some tens of milliseconds: many times as long as answers of a millisecond
-    take."""
+    take.
+    """
     w = world(fleet(writers=4), may_resume=True)
     for _ in range(300):
         request, actions = w.ask(after=4 * MS)
--- a/tests/test_full_path.py
+++ b/tests/test_full_path.py
@@ -15,7 +15,8 @@
 
 def test_answers_stream_token_by_token_and_end_once() -> None:
     """Of a class with a long aim: one process plays all parts, and its own slowness must not look like a
-    queue."""
+    queue.
+    """
 
     async def go() -> None:
         async with world() as w:
--- a/tests/test_lone.py
+++ b/tests/test_lone.py
@@ -86,7 +86,8 @@
     None
 ):
     """Its connection did not come up in the little time that was left, so that nobody is blamed, and the
-    state was lost."""
+    state was lost.
+    """
     for seed in range(20):
         w = world(fleet(readers=1, writers=4), seed=seed)
         request, actions = w.ask()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -24,7 +24,8 @@
 
 def test_a_read_has_no_own_time_out_where_nothing_was_heard_of_readers_just_now() -> None:
     """A cache flush makes every read slow at once; a node with a request a second can't tell that from
-    silence, and its further attempts were a third of all reading."""
+    silence, and its further attempts were a third of all reading.
+    """
     w = world(fleet(readers=8), replicas=NODES)
     given = []
     for after in (0, 100 * MS, 3 * S, 100 * MS):
@@ -54,7 +55,8 @@
 
 def test_a_request_whose_client_leaves_before_first_tokens_come_is_refused_and_costs_no_read() -> None:
     """Clients that give up after half a second and come again were three in four requests, none of them
-    served."""
+    served.
+    """
     w = world(fleet(readers=8), replicas=NODES)
     for _ in range(6):
         number, said = w.ask(after=100 * MS)
@@ -123,7 +125,8 @@
 
 def test_one_slow_read_after_a_silence_does_not_make_all_readers_slow() -> None:
     """While a queue empties, its last reads took long and nothing waits behind them: a time per token that
-    rests on one of them is ten times too long, and the node refused for seconds beside idle readers."""
+    rests on one of them is ten times too long, and the node refused for seconds beside idle readers.
+    """
     w = world(fleet(readers=8), replicas=NODES, report_fields=FIELDS)
     for _ in range(20):
         number, said = w.ask(after=500 * MS)
@@ -150,7 +153,8 @@
 
 def served_at(w: World, jammed: set[int], session: int) -> int | None:
     """The reader that serves one more request of the prefix; None where it is refused. The jammed ones report
-    their queues."""
+    their queues.
+    """
     for one in jammed:
         w.router.endpoints[one].record_report({"in_flight": 30.0, "tokens_waiting_k": 120.0}, w.now)
     number, said = w.ask(after=30 * MS, prefix=77, session=session)
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -27,7 +27,8 @@
 
 def test_no_module_that_decides_grows_large_or_has_lines_past_what_ruff_allows() -> None:
     """The users have lifted their limit on all lines together; each module stays one that can be read in a
-    sitting."""
+    sitting.
+    """
     for path in POLICY:
         lines = path.read_text().splitlines()
         assert sum(bool(line.strip()) for line in lines) <= 550, path.name
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -93,7 +93,8 @@
     effect: Idempotency, scope: IdempotencyScope, answer: type, after: int
 ) -> None:
     """An engine that hangs finds the whole request in its buffer when it goes on, whatever became of the
-    connection."""
+    connection.
+    """
     w = world(effect=effect, scope=scope)
     number, said = w.ask()
     said = w.end(number, only(SendAttempt, said).endpoint_id, Status.TIMEOUT, after=after)
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -1,5 +1,6 @@
 """Each of the five rules on real sockets: kept by the node as it is, and seen to break once its guard is
-taken out."""
+taken out.
+"""
 
 from __future__ import annotations
 
@@ -97,11 +98,11 @@
 
 
 def no_timeouts(w: World, patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(w.node, "_attempt_late", lambda record, attempt: None)
+    patch.setattr(w.node.attempt_starter, "expire", lambda record, attempt: None)
 
 
 def answers_dropped(w: World, patch: pytest.MonkeyPatch) -> None:
-    patch.setitem(w.node._acts, io.Fail, lambda action: None)
+    patch.setitem(w.node.action_handlers, io.Fail, lambda action: None)
 
 
 def timed_out_calls_go_on(w: World, patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -198,7 +198,8 @@
 
     def _due(self, event: Event) -> bool:
         """Whether an event may still come: an attempt ends once, and what has not begun does not start
-        later."""
+        later.
+        """
         if isinstance(event, StreamStarted | AttemptEnded):
             if self.open.get(event.request_id) != (event.attempt, event.endpoint_id):
                 return False
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -54,7 +54,8 @@
 
 def test_a_prefix_that_seldom_comes_has_three_homes_whichever_node_asks() -> None:
     """Kept at a share of the readers, each of hundreds of prefixes is read anew at twenty and pushes others
-    out of memory."""
+    out of memory.
+    """
     servers = fleet(readers=60, writers=5)
     homes: dict[int, set[int]] = {prefix: set() for prefix in range(1, 9)}
     for number, w in enumerate(nodes(servers, 30)):
@@ -67,7 +68,8 @@
 
 def test_a_prefix_that_is_long_to_read_by_what_the_aim_grants_has_one_home_whichever_node_asks() -> None:
     """Each of its homes reads it once: three homes where the three reads fit into half of the aim, else
-    one."""
+    one.
+    """
     cls = RequestClass("plain", 1.0, 1 * S, 5 * S, inter_token_objective_us=60_000.0)
     homes: dict[tuple[float, float], int] = {}
     for grant in (0.0, 100_000.0, 300_000.0):  # microseconds for a thousand tokens
--- a/tests/test_zones_path.py
+++ b/tests/test_zones_path.py
@@ -1,5 +1,6 @@
 """Crossings on real sockets: the node's account against what its engines saw, by class, tenant, stage and
-pair."""
+pair.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +30,8 @@
 ) -> dict[tuple[str, str, str, str, str], int]:
     """Bytes that crossed, as the engines' sockets saw them: class, tenant, stage, from, to. `relabelled`
     tells of engines (readers only) how many calls they had had, and what zone, before the one that they are
-    in now."""
+    in now.
+    """
     names = ["here", "there", "beyond"]
     found: dict[tuple[str, str, str, str, str], int] = defaultdict(int)
     works = {}
@@ -70,7 +72,8 @@
 
 async def settled(w: World, relabelled: dict[str, tuple[int, int]] | None = None) -> None:
     """Wait until the account has all that the engines saw; what it lacks is shown where that takes too
-    long."""
+    long.
+    """
     with contextlib.suppress(AssertionError):
         await until(lambda: booked(w) == seen(w, relabelled), seconds=12)
     assert booked(w) == seen(w, relabelled)
@@ -121,7 +124,8 @@
 def test_the_budget_of_each_class_holds_in_every_window_while_home_can_serve() -> None:
     """Home has slots for all of it, so serving within the budget is possible throughout: whatever crosses, by
     the engines' sockets, counts. One class has a narrow budget; the other, with the same load, shows what
-    would have crossed."""
+    would have crossed.
+    """
     rate, burst, quantum = 20_000, 24_000, 12_000
     settings = f"""zones {{ name: "here" name: "there"
       budget {{ bytes_per_s: {rate} burst_bytes: {burst} quantum_bytes: {quantum} request_class: "summary" }}
@@ -199,7 +203,8 @@
 
 def test_a_second_fetch_of_one_state_is_booked_once_each() -> None:
     """Both writers fetch and fall silent: the reader's word is asked for, and counts all that it has sent
-    since ever."""
+    since ever.
+    """
 
     async def go() -> None:
         async with world("r0 w1 w2", settings=BUDGET + " routing { max_attempts: 6 }", zones=ZONES) as w:
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -4,7 +4,8 @@
 nothing is. So what a test measures in seconds is what its timers say, whatever else the machine does. Sockets
 are real: a jump is made only after they have brought nothing for `GRACE_S` of real time, and while the kernel
 holds nothing that is on its way between two of them, for which a busy machine takes longer. Processes and
-threads would be overtaken by it: tests with those run on real time."""
+threads would be overtaken by it: tests with those run on real time.
+"""
 
 from __future__ import annotations
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -42,7 +42,8 @@
 
 def run(make: Callable[[], Coroutine[Any, Any, None]], seconds: float = 30, virtual: bool = False) -> None:
     """Run a test's coroutine; afterwards no task may be left behind. `virtual`: on virtual time, see
-    `virtual_time`."""
+    `virtual_time`.
+    """
 
     async def whole() -> None:
         await asyncio.wait_for(make(), seconds)
@@ -183,7 +184,8 @@
 ) -> AsyncIterator[World]:
     """Engines by name (r, w, m: their kind), with changes to the model in text format, settings to add, and
     what each tenant may ask a second; `zones` puts engines into zones other than 0, `models` labels them with
-    model and version."""
+    model and version.
+    """
     made = World()
     made.zones, made.models = zones or {}, models or {}
     with tempfile.TemporaryDirectory() as folder:
--- a/tuliptrack/cli/agent.py
+++ b/tuliptrack/cli/agent.py
@@ -28,7 +28,8 @@
 )
 def agent(host: str, folder: Path, program: str, settings: str, listen: str) -> None:
     """Run the node of HOST from FOLDER until SIGTERM, which leaves the node running. Prints one JSON line
-    with the address."""
+    with the address.
+    """
     set_up(json_lines=True)
     try:
         one = Agent(host, folder, Release(program, settings))
--- a/tuliptrack/cli/bills.py
+++ b/tuliptrack/cli/bills.py
@@ -36,7 +36,8 @@
 @click.option("--json", "as_json", is_flag=True)
 def show(ledgers: tuple[str, ...], as_json: bool) -> None:
     """Sums by tenant and day (UTC), those of compacted works included. Amounts in millionths of the
-    currency."""
+    currency.
+    """
     rows: dict[tuple[str, int], dict[str, int]] = {
         key: asdict(t) for key, t in totals(fold(_parts(ledgers))).items()
     }
@@ -92,7 +93,8 @@
 @_LEDGERS
 def merge(target: str, ledgers: tuple[str, ...]) -> None:
     """Put what LEDGERS hold into the ledger TARGET; what it has already is left out. Any order, any number of
-    times."""
+    times.
+    """
     new = _parts(ledgers)
     try:
         into = Ledger(target)
--- a/tuliptrack/cli/fleet.py
+++ b/tuliptrack/cli/fleet.py
@@ -56,7 +56,8 @@
 )
 def serve(number: int, hosts: Path, listen: str, window: float, takeover: float) -> None:
     """Run controller NUMBER (each another one, from 0) for the fleet in HOSTS until SIGTERM. HOSTS is a JSON
-    list of objects with `name`, `zone` and `agent` (host:port). Prints one JSON line with the address."""
+    list of objects with `name`, `zone` and `agent` (host:port). Prints one JSON line with the address.
+    """
     set_up(json_lines=True)
     one = Controller(number, read_hosts(hosts), int(window * 1e6), int(takeover * 1e6))
     asyncio.run(run_until_told(one, listen))
--- a/tuliptrack/cli/lab.py
+++ b/tuliptrack/cli/lab.py
@@ -68,7 +68,8 @@
 )
 def play(file: str, seed: int | None, as_json: bool, keep: str | None) -> None:
     """Play the scripted day in FILE with nodes and engines as processes, and judge it by the traffic. Exit
-    code 0 when all rules were kept, 1 when one was broken."""
+    code 0 when all rules were kept, 1 when one was broken.
+    """
     from tuliptrack.lab.day import play_day
     from tuliptrack.lab.report import as_text
 
@@ -100,7 +101,8 @@
 @click.option("--json", "path", type=click.Path(dir_okay=False), help="File for the report.")
 def play_hollow_fleet(path: str | None, **options: Any) -> None:
     """Play a fleet of hollow nodes before drawn engines: start, changes, a lost zone, new roles, a silent
-    discovery."""
+    discovery.
+    """
     from tuliptrack.lab.hollow.fleet import FleetError, FleetPlan, play_fleet
 
     try:
--- a/tuliptrack/cli/report.py
+++ b/tuliptrack/cli/report.py
@@ -20,7 +20,8 @@
 
 def read_rows(files: tuple[str, ...]) -> list[dict[str, Any]]:
     """Rows of the files, in time's order; a ClickException names the line that can't be read. The last line
-    of a file may be cut off by a crash: it is left out, and told."""
+    of a file may be cut off by a crash: it is left out, and told.
+    """
     rows = []
     for name in files:
         lines = Path(name).read_text().splitlines(keepends=True)
--- a/tuliptrack/cli/running.py
+++ b/tuliptrack/cli/running.py
@@ -18,7 +18,8 @@
 
 async def run_until_told(one: _Listens, listen: str, **more: str) -> None:
     """Start it at host:port, print one JSON line with its address and `more`, and stop it at SIGTERM or
-    SIGINT."""
+    SIGINT.
+    """
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
--- a/tuliptrack/cli/soak.py
+++ b/tuliptrack/cli/soak.py
@@ -69,7 +69,8 @@
 ) -> None:
     """Play drawn faults with nodes, engines, proxies, clients and the list's agent as processes on loopback,
     one seed after another, and judge what reached the engines and the clients. Exit code 0 where every
-    invariant held, 1 otherwise."""
+    invariant held, 1 otherwise.
+    """
     schedules = (
         [_read(schedule_file)] if schedule_file else [draw(seed, minutes * 60, nodes) for seed in seeds]
     )
--- a/tuliptrack/config/node.py
+++ b/tuliptrack/config/node.py
@@ -199,7 +199,8 @@
 @dataclass(frozen=True)
 class KserveOptions:
     """Of the KServe front: what requests mean that don't say it, and the REST form (not served without an
-    address)."""
+    address).
+    """
 
     rest_listen: str = ""
     request_class: str = ""
@@ -216,7 +217,8 @@
 @dataclass(frozen=True)
 class BillingOptions:
     """Of budgets and bills. `windows` by tenant, in units of a tenth of a token; `prices` by the time from
-    which they hold."""
+    which they hold.
+    """
 
     ledger: str = ""
     commit: int = 200_000
--- a/tuliptrack/config/textformat.py
+++ b/tuliptrack/config/textformat.py
@@ -2,7 +2,8 @@
 
 The library's own parser stops at the first error and forgets where a value stood. Here its tokenizer walks
 the text, each scalar statement is handed to its parser alone, and the place of every field is kept for the
-checks that follow. Source: the protobuf text format language specification."""
+checks that follow. Source: the protobuf text format language specification.
+"""
 
 from __future__ import annotations
 
@@ -76,7 +77,8 @@
 
 def read_file(path: str | Path, kind: type[M]) -> tuple[M, Located]:
     """Read a message from a file. ConfigError where the file can't be read; other problems are in
-    `Located`."""
+    `Located`.
+    """
     try:
         data = Path(path).read_bytes()
     except OSError as error:
--- a/tuliptrack/decisions/billing.py
+++ b/tuliptrack/decisions/billing.py
@@ -130,7 +130,8 @@
     parts: Iterable[UsageRecord], known: dict[tuple[str, int], UsageRecord] | None = None
 ) -> dict[tuple[str, int], UsageRecord]:
     """The state of each part that counts, by its name; added to what is `known` already, where that is
-    given."""
+    given.
+    """
     found = {} if known is None else known
     for part in parts:
         held = found.get(part.name)
--- a/tuliptrack/decisions/concurrency_limit.py
+++ b/tuliptrack/decisions/concurrency_limit.py
@@ -5,7 +5,8 @@
 When to come back is said by how fast requests have been ending lately: the time until a place may be free.
 
 No I/O, no clock: `now` in microseconds. Bound: one entry for each open connection and each tenant with open
-requests."""
+requests.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +28,8 @@
 
 class ByteBudget:
     """Bytes that may be held at once for bodies which are not yet whole. `take` says no where they would be
-    more."""
+    more.
+    """
 
     __slots__ = ("held", "most", "peak", "refused")
 
@@ -105,6 +107,7 @@
 
     def wait(self, tenant: str) -> int:
         """Microseconds after which a place may be free: the time in which a tenth of those open will have
-        ended, at the pace of late."""
+        ended, at the pace of late.
+        """
         waiting = self.limits.by_tenant if self.tenants.get(tenant, 0) >= self.limits.by_tenant else self.open
         return int(min(max(self.gap_us * waiting / 10, LEAST_WAIT_US), MOST_WAIT_US))
--- a/tuliptrack/decisions/consensus.py
+++ b/tuliptrack/decisions/consensus.py
@@ -49,7 +49,8 @@
 
     def accept(self, mark: Ballot, value: bytes) -> bool:
         """Whether this value is taken: from the newest epoch promised, and newer than the one that is held.
-        The very value that is held is taken again, as its answer may have been lost."""
+        The very value that is held is taken again, as its answer may have been lost.
+        """
         if mark[0] < self.promised or mark < self.mark or len(value) > MOST_BYTES:
             return False
         if mark == self.mark and value != self.value:
@@ -91,7 +92,8 @@
 
     def promised(self, agent: str, epoch: int, mark: Ballot, value: bytes) -> bool:
         """An agent has promised this epoch and told what it holds. True once, when that makes a majority:
-        what the newest of them held is then being written anew (`mark`, `value`)."""
+        what the newest of them held is then being written anew (`mark`, `value`).
+        """
         if epoch != self.epoch or agent not in self.agents or self.leads or self.seen > self.epoch:
             return False
         self._promises.add(agent)
@@ -105,7 +107,8 @@
 
     def write(self, value: bytes) -> Ballot:
         """Begin to write a value; only who leads may. What was being written before may still be settled by
-        others."""
+        others.
+        """
         if not self.leads:
             raise RuntimeError("only who leads may write")
         if len(value) > MOST_BYTES:
--- a/tuliptrack/decisions/cross_zone_budget.py
+++ b/tuliptrack/decisions/cross_zone_budget.py
@@ -56,7 +56,8 @@
 
 class CrossZoneBudgets:
     """One node's decisions on crossing: asked for a price before a choice, told of each attempt and its
-    end."""
+    end.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -99,7 +100,8 @@
 
     def size(self, request: Request, zone: int, held: int | None, writes: bool, tokens: float) -> float:
         """Bytes that an attempt at a server of this zone would move between zones. `held`: zone of the reader
-        whose state it would fetch, if any; `tokens`: prompt and expected answer."""
+        whose state it would fetch, if any; `tokens`: prompt and expected answer.
+        """
         s, far = self.settings, zone != self.settings.zone
         size = s.prompt_bytes * request.prompt_tokens * far
         if writes:
@@ -115,7 +117,8 @@
     def price(self, now: int, cls: int, size: float, worth: float) -> float:
         """What a crossing of so many bytes weighs, in mean loads (or as a share of a score): nothing for
         none, rising from PRICE_FULL as the budget runs out to PRICE_EMPTY where it has no room. `worth` is
-        the request's, as a share of the highest: low worth finds it dearer, and stays at home first."""
+        the request's, as a share of the highest: low worth finds it dearer, and stays at home first.
+        """
         purse = self.purse(cls)
         if not size or purse is None:
             return 0.0
@@ -137,7 +140,8 @@
 
     def settle(self, now: int, request: int, crossed: float) -> None:
         """The attempt has ended, having crossed with so many bytes: the rest goes back, more than that is
-        taken."""
+        taken.
+        """
         crossing = self.open.pop(request, None)
         if crossing is None:
             return
@@ -161,7 +165,8 @@
 class ZoneRecovery:
     """Which zones were dark and take their traffic back, by role. All nodes are told of a return at nearly
     the same moment; so the sessions that go back first are the same at all of them, and grow evenly to all in
-    RETURN_US."""
+    RETURN_US.
+    """
 
     def __init__(self) -> None:
         self.sizes: dict[tuple[int, Role], _Size] = {}
@@ -171,7 +176,8 @@
 
     def note(self, now: int, up: Iterable[tuple[int, Role]]) -> list[tuple[int, str]]:
         """The servers that are ready and not suspect, by zone and role; returns what has changed, for the
-        operators."""
+        operators.
+        """
         counts: dict[tuple[int, Role], int] = {}
         for key in up:
             counts[key] = counts.get(key, 0) + 1
--- a/tuliptrack/decisions/model_catalog.py
+++ b/tuliptrack/decisions/model_catalog.py
@@ -11,7 +11,8 @@
 session moves once, and every node picks alike.
 
 No I/O, no clock, no chance. Bound: `MAX_MODELS` models and versions; engines of one more are not served, and
-named."""
+named.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +40,8 @@
 
 class NotServedError(Exception):
     """No engines can serve what was asked for. `known` tells whether the list names it, so that it may come
-    back."""
+    back.
+    """
 
     def __init__(self, field: str, reason: str, known: bool = False) -> None:
         super().__init__(f"{field}: {reason}")
@@ -61,7 +63,8 @@
 
     def split(self, change: EndpointListUpdate, labels: dict[int, Model]) -> dict[Model, EndpointListUpdate]:
         """One change for each router that has to hear of it. `labels` names the model of each server in the
-        change."""
+        change.
+        """
         before = {model for model, _ in self.servers.values()}
         whole = change.kind is not UpdateKind.DELTA
         told: dict[Model, list[EndpointInfo]] = defaultdict(list)
@@ -127,7 +130,8 @@
 
     def part(self, model: Model) -> float:
         """The part of the fleet, and so of the quotas, that its engines are; 1 where nothing else is
-        listed."""
+        listed.
+        """
         whole = sum(self._can(one) for one in self._sizes)
         return self._can(model) / whole if whole and self._can(model) else 1.0
 
--- a/tuliptrack/decisions/rollout.py
+++ b/tuliptrack/decisions/rollout.py
@@ -237,7 +237,8 @@
 
 class Rollout:
     """Decides the next record from the last that is settled. `window` and `command` return None where nothing
-    changes."""
+    changes.
+    """
 
     def __init__(self, record: Record | None = None) -> None:
         self.record = record or Record()
@@ -372,7 +373,8 @@
 
     def _shown(self, plan: Plan) -> bool:
         """Whether new nodes are shown to be no worse: enough of their requests compared in this stage, each
-        measure within the plan's margin, and none that leans the other way."""
+        measure within the plan's margin, and none that leans the other way.
+        """
         stage = plan.stages[self.record.stage]
         return (
             self._compared() - self.counted >= stage.least_requests
@@ -418,7 +420,8 @@
 
     def _step_back(self, now: int, plan: Plan, seen: Mapping[str, Report]) -> Record | None:
         """The next hosts to be taken back. Those that are out already go first: they serve nobody as they
-        are."""
+        are.
+        """
         for host in sorted(self.out - self.record.wanted):
             if host in seen and now - self.changed[host] > 2 * plan.ready_within:
                 return self._hold(f"{host} doesn't come back with the old release")
--- a/tuliptrack/decisions/sequential_test.py
+++ b/tuliptrack/decisions/sequential_test.py
@@ -66,7 +66,8 @@
 
     def rate(self, node: str, stratum: Stratum) -> float:
         """The share of this node's requests that usually goes badly; never 0, as what was never seen may
-        come."""
+        come.
+        """
         count, bad = self.strata.get(stratum, (0.0, 0.0))
         usual = (bad + 0.5) / (count + 1.0)
         count, bad = self.nodes.get((node, stratum), (0.0, 0.0))
@@ -85,7 +86,8 @@
 @dataclass(slots=True)
 class Wager:
     """The evidence that new nodes do worse than old ones in one measure, and how much worse they may still
-    be."""
+    be.
+    """
 
     logs: list[float] = field(default_factory=lambda: [0.0] * len(STAKES))
     count: float = 0.0
--- a/tuliptrack/decisions/shared_token_bucket.py
+++ b/tuliptrack/decisions/shared_token_bucket.py
@@ -2,7 +2,8 @@
 
 Turn k comes at k x quantum / rate on a time that all nodes share, belongs to the node whose slot is k modulo
 `replicas`, and lapses after burst / rate. `decisions/cross_zone_budget.py` has the bound and its argument.
-Times in whole microseconds, amounts in whatever the budget counts. No I/O, no clock, no chance."""
+Times in whole microseconds, amounts in whatever the budget counts. No I/O, no clock, no chance.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/decisions/token_budget.py
+++ b/tuliptrack/decisions/token_budget.py
@@ -19,7 +19,8 @@
 bounds, moved by LEND_US.
 
 No I/O, no clock, no chance; `now` in microseconds. Bounds: the tenants of the settings; MOST_ESTIMATES
-classes by tenants; as many reservations as requests are open."""
+classes by tenants; as many reservations as requests are open.
+"""
 
 from __future__ import annotations
 
@@ -58,7 +59,8 @@
 @dataclass(frozen=True, slots=True)
 class TokenBudgetSettings:
     """The same for every node but for `slot`. `offset` turns a node's clock into microseconds since 1970, a
-    time that all share, and is taken at the start."""
+    time that all share, and is taken at the start.
+    """
 
     replicas: int
     windows: Mapping[str, tuple[BudgetWindow, ...]]
@@ -76,7 +78,8 @@
 @dataclass(frozen=True, slots=True)
 class BudgetVerdict:
     """What a request meets. `over`: some window has no room for it; `wait`: microseconds until it would have,
-    -1 for never."""
+    -1 for never.
+    """
 
     over: bool
     reserved: int = 0
@@ -194,7 +197,8 @@
 
     def _number(self, window: BudgetWindow, now: int) -> tuple[int, int]:
         """Which calendar window it is, and microseconds until the next. A clock that steps back starts none
-        anew."""
+        anew.
+        """
         self._last_wall = wall = max(now + self.settings.offset, self._last_wall)
         return wall // window.length, window.length - wall % window.length
 
@@ -207,7 +211,8 @@
 
     def ask(self, now: int, tenant: str, cls: int, prompt: int, kept: int, most: int) -> BudgetVerdict:
         """Whether a request is within its tenant's budgets; nothing is reserved. `kept`: prompt tokens that
-        are likely to need no reading."""
+        are likely to need no reading.
+        """
         self._lapse(now)
         one = self.tenants.get(tenant)
         units = self.units(max(prompt - kept, 0), kept, self.estimate(tenant, cls, most))
@@ -266,7 +271,8 @@
     def settle(self, now: int, request: int, kept: int, written: int, learn: bool) -> None:
         """The request has ended: it had so many of its prompt's tokens kept, and wrote so many, or was not
         served at all (both negative). `learn`: the answer came to its end, so that its length tells
-        something."""
+        something.
+        """
         reserved = self.open.pop(request, None)
         if reserved is None:
             return
@@ -291,7 +297,8 @@
 
     def _lapse(self, now: int) -> None:
         """Lend what has lapsed unused in the shortest window of each tenant: longer ones hold the same tokens
-        again. The wheel tells whose turn lapses, so nobody else is looked at."""
+        again. The wheel tells whose turn lapses, so nobody else is looked at.
+        """
         while self.pool and self.pool[0].lapses <= now:
             self.pool.popleft()
         for name in self.wheel.advance(now) if self.settings.lend else ():
--- a/tuliptrack/fleet/agent.py
+++ b/tuliptrack/fleet/agent.py
@@ -4,7 +4,8 @@
 A host's folder holds `programs/DIGEST/run` (given the settings' path; it prints one JSON line once it serves)
 and `settings/DIGEST`, and what the agent writes: `state` (sealed), `owner` (a lock), `node.out`, `node.log`.
 The node is a session of its own: it serves on when the agent ends, and the next agent finds it by the mark in
-its environment. Nothing that a node needs comes from here once it runs."""
+its environment. Nothing that a node needs comes from here once it runs.
+"""
 
 from __future__ import annotations
 
@@ -48,7 +49,8 @@
 
 def _started(pid: int) -> str:
     """When a process started, by the kernel's count: a pid that was given anew is another process. Empty:
-    there is none."""
+    there is none.
+    """
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     except OSError:
@@ -62,7 +64,8 @@
 
 def _node_of(root: Path) -> tuple[int, Release] | None:
     """The node that an earlier agent has started for this folder, if it still runs: whatever moment that
-    agent died at, the mark came with the process."""
+    agent died at, the mark came with the process.
+    """
     begin = f"{_MARK}={_mark(root, None)}".encode()
     for entry in Path("/proc").iterdir():
         if not entry.name.isdigit():
@@ -213,7 +216,8 @@
 
     def _obey(self, order: tuple[int, int], release: Release) -> bool:
         """Take an order; False where it is older than another or than the epoch promised. One without a
-        release only tells that somebody leads."""
+        release only tells that somebody leads.
+        """
         if order[0] < self.acceptor.promised or order < self.order:
             return False
         self.led_at = now_us()
@@ -256,7 +260,8 @@
 
     def _turn(self) -> None:
         """One look at the node: start it, note that it is ready or has died, or go on with its
-        replacement."""
+        replacement.
+        """
         now = asyncio.get_running_loop().time()
         if child := self._children.get(self.pid):
             child.poll()
--- a/tuliptrack/fleet/controller.py
+++ b/tuliptrack/fleet/controller.py
@@ -2,7 +2,8 @@
 then orders it.
 
 It keeps nothing of its own: the record lies at the agents. Any number run; which one acts follows from epochs
-alone, the waits below only keep two from claiming at once all the time."""
+alone, the waits below only keep two from claiming at once all the time.
+"""
 
 from __future__ import annotations
 
@@ -76,7 +77,8 @@
         self, number: int, hosts: tuple[Host, ...], window: int = 5_000_000, takeover: int = 3_000_000
     ) -> None:
         """`window` is how long reports are gathered before a decision, `takeover` how long nobody may have
-        led before this one claims; both in microseconds."""
+        led before this one claims; both in microseconds.
+        """
         self.number, self.hosts, self.window, self.takeover = (
             number,
             {h.name: h for h in hosts},
@@ -209,7 +211,8 @@
 
     async def _look_at(self, name: str) -> None:
         """Send one agent its order, where this one acts, and take its report in, again and again. A host that
-        is cut off keeps nobody else waiting."""
+        is cut off keeps nobody else waiting.
+        """
         while True:
             question = pb.LookRequest()
             if self.acts and self.proposer.settled:
@@ -227,7 +230,8 @@
 
     async def _ask_all(self, method: str, question: Any, each: Callable[[str, pb.AgentAnswer], bool]) -> None:
         """Ask every agent; hand each answer on until one of them is enough (True). The others are still
-        told."""
+        told.
+        """
 
         async def one(name: str) -> tuple[str, pb.AgentAnswer | None]:
             try:
@@ -307,7 +311,8 @@
 
     def _learn(self) -> None:
         """While another one acts: know what is usual, as this one may have to go on. Only what every host,
-        ready and with one and the same release, does can be that."""
+        ready and with one and the same release, does can be that.
+        """
         now = now_us()
         if now - self._window_at < self.window:
             return
--- a/tuliptrack/fleet/measures.py
+++ b/tuliptrack/fleet/measures.py
@@ -14,7 +14,8 @@
 
 class LogCounts:
     """Reads on in a log as it grows. A request that took longer to its first token than `late_ms` counts as
-    late."""
+    late.
+    """
 
     def __init__(self, path: Path, late_ms: float = 1000.0, from_end: bool = False) -> None:
         self.path, self.late_ms = path, late_ms
--- a/tuliptrack/fronts/codes.py
+++ b/tuliptrack/fronts/codes.py
@@ -1,5 +1,6 @@
 """What the gRPC fronts have in common: the core's words as gRPC statuses. `docs/operate/grpc.md` has the
-table."""
+table.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/fronts/generation.py
+++ b/tuliptrack/fronts/generation.py
@@ -1,5 +1,6 @@
 """The front of `tuliptrack.v1.Generation`: requests in, token streams out, codes as `docs/operate/grpc.md`
-lists."""
+lists.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/fronts/installed.py
+++ b/tuliptrack/fronts/installed.py
@@ -1,5 +1,6 @@
 """The protocols that clients speak. A new one is a file here and a line in `FRONTS` (services of the gRPC
-server) or `LISTENERS` (what listens on an address of its own); `node/` knows none by name."""
+server) or `LISTENERS` (what listens on an address of its own); `node/` knows none by name.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/fronts/kserve/grpc.py
+++ b/tuliptrack/fronts/kserve/grpc.py
@@ -1,5 +1,6 @@
 """`inference.GRPCInferenceService`: one call one answer, and a stream of many requests with many responses
-each."""
+each.
+"""
 
 from __future__ import annotations
 
@@ -168,7 +169,8 @@
 
 class _Stream:
     """One ModelStreamInfer: requests come and answers go, each ending by itself. Bound on those open:
-    admission's."""
+    admission's.
+    """
 
     def __init__(self, call: ServerCall, core: Core, config: NodeConfig) -> None:
         self.call, self.core, self.config = call, core, config
--- a/tuliptrack/fronts/kserve/mapping.py
+++ b/tuliptrack/fronts/kserve/mapping.py
@@ -69,7 +69,8 @@
     infer: Infer, options: KserveOptions, now: int, deadline: int | None, connection: object
 ) -> ClientRequest:
     """The core's request; AskError names what can't be taken. `now` and `deadline` in monotonic
-    microseconds."""
+    microseconds.
+    """
     given: dict[str, Any] = {}
     for tensor in infer.inputs:
         place = f"inputs.{tensor.name[:60]}"
--- a/tuliptrack/fronts/kserve/rest.py
+++ b/tuliptrack/fronts/kserve/rest.py
@@ -1,5 +1,6 @@
 """The REST form of the protocol on HTTP/1.1, with the generate extension: whole answers, or server-sent
-events."""
+events.
+"""
 
 from __future__ import annotations
 
@@ -163,7 +164,8 @@
 
 class _Events:
     """An answer as server-sent events. Until the first token nothing is sent, so that a refusal has its own
-    status."""
+    status.
+    """
 
     def __init__(self, call: HttpCall, infer: Infer) -> None:
         self.call, self.infer = call, infer
--- a/tuliptrack/fronts/kserve/tensors.py
+++ b/tuliptrack/fronts/kserve/tensors.py
@@ -2,7 +2,8 @@
 
 Pure functions; `TensorError` names the tensor and what is wrong with it. Source: the Open Inference
 Protocol's tensor data types and the binary tensor data extension (little-endian, row-major; BYTES elements
-each after a 4-byte length)."""
+each after a 4-byte length).
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/fronts/port.py
+++ b/tuliptrack/fronts/port.py
@@ -1,5 +1,6 @@
 """What a front and the core say to each other. A front turns its protocol's words into an `ClientRequest` and
-carries an `ResponseWriter` out to its client; it decides nothing. The core knows no front."""
+carries an `ResponseWriter` out to its client; it decides nothing. The core knows no front.
+"""
 
 from __future__ import annotations
 
@@ -112,11 +113,13 @@
 
 class ResponseWriter(Protocol):
     """A front's side of one request. Exactly one of the last three is called, once, unless the client
-    left."""
+    left.
+    """
 
     def token(self, index: int, text: str, finish: FinishReason | None, usage: Usage | None) -> bool:
         """The next token; `finish` and `usage` with the last. False asks to pause until
-        `RequestHandle.writable`."""
+        `RequestHandle.writable`.
+        """
 
     def served(self) -> None:
         """All was sent."""
@@ -169,7 +172,8 @@
 
     def overload(self) -> tuple[str, int]:
         """Why any request would be refused now, whoever sends it, and after how many microseconds to come
-        back; an empty reason where it would be looked at."""
+        back; an empty reason where it would be looked at.
+        """
 
     def submit(self, ask: ClientRequest, answer: ResponseWriter) -> RequestHandle:
         """Take a request; AskError where it can't be one. The answer may begin before this returns."""
--- a/tuliptrack/interface/__init__.py
+++ b/tuliptrack/interface/__init__.py
@@ -2,7 +2,8 @@
 
 A host builds one `tuliptrack.routing.router.Router(settings, seed)` for each node, passes it events with
 `handle(now, events)` and carries out the actions that come back, in order. All times are whole microseconds
-on the host's own clock, which never goes backwards; all sizes are tokens. Nothing is decided here."""
+on the host's own clock, which never goes backwards; all sizes are tokens. Nothing is decided here.
+"""
 
 from tuliptrack.interface.actions import (
     Action,
--- a/tuliptrack/interface/settings.py
+++ b/tuliptrack/interface/settings.py
@@ -102,7 +102,8 @@
 
     `bytes_per_s` in the long run, `burst` at once; granted to the nodes in rotation in units of `quantum`
     bytes, which is at least what a usual request moves. `by_traffic` is the share that the nodes earn by the
-    requests that arrive there instead, measured by the tenants' quotas."""
+    requests that arrive there instead, measured by the tenants' quotas.
+    """
 
     bytes_per_s: float
     burst: float
--- a/tuliptrack/lab/capacity/control.py
+++ b/tuliptrack/lab/capacity/control.py
@@ -1,5 +1,6 @@
 """What controllers, agents and the record of a fleet cost by the number of hosts, by bytes that were on the
-wire."""
+wire.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/lab/capacity/fit.py
+++ b/tuliptrack/lab/capacity/fit.py
@@ -26,7 +26,8 @@
 @dataclass(frozen=True, slots=True)
 class Fit:
     """`value = a + b * size` for a line, `a * size ** b` for a power. `residual` is the largest relative
-    one."""
+    one.
+    """
 
     form: Form
     a: float
--- a/tuliptrack/lab/capacity/node.py
+++ b/tuliptrack/lab/capacity/node.py
@@ -113,7 +113,8 @@
     make: Maker, sizes: Iterable[int], clock: Yardstick, costs: NodeCosts, prefix: str = ""
 ) -> None:
     """Times of decisions by engines, in yardsticks; operations of a request, and the share of new
-    connections."""
+    connections.
+    """
     for engines in sizes:
         one = playback(make, engines)
         one.play(WARM_UP)
--- a/tuliptrack/lab/capacity/operations.py
+++ b/tuliptrack/lab/capacity/operations.py
@@ -12,7 +12,8 @@
 
 def count_operations(work: Callable[[], object]) -> int:
     """Operations of the interpreter in `work` and all that it calls; sorts and other work in C count as one
-    each."""
+    each.
+    """
     count = 0
 
     def trace(frame: FrameType, event: str, argument: Any) -> Any:
--- a/tuliptrack/lab/capacity/processes.py
+++ b/tuliptrack/lab/capacity/processes.py
@@ -152,7 +152,8 @@
 
 async def measure_agent(costs: NodeCosts) -> None:
     """Processor time and memory of a real agent that three controllers look at, before a node that does
-    nothing."""
+    nothing.
+    """
     with tempfile.TemporaryDirectory() as folder:
         root = Path(folder) / "host"
         (root / "settings").mkdir(parents=True)
--- a/tuliptrack/lab/capacity/results.py
+++ b/tuliptrack/lab/capacity/results.py
@@ -42,7 +42,8 @@
 @dataclass(slots=True)
 class Results:
     """Every series of one run. Times are yardsticks: how often a fixed JSON text could have been parsed
-    meanwhile."""
+    meanwhile.
+    """
 
     series: dict[str, Series] = field(default_factory=dict)
     yardstick_us: float = 0.0
@@ -79,7 +80,8 @@
     @staticmethod
     def read(path: Path, wanted: Iterable[str] = ()) -> Results:
         """ResultError where the file is missing, no result, of another version, or lacks one of the wanted
-        series."""
+        series.
+        """
         try:
             told = json.loads(path.read_text())
         except OSError as error:
--- a/tuliptrack/lab/capacity/roles.py
+++ b/tuliptrack/lab/capacity/roles.py
@@ -1,5 +1,6 @@
 """What each role of a fleet is asked for, on an ordinary second, at the peak and in the worst hour, against
-its budget."""
+its budget.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +25,8 @@
 @dataclass(frozen=True, slots=True)
 class Row:
     """One line of a role's table. `worst` is in the worst hour, which `hour` names; the ratio is the greatest
-    of the three values over the budget."""
+    of the three values over the budget.
+    """
 
     role: str
     what: str
--- a/tuliptrack/lab/capacity/target.py
+++ b/tuliptrack/lab/capacity/target.py
@@ -64,13 +64,15 @@
     @property
     def role_changes_per_day(self) -> float:
         """Engines that change role: half of the readers' share, there and back; each is two entries of the
-        list."""
+        list.
+        """
         return 2 * 2 * self.readers / 2
 
     @property
     def list_changes_per_day(self) -> float:
         """Changed entries of the list: a restart drains, goes and comes back; a failure goes and comes
-        back."""
+        back.
+        """
         return 3 * self.restarts_per_day + 2 * self.failures_per_day + self.role_changes_per_day
 
     @property
--- a/tuliptrack/lab/client.py
+++ b/tuliptrack/lab/client.py
@@ -1,5 +1,6 @@
 """Stand-in clients: they arrive by a script, retry, resume, leave, read slowly, and write down what they
-saw."""
+saw.
+"""
 
 from __future__ import annotations
 
@@ -184,7 +185,8 @@
 
     def _node(self, chance: random.Random) -> int:
         """A node by chance, as a plain layer in front picks it; a dead one is left out after a while, but for
-        a trial."""
+        a trial.
+        """
         good = [
             n
             for n in range(len(self.nodes))
--- a/tuliptrack/lab/day.py
+++ b/tuliptrack/lab/day.py
@@ -375,7 +375,8 @@
     scenario: lab_pb2.Scenario, keep: str | None = None, say: Callable[[str], None] | None = None
 ) -> dict[str, Any]:
     """Play a day and judge it. `keep` names a folder for its logs. Every process started here has ended on
-    return."""
+    return.
+    """
     _check(scenario)
     with contextlib.ExitStack() as stack:
         folder = (
--- a/tuliptrack/lab/engine.py
+++ b/tuliptrack/lab/engine.py
@@ -2,7 +2,8 @@
 
 It speaks `tuliptrack.v1.Engine` on a real socket and writes down what it saw there, one JSON line an event,
 in monotonic microseconds (one clock for all processes of a machine). Its answers follow from the request
-alone, so that a judge can tell a token missing or twice."""
+alone, so that a judge can tell a token missing or twice.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/lab/feed.py
+++ b/tuliptrack/lab/feed.py
@@ -1,5 +1,6 @@
 """A stand-in for the feed of server lists: holds the list, pushes changes, and writes down who was told what,
-when."""
+when.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +16,8 @@
 
 class Feed:
     """Serves `tuliptrack.v1.ServerFeed`. `silent` holds changes back; `failing` breaks streams and fails
-    calls."""
+    calls.
+    """
 
     def __init__(self, note: Callable[..., None] = lambda *_, **__: None) -> None:
         self.entries: dict[int, pb.ServerEntry] = {}
--- a/tuliptrack/lab/hollow/agents.py
+++ b/tuliptrack/lab/hollow/agents.py
@@ -15,7 +15,8 @@
 
 class HollowAgent:
     """Promises, holds records and reports as `fleet/agent.py` does; its node is drawn. `start`, then
-    `stop`."""
+    `stop`.
+    """
 
     def __init__(self, host: str, record: bytes = b"") -> None:
         """`record` is what it holds from the beginning, under an epoch that no controller claims."""
--- a/tuliptrack/lab/hollow/fleet.py
+++ b/tuliptrack/lab/hollow/fleet.py
@@ -1,5 +1,6 @@
 """Hollow nodes before drawn engines on one machine: start, changes, a lost zone, new roles, a silent
-discovery."""
+discovery.
+"""
 
 from __future__ import annotations
 
@@ -371,7 +372,8 @@
 def _most_of_budget(sends: list[float], plan: FleetPlan) -> float:
     """The most that any window had of what the settings allow an engine that has only just started. The
     engine's ramp is taken at its lowest, and it is taken for a reader or writer of the whole quotas' even
-    share, whichever is less."""
+    share, whichever is less.
+    """
     settings = node_settings(plan.nodes)
     quotas = sum(tenant.quota_per_s for tenant in settings.tenants)
     able = quotas / (plan.engines * 3 / 4)
--- a/tuliptrack/lab/hollow/node.py
+++ b/tuliptrack/lab/hollow/node.py
@@ -1,5 +1,6 @@
 """A hollow node: the platform node's real discovery client, list and decisions in real time; clients and
-engines are drawn."""
+engines are drawn.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/lab/hollow/population.py
+++ b/tuliptrack/lab/hollow/population.py
@@ -1,5 +1,6 @@
 """Populations of drawn engines, as the platform's discovery lists them and as the decision module sees
-them."""
+them.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/lab/hollow/traffic.py
+++ b/tuliptrack/lab/hollow/traffic.py
@@ -2,7 +2,8 @@
 it.
 
 The same source drives a router on a clock of its own (`Playback`, for measurements and tests) and in real
-time (`node.py`)."""
+time (`node.py`).
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/lab/hollow/worker.py
+++ b/tuliptrack/lab/hollow/worker.py
@@ -1,7 +1,8 @@
 """A process of a hollow fleet: some hollow nodes, or one list server. Told by lines of JSON on its input.
 
 The first line is its settings (`{"role": "nodes" | "lists", ...}`); it answers with one line once it runs.
-Further lines are commands: `change`, `silent` and `report`; the end of the input ends it."""
+Further lines are commands: `change`, `silent` and `report`; the end of the input ends it.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/lab/soak/client.py
+++ b/tuliptrack/lab/soak/client.py
@@ -172,7 +172,8 @@
     ) -> tuple[int, bool, bool]:
         """Status (0: none, the connection ended; -1: none in time), whether the answer was whole, whether the
         connection may be used again. An answer that has begun and does not end in time has its status and is
-        not whole."""
+        not whole.
+        """
         within = budget + _WAITS_LONGER_S if leaves is None else min(leaves, budget)
         connection.status, connection.held_back = -1, 0.0
         try:
--- a/tuliptrack/lab/soak/engine.py
+++ b/tuliptrack/lab/soak/engine.py
@@ -2,7 +2,8 @@
 
 Read states lie as files in a folder that all engines share, as any of them may let go of a state: a read
 makes one, an answer takes it, a release removes it, and an answer that finds none says that the state is
-gone."""
+gone.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/lab/soak/judge.py
+++ b/tuliptrack/lab/soak/judge.py
@@ -1,5 +1,6 @@
 """The invariants of a soak, judged by what reached the engines and what clients got, never by what a node
-believes."""
+believes.
+"""
 
 from __future__ import annotations
 
@@ -81,7 +82,8 @@
 
     def __init__(self, records: list[dict[str, Any]], margin: float) -> None:
         """`margin`: so shortly before a kill no request can be answered, and for so long after one is noted
-        its process may take connections."""
+        its process may take connections.
+        """
         self.margin = margin
         self.killed: dict[str, list[float]] = defaultdict(list)
         self.terminated: dict[str, list[float]] = defaultdict(list)
@@ -97,7 +99,8 @@
 
     def forgiven(self, name: str, sent: float, answered_by: float) -> bool:
         """Whether a request may have been lost with its node: one that was killed without a word, or soon
-        after its end was announced where the request had come before or shortly after that."""
+        after its end was announced where the request had come before or shortly after that.
+        """
         kill = self.kill_after(name, sent - self.margin)
         if kill > answered_by:
             return False
@@ -172,7 +175,8 @@
 
 def _streams(requests: Any, troubles: _Troubles, lives: _Lives) -> list[Violation]:
     """An answer that has begun goes on or is cut off, unless something went wrong at its engine or its node
-    meanwhile. One that is cut off is the client's to resume, as the settings have it."""
+    meanwhile. One that is cut off is the client's to resume, as the settings have it.
+    """
     return [
         Violation("stream", one.name, f"stuck: {one.answer} from {one.places}")
         for one in requests
@@ -229,7 +233,8 @@
     world: World, records: list[dict[str, Any]], reachable: _Reachable, lives: _Lives, margin: float
 ) -> list[Violation]:
     """A read state is taken or let go in time, by what reached a running engine. A read is out until its
-    answer comes to its node, or the node gives it up."""
+    answer comes to its node, or the node gives it up.
+    """
     allowed = world.schedule.release_within_s + SLACK_S + margin
     end = max(one["t"] for one in records)
     held: dict[str, tuple[float, str]] = {}
@@ -323,7 +328,8 @@
 
 def _agent_silences(records: list[dict[str, Any]]) -> list[tuple[float, float]]:
     """When the agent said nothing; what it had counts as told up to 6 s after that began, or as it speaks
-    again."""
+    again.
+    """
     found: list[tuple[float, float]] = []
     for one in records:
         if one["event"] == "agent":
--- a/tuliptrack/lab/soak/ports.py
+++ b/tuliptrack/lab/soak/ports.py
@@ -1,7 +1,8 @@
 """Addresses of a soak's processes, which no other soak on this machine takes meanwhile.
 
 Ports below those that the system gives to outgoing connections are dealt out in blocks. Who listens on a
-block's first port has the block."""
+block's first port has the block.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/lab/soak/proxy.py
+++ b/tuliptrack/lab/soak/proxy.py
@@ -2,7 +2,8 @@
 
 The proxy accepts connections and reads whatever is sent, so the sender's kernel sees every byte confirmed,
 whether or not it is handed on. That is what a middlebox, a load balancer or a machine whose process is gone
-looks like from the other side."""
+looks like from the other side.
+"""
 
 from __future__ import annotations
 
@@ -107,7 +108,8 @@
 
     def heal(self) -> None:
         """The fault is over. What was thrown away is missing, so such a connection can't go on: it is
-        reset."""
+        reset.
+        """
         if self.fault is Fault.DISCARD:
             self.close()
             return
@@ -125,7 +127,8 @@
 
 class FaultProxy:
     """A listener that hands connections on to `target` (host:port). `close` ends every connection and task of
-    it."""
+    it.
+    """
 
     def __init__(self, target: str) -> None:
         self.target = target
--- a/tuliptrack/lab/soak/records.py
+++ b/tuliptrack/lab/soak/records.py
@@ -1,5 +1,6 @@
 """What the processes of a soak write down: a line of JSON for each event, with monotonic time, which all of
-them share."""
+them share.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +32,8 @@
 
 def read_records(folder: Path, name: str = "*") -> list[dict[str, Any]]:
     """The records of all processes, or of the one named, in order of time. A last line that a kill cut off is
-    left out."""
+    left out.
+    """
     return sorted(_lines(folder, name), key=lambda one: float(one["t"]))
 
 
--- a/tuliptrack/lab/soak/runner.py
+++ b/tuliptrack/lab/soak/runner.py
@@ -1,5 +1,6 @@
 """Plays a soak: starts its processes, sends the signals of the schedule, ends what it started and judges the
-records."""
+records.
+"""
 
 from __future__ import annotations
 
@@ -278,7 +279,8 @@
 
 async def play(schedule: Schedule, keep: Path | None = None) -> Result:
     """Play a schedule with real processes. Where an invariant was broken, its records are left in `keep`, if
-    that is given."""
+    that is given.
+    """
     with loopback_addresses(2 * len(schedule.engines) + 3 * schedule.nodes) as addresses:
         return await _play_at(addresses, schedule, keep)
 
@@ -314,7 +316,8 @@
 
 async def shrink(schedule: Schedule, tries: int) -> Schedule:
     """A smaller schedule that still breaks an invariant: faults are left out while it does. At most so many
-    plays."""
+    plays.
+    """
     smallest, step = schedule, max(len(schedule.faults) // 2, 1)
     while tries > 0 and step >= 1:
         begin, shrunk = 0, False
--- a/tuliptrack/lab/soak/shim.py
+++ b/tuliptrack/lab/soak/shim.py
@@ -2,7 +2,8 @@
 
 `FaultySocket` takes the place of `socket.socket` for the whole process: one layer that every socket goes
 through, which is told what fails, how and when. The clock's shim adds the steps so far to `time.time` and
-`time.time_ns`; monotonic time is left alone."""
+`time.time_ns`; monotonic time is left alone.
+"""
 
 from __future__ import annotations
 
@@ -109,7 +110,8 @@
 
     def _outgoing(self) -> bool:
         """Whether this process opened the connection: a client's connection that breaks is no fault of the
-        node's."""
+        node's.
+        """
         if self.family == socket.AF_UNIX:  # asyncio's own pair
             return False
         try:
--- a/tuliptrack/lab/soak/slow_start.py
+++ b/tuliptrack/lab/soak/slow_start.py
@@ -21,14 +21,16 @@
 
 def budget(fair: float) -> float:
     """The calls that an engine in slow start bears in the time that the settings name, where they allow
-    `fair` in the mean."""
+    `fair` in the mean.
+    """
     root = math.sqrt(fair)
     return fair + 2 * root + 2 if fair >= _FEW else fair + 3 * root + 3
 
 
 def slow_starts(world: World, records: list[dict[str, Any]], margin: float) -> list[Violation]:
     """No engine is sent more, by all nodes together, than it bears while it is cold and all nodes have been
-    told."""
+    told.
+    """
     sent = _sent(records)
     found = []
     for engine, started, told in _starts(world, records):
--- a/tuliptrack/lab/twin.py
+++ b/tuliptrack/lab/twin.py
@@ -3,7 +3,8 @@
 
 The nodes are `Router`s as they run; engines, links and clients are modelled, in whole microseconds. No
 sockets and no real time: a day of some ten seconds takes about as long to play. What a node believes of an
-engine can be held against the engine itself at any event (`Twin.now`, `Twin.engines`)."""
+engine can be held against the engine itself at any event (`Twin.now`, `Twin.engines`).
+"""
 
 from __future__ import annotations
 
@@ -148,7 +149,8 @@
 
     def recovered(self, since: int, level: float = 0.9) -> int | None:
         """Microseconds after `since` from which on each second had `level` served in time; None if that never
-        came."""
+        came.
+        """
         low = [s for s, c in self.by_second.items() if s * _S >= since and c["in time"] < level * c.total()]
         if not low:
             return 0
@@ -265,7 +267,8 @@
 
     def _restart(self, number: int) -> None:
         """A node comes back with nothing known; what it had open is lost to its clients, who count as
-        failed."""
+        failed.
+        """
         for asked in self.asked.values():
             if asked.node == number and not asked.answered:
                 self._final(asked, "lost")
@@ -439,7 +442,8 @@
 
 class LateSeeing(_Plain):
     """Sees every engine as it truly is, and minds no cold one: where a prompt will have been read the
-    soonest."""
+    soonest.
+    """
 
     def pick(self, kind: int, request: Request) -> int:
         def soon(e: Engine) -> float:
--- a/tuliptrack/lab/wire.py
+++ b/tuliptrack/lab/wire.py
@@ -15,7 +15,8 @@
 
 class Cut(Flag):
     """What doesn't come through. Bytes are held back, as by a network that drops packets: both ends see an
-    open connection."""
+    open connection.
+    """
 
     NOTHING = 0
     THERE = auto()
--- a/tuliptrack/node/billing.py
+++ b/tuliptrack/node/billing.py
@@ -3,7 +3,8 @@
 
 A part of a bill is written when its request ends, and while it streams at each commit, so that a killed node
 loses at most what has left since the last one. Commits run in a thread, one at a time. Where they fail, parts
-wait (bounded); then new requests are refused, or served unbilled and counted, as the settings have it."""
+wait (bounded); then new requests are refused, or served unbilled and counted, as the settings have it.
+"""
 
 from __future__ import annotations
 
@@ -209,7 +210,8 @@
 
     def tell(self) -> None:
         """One line for the operators: who uses most, and how far off the reservations are, in tokens of
-        weight 1."""
+        weight 1.
+        """
         if self.budgets is None:
             return
         uses = [one.use for one in self.budgets.tenants.values()]
--- a/tuliptrack/node/counters.py
+++ b/tuliptrack/node/counters.py
@@ -1,5 +1,6 @@
 """What a node counts of itself, for operators: events by name, and broken invariants with the request's own
-history."""
+history.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/node/cross_zone_account.py
+++ b/tuliptrack/node/cross_zone_account.py
@@ -117,7 +117,8 @@
 
     def write(self, rows: dict[Key, list[float]], wall: float | None = None) -> None:
         """Append an interval to the report; where that fails, it is logged, kept for the next time, and
-        serving goes on."""
+        serving goes on.
+        """
         if not self.path:
             return
         for key, row in rows.items():
--- a/tuliptrack/node/engine_channels.py
+++ b/tuliptrack/node/engine_channels.py
@@ -1,5 +1,6 @@
 """The engines as the node reaches them: a channel for each server of the list, and load reports read from
-trailers."""
+trailers.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +33,8 @@
 
 def outcome_of(end: End) -> Status:
     """What the router is told of a call's end. A call that the peer never looked at counts as not
-    connected."""
+    connected.
+    """
     if end.how is How.CONNECT or (end.unprocessed and end.how is How.RESET):
         return Status.CONNECT_FAILED
     if end.how is How.STATUS:
@@ -42,7 +44,8 @@
 
 def load_of(end: End, server: int) -> tuple[float, ...]:
     """The values of `REPORT_FIELDS` from an ORCA report in the trailers; nothing where there is none, or a
-    malformed one, which is logged."""
+    malformed one, which is logged.
+    """
     data = next((v for k, v in end.metadata if k == REPORT_TRAILER and isinstance(v, bytes)), None)
     if data is None:
         return ()
@@ -66,7 +69,8 @@
 
 class EngineChannels:
     """One channel for each server that was listed. A server that has gone keeps its channel while calls run
-    there."""
+    there.
+    """
 
     def __init__(self, options: EngineOptions, message_bytes: int) -> None:
         self.idle = options.idle
@@ -84,7 +88,8 @@
 
     def listed(self, addresses: dict[int, str], gone: set[int]) -> None:
         """Take the addresses of a list. A server under a new address gets a new channel; the old one ends
-        with its calls."""
+        with its calls.
+        """
         for server, address in addresses.items():
             if self.addresses.get(server) != address:
                 self._retire(server)
--- a/tuliptrack/node/grpc_engine_client.py
+++ b/tuliptrack/node/grpc_engine_client.py
@@ -194,7 +194,8 @@
 
     def release(self, server: int, record: RequestRecord, unsure: bool = False) -> None:
         """Tell an engine to let go of what it holds; once more where that call broke or has had no answer for
-        a while."""
+        a while.
+        """
         self._release(server, record, _RELEASE_TRIES)
 
     def _release(self, server: int, record: RequestRecord, timeouts: tuple[int, ...]) -> None:
--- a/tuliptrack/node/line_file.py
+++ b/tuliptrack/node/line_file.py
@@ -1,7 +1,8 @@
 """A file of whole lines that grows at its end, on disk when an append returns.
 
 An append that fails leaves the file as it was, so that it can be made anew. Where a process was killed in the
-middle of one, the half line that it left is cut off by the next append."""
+middle of one, the half line that it left is cut off by the next append.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/node/log_output.py
+++ b/tuliptrack/node/log_output.py
@@ -1,7 +1,8 @@
 """Where log lines go: a descriptor that may fail, or stand still, without harm to the process that logs.
 
 A full disk, a reader that has gone or one that reads no more must cost no request. A line that can't be
-written at once is dropped and counted; the next one that can be is preceded by the count."""
+written at once is dropped and counted; the next one that can be is preceded by the count.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/node/logs.py
+++ b/tuliptrack/node/logs.py
@@ -19,7 +19,8 @@
 
 def set_up(json_lines: bool, quiet: bool = False, colours: bool | None = None) -> None:
     """Configure structlog for the process; `quiet` keeps warnings and worse; `colours` None: on a
-    terminal."""
+    terminal.
+    """
     renderer: structlog.typing.Processor = (
         structlog.processors.JSONRenderer()
         if json_lines
--- a/tuliptrack/node/request_reader.py
+++ b/tuliptrack/node/request_reader.py
@@ -1,5 +1,6 @@
 """The router's view of what a client asks; what can't be a request is turned down by the field that is at
-fault."""
+fault.
+"""
 
 from __future__ import annotations
 
@@ -57,7 +58,8 @@
 
     def read(self, ask: ClientRequest, now: int) -> io.Request:
         """The request, without its number; AskError names the field that can't be taken. Fills in what the
-        client left open: the prompt's tokens and the most that an answer may have."""
+        client left open: the prompt's tokens and the most that an answer may have.
+        """
         number, tenant = self._class(ask), self._tenant(ask)
         if not ask.prompt and ask.payload is None:
             raise InvalidRequestError("prompt", "is required")
@@ -118,11 +120,17 @@
                 "resume.next_index", f"{ask.resume_index} is past max_tokens {ask.max_tokens}"
             )
 
+    def answer_by_us(self, ask: ClientRequest) -> int | None:
+        """By when an answer has to leave to arrive by the client's own deadline; None where it has none."""
+        by = ask.deadline_us if ask.first_token_deadline_us is None else ask.first_token_deadline_us
+        return None if by is None else by - self.limits.answer_ahead
+
     def _time_left(self, ask: ClientRequest, now: int) -> int:
         """Microseconds for the first token: by the client's own deadline, else by its class and the prompt's
-        length."""
-        by = ask.deadline_us if ask.first_token_deadline_us is None else ask.first_token_deadline_us
+        length.
+        """
+        by = self.answer_by_us(ask)
         if by is not None:
-            return max(by - self.limits.answer_ahead - now, 1)
+            return max(by - now, 1)
         cls = self.class_of(ask)
         return cls.deadline_us + int(2 * cls.objective_us_per_1000_tokens * ask.prompt_tokens / 1000)
--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -2,7 +2,8 @@
 
 SIGHUP reads the settings' file anew and follows the list's new address. SIGTERM or SIGINT: requests are still
 served for as long as nothing may kill the node, since clients keep their connections; then what is open ends,
-and the program."""
+and the program.
+"""
 
 from __future__ import annotations
 
@@ -120,7 +121,8 @@
 
     async def start(self) -> str:
         """Serve; returns host:port. It is ready once what it is asked is looked at: it listens, and knows
-        engines, from its settings or from a first list, or has waited for one for `_LIST_S`."""
+        engines, from its settings or from a first list, or has waited for one for `_LIST_S`.
+        """
         self.listed(self.config.known, cached=True)
         self.source.start()
         host, _, port = self.config.listen.rpartition(":")
@@ -145,7 +147,8 @@
 
     def listed(self, told: Mapping[str, Any], cached: bool = False, anew: bool = False) -> bool:
         """A list of engines has come; `anew`: the first one of an agent. False where it is older than the one
-        held, ListError where it can't be used."""
+        held, ListError where it can't be used.
+        """
         try:
             change = self.members.take(told, cached, anew)
         except ListError as error:
@@ -202,7 +205,8 @@
 
     def reload(self) -> None:
         """Read the settings' file anew: the list's new address holds from now on. What else has changed waits
-        for the next start, as requests in flight were let in under the old settings."""
+        for the next start, as requests in flight were let in under the old settings.
+        """
         self._cancel_reload()
         self._try_reload(self.now() + int(_RELOAD_S * 1e6))
 
@@ -234,7 +238,8 @@
         no other yet. Then streams that still run are handed back, while their clients can find another node:
         the kill would break them all the same. What comes from then on is refused, each answer closing its
         connection; a connection without a request stays open until the kill is due, as one may be on its way
-        there."""
+        there.
+        """
         began = self.now()
         log.info("stopping", open=len(self.table.open))
         self._is_ready()
--- a/tuliptrack/relay/config.py
+++ b/tuliptrack/relay/config.py
@@ -26,7 +26,8 @@
 
 class RelayConfigUnreadable(RelayConfigError):
     """A file that can't be read, or holds no whole JSON: it may be just being written, or its folder may fail
-    for a while."""
+    for a while.
+    """
 
 
 @dataclass(frozen=True, slots=True)
--- a/tuliptrack/relay/corroboration.py
+++ b/tuliptrack/relay/corroboration.py
@@ -17,7 +17,8 @@
 
 What remains is one connection falling silent alone within that window. The questions are releases of a
 request that has been served, which have no effect. Where one of the three is missing the attempt counts as
-not arrived."""
+not arrived.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +36,8 @@
 
 class Corroboration:
     """What speaks for the arrival of one attempt. Bound: two questions, which end with their time to connect
-    or by `close`."""
+    or by `close`.
+    """
 
     def __init__(self, pools: EnginePools, pool: Pool, exchange: Exchange) -> None:
         """`pool`: the connections to the attempt's engine, `exchange`: the attempt."""
--- a/tuliptrack/relay/discovery.py
+++ b/tuliptrack/relay/discovery.py
@@ -22,7 +22,8 @@
 Another agent (`move`) is asked beside the old one, which is heeded until the new one has given a whole list;
 so a new agent that is down or silent costs nothing. Its revisions are its own and may begin lower: see
 `Members.take`. While nothing is heard the list held goes on as it was: what it says of an engine holds until
-an agent says otherwise."""
+an agent says otherwise.
+"""
 
 from __future__ import annotations
 
@@ -84,7 +85,8 @@
 class Members:
     """The list held, in the router's terms. An entry that can't be used is left out, with one line when it is
     first seen; what is no list at all is turned down, and the old one holds. Bound: `MOST_MEMBERS`, and as
-    many complaints."""
+    many complaints.
+    """
 
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...]) -> None:
         self.kinds = {name: number for number, name in enumerate(kinds)}
@@ -106,7 +108,8 @@
         """A list or a change; None where it is older than what is held. ListError leaves all as it was.
         `anew`: the first whole list of another agent, whose revisions say nothing of those before. Where its
         revision is lower than the one held, it may know less than the agent before: what that one called
-        draining or gone stays so until it is named anew."""
+        draining or gone stays so until it is named anew.
+        """
         if not isinstance(told, dict) or not isinstance(told.get("members", []), list):
             raise ListError("must be an object with members")
         revision = told.get("revision", 0)
@@ -265,7 +268,8 @@
 
 class _Watch:
     """Calls to one agent, until `close`. `tell` gets each answer's JSON and whether it is this agent's first;
-    it says whether that was taken, or older than the list held, and raises where it can't be used."""
+    it says whether that was taken, or older than the list held, and raises where it can't be used.
+    """
 
     def __init__(
         self, address: str, grace: float, revision: Callable[[], int], tell: Callable[[Any, bool], bool]
@@ -383,7 +387,8 @@
 
 class Discovery:
     """Watches one agent; `move` turns to another. `tell`: see `_Watch`. `grace`: microseconds after which a
-    drain that was told must be heeded."""
+    drain that was told must be heeded.
+    """
 
     def __init__(
         self, address: str, revision: Callable[[], int], tell: Callable[[Any, bool], bool], grace: int
--- a/tuliptrack/relay/engine_client.py
+++ b/tuliptrack/relay/engine_client.py
@@ -53,7 +53,8 @@
 
 def load_of(text: str | bytes, names: tuple[str, ...]) -> tuple[float, ...]:
     """The values of a load report, in this order; nothing where it can't be read. One that is missing counts
-    as 0."""
+    as 0.
+    """
     try:
         told = json.loads(text)
     except (ValueError, RecursionError):
@@ -180,7 +181,8 @@
 
     def _note(self, text: bytes) -> None:
         """What the node itself makes of an event: the word that all has come, and the counts that come with
-        the end."""
+        the end.
+        """
         if text == b"[DONE]":
             self._whole = True
         elif b'"usage"' in text:
@@ -277,7 +279,8 @@
 
     def _question(self, address: str) -> Exchange | None:
         """What shows whether a connection works. An engine closes its connection after it has turned a
-        request down, so a request without an id would not do."""
+        request down, so a request without an id would not do.
+        """
         return release_request(self._served_id, address) if self._served_id else None
 
     def is_reachable(self, server: int) -> bool:
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -1,5 +1,6 @@
 """Clients on the platform's HTTP: a request's head becomes an `ClientRequest`, its end a status; an engine's
-events pass through."""
+events pass through.
+"""
 
 from __future__ import annotations
 
@@ -104,7 +105,8 @@
 
 class Front:
     """The listener. Bounds: connections, heads and bodies by `HttpLimits`; bodies kept for engines by
-    `kept`."""
+    `kept`.
+    """
 
     def __init__(self, core: Core, limits: HttpLimits, arriving: ByteBudget, kept: ByteBudget) -> None:
         self.core, self.kept = core, kept
@@ -115,7 +117,8 @@
 
     def _early(self, call: HttpCall) -> Refusal | None:
         """What is known from the head alone. Not that the node ends: its refusal comes when the whole request
-        has, lest the close overtake it on its way to a client that still sends."""
+        has, lest the close overtake it on its way to a client that still sends.
+        """
         if call.method == "POST" and not self.core.stopping:
             reason, wait = self.core.overload()
             if reason:
@@ -211,7 +214,8 @@
 
 def _end_to_end(fields: Fields) -> Fields:
     """What engines get of a head unchanged: all but what is of one connection only, also by the word of
-    `Connection`."""
+    `Connection`.
+    """
     named = {
         name.strip().lower() for field, value in fields if field == "connection" for name in value.split(",")
     }
--- a/tuliptrack/relay/late_releases.py
+++ b/tuliptrack/relay/late_releases.py
@@ -7,7 +7,8 @@
 may take up what it had waiting in any order.
 
 Bounds: `MOST_PENDING` releases, past which a new one is dropped and counted; one try at a time to each
-engine; each release is given up after `ABANDONED_AFTER_S`, or once its engine has left the list."""
+engine; each release is given up after `ABANDONED_AFTER_S`, or once its engine has left the list.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/relay/pools.py
+++ b/tuliptrack/relay/pools.py
@@ -14,7 +14,8 @@
 
 class EnginePools:
     """The pools by engine. Bound: `Connections`, for all of them together. `close` ends every connection and
-    task."""
+    task.
+    """
 
     def __init__(self, options: ClientOptions, connections: Connections) -> None:
         self.options, self.connections = options, connections
@@ -51,7 +52,8 @@
 
     def update(self, addresses: Mapping[int, str]) -> None:
         """Take the addresses that hold now. Under a new address an engine has new connections; the old ones
-        end with what runs on them."""
+        end with what runs on them.
+        """
         for server in [s for s in self._pools if self.addresses.get(s) != addresses.get(s)]:
             self._retired.append(self._pools.pop(server))
         self.addresses = dict(addresses)
--- a/tuliptrack/relay/releases.py
+++ b/tuliptrack/relay/releases.py
@@ -14,7 +14,8 @@
 
 Bounds: `MOST_PENDING` releases, where the one that has waited for longest gives way to a new one;
 `MOST_TRIES` tries that are out at once, past which steps wait for their turn in the order in which they are
-due."""
+due.
+"""
 
 from __future__ import annotations
 
@@ -165,7 +166,8 @@
 
     def _rank(self, server: int) -> tuple[bool, bool, float, float]:
         """How good an engine is for a try: not in doubt, a connection to spare, then heard from lately, then
-        by chance."""
+        by chance.
+        """
         pool = self.pools.made(server)
         if pool is None:
             return True, False, 0.0, random.random()
@@ -218,7 +220,8 @@
 
     def _hurry(self, release: _Release) -> None:
         """All tries of a step have failed before the next one is due: it comes soon, as often as there are
-        steps anyway."""
+        steps anyway.
+        """
         loop = asyncio.get_running_loop()
         if release.timer and release.step < STEPS:
             release.timer.cancel()
@@ -239,7 +242,8 @@
 
     def _stop(self, release: _Release) -> None:
         """No further step. A try that is on its way is left to its end, one that waits for a connection is
-        not."""
+        not.
+        """
         release.queued = False
         if release.timer:
             release.timer.cancel()
--- a/tuliptrack/routing/admission.py
+++ b/tuliptrack/routing/admission.py
@@ -4,7 +4,8 @@
 could not be in time for its client. The share depends on its priority weight: requests of the lowest priority
 are shed first, those of the highest last. Before a request is shed, other places are considered: another
 zone, a zone whose traffic is still ramped up, an endpoint in slow start with an open slot, and any idle
-endpoint. Times are microseconds."""
+endpoint. Times are microseconds.
+"""
 
 from __future__ import annotations
 
@@ -113,7 +114,8 @@
         """Return an alternative to a placement that is near the limit, or the placement itself.
 
         Near the limit an endpoint with an open slot is capacity, as slots expire; above it any idle endpoint
-        is."""
+        is.
+        """
         inputs, is_over_limit = self._inputs, placement.wait_us > limit_us
         candidates = inputs.eligibility.candidates(Role.PREFILL, request)
         with_slot = [
--- a/tuliptrack/routing/attempt_timeout.py
+++ b/tuliptrack/routing/attempt_timeout.py
@@ -2,7 +2,8 @@
 
 The limit is a multiple of what the slowest answers of the role take. There is none where a retry would do
 harm or could not help: no attempt is left, the request may not be repeated, or all endpoints are slow, in
-which case retries would feed the jam. Times are microseconds."""
+which case retries would feed the jam. Times are microseconds.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/routing/decode_placement.py
+++ b/tuliptrack/routing/decode_placement.py
@@ -5,7 +5,8 @@
 endpoint's weight; nothing is reported fast enough to be used. Endpoints with clearly more memory in use than
 the median are left out. Among endpoints of nearly the same load, the cell that holds the KV state is
 preferred. Endpoints without requests of this node are counted by groups, so the cost does not grow with the
-fleet."""
+fleet.
+"""
 
 from __future__ import annotations
 
@@ -132,7 +133,8 @@
 
     def _preferred(self, choice: _Choice, cell: int | None, limit: float) -> list[Endpoint]:
         """Return the endpoints up to a load that are preferred: with an open slot, else in the preferred
-        cell."""
+        cell.
+        """
         preferred = [one for one in choice.candidates.with_slot if choice.load_of(one) <= limit]
         if preferred or cell is None:
             return preferred
--- a/tuliptrack/routing/eligibility.py
+++ b/tuliptrack/routing/eligibility.py
@@ -3,7 +3,8 @@
 An endpoint is eligible if the request was not rejected or failed there, if an attempt there cannot double the
 effect of an earlier one, and if the endpoint is warm or has a slow-start slot open. Among these the usable
 ones are preferred: not ejected for such requests, and in no zone whose traffic is still ramped up. The others
-are used only if nothing else is left."""
+are used only if nothing else is left.
+"""
 
 from __future__ import annotations
 
@@ -57,7 +58,8 @@
         self, endpoints: Iterable[Endpoint], request: InFlightRequest, limit: int
     ) -> list[Endpoint]:
         """Return the first `limit` of some endpoints that a request may go to; only usable ones if there are
-        any."""
+        any.
+        """
         usable: list[Endpoint] = []
         unusable: list[Endpoint] = []
         for endpoint in endpoints:
--- a/tuliptrack/routing/idempotency.py
+++ b/tuliptrack/routing/idempotency.py
@@ -1,7 +1,8 @@
 """Decides when repeating a request can do harm.
 
 A request is idempotent, carries an idempotency key, or is neither. With a key, the endpoints of its scope
-(all, one zone or one cell) drop repeats for a time, the deduplication window. Times are microseconds."""
+(all, one zone or one cell) drop repeats for a time, the deduplication window. Times are microseconds.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/routing/locality.py
+++ b/tuliptrack/routing/locality.py
@@ -2,7 +2,8 @@
 
 Only where `zone_budgets` are set; otherwise no zone is remote and nothing has a price. The budgets and
 recovery ramps are those of `decisions/cross_zone_budget.py`; this module asks them about endpoints and
-requests. Sizes are bytes."""
+requests. Sizes are bytes.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +24,8 @@
 
     def __init__(self, state: NodeState, outbox: Outbox, crossings: CrossZoneBudgets | None) -> None:
         """`crossings` are this node's zone budgets, shared by its routers of several models; None without
-        budgets."""
+        budgets.
+        """
         self._state, self._outbox = state, outbox
         self.crossings = crossings
         self.returns = ZoneRecovery()
@@ -53,7 +55,8 @@
 
     def price(self, request: InFlightRequest, zone: int, is_decode: bool) -> float:
         """Return what an attempt in a zone costs, as a share of a score or in mean loads; 0 if nothing
-        crosses."""
+        crosses.
+        """
         if self.crossings is None:
             return 0.0
         size = self._crossing_bytes(self.crossings, request, zone, is_decode)
@@ -104,6 +107,7 @@
         self, crossings: CrossZoneBudgets, request: InFlightRequest, zone: int, is_decode: bool
     ) -> float:
         """Return the bytes that an attempt would move between zones: prompt, KV state, and the answer
-        back."""
+        back.
+        """
         holder_zone = request.kv_holder.info.zone if request.kv_holder and is_decode else None
         return crossings.size(request.request, zone, holder_zone, is_decode, request.projected_tokens)
--- a/tuliptrack/routing/outlier_detection.py
+++ b/tuliptrack/routing/outlier_detection.py
@@ -11,7 +11,8 @@
 
 An ejected endpoint is used only if no other is left, or for one attempt when a health check is due. The
 interval of the checks doubles with each failure. An answer restores the endpoint for requests of that kind.
-Times are microseconds."""
+Times are microseconds.
+"""
 
 from __future__ import annotations
 
@@ -66,7 +67,8 @@
 
     def record_attempt(self, endpoint: Endpoint, request: InFlightRequest) -> None:
         """Record that an attempt is sent; to an ejected endpoint it is the health check, and the next one
-        waits."""
+        waits.
+        """
         if not endpoint.ejections:
             return
         for scope in (SLOW_STREAMS, *request.ejection_scopes):
--- a/tuliptrack/routing/prefill_placement.py
+++ b/tuliptrack/routing/prefill_placement.py
@@ -3,7 +3,8 @@
 Each prefix has affinity endpoints, the first in its rendezvous order, where its prompts are likely to be
 cached. A session stays at one of them, whichever node it comes through. If the queue there exceeds the limit,
 the request spills to the eligible endpoint of the lowest score: (requests in flight + 1) x prefill latency,
-raised by the price of crossing zones. Times are microseconds."""
+raised by the price of crossing zones. Times are microseconds.
+"""
 
 from __future__ import annotations
 
@@ -82,7 +83,8 @@
 
     def _ranking(self, request: InFlightRequest) -> Collection[Endpoint]:
         """Return the ready endpoints in the prefix's rendezvous order, those of this zone before remote
-        ones."""
+        ones.
+        """
         key = request.request.prefix or request.request.session
         ranking = self._state.table.prefill_ranking().ranking(key)
         return sorted(ranking, key=self._locality.is_remote) if self._locality.is_budgeted else ranking
@@ -91,7 +93,8 @@
         """Return how many affinity endpoints the request's prefix has.
 
         A prefix has several where each of them can prefill it within the limit on queues, and one where it is
-        too long for that. A popular prefix has more, in proportion to its share of the demand."""
+        too long for that. A popular prefix has more, in proportion to its share of the demand.
+        """
         prefix = request.request.prefix
         cls, state = request.request_class, self._state
         local_count = 0
@@ -110,7 +113,8 @@
 
     def _session_endpoint(self, request: InFlightRequest, affinity: list[Endpoint]) -> Endpoint:
         """Return the affinity endpoint of the request's session; one with an open slot first, as slots
-        expire."""
+        expire.
+        """
         local = [one for one in affinity if not self._locality.is_remote(one)]
 
         def preference(endpoint: Endpoint) -> tuple[int, float]:
--- a/tuliptrack/routing/queue_estimate.py
+++ b/tuliptrack/routing/queue_estimate.py
@@ -3,7 +3,8 @@
 The inputs are this node's own attempts, the last load reports and the last answers. A node that gets one
 request in a second has hardly any attempts of its own waiting, so what answers of the whole role have shown
 stands in for what it cannot see; `hidden_share` is the share of the traffic at other nodes. Times are
-microseconds."""
+microseconds.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +37,8 @@
     there.
 
     A limit on it therefore fits fast and slow endpoints, short and long prompts; slowness alone is no
-    overload."""
+    overload.
+    """
     now_us = state.now_us
     if endpoint.role is Role.PREFILL_AND_DECODE:
         # A prefill slows down the streams that run there, so they count as prefills that wait.
@@ -60,7 +62,8 @@
         """Estimate the time to first token if the request starts at an endpoint (None: there is none).
 
         The queue of the endpoint does not lower what the role shows: one idle endpoint would hide a jam at
-        all others. At an endpoint in slow start an open slot counts as capacity."""
+        all others. At an endpoint in slow start an open slot counts as capacity.
+        """
         queue_us = self._queue_us(request, endpoint)
         is_remote = endpoint is not None and self._locality.is_remote(endpoint)
         role_us = sum(
--- a/tuliptrack/routing/retry.py
+++ b/tuliptrack/routing/retry.py
@@ -2,7 +2,8 @@
 
 Every retry excludes the endpoint that failed. There are two exceptions. An attempt whose own connection alone
 failed may go to the same endpoint again, as its prompt is cached there. After a rejection at a time when most
-endpoints of the role reject, no other endpoint is tried, since the load of retries would only delay all."""
+endpoints of the role reject, no other endpoint is tried, since the load of retries would only delay all.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/routing/slow_start.py
+++ b/tuliptrack/routing/slow_start.py
@@ -14,7 +14,8 @@
 in h.
 
 The quotas are taken for the capacity; without quotas a warm endpoint is assumed to serve one request in a
-window. Inputs are the endpoint's start time, the replica index and the settings. Times are microseconds."""
+window. Inputs are the endpoint's start time, the replica index and the settings. Times are microseconds.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/routing/slow_streams.py
+++ b/tuliptrack/routing/slow_streams.py
@@ -5,7 +5,8 @@
 the time that they have run, compared with its peers in the same seconds; a slowness of all endpoints ejects
 none. Nothing but health checks goes to an ejected endpoint, and its streams are migrated where clients can
 resume them. All this pauses while the node sheds load: then even a slow endpoint is needed. Times are
-microseconds."""
+microseconds.
+"""
 
 from __future__ import annotations
 
@@ -89,7 +90,8 @@
     @staticmethod
     def _is_slow(endpoint: Endpoint, peers_completed: float, peers_streamed_us: float) -> bool:
         """Whether the streams of an endpoint are slow, by the likelihood ratio of a Poisson process of their
-        ends."""
+        ends.
+        """
         if peers_completed < MIN_PEER_STREAMS or peers_streamed_us <= 0:
             return False
         mean_length_us = max(peers_streamed_us / peers_completed, MIN_MEAN_LENGTH_US)
--- a/tuliptrack/rpc/arrival.py
+++ b/tuliptrack/rpc/arrival.py
@@ -3,7 +3,8 @@
 What TCP confirms says nothing of a process behind it. A call has arrived where the peer has said something on
 it, or has answered a ping that was sent after the call's last byte. `ArrivalProofs` pings where a call has
 brought no word for a while, once for all calls that wait for a proof, and doubts the connection while the
-answer is missing."""
+answer is missing.
+"""
 
 from __future__ import annotations
 
@@ -53,7 +54,8 @@
         self, link: ProvenLink, loop: asyncio.AbstractEventLoop, prove_after: int, timeout: int
     ) -> None:
         """`prove_after`: microseconds without a word until a ping, and from there until doubt; `timeout`:
-        until the end."""
+        until the end.
+        """
         self._link, self._loop, self._prove_after, self._timeout = link, loop, prove_after, timeout
         self._unproven: dict[int, ProvenCall] = {}
         """Calls that may not have arrived, by stream."""
@@ -73,7 +75,8 @@
 
     def sent(self, stream: int, call: ProvenCall, within: int | None) -> None:
         """A call has gone out; its proof is looked for after the usual time, or within so many microseconds
-        if that is sooner."""
+        if that is sooner.
+        """
         self._unproven[stream] = call
         self._look(within)
 
@@ -124,7 +127,8 @@
 
     def _prove(self) -> None:
         """Ping for what has gone out and brought no word. Each ping follows at least one call: stock servers
-        end connections on which pings come with nothing between."""
+        end connections on which pings come with nothing between.
+        """
         self._forget_settled()
         self._to_prove = [call for stream, call in self._unproven.items() if not self._link.unsent(stream)]
         if self._to_prove:
--- a/tuliptrack/rpc/channel.py
+++ b/tuliptrack/rpc/channel.py
@@ -5,7 +5,8 @@
 A connection may fall silent with no error: `arrival.ArrivalProofs` finds that. While one is doubted no new
 call goes out on it and a new one is tried; the silent one is closed as soon as the new one works, or after a
 second. Bounds: `Options.max_links` connections an address, `Options.max_waiting` calls that wait for one; one
-more ends at once with RESOURCE_EXHAUSTED, marked unprocessed."""
+more ends at once with RESOURCE_EXHAUSTED, marked unprocessed.
+"""
 
 from __future__ import annotations
 
@@ -348,7 +349,8 @@
     ) -> ClientCall:
         """Start a call; with `message` its request is that one alone. Where `connect_within` is given, it
         ends if it has got no connection in so many microseconds, and a proof that it has arrived is looked
-        for in that time. `on_end` is never called from in here."""
+        for in that time. `on_end` is never called from in here.
+        """
         call = ClientCall(method, metadata, timeout, compress)
         call.on_message, call.on_end = on_message, on_end
         if message is not None:
@@ -434,7 +436,8 @@
 
     def works(self, working: _ClientLink) -> None:
         """A connection has shown that it works: those on which nothing has come since it was opened are
-        closed soon."""
+        closed soon.
+        """
         for link in self.links:
             if link.proofs.doubtful and link.heard_at < working.opened_at:
                 link.outlive(working.opened_at)
--- a/tuliptrack/rpc/clock.py
+++ b/tuliptrack/rpc/clock.py
@@ -14,5 +14,6 @@
 
 def wall_us() -> int:
     """Microseconds since 1970 by the machine's clock, which may be stepped at any time: for the one reading
-    that a span is counted from, and for what people read. Nothing else in the program reads that clock."""
+    that a span is counted from, and for what people read. Nothing else in the program reads that clock.
+    """
     return time.time_ns() // 1000
--- a/tuliptrack/rpc/core.py
+++ b/tuliptrack/rpc/core.py
@@ -106,7 +106,8 @@
     """Bytes of messages (with their prefixes, as they went over the wire) that one call has moved on its
     connection.
 
-    Still counted after the call has ended here: what crosses a reset of ours comes all the same."""
+    Still counted after the call has ended here: what crosses a reset of ours comes all the same.
+    """
 
     __slots__ = ("received", "sent")
 
@@ -164,7 +165,8 @@
         bodies: ByteBudget | None = None,
     ) -> None:
         """`bodies` counts what messages that are not yet whole may hold, over all connections that share
-        it."""
+        it.
+        """
         self.client, self.limits, self.authority, self.bodies = client, limits or Limits(), authority, bodies
         self.h2 = Http2Connection(
             H2Configuration(
@@ -618,7 +620,8 @@
 
     def send(self, stream: int, data: bytes) -> bool:
         """Queue a message; False asks the caller to stop until `Writable`. Of an ended call: dropped,
-        False."""
+        False.
+        """
         call = self.calls.get(stream)
         if call is None or call.ending is not None or call.local_done:
             return False
@@ -728,7 +731,8 @@
 
     def drain(self) -> None:
         """Server: take no new calls, let the open ones end; the peer is told in two steps, as RFC 9113 has
-        it."""
+        it.
+        """
         if not self.draining and not self.dead:
             self.draining = True
             self._extra += GoAwayFrame(0, last_stream_id=_LAST_STREAM).serialize()
--- a/tuliptrack/rpc/dial.py
+++ b/tuliptrack/rpc/dial.py
@@ -13,13 +13,15 @@
 
 async def dial(opening: Callable[[], Awaitable[Opened]], within_s: float) -> Opened:
     """What `opening`, which begins an `open_connection` or a `create_connection`, gives; OSError where it
-    fails, TimeoutError where it takes longer."""
+    fails, TimeoutError where it takes longer.
+    """
     return await asyncio.wait_for(_cancelled_as_told(opening), within_s)
 
 
 async def _cancelled_as_told(opening: Callable[[], Awaitable[Opened]]) -> Opened:
     """Where the close of its socket fails as it is cancelled, asyncio takes that for a failed try of which it
-    has noted no error, and raises IndexError: the cancellation has to go on."""
+    has noted no error, and raises IndexError: the cancellation has to go on.
+    """
     try:
         return await opening()
     except IndexError:
--- a/tuliptrack/rpc/events.py
+++ b/tuliptrack/rpc/events.py
@@ -65,7 +65,8 @@
 @dataclass(slots=True)
 class CallEnded:
     """Client: the call is over. `reset` says that no status came but the stream or connection broke;
-    `unprocessed` that the peer vouches it never looked at the call."""
+    `unprocessed` that the peer vouches it never looked at the call.
+    """
 
     stream: int
     status: Status
--- a/tuliptrack/rpc/h1.py
+++ b/tuliptrack/rpc/h1.py
@@ -96,7 +96,8 @@
 
     def next(self) -> Head | Body | Part | None:
         """What has come; None where more bytes are needed, or an answer is owed first. `Part` tells how much
-        of a body has come beyond what its head announced. Raises `ProtocolError`."""
+        of a body has come beyond what its head announced. Raises `ProtocolError`.
+        """
         try:
             event: Any = self.http.next_event()
         except h11.RemoteProtocolError as error:
@@ -147,7 +148,8 @@
 
     def head(self, status: int, fields: Fields) -> bytes:
         """An answer's head. Without a content-length it is framed in chunks (to HTTP/1.0: until the
-        close)."""
+        close).
+        """
         return self._send(h11.Response(status_code=status, headers=fields))
 
     def part(self, data: bytes) -> bytes:
@@ -233,7 +235,8 @@
 
     def again(self) -> bool:
         """An answer is complete: get ready for the next request; False where the connection can't have one,
-        or more has come than was asked for."""
+        or more has come than was asked for.
+        """
         if (
             self.http.our_state is not h11.DONE
             or self.http.their_state is not h11.DONE
--- a/tuliptrack/rpc/http1.py
+++ b/tuliptrack/rpc/http1.py
@@ -17,7 +17,8 @@
 bytes that nobody has read would reset the connection, and take along what the client has not read yet. A
 request that comes in that time is never acted on: its client sees the end without an answer, and may send it
 once more. A client that has ended its sending has left. Its end is seen whatever it sent before: past
-`_MOST_AHEAD` further requests are thrown away, and the connection ends after those kept."""
+`_MOST_AHEAD` further requests are thrown away, and the connection ends after those kept.
+"""
 
 from __future__ import annotations
 
@@ -152,7 +153,8 @@
 
     def left(self) -> bool:
         """Whether the client has ended its sending or reset the connection, though that may not have been
-        read yet."""
+        read yet.
+        """
         return self.open and (self._link.transport.is_closing() or ended_by_peer(self._link.transport))
 
 
@@ -243,7 +245,8 @@
 
     def _advance(self) -> None:
         """Deal with what has come: requests, one after another, as long as each is answered at once; a few in
-        one turn of the loop, so that who sends hundreds at once holds up nobody else."""
+        one turn of the loop, so that who sends hundreds at once holds up nobody else.
+        """
         if self._advancing:
             return
         self._advancing = True
@@ -435,7 +438,8 @@
 
     def _linger(self, waiting: int) -> None:
         """The client's end has been waited for; a reader that still takes what waits for it is given more
-        time."""
+        time.
+        """
         left = self.transport.get_write_buffer_size()
         if 0 < left < waiting and self.loop.time() < self._linger_till:
             self._timer = self.loop.call_later(_LINGER_S, self._linger, left)
@@ -525,7 +529,8 @@
         """The connection that makes room for a new one. Who has ended goes first, then who has asked for
         nothing yet, so that a flood of such connections makes room for itself and not in place of clients.
         One with bytes that were not read stays if it can: they may be a request. Of clients that were served
-        before, it always stays."""
+        before, it always stays.
+        """
         if lingering := next(iter(self._lingering), None):
             return lingering
         silent = (link for link in self._new if not link.side.begun)
--- a/tuliptrack/rpc/http1_client.py
+++ b/tuliptrack/rpc/http1_client.py
@@ -152,12 +152,14 @@
 
     def stands(self) -> bool:
         """Whether the kernel holds the connection to be up: what has just broken with it may not have been
-        told yet."""
+        told yet.
+        """
         return not self.dead and stands(self.transport)
 
     def ended(self) -> bool:
         """Whether the peer has ended the connection, though that may not have been read yet: what is written
-        now is lost."""
+        now is lost.
+        """
         return self.transport.is_closing() or ended_by_peer(self.transport)
 
     def pause(self) -> None:
--- a/tuliptrack/rpc/http1_pool.py
+++ b/tuliptrack/rpc/http1_pool.py
@@ -8,7 +8,8 @@
 no connection that works within the time to connect never ran.
 
 Bounds: `Connections` counts those of all addresses together. Where none is left, an idle one of any address
-makes room; where none is idle, the exchange ends at once, never sent."""
+makes room; where none is idle, the exchange ends at once, never sent.
+"""
 
 from __future__ import annotations
 
@@ -102,7 +103,8 @@
 
     def _validate(self, connection: ClientConnection) -> None:
         """Ask a connection a question that has no effect; where none is known the connection is taken to
-        work."""
+        work.
+        """
         question = self.pool.make_question(self.pool.address)
         if question is None:
             self._use(connection)
@@ -200,7 +202,8 @@
 
     def _use(self, connection: ClientConnection, proven_since: float = 0.0) -> None:
         """A connection works: the exchange goes out on it, unless it isn't wanted any more. `proven_since`:
-        see `Exchange`."""
+        see `Exchange`.
+        """
         if self.over:
             self.pool.rests(connection)
             return
@@ -258,7 +261,8 @@
         make_question: Callable[[str], Exchange | None] = no_question,
     ) -> None:
         """`make_question`: an exchange without any effect by which a connection shows that it works; None:
-        there is none."""
+        there is none.
+        """
         self.address, self.options, self.connections = address, options, connections
         self.make_question = make_question
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
--- a/tuliptrack/rpc/http2.py
+++ b/tuliptrack/rpc/http2.py
@@ -20,7 +20,8 @@
     DATA frames, which are nearly all that a token stream consists of, take a short way past its frame objects
     and state machines: only on streams whose state they can't change, with h2's own windows kept. Whatever is
     not plainly in order goes h2's own way. `bench/relay.py` tells what this is worth; a test holds both ways
-    equal."""
+    equal.
+    """
 
     plain_data = True
     """Whether DATA frames may take the short way."""
@@ -56,7 +57,8 @@
     @property
     def open_inbound_streams(self) -> int:
         """Never past the limit, for which h2 would end the connection: a client may open more before it has
-        heard of the limit, and `core.Core` refuses just those."""
+        heard of the limit, and `core.Core` refuses just those.
+        """
         return min(super().open_inbound_streams, self.local_settings.max_concurrent_streams - 1)
 
     def _receive_goaway_frame(self, frame: GoAwayFrame) -> tuple[list[Frame], list[h2.events.Event]]:
--- a/tuliptrack/rpc/link.py
+++ b/tuliptrack/rpc/link.py
@@ -81,7 +81,8 @@
 
     def flush_soon(self) -> None:
         """Write what the core has: once the bytes that are being read are dealt with, or at the end of the
-        loop's turn."""
+        loop's turn.
+        """
         if _turn.links is not None:
             _turn.links[self] = None
         elif not self._scheduled and not self.closed:
--- a/tuliptrack/rpc/listener.py
+++ b/tuliptrack/rpc/listener.py
@@ -2,7 +2,8 @@
 
 asyncio's own server leaves its listener alone for a whole second where the system has no room for a
 connection, and logs a traceback for each try that fails in another way. Here a try that fails is repeated
-`_AGAIN_S` later, for as long as it takes; one line tells of the trouble's beginning and one of its end."""
+`_AGAIN_S` later, for as long as it takes; one line tells of the trouble's beginning and one of its end.
+"""
 
 from __future__ import annotations
 
@@ -50,7 +51,8 @@
 
 class Listener:
     """Accepts connections for `factory`'s protocols. `close` ends it and every task of it. Bound: the
-    connections accepted at once; who they are handed to bounds the rest."""
+    connections accepted at once; who they are handed to bounds the rest.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, factory: Callable[[], asyncio.Protocol]) -> None:
         self._loop, self._factory = loop, factory
--- a/tuliptrack/rpc/loop_errors.py
+++ b/tuliptrack/rpc/loop_errors.py
@@ -2,7 +2,8 @@
 
 asyncio's transports call `close` and `shutdown` where an error has no one to go to; the connection has ended
 all the same. One line without a traceback tells of it. Anything else is a defect of this program and keeps
-its traceback."""
+its traceback.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/rpc/retry.py
+++ b/tuliptrack/rpc/retry.py
@@ -60,7 +60,8 @@
     may_pass: Callable[[Exception], bool] = _momentary,
 ) -> Result:
     """The result of the first attempt that doesn't fail with what may pass; the last error after so many
-    seconds. Waits in between, so not for a running loop."""
+    seconds. Waits in between, so not for a running loop.
+    """
     patience = _Patience(what, seconds, may_pass)
     while True:
         try:
--- a/tuliptrack/rpc/status.py
+++ b/tuliptrack/rpc/status.py
@@ -98,7 +98,8 @@
 
 def refusal_details(kind: str, retry_after_us: int, **facts: str) -> list[Message]:
     """What tells a client the kind of refusal, its facts, and when to come back (microseconds; 0: no
-    advice)."""
+    advice).
+    """
     retry = error_details_pb2.RetryInfo()
     retry.retry_delay.FromMicroseconds(max(retry_after_us, 0))
     return [retry, error_details_pb2.ErrorInfo(reason=kind, domain="tuliptrack", metadata=facts)]
--- a/tuliptrack/rpc/tcp.py
+++ b/tuliptrack/rpc/tcp.py
@@ -33,13 +33,15 @@
 
 def ended_by_peer(transport: asyncio.BaseTransport) -> bool:
     """Whether the peer has ended its sending or reset the connection, though its end may not have been read
-    yet."""
+    yet.
+    """
     return _state(transport) in _ENDED
 
 
 def send_at_once(transport: asyncio.BaseTransport) -> None:
     """Have small writes sent as they come. asyncio does so only where a socket names its protocol, which one
-    that was accepted from a plain listener does not."""
+    that was accepted from a plain listener does not.
+    """
     sock = transport.get_extra_info("socket")
     if sock is not None and sock.family in (socket.AF_INET, socket.AF_INET6):
         try:
--- a/tuliptrack/simulator_adapter.py
+++ b/tuliptrack/simulator_adapter.py
@@ -123,7 +123,8 @@
 
 def settings_of(env: object) -> io.Settings:
     """Translate the settings object, wherever it stood; unknown keys are ignored. WireError names what is
-    wrong."""
+    wrong.
+    """
     if not isinstance(env, dict):
         raise WireError("settings: not a JSON object")
     try:
--- a/tuliptrack/sources/endpoint_list.py
+++ b/tuliptrack/sources/endpoint_list.py
@@ -2,7 +2,8 @@
 
 `EndpointList` keeps the list that the changes add up to, turns wall times of starts into the node's monotonic
 time once a start, and checks every entry: a list with anything wrong in it is turned down whole, and the old
-one still holds."""
+one still holds.
+"""
 
 from __future__ import annotations
 
@@ -82,7 +83,8 @@
         self, message: pb.ServerList, now: int, kind: UpdateKind | None = None, wall: int | None = None
     ) -> ListedUpdate:
         """Apply a list; `now` monotonic, `wall` since 1970, both microseconds. ListError leaves all as it
-        was."""
+        was.
+        """
         what = kind or _KINDS.get(message.kind)
         if what is None:
             raise InvalidListError(f"kind: unknown value {message.kind}")
@@ -147,7 +149,8 @@
 
 def save_cache(path: str, held: pb.ServerList) -> None:
     """Keep the list for the next start: written beside, then moved over, so that a crash leaves old or
-    new."""
+    new.
+    """
     target = Path(path)
     beside = target.with_name(target.name + ".new")
     with beside.open("w") as file:
--- a/tuliptrack/sources/feed.py
+++ b/tuliptrack/sources/feed.py
@@ -23,7 +23,8 @@
 
 class FeedSource:
     """One Watch stream at a time, while subscribed. `keepalive` (microseconds) finds a feed that died
-    silently."""
+    silently.
+    """
 
     def __init__(
         self, address: str, node: str = "", connect_timeout: int = 250_000, keepalive: int = 5_000_000
--- a/tuliptrack/sources/file.py
+++ b/tuliptrack/sources/file.py
@@ -19,7 +19,8 @@
 
 class FileSource:
     """Looks at the file every `poll` microseconds. A file that can't be read, or is half written, is logged
-    once and told as FAILED; the list held stays."""
+    once and told as FAILED; the list held stays.
+    """
 
     def __init__(self, path: str, poll: int) -> None:
         self.path, self.poll = path, poll
--- a/tuliptrack/sources/start_times.py
+++ b/tuliptrack/sources/start_times.py
@@ -4,7 +4,8 @@
 is never taken for a warm one on the word of a clock that may be wrong: the clock's offset is read with the
 first list and again with each one, and the reading by which the start is later counts. A start that was not
 told in the list before, and that would lie far before that list was heard, has been told by another clock
-than ours: it counts as now."""
+than ours: it counts as now.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +29,8 @@
     def monotonic(self, server: int, unix_us: int, now: int, wall: int) -> int:
         """A start in monotonic microseconds; the same for each telling of one start, whatever the wall clock
         does. 0 (long ago) stays 0. `now` is monotonic, `wall` since 1970, both in microseconds and read in
-        the same moment."""
+        the same moment.
+        """
         if self._offset is None:
             self._offset = wall - now
         if not unix_us:
--- a/tuliptrack/state/demand.py
+++ b/tuliptrack/state/demand.py
@@ -1,5 +1,6 @@
 """What clients have asked of this node lately: the size of requests by class, and how often each prefix
-came."""
+came.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/state/ejection.py
+++ b/tuliptrack/state/ejection.py
@@ -13,7 +13,8 @@
 
 class ScopeKind(IntEnum):
     """What the requests of an ejection have in common. (An `IntEnum`, since its hash is computed
-    natively.)"""
+    natively.)
+    """
 
     WHOLE_ENDPOINT = 0
     SLOW_STREAMS = 1
--- a/tuliptrack/state/endpoint.py
+++ b/tuliptrack/state/endpoint.py
@@ -1,5 +1,6 @@
 """What a node knows of one endpoint: its list entry, its last load report and this node's own traffic
-there."""
+there.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/state/endpoint_table.py
+++ b/tuliptrack/state/endpoint_table.py
@@ -1,5 +1,6 @@
 """The endpoint list as this node last received it, with indexes for the questions that decisions ask of
-it."""
+it.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/state/selection.py
+++ b/tuliptrack/state/selection.py
@@ -30,7 +30,8 @@
     """Return one of the members with equal chances, or None if there are none.
 
     One member is returned without a draw, so that the sequence of random numbers depends on real choices
-    only."""
+    only.
+    """
     if len(members) > 1:
         return members[int(random.random() * len(members))]
     return members[0] if members else None
--- a/tuliptrack/state/stream_rate.py
+++ b/tuliptrack/state/stream_rate.py
@@ -14,7 +14,8 @@
 @dataclass(slots=True)
 class StreamRate:
     """Streaming time and completed streams; both decay at the same rate, so their ratio is the mean
-    length."""
+    length.
+    """
 
     streams: int = 0
     """Streams that run now."""
--- a/tuliptrack/store/ledger.py
+++ b/tuliptrack/store/ledger.py
@@ -10,7 +10,8 @@
 there all the same.
 
 Bounds: `most_bytes` of the file; `MOST_WAITING` parts between two commits, past which `add` says no.
-`compact` folds days past their retention into sums by tenant."""
+`compact` folds days past their retention into sums by tenant.
+"""
 
 from __future__ import annotations
 
@@ -125,7 +126,8 @@
 
     def _reopen(self) -> None:
         """LMDB takes nothing more: open the file anew. What the commit that failed left in it counts as
-        written."""
+        written.
+        """
         self.env.close()
         self._open()
         self._unusable = False
@@ -148,7 +150,8 @@
     def commit(self) -> int:
         """Write what waits, as one batch, and sync it; returns how many parts. LedgerFull leaves them
         waiting. One at a time: a commit that was broken off for the node's end still runs in its thread, and
-        would get the same number."""
+        would get the same number.
+        """
         with self._one:
             try:
                 return self._commit_once()
@@ -161,7 +164,8 @@
 
     def _commit_once(self) -> int:
         """One try, on a file that is opened anew where LMDB takes nothing more; lmdb.PanicError where it
-        takes nothing now."""
+        takes nothing now.
+        """
         try:
             if self._unusable:
                 self._reopen()
@@ -214,7 +218,8 @@
     def compact(self, before_us: int, at_most: int = 1_000) -> int:
         """Fold whole batches of works that came before this wall time into sums, oldest first, as far as none
         of their works has parts in later batches; returns how many batches went. One transaction: nothing is
-        counted twice."""
+        counted twice.
+        """
         with self.env.begin(write=True) as txn:
             old: list[tuple[bytes, list[UsageRecord]]] = []
             later_works: set[tuple[str, str]] = set()
@@ -255,7 +260,8 @@
 
     def used_since(self, wall_us: int) -> list[UsageRecord]:
         """Parts of requests that came since a wall time: what calendar budgets count on with. Newest batches
-        first, until one has nothing of that time."""
+        first, until one has nothing of that time.
+        """
         last: dict[tuple[str, int], UsageRecord] = {}
         with self.env.begin() as txn, txn.cursor(self.batches) as cursor:
             for key, value in cursor.iterprev():
--- a/tuliptrack/store/ledger_format.py
+++ b/tuliptrack/store/ledger_format.py
@@ -1,5 +1,6 @@
 """How a ledger's batches and parts stand in its file: protobuf messages, each batch with a digest behind
-it."""
+it.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/store/ledger_reading.py
+++ b/tuliptrack/store/ledger_reading.py
@@ -1,5 +1,6 @@
 """Reading a ledger that a node may have open: its parts, its sums, and whether all of it is as it was
-written."""
+written.
+"""
 
 from __future__ import annotations
 
@@ -59,7 +60,8 @@
 
 def verify(path: str) -> tuple[int, list[Problem]]:
     """Batches looked at, and everything that is wrong: damaged, missing or doubled batches, parts that go
-    back."""
+    back.
+    """
     env, batches, _ = _reader(path)
     problems: list[Problem] = []
     count, expected, before = 0, 0, 0
--- a/tuliptrack/store/sealed.py
+++ b/tuliptrack/store/sealed.py
@@ -2,7 +2,8 @@
 before it.
 
 A process that is killed at any byte leaves the file as it was or as it was to be. What can't be read back is
-an error, not an empty start: who forgets what it promised breaks its promise."""
+an error, not an empty start: who forgets what it promised breaks its promise.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +42,8 @@
 
     SealedError leaves what was there, unless the folder itself could not be synced: then these bytes stand
     there, and a crash of the machine may bring back those before. Each write is made anew: nothing that an
-    earlier one left is relied upon."""
+    earlier one left is relied upon.
+    """
     if len(body) > MOST_BYTES:
         raise SealedError(f"{path}: {len(body)} bytes are more than {MOST_BYTES}")
     beside = path.with_name(path.name + ".new")
--- a/tuliptrack/structures/__init__.py
+++ b/tuliptrack/structures/__init__.py
@@ -1,2 +1,3 @@
 """Data structures made for the decisions' questions, each measured against a plain one
-(`bench/ledger.py`)."""
+(`bench/ledger.py`).
+"""
--- a/tuliptrack/structures/grouped_values.py
+++ b/tuliptrack/structures/grouped_values.py
@@ -1,7 +1,8 @@
 """Members with a value each, in groups: counts below a bound and low medians without looking at every member.
 
 Each group is a sorted list with bisection. Questions may leave some members out: they cost as many steps as
-are left out."""
+are left out.
+"""
 
 from __future__ import annotations
 
@@ -66,7 +67,8 @@
 
     def low_median(self, without: Collection[int], groups: Iterable[G] | None = None) -> float:
         """The middle value of all members, or of those in some groups, the lower of two; ValueError where
-        none is left."""
+        none is left.
+        """
         wanted = self._groups.keys() if groups is None else set(groups)
         left_out = sorted(
             (value, key) for key in without for group, value in [self._places[key]] if group in wanted
--- a/tuliptrack/structures/rendezvous.py
+++ b/tuliptrack/structures/rendezvous.py
@@ -5,7 +5,8 @@
 and 1. To find the first members all hashes are needed, so they are worked out at once: the members' own
 hashes stand side by side in one large integer, a lane of 128 bits each, and the mixing steps are done on that
 integer. A product of 64 by 64 bits fits into a lane, so no lane reaches into the next. For 850 members that
-takes a ninth of the time of one member after another (`bench/structures.py`). Standard library only."""
+takes a ninth of the time of one member after another (`bench/structures.py`). Standard library only.
+"""
 
 from __future__ import annotations
 
@@ -77,7 +78,8 @@
 
     def likely(self, scores: Sequence[float], count: int) -> list[int]:
         """Places that are sure to hold the highest scores, so many at least; none where that can't be told at
-        once. Hashes are spread evenly, so three times as many lie above a bound that is easily told."""
+        once. Hashes are spread evenly, so three times as many lie above a bound that is easily told.
+        """
         if not self._equal:
             return []
         bound = _MASK - _MASK * 3 * count // len(self.members)
--- a/tuliptrack/structures/sketch.py
+++ b/tuliptrack/structures/sketch.py
@@ -7,7 +7,8 @@
 
 Counts stand in buckets by value in a linked order, as in the paper, when added one by one; here amounts
 differ, so the least is found by a heap with late corrections: an entry whose count has grown is pushed back
-when it comes to the top."""
+when it comes to the top.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/structures/sorted_members.py
+++ b/tuliptrack/structures/sorted_members.py
@@ -2,7 +2,8 @@
 
 A sorted list with bisection: a change moves what follows in one block, which for some thousands of members
 takes about a microsecond. `bench/structures.py` has it beside a rebuilt list and a sorted container of the
-registry."""
+registry.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/structures/wheel.py
+++ b/tuliptrack/structures/wheel.py
@@ -6,7 +6,8 @@
 
 Levels of 64 slots: level n has slots of 64^n ticks. A key due far ahead stands in a coarse slot and moves
 down when that comes. Keys come out in the order of their ticks, those of one tick in the order in which they
-were set. Bound: one entry a key."""
+were set. Bound: one entry a key.
+"""
 
 from __future__ import annotations
 
@@ -53,7 +54,8 @@
     def _level(self, due: int) -> int:
         """The highest group of bits in which the tick differs from the present one. It falls only when the
         present comes to the key's slot, and just then the slot is spread: so it tells at any time where a key
-        stands."""
+        stands.
+        """
         return min(max((due ^ self.at).bit_length() - 1, 0) // _BITS, _LEVELS - 1)
 
     def _place(self, key: K, due: int) -> None:
@@ -63,7 +65,8 @@
 
     def advance(self, now: int) -> Iterator[K]:
         """Keys that have come due, each once; they are out of the wheel, and may be set again at once. All of
-        a tick are out before the first of them is given: one that is dropped meanwhile still comes."""
+        a tick are out before the first of them is given: one that is dropped meanwhile still comes.
+        """
         target = now // self.tick
         while self.at < target:
             if not self.due:
