--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -27,7 +27,7 @@
 from world import run, until
 
 from tuliptrack.interface import Action, EndpointState, Event, LogMessage, Reject, Request, Role
-from tuliptrack.node.attempt_state import HELD_UP_US
+from tuliptrack.node.attempt_state import NODE_STALL_US
 from tuliptrack.relay.discovery import ListError, Members
 
 
@@ -234,7 +234,8 @@
 
 def test_what_may_have_run_is_not_refused_as_the_node_ends() -> None:
     """Its prompt is being read anew, after an attempt at a writer that broke: a refusal would say that it
-    never ran."""
+    never ran.
+    """
 
     async def go() -> None:
         async def breaks(one: Seen, writer: asyncio.StreamWriter) -> None:
@@ -301,7 +302,7 @@
             writer.transport.abort()
 
         held_up = (
-            HELD_UP_US / 1e6
+            NODE_STALL_US / 1e6
         )  # A node may be held up for so long before it writes: its window is that much shorter.
         window = 0.4
         keyed = {
--- a/tuliptrack/fleet/measures.py
+++ b/tuliptrack/fleet/measures.py
@@ -14,7 +14,8 @@
 
 class LogCounts:
     """Reads on in a log as it grows. A request that took longer to its first token than `late_ms` counts as
-    late."""
+    late.
+    """
 
     def __init__(self, path: Path, late_ms: float = 1000.0, from_end: bool = False) -> None:
         self.path, self.late_ms = path, late_ms
@@ -48,7 +49,9 @@
         if (name, "") not in self.counts and sum(m == "" for _, m in self.counts) >= _MOST_CLASSES:
             name = "other"
         self.counts[name, ""] += 1
-        measure = {"refused": "refused", "failed": "broken" if first is not None else "failed"}.get(end)
+        failed = "broken" if first is not None else "failed"
+        # Nodes of the version before log `refused`, and a rollout compares the two versions.
+        measure = {"rejected": "refused", "refused": "refused", "failed": failed}.get(end)
         if measure:
             self.counts[name, measure] += 1
         if first is not None and first > self.late_ms:
