--- a/tuliptrack/fronts/port.py
+++ b/tuliptrack/fronts/port.py
@@ -1,5 +1,12 @@
-"""What a front and the core say to each other. A front turns its protocol's words into an `ClientRequest` and
-carries an `ResponseWriter` out to its client; it decides nothing. The core knows no front."""
+"""The interface between a front (one client protocol) and the core of the node.
+
+A front parses its protocol into a `ClientRequest`, submits it to the `Core`, and implements `ResponseWriter`,
+by which the core writes the response. For each request the core returns a `RequestHandle`, by which the front
+reports what its client does. A front decides nothing, and the core knows no front.
+
+Everything runs on one event loop and no method blocks. Times are microseconds: deadlines on the monotonic
+clock of `rpc/clock.py`, waits as durations. Counts are tokens.
+"""
 
 from __future__ import annotations
 
@@ -25,68 +32,80 @@
 
 
 class InvalidRequestError(Exception):
-    """A request that can't be taken; nothing was done for it."""
+    """A request that can't be accepted; nothing was done for it.
+
+    Attributes:
+        field: The field of the client's request that is at fault.
+        reason: What is wrong with it, for the client.
+        is_unknown: The field names something that isn't served here, rather than being malformed.
+    """
 
     def __init__(self, field: str, reason: str, is_unknown: bool = False) -> None:
         super().__init__(f"{field}: {reason}")
         self.field, self.reason = field, reason
         self.is_unknown = is_unknown
-        """It names something that isn't served here, rather than being malformed."""
 
 
-def _unknown() -> bool:
+def _never_disconnected() -> bool:
+    """Stand in for `ClientRequest.is_disconnected` where a front has no means to look."""
     return False
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's request, as every front puts it. Counts are tokens; 0 stands for 'not told'."""
+    """A client's request, in the same form from every front. A count of 0 tokens means not given."""
 
     request_class: str
+    """Name of the request class, which has the latency objectives and the priority."""
     prompt: str
     tenant: str = ""
     session: str = ""
     prefix: str = ""
+    """Name of the prefix that the prompt shares with other requests; empty: none."""
     prompt_tokens: int = 0
     prefix_tokens: int = 0
     max_tokens: int = 0
     resume_index: int = 0
-    """Tokens of the answer that the client has from a stream that broke."""
+    """Output tokens that the client has from a stream that broke."""
     resume_text: str = ""
+    """The text of those tokens."""
     is_retry: bool = False
+    """The client says that it has sent this request before."""
     deadline_us: int | None = None
-    """When the client gives up the whole call, monotonic microseconds; None: it waits."""
+    """When the client gives up the whole call, monotonic microseconds; None: never."""
     model: str = ""
     model_version: str = ""
     work_id: str = ""
     """The client's name for this piece of work, shared by its retries and resumes; empty: none."""
     connection: object = None
-    """What stands for the client's connection; compared by identity."""
+    """Identifies the client's connection, for its concurrency limit; compared by identity."""
     first_token_deadline_us: int | None = None
-    """When the client gives up unless the answer has begun, monotonic microseconds; None: as its class has
-    it."""
+    """When the client gives up unless it has the first token, monotonic microseconds; None: the default of
+    the request class."""
     is_resumed: bool = False
-    """It asks for the rest of a stream that broke, which its engine can tell from the request itself."""
+    """It asks for the rest of a stream that broke, which its engine can see from the request itself."""
     call_id: str = ""
     """The client's own name for this request, for the log; empty: none."""
     payload: object = None
-    """The request in the client's own protocol, where engines get it unchanged; its front and its engines
-    know it."""
-    is_disconnected: Callable[[], bool] = _unknown
-    """Whether the client's connection has ended, as far as the system knows, though `RequestHandle.gone` has
-    not been called yet."""
+    """The request in the client's own protocol, where engines get it unchanged. Only the front and the engine
+    client know its type."""
+    is_disconnected: Callable[[], bool] = _never_disconnected
+    """Whether the operating system knows that the client's connection has ended, though
+    `RequestHandle.disconnected` has not been called yet."""
 
 
 class FinishReason(Enum):
-    """Why an answer ended."""
+    """Why a complete stream ended."""
 
     STOP = "stop"
+    """The model has finished."""
     LENGTH = "length"
+    """`ClientRequest.max_tokens` was reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Tokens of one served stream."""
+    """Tokens of one served stream: prompt, prompt tokens found in a cache, and output."""
 
     prompt_tokens: int
     cached_tokens: int
@@ -94,82 +113,104 @@
 
 
 class Failure(Enum):
-    """How a request failed. None of these promises that it has not run."""
+    """How a request failed. None of these promises that it has had no effect.
+
+    The values are part of what operators and clients see; they stay as published.
+    """
 
     DEADLINE = "deadline"
-    """No first token, or no last one, by the client's deadline."""
+    """The first or the last token had not come by the client's deadline."""
     BROKEN = "broken"
     """A stream that had begun broke; it can be resumed from its next token."""
     MIGRATED = "handed back"
-    """A stream that had begun is given back for the client to resume elsewhere."""
+    """A stream that had begun was ended so that the client resumes it at another node."""
     LOST = "lost"
-    """An attempt ended with no word on whether it had run."""
+    """An attempt ended without evidence of whether it had run."""
     STALLED = "stalled"
-    """The client has left its answer unread for too long."""
+    """The client did not read its response for too long."""
     INVALID = "unusable"
-    """An engine has looked at the request and can't make anything of it."""
+    """An engine answered that the request is invalid."""
 
 
 class ResponseWriter(Protocol):
-    """A front's side of one request. Exactly one of the last three is called, once, unless the client
-    left."""
+    """A front's side of one request: writes the response to the client.
+
+    `token` is called for each output token. Then exactly one of `served`, `rejected` and `failed` is called,
+    once; none of them after `RequestHandle.disconnected`. A call may come before `Core.submit` has returned.
+    """
 
     def token(self, index: int, text: str, finish: FinishReason | None, usage: Usage | None) -> bool:
-        """The next token; `finish` and `usage` with the last. False asks to pause until
-        `RequestHandle.writable`."""
+        """Write the next output token.
+
+        Args:
+            index: Its place in the output, from 0; a resumed stream begins at `ClientRequest.resume_index`.
+            text: Its text.
+            finish: Why the stream ends, with the last token; None before.
+            usage: The token counts of the request, with the last token; None before.
+
+        Returns:
+            False to pause the engine's stream until `RequestHandle.writable` is called.
+        """
 
     def served(self) -> None:
-        """All was sent."""
+        """End the response: all tokens were written."""
 
-    def rejected(self, reason: str, retry_after: int) -> None:
-        """Not served, and trying again is harmless, after so many microseconds."""
+    def rejected(self, reason: str, retry_after_us: int) -> None:
+        """Answer that the request was not run, so that a retry is harmless, after `retry_after_us`."""
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
-        """Not served whole; `next_index` is where a resumed stream would go on."""
+        """Answer that the request failed; a resumed stream would go on from token `next_index`."""
 
 
 class RawResponseWriter(ResponseWriter, Protocol):
-    """That of a front whose clients speak the engines' own protocol."""
+    """The response writer of a front whose clients speak the engines' own protocol."""
 
     def events(self, data: bytes) -> bool:
-        """Whole events of the engine's stream, unchanged; as `token` in all else."""
+        """Write complete events of the engine's stream, unchanged; returns as `token` does."""
 
 
 class RequestHandle(Protocol):
-    """The core's side of one request."""
+    """The core's side of one request: what the front reports of its client."""
 
     def disconnected(self, reason: str) -> None:
-        """The client has left; nothing more is owed."""
+        """Record that the client has gone: the request is cancelled and nothing more is written."""
 
     def writable(self) -> None:
-        """The client has taken enough to be sent more."""
+        """Record that the client reads again, after `ResponseWriter.token` has returned False."""
 
 
 class ModelDirectory(Protocol):
-    """What is served, for fronts that tell it."""
+    """The models that are served, for fronts whose protocol can list them."""
 
     def listed(self) -> list[Model]:
-        """Every model and version that is known."""
+        """Return every known model and version."""
 
     def serving(self, name: str = "") -> list[Model]:
-        """Those (of a name) that have ready readers and writers."""
+        """Return those (of a name, where one is given) that have ready prefill and decode endpoints."""
 
     def ready(self, name: str, version: str = "") -> bool:
-        """Whether a request for it would find engines."""
+        """Return whether a request for the model would find endpoints."""
 
 
 class Core(Protocol):
-    """What takes requests."""
+    """The core of the node, as fronts use it."""
 
     @property
-    def models(self) -> ModelDirectory: ...
+    def models(self) -> ModelDirectory:
+        """The models that are served."""
 
     def serving(self) -> bool:
-        """Whether requests are taken: started, and not about to stop."""
+        """Return whether requests are accepted: the node has started and is not draining."""
 
     def overload(self) -> tuple[str, int]:
-        """Why any request would be refused now, whoever sends it, and after how many microseconds to come
-        back; an empty reason where it would be looked at."""
+        """Return why any request would be rejected now, and after how many microseconds to retry.
+
+        Asked before a request is parsed. The reason is empty where a request would be considered.
+        """
+
+    def submit(self, request: ClientRequest, response: ResponseWriter) -> RequestHandle:
+        """Start to serve a request; its response may begin before this returns.
 
-    def submit(self, ask: ClientRequest, answer: ResponseWriter) -> RequestHandle:
-        """Take a request; AskError where it can't be one. The answer may begin before this returns."""
+        Raises:
+            InvalidRequestError: The request can't be accepted; nothing is written to `response`.
+        """
