--- a/tuliptrack/fronts/codes.py
+++ b/tuliptrack/fronts/codes.py
@@ -28,5 +28,5 @@
 
 def failure(how: Failure, text: str, **facts: str) -> Status:
     """A failure, with its kind and these facts for programs."""
-    info = error_details_pb2.ErrorInfo(reason=how.name, domain="tuliptrack", metadata=facts)
+    info = error_details_pb2.ErrorInfo(reason=how.value, domain="tuliptrack", metadata=facts)
     return with_details(_CODES[how], text, info)
--- a/tuliptrack/fronts/kserve/grpc.py
+++ b/tuliptrack/fronts/kserve/grpc.py
@@ -159,7 +159,7 @@
         self._error(rejection_text(reason), {"error": "REFUSED", "retry_after_ms": retry_after // 1000})
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
-        self._error(failure_text(how, reason, next_index), {"error": how.name, "next_index": next_index})
+        self._error(failure_text(how, reason, next_index), {"error": how.value, "next_index": next_index})
 
     def _error(self, text: str, facts: dict[str, Value]) -> None:
         self.stream.error(self.infer, text, facts)
--- a/tuliptrack/fronts/kserve/mapping.py
+++ b/tuliptrack/fronts/kserve/mapping.py
@@ -232,4 +232,4 @@
 
 def failure_text(how: Failure, reason: str, next_index: int) -> str:
     resume = f"; it can go on from token {next_index}" if how in (Failure.BROKEN, Failure.MIGRATED) else ""
-    return f"failed ({how.name}): {reason}{resume}"
+    return f"failed ({how.value}): {reason}{resume}"
--- a/tuliptrack/fronts/kserve/rest.py
+++ b/tuliptrack/fronts/kserve/rest.py
@@ -158,7 +158,7 @@
         _refuse(self.call, reason, retry_after)
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
-        self.call.error(_STATUS[how], failure_text(how, reason, 0), kind=how.name)
+        self.call.error(_STATUS[how], failure_text(how, reason, 0), kind=how.value)
 
 
 class _Events:
@@ -197,10 +197,10 @@
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
         text = failure_text(how, reason, next_index)
         if self.call.started:
-            self._event({"error": text, "kind": how.name, "next_index": next_index})
+            self._event({"error": text, "kind": how.value, "next_index": next_index})
             self.call.end()
         else:
-            self.call.error(_STATUS[how], text, kind=how.name)
+            self.call.error(_STATUS[how], text, kind=how.value)
 
 
 class Rest:
--- a/tuliptrack/fronts/port.py
+++ b/tuliptrack/fronts/port.py
@@ -115,20 +115,20 @@
 class Failure(Enum):
     """How a request failed. None of these promises that it has had no effect.
 
-    The values are part of what operators and clients see; they stay as published.
+    The values are published (`docs/operate/grpc.md`): clients get them as the kind of the failure.
     """
 
-    DEADLINE = "deadline"
+    DEADLINE = "DEADLINE"
     """The first or the last token had not come by the client's deadline."""
-    BROKEN = "broken"
+    BROKEN = "BROKEN"
     """A stream that had begun broke; it can be resumed from its next token."""
-    MIGRATED = "handed back"
+    MIGRATED = "HANDED_BACK"
     """A stream that had begun was ended so that the client resumes it at another node."""
-    LOST = "lost"
+    LOST = "LOST"
     """An attempt ended without evidence of whether it had run."""
-    STALLED = "stalled"
+    STALLED = "STALLED"
     """The client did not read its response for too long."""
-    INVALID = "unusable"
+    INVALID = "UNUSABLE"
     """An engine answered that the request is invalid."""
 
 
--- a/tuliptrack/node/cross_zone_account.py
+++ b/tuliptrack/node/cross_zone_account.py
@@ -1,19 +1,25 @@
-"""What has crossed zones, by the node's own sockets and its engines' word: counted, booked by interval,
-written down.
+"""Accounts for the bytes that cross zones, by interval, and appends them to a report file.
 
-A move is counted while it runs and after it was broken off (`core.Traffic` goes on counting what crosses a
-reset of ours), so it is booked at the ends of intervals, up to two seconds past the end of its call. The sums
-of one interval are bounded by the number of (class, tenant, stage, pair of zones, cause); `MOST_KEYS` more
-than that are booked under `other`. An interval that can't be written down goes with the next one that can.
+They are counted at the node's own sockets; of transfers between engines, they are what the engines report.
+
+A transfer is counted while it runs and for `LATE_BYTES_US` after its call has ended, as the counters of a
+connection go on counting what was under way when the node reset its call. So its last bytes are booked in an
+interval after that end. The rows of one interval are bounded by the number of (class, tenant, stage, pair of
+zones, cause): beyond `MAX_KEYS`, what comes is booked under `other`. An interval that can't be written goes
+into the file with the next one that can.
+
+Sizes are bytes, times are microseconds on the monotonic clock; only the report's `t` is seconds since 1970.
 """
 
 from __future__ import annotations
 
 import json
 import os
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
+from enum import Enum
 from pathlib import Path
+from typing import NamedTuple
 
 import structlog
 
@@ -21,137 +27,199 @@
 from tuliptrack.node import line_file
 from tuliptrack.rpc.clock import now_us, wall_us
 
-__all__ = ["CrossZoneAccount", "Transfer"]
+__all__ = ["CrossZoneAccount", "Transfer", "TransferKey", "TransferStage", "TransferTotals"]
 
 log = structlog.get_logger("zones")
-MOST_KEYS = 50_000
-MOST_MOVES = 200_000  # moves that wait to be booked; where one more comes the oldest is booked, as it stands
-STILL_COMES_US = 2_000_000  # microseconds in which what was under way as its call ended has come
-Key = tuple[str, str, str, str, str, str]
-_OTHER: Key = ("other", "", "", "", "", "")
+
+MAX_KEYS = 50_000
+"""Rows of one account, without `other`."""
+MAX_TRANSFERS = 200_000
+"""Transfers that are tracked at a time; beyond, the oldest is booked as it stands and no longer tracked."""
+LATE_BYTES_US = 2_000_000
+"""How long after the end of its call the bytes that were under way may still come."""
+
+
+class TransferStage(Enum):
+    """What is transferred; the values stand in the report."""
+
+    PROMPT = "prompt"
+    KV_STATE = "state"
+    OUTPUT = "answer"
+
+
+class TransferKey(NamedTuple):
+    """What one row of the account is about; zones by name. The order is that of the report's rows."""
+
+    request_class: str
+    tenant: str
+    stage: str
+    source: str
+    target: str
+    cause: str
+
+
+_OTHER = TransferKey("other", "", "", "", "", "")
+
+
+@dataclass(slots=True)
+class TransferTotals:
+    """What the transfers of one row come to."""
+
+    size_bytes: int = 0
+    tokens: float = 0.0
+    transfers: int = 0
+
+    def add(self, more: TransferTotals) -> None:
+        """Add the totals of other transfers."""
+        self.size_bytes += more.size_bytes
+        self.tokens += more.tokens
+        self.transfers += more.transfers
+
+
+Totals = dict[TransferKey, TransferTotals]
 
 
 @dataclass(slots=True)
 class Transfer:
-    """One thing that has crossed, or may still: a prompt, a read state, or an answer."""
+    """One prompt, KV state or output that crosses zones; zones by number."""
 
-    cls: str
+    request_class: str
     tenant: str
-    stage: str
-    """`prompt`, `state` or `answer`."""
+    stage: TransferStage
     source: int
     target: int
     cause: CrossZoneCause
-    size: Callable[[], int]
-    """Bytes so far."""
+    count_bytes: Callable[[], int]
+    """Returns the bytes so far."""
     tokens: float = 0.0
-    booked: int = 0
-    over: bool = False
-    """Its call has ended: what is still under way is counted for `STILL_COMES_US`."""
-    let_go_at: int = 0
-    """When it is let go, once it is over."""
+    booked_bytes: int = 0
+    """Bytes that are in the account already."""
+    has_ended: bool = False
+    """Its call has ended: what is still under way is counted for `LATE_BYTES_US`."""
+    tracked_until_us: int = 0
+    """When it is no longer tracked; 0 until the end of its call is seen."""
 
 
-def _add(book: dict[Key, list[float]], key: Key, row: Sequence[float]) -> None:
-    """Add bytes, tokens and moves to a book's row; what it has no room for goes under `other`."""
-    if key not in book and len(book) >= MOST_KEYS:
+def _add(totals: Totals, key: TransferKey, more: TransferTotals) -> None:
+    """Add to the row of a key, or to `other` where there are too many rows."""
+    if key not in totals and len(totals) >= MAX_KEYS:
         key = _OTHER
-    sums = book.setdefault(key, [0.0, 0.0, 0.0])
-    for place, amount in enumerate(row):
-        sums[place] += amount
+    totals.setdefault(key, TransferTotals()).add(more)
 
 
 class CrossZoneAccount:
-    """One node's account. `take` notes a move, `book` ends an interval."""
-
-    def __init__(self, names: tuple[str, ...], path: str, most_bytes: int, node: int) -> None:
-        self.names, self.path, self.most_bytes, self.node = names, path, most_bytes, node
-        self.moves: list[Transfer] = []
-        self.total: dict[Key, list[float]] = {}
-        """Since the start: bytes, tokens and moves by class, tenant, stage, pair and cause."""
-        self.unwritten: dict[Key, list[float]] = {}
-        """Of intervals that could not be written down."""
-        self._booked: dict[Key, list[float]] = {}
-        """Of this interval, booked before its end."""
-
-    def name(self, zone: int) -> str:
-        return self.names[zone] if zone < len(self.names) else str(zone)
-
-    def take(self, move: Transfer) -> Transfer:
-        """Count something that has begun to cross."""
-        if len(self.moves) >= MOST_MOVES:
-            self._book(self.moves.pop(0), self._booked)
-        self.moves.append(move)
-        return move
-
-    def _key(self, move: Transfer) -> Key:
-        return (
-            move.cls,
-            move.tenant,
-            move.stage,
-            self.name(move.source),
-            self.name(move.target),
-            move.cause.value,
-        )
-
-    def book(self) -> dict[Key, list[float]]:
-        """End an interval: what its moves have come to since the last one."""
-        rows, self._booked = self._booked, {}
+    """The account of one node: `track` a transfer, `close_interval`, `write` the interval to the report."""
+
+    def __init__(
+        self, zone_names: tuple[str, ...], path: str, max_report_bytes: int, replica_index: int
+    ) -> None:
+        """Begin an empty account.
+
+        Args:
+            zone_names: The names of the zones, by number.
+            path: The report file; empty: none is written.
+            max_report_bytes: Size beyond which the report is rotated to `path` with `.1` added.
+            replica_index: The node's number in the report.
+        """
+        self.zone_names, self.path = zone_names, path
+        self.max_report_bytes, self.replica_index = max_report_bytes, replica_index
+        self.transfers: list[Transfer] = []
+        self.total: Totals = {}
+        """Everything since the start."""
+        self.unwritten: Totals = {}
+        """Intervals that could not be written yet."""
+        self._interval: Totals = {}
+        """Of the open interval, from transfers that are no longer tracked."""
+
+    def zone_name(self, zone: int) -> str:
+        """Return the name of a zone, or its number where it has none."""
+        return self.zone_names[zone] if zone < len(self.zone_names) else str(zone)
+
+    def track(self, transfer: Transfer) -> Transfer:
+        """Count a transfer that begins."""
+        if len(self.transfers) >= MAX_TRANSFERS:
+            self._book(self.transfers.pop(0), self._interval)
+        self.transfers.append(transfer)
+        return transfer
+
+    def close_interval(self) -> Totals:
+        """Return what the transfers have come to since the last interval was closed."""
+        interval, self._interval = self._interval, {}
         now = now_us()
-        for move in self.moves:
-            self._book(move, rows)
-            if move.over and not move.let_go_at:
-                move.let_go_at = now + STILL_COMES_US
-        self.moves = [move for move in self.moves if not move.over or now < move.let_go_at]
-        return rows
-
-    def _book(self, move: Transfer, rows: dict[Key, list[float]]) -> None:
-        """Add what a move has come to since it was last looked at."""
-        size = move.size()
-        if size <= move.booked:
+        for transfer in self.transfers:
+            self._book(transfer, interval)
+            if transfer.has_ended and not transfer.tracked_until_us:
+                transfer.tracked_until_us = now + LATE_BYTES_US
+        self.transfers = [one for one in self.transfers if not one.has_ended or now < one.tracked_until_us]
+        return interval
+
+    def _book(self, transfer: Transfer, interval: Totals) -> None:
+        """Add what a transfer has come to since it was last booked."""
+        size_bytes = transfer.count_bytes()
+        if size_bytes <= transfer.booked_bytes:
             return
-        first = not move.booked
-        for book in (rows, self.total):
-            _add(book, self._key(move), (size - move.booked, move.tokens if first else 0.0, first))
-        move.booked = size
-
-    def write(self, rows: dict[Key, list[float]], wall: float | None = None) -> None:
-        """Append an interval to the report; where that fails, it is logged, kept for the next time, and
-        serving goes on."""
+        more = TransferTotals(size_bytes - transfer.booked_bytes)
+        if not transfer.booked_bytes:
+            more.tokens, more.transfers = transfer.tokens, 1
+        for totals in (interval, self.total):
+            _add(totals, self._key(transfer), more)
+        transfer.booked_bytes = size_bytes
+
+    def _key(self, transfer: Transfer) -> TransferKey:
+        return TransferKey(
+            transfer.request_class,
+            transfer.tenant,
+            transfer.stage.value,
+            self.zone_name(transfer.source),
+            self.zone_name(transfer.target),
+            transfer.cause.value,
+        )
+
+    def write(self, interval: Totals) -> None:
+        """Append an interval to the report.
+
+        A failure is logged and does not disturb serving; the interval is written with the next one.
+        """
         if not self.path:
             return
-        for key, row in rows.items():
-            _add(self.unwritten, key, row)
+        for key, totals in interval.items():
+            _add(self.unwritten, key, totals)
         if not self.unwritten:
             return
-        at = round(wall_us() / 1e6 if wall is None else wall, 3)
-        text = "".join(
-            json.dumps(
-                {
-                    "t": at,
-                    "node": self.node,
-                    "class": key[0],
-                    "tenant": key[1],
-                    "stage": key[2],
-                    "from": key[3],
-                    "to": key[4],
-                    "cause": key[5],
-                    "bytes": int(row[0]),
-                    "tokens": round(row[1]),
-                    "moves": int(row[2]),
-                }
-            )
-            + "\n"
-            for key, row in sorted(self.unwritten.items())
-        )
         try:
-            path = Path(self.path)
-            if path.exists() and path.stat().st_size + len(text) > self.most_bytes:
-                os.replace(path, path.with_name(path.name + ".1"))
-            line_file.append(path, text)
+            self._append(self._report_lines(sorted(self.unwritten.items(), key=lambda row: row[0])))
         except OSError as error:
             log.warning(
                 "zone report not written", path=self.path, reason=str(error), rows_waiting=len(self.unwritten)
             )
             return
         self.unwritten = {}
+
+    def _append(self, text: str) -> None:
+        path = Path(self.path)
+        if path.exists() and path.stat().st_size + len(text) > self.max_report_bytes:
+            os.replace(path, path.with_name(path.name + ".1"))
+        line_file.append(path, text)
+
+    def _report_lines(self, rows: Iterable[tuple[TransferKey, TransferTotals]]) -> str:
+        """Return the rows as JSON, one a line; its keys are those that `tuliptrack report` reads."""
+        written_at_s = round(wall_us() / 1e6, 3)
+        return "".join(
+            json.dumps(
+                {
+                    "t": written_at_s,
+                    "node": self.replica_index,
+                    "class": key.request_class,
+                    "tenant": key.tenant,
+                    "stage": key.stage,
+                    "from": key.source,
+                    "to": key.target,
+                    "cause": key.cause,
+                    "bytes": totals.size_bytes,
+                    "tokens": round(totals.tokens),
+                    "moves": totals.transfers,
+                }
+            )
+            + "\n"
+            for key, totals in rows
+        )
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -21,7 +21,7 @@
 from tuliptrack.fronts.port import ClientRequest, InvalidRequestError
 from tuliptrack.node.billing import Billing
 from tuliptrack.node.core import Core
-from tuliptrack.node.cross_zone_account import CrossZoneAccount, Transfer
+from tuliptrack.node.cross_zone_account import CrossZoneAccount, Transfer, TransferStage
 from tuliptrack.node.engine_channels import EngineChannels
 from tuliptrack.node.grpc_engine_client import ENGINE, GrpcCall, GrpcEngineClient
 from tuliptrack.node.port import AttemptResult
@@ -164,7 +164,7 @@
             self._saver
         ):  # Its thread can't be broken off: it writes to its end, as a file that is half made helps nobody.
             await self._saver
-        self.account.write(self.account.book())
+        self.account.write(self.account.close_interval())
         await self.bills.close()
         log.info("stopped", **{state.value: n for state, n in self.table.end_counts.items()})
 
@@ -222,7 +222,7 @@
         ]
         zones = {s.info.zone for s in seats} | {self.settings.zone, *range(len(self.config.zones.names))}
         lacking = {
-            (self.account.name(zone), role.value)
+            (self.account.zone_name(zone), role.value)
             for zone in zones
             for role in (io.Role.PREFILL, io.Role.DECODE)
             if not any(s.info.zone == zone and s.role in (role, io.Role.PREFILL_AND_DECODE) for s in seats)
@@ -288,20 +288,22 @@
 
     def cross_zone_bytes(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> float:
         for move in attempt.transfers:
-            move.over = True
+            move.has_ended = True
         if isinstance(ended.detail, End):
             self._state_moved(record, attempt, ended.detail)
-        return float(sum(m.size() for m in attempt.transfers))
+        return float(sum(m.count_bytes() for m in attempt.transfers))
 
     def _count(self, record: RequestRecord, attempt: Attempt, call: ClientCall, zone: int) -> None:
         """Book what this attempt moves between zones, as it moves."""
         own, tokens = self.settings.zone, record.client_request.prompt_tokens
 
-        def move(stage: str, source: int, target: int, size: Callable[[], int], count: float) -> None:
+        def move(
+            stage: TransferStage, source: int, target: int, size: Callable[[], int], count: float
+        ) -> None:
             if source != target:
                 assert attempt.cross_zone_cause
                 attempt.transfers.append(
-                    self.account.take(
+                    self.account.track(
                         Transfer(
                             record.client_request.request_class,
                             record.client_request.tenant,
@@ -315,15 +317,15 @@
                     )
                 )
 
-        move("prompt", own, zone, lambda: call.traffic.sent, tokens)
-        move("answer", zone, own, lambda: call.traffic.received, 0.0)
+        move(TransferStage.PROMPT, own, zone, lambda: call.traffic.sent, tokens)
+        move(TransferStage.OUTPUT, zone, own, lambda: call.traffic.received, 0.0)
         if record.kv_state and not attempt.is_prefill:
             reader = record.router.endpoints[record.kv_state.endpoint_id].info.zone
-            move("state", reader, zone, lambda: attempt.state_bytes, tokens)
+            move(TransferStage.KV_STATE, reader, zone, lambda: attempt.state_bytes, tokens)
 
     def _state_moved(self, record: RequestRecord, attempt: Attempt, end: End) -> None:
         """How much of a state has crossed: the writer's word, else the reader's is asked for."""
-        state = next((m for m in attempt.transfers if m.stage == "state"), None)
+        state = next((m for m in attempt.transfers if m.stage is TransferStage.KV_STATE), None)
         if state is None:
             return
         told = next((v for k, v in end.metadata if k == "tuliptrack-state-bytes"), "")
@@ -334,12 +336,12 @@
         if channel is None or end.how is How.CONNECT:
             return
         got: list[bytes] = []
-        state.over = False
+        state.has_ended = False
         # The reader tells what it has sent of this request's states in all, also what is booked already.
         before = record.state_bytes_moved.get(attempt.state_endpoint_id, 0)
 
         def ended(end: End) -> None:
-            state.over = True
+            state.has_ended = True
             if end.status.code is Code.OK and got:
                 total = engine_pb2.UsageResponse.FromString(got[0]).state_bytes
                 self._booked_state(record, attempt, max(total - before, 0))
@@ -390,7 +392,7 @@
             now = now_us()
             if now - self._booked_at > self.config.zones.report_every:
                 self._booked_at = now
-                if rows := self.account.book():
+                if rows := self.account.close_interval():
                     await asyncio.to_thread(self.account.write, rows)
             self.sweep()
             self.channels.sweep()
