--- a/tests/test_bills_path.py
+++ b/tests/test_bills_path.py
@@ -125,7 +125,7 @@
         ) as w:
             one = w.ask(work="long")
             await until(lambda: len(one.tokens) > 60)
-            ledger = w.node.bills.ledger
+            ledger = w.node.billing.recorder.ledger
             assert ledger
             await until(lambda: ledger.sequence >= 2)
             # The file as a kill would leave it, for the next life to look at.
@@ -169,16 +169,16 @@
             for tenant in ("small", "rich"):
                 asked = [w.ask(tenant=tenant, max_tokens=20) for _ in range(8)]
                 assert {(await one.wait()).status.code for one in asked} == {Code.OK}
-            assert w.node.bills.budgets
-            use = w.node.bills.budgets.use("small")
+            assert w.node.billing.budgets
+            use = w.node.billing.budgets.use("small")
             assert use.over > 0 and use.held_back == 0 and use.requests >= 9
-            w.node.bills.tell()
+            w.node.billing.log_budgets()
 
     run(go)
     line = next(
         line for line in capsys.readouterr().out.splitlines() if "budgets" in line and "heaviest" in line
     )
-    assert "held_back=0" in line and "'small'" in line and "'rich'" in line
+    assert "reserved_tokens=0" in line and "'small'" in line and "'rich'" in line
 
 
 @pytest.mark.parametrize("when", ["SERVE", "REFUSE_ALL"])
@@ -186,7 +186,7 @@
     async def go() -> None:
         async with world(settings=billing(tmp_path / "l", f"when_full: {when}")) as w:
             assert (await w.ask(work="one").wait()).status.code is Code.OK
-            ledger = w.node.bills.ledger
+            ledger = w.node.billing.recorder.ledger
             assert ledger
             commit = ledger.commit
 
@@ -194,12 +194,12 @@
                 raise LedgerFull("no room")
 
             ledger.commit = full  # type: ignore[method-assign]
-            await until(lambda: w.node.bills.failing)
+            await until(lambda: w.node.billing.recorder.commit_error)
             end = await w.ask(work="two").wait()
             assert end.status.code is (Code.OK if when == "SERVE" else Code.UNAVAILABLE)
             assert when == "SERVE" or "bills can't be written" in end.status.message
             ledger.commit = commit  # type: ignore[method-assign]
-            await until(lambda: not w.node.bills.failing)
+            await until(lambda: not w.node.billing.recorder.commit_error)
             assert (await w.ask(work="three").wait()).status.code is Code.OK
 
     run(go)
--- a/tuliptrack/node/billing.py
+++ b/tuliptrack/node/billing.py
@@ -1,9 +1,10 @@
-"""Budgets and bills of a running node: what the core's requests become in `decisions/token_budget.py` and in
-the ledger.
+"""Token budgets and bills of a running node.
 
-A part of a bill is written when its request ends, and while it streams at each commit, so that a killed node
-loses at most what has left since the last one. Commits run in a thread, one at a time. Where they fail, parts
-wait (bounded); then new requests are refused, or served unbilled and counted, as the settings have it."""
+Turns the life of a request into calls of the budgets (`decisions/token_budget.py`) and of the usage recorder.
+A request is checked against its tenant's budgets before it is admitted; what it is expected to use is
+reserved when it is admitted and settled when it ends. Budgets count in tenths of a token of weight 1. Times
+are microseconds on the node's clock.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +15,7 @@
 import structlog
 
 from tuliptrack.config.node import BillingOptions
-from tuliptrack.decisions.billing import CUT, NOTHING, OPEN, SERVED, TokenPrice, UsageRecord, fold
+from tuliptrack.decisions.billing import TokenPrice
 from tuliptrack.decisions.token_budget import (
     MAX_GRANTED_WINDOW_US,
     BudgetVerdict,
@@ -23,224 +24,158 @@
 )
 from tuliptrack.interface import Settings
 from tuliptrack.node.requests import RequestRecord, RequestState
-from tuliptrack.rpc.clock import wall_us
-from tuliptrack.store.ledger import Ledger, LedgerError
+from tuliptrack.node.usage_recorder import UsageRecorder
 
 __all__ = ["Billing"]
 
 log = structlog.get_logger("bills")
-_TELL_S = 60.0  # seconds between two lines on budgets
-_COMPACT_S = 3_600.0  # seconds between two looks at what is past its retention
+
+BUDGET_LOG_INTERVAL_S = 60.0
+UNITS_PER_TOKEN = 10
+"""Units of a budget to a token of weight 1."""
+LOGGED_TENANTS = 5
+"""Tenants of heaviest use in the log line."""
 
 
 class Billing:
-    """One node's. `open` first; `close` commits what is left."""
+    """Budgets and bills of one node. `open` first; `close` commits what is left."""
 
     def __init__(self, options: BillingOptions, settings: Settings, instance: str, now: int) -> None:
-        self.options, self.instance = options, instance
-        self.wall = settings.epoch_offset_us
-        """What turns the node's clock into microseconds since 1970; taken once."""
-        self.budgets: TokenBudgets | None = None
-        if options.windows:
-            read, kept, written = options.weights
-            self.budgets = TokenBudgets(
-                TokenBudgetSettings(
-                    settings.replicas,
-                    options.windows,
-                    settings.replica_index,
-                    self.wall,
-                    options.spread,
-                    read,
-                    kept,
-                    written,
-                    options.lend,
-                ),
-                now,
-            )
-        self.ledger: Ledger | None = None
-        self.failing = ""
-        """Why the last commit failed; empty where it did not."""
-        self.unbilled = 0
-        self.streaming: dict[int, tuple[RequestRecord, int]] = {}
-        """Requests that stream, and the token up to which the ledger has them."""
+        """Set up the budgets; the ledger is opened by `open`.
+
+        Args:
+            options: Budgets, prices and the ledger.
+            settings: The node's place in the fleet, and the offset of its clock.
+            instance: Names this incarnation of the node in the ledger.
+            now: The present time.
+        """
+        self.options = options
+        self.epoch_offset_us = settings.epoch_offset_us
+        """Added to the node's clock it gives microseconds since 1970; taken once."""
+        self.budgets = TokenBudgets(_budget_settings(options, settings), now) if options.windows else None
+        self.recorder = UsageRecorder(options, instance, self.epoch_offset_us)
         self._task: asyncio.Task[None] | None = None
-        self._compacted = self._told = time.monotonic()
+        self._logged_at_s = time.monotonic()
 
     async def open(self, now: int) -> None:
-        """LedgerError where the ledger can't be had."""
-        if self.options.ledger:
-            await self._open_ledger(now)
-        if self.ledger or self.budgets:
+        """Open the ledger, and begin to commit and to log.
+
+        Raises:
+            LedgerError: The ledger can't be opened.
+        """
+        await self.recorder.open()
+        await self._recover_usage(now)
+        if self.recorder.ledger or self.budgets:
             self._task = asyncio.get_running_loop().create_task(self._run())
 
-    async def _open_ledger(self, now: int) -> None:
-        self.ledger = await asyncio.to_thread(Ledger, self.options.ledger, self.options.ledger_bytes)
-        found = self.ledger.recovery
-        self.failing = found.trouble
-        log.info(
-            "ledger open",
-            batches=found.batches,
-            cut_off=found.cut,
-            ms=round(found.took_us / 1000, 1),
-            trouble=found.trouble,
-        )
-        longest = max(
-            (
-                w.length
-                for ws in self.options.windows.values()
-                for w in ws
-                if w.length > MAX_GRANTED_WINDOW_US
-            ),
-            default=0,
-        )
-        if self.budgets and longest:
-            wall = now + self.wall
-            for bill in fold(await asyncio.to_thread(self.ledger.used_since, wall - wall % longest)):
-                self.budgets.recovered(
-                    now, bill.tenant, self.budgets.units(bill.read, bill.kept, bill.written)
-                )
+    async def _recover_usage(self, now: int) -> None:
+        """Count what the ledger has of the calendar windows that are open, as after a restart they go on."""
+        calendar_lengths = [
+            window.length
+            for windows in self.options.windows.values()
+            for window in windows
+            if window.length > MAX_GRANTED_WINDOW_US
+        ]
+        if self.budgets is None or not calendar_lengths:
+            return
+        wall_time_us = now + self.epoch_offset_us
+        for bill in await self.recorder.usage_since(wall_time_us - wall_time_us % max(calendar_lengths)):
+            units = self.budgets.units(bill.read, bill.kept, bill.written)
+            self.budgets.recovered(now, bill.tenant, units)
 
     async def close(self) -> None:
+        """End the commits, after a last one."""
         if self._task:
             self._task.cancel()
             await asyncio.wait([self._task])
-        if self.ledger:
-            ledger = self.ledger
-            await self._commit()
-            self.ledger = None
-            await asyncio.to_thread(ledger.close)
-
-    # -- requests
+        await self.recorder.close()
 
-    def refusal(self) -> str:
-        """Why new requests are refused, where they are for want of bills."""
-        return "bills can't be written" if self.failing and self.options.refuse_when_full else ""
+    def rejection_reason(self) -> str:
+        """Return why every new request is rejected; empty unless usage can't be recorded."""
+        is_rejecting = self.recorder.commit_error and self.options.refuse_when_full
+        return "bills can't be written" if is_rejecting else ""
 
-    def ask(self, now: int, record: RequestRecord, cls: int) -> BudgetVerdict:
-        """Whether a request is within its tenant's budgets; what it needs is reserved if it is let in."""
+    def check_budget(self, now: int, record: RequestRecord, class_index: int) -> BudgetVerdict:
+        """Return whether a request is within its tenant's budgets; nothing is reserved yet."""
         if self.budgets is None:
             return BudgetVerdict(False)
-        ask = record.client_request
-        kept = ask.prefix_tokens if ask.prefix else 0
+        request = record.client_request
+        cached_tokens = request.prefix_tokens if request.prefix else 0
+        max_output_tokens = request.max_tokens - request.resume_index
         return self.budgets.ask(
-            now, ask.tenant, cls, ask.prompt_tokens, kept, ask.max_tokens - ask.resume_index
+            now, request.tenant, class_index, request.prompt_tokens, cached_tokens, max_output_tokens
         )
 
-    def let_in(self, now: int, record: RequestRecord, cls: int, verdict: BudgetVerdict) -> None:
-        record.price = self._price(now + self.wall)
-        if self.budgets:
-            self.budgets.take(
-                now,
-                record.id,
-                record.client_request.tenant,
-                cls,
-                record.client_request.prompt_tokens,
-                verdict,
-            )
-
-    def _price(self, wall: int) -> TokenPrice:
-        prices = self.options.prices
-        place = bisect_right([at for at, _ in prices], wall)
-        return prices[place - 1][1] if place else TokenPrice()
-
-    def began(self, record: RequestRecord) -> None:
-        if self.ledger:
-            self.streaming[record.id] = (record, record.client_request.resume_index)
-
-    def ended(self, now: int, record: RequestRecord) -> None:
-        """A request that had been let in is over."""
-        self.streaming.pop(record.id, None)
-        got = record.next_index - record.client_request.resume_index
-        whole = record.state is RequestState.SERVED
+    def request_admitted(
+        self, now: int, record: RequestRecord, class_index: int, verdict: BudgetVerdict
+    ) -> None:
+        """Fix the price of an admitted request, and reserve what it is expected to use."""
+        record.price = self._price_at(now + self.epoch_offset_us)
         if self.budgets:
-            self.budgets.settle(now, record.id, record.cached_tokens, got if got else -1, whole)
-        if self.ledger:
-            self._add(self._part(record, SERVED if whole else CUT if got else NOTHING))
-
-    def _part(self, record: RequestRecord, outcome: int) -> UsageRecord:
-        ask, got = record.client_request, record.next_index > record.client_request.resume_index
-        lost = max(record.prefills - got, 0) * max(ask.prompt_tokens - record.cached_tokens, 0)
-        work = ask.work_id or record.name
-        return UsageRecord(
-            self.instance,
-            record.id,
-            ask.tenant,
-            work,
-            record.accepted_at_us + self.wall,
-            ask.prompt_tokens,
-            record.cached_tokens,
-            ask.resume_index,
-            record.next_index,
-            outcome,
-            lost,
-            0,
-            record.price,
-            ask.request_class,
-            record.model.name,
-            record.model.version,
-        )
+            request = record.client_request
+            self.budgets.take(now, record.id, request.tenant, class_index, request.prompt_tokens, verdict)
+
+    def _price_at(self, wall_time_us: int) -> TokenPrice:
+        """Return the price in force; prices are in the order of the times from which they hold."""
+        starts = [start for start, _ in self.options.prices]
+        index = bisect_right(starts, wall_time_us)
+        return self.options.prices[index - 1][1] if index else TokenPrice()
 
-    def _add(self, part: UsageRecord) -> None:
-        assert self.ledger
-        if not self.ledger.add(part):
-            self.unbilled += 1
-            if self.unbilled & (self.unbilled - 1) == 0:  # at 1, 2, 4 ...
-                log.error("served unbilled", parts=self.unbilled)
+    def stream_started(self, record: RequestRecord) -> None:
+        """Record the usage of a request that has its first token also while it streams."""
+        self.recorder.stream_started(record)
 
-    # -- commits
+    def request_ended(self, now: int, record: RequestRecord) -> None:
+        """Settle the budgets of an admitted request, and record its usage."""
+        if self.budgets:
+            output_tokens = record.next_index - record.client_request.resume_index
+            is_complete = record.state is RequestState.SERVED
+            # Without output a request counts as not served, which the budgets take as a negative count.
+            self.budgets.settle(now, record.id, record.cached_tokens, output_tokens or -1, is_complete)
+        self.recorder.request_ended(record)
 
     async def _run(self) -> None:
+        """Commit and log, until cancelled."""
         while True:
             await asyncio.sleep(self.options.commit / 1e6)
-            if time.monotonic() - self._told > _TELL_S:
-                self._told = time.monotonic()
-                self.tell()
-            if self.ledger is None:
-                continue
-            for number, (record, known) in list(self.streaming.items()):
-                if record.next_index > known:
-                    self.streaming[number] = (record, record.next_index)
-                    self._add(self._part(record, OPEN))
-            await self._commit()
-            if time.monotonic() - self._compacted > _COMPACT_S or self.failing:
-                self._compacted = time.monotonic()
-                await self._compact()
-
-    def tell(self) -> None:
-        """One line for the operators: who uses most, and how far off the reservations are, in tokens of
-        weight 1."""
+            if time.monotonic() - self._logged_at_s > BUDGET_LOG_INTERVAL_S:
+                self._logged_at_s = time.monotonic()
+                self.log_budgets()
+            await self.recorder.commit_interval()
+
+    def log_budgets(self) -> None:
+        """Log who uses most, and by what share the reservations differ from what was used.
+
+        Amounts are tokens of weight 1.
+        """
         if self.budgets is None:
             return
-        uses = [one.use for one in self.budgets.tenants.values()]
-        used, off = sum(use.used for use in uses), sum(use.off for use in uses)
+        usages = [tenant.use for tenant in self.budgets.tenants.values()]
+        used = sum(usage.used for usage in usages)
+        difference = sum(usage.off for usage in usages)
         log.info(
             "budgets",
-            requests=sum(use.requests for use in uses),
-            over=sum(use.over for use in uses),
-            held_back=sum(use.held_back for use in uses) // 10,
-            off_share=round(off / max(used, 1), 3),
-            heaviest=[[heavy.name, heavy.amount // 10] for heavy in self.budgets.heaviest(5)],
+            requests=sum(usage.requests for usage in usages),
+            over_budget=sum(usage.over for usage in usages),
+            reserved_tokens=sum(usage.held_back for usage in usages) // UNITS_PER_TOKEN,
+            estimate_error_share=round(difference / max(used, 1), 3),
+            heaviest=[
+                [tenant.name, tenant.amount // UNITS_PER_TOKEN]
+                for tenant in self.budgets.heaviest(LOGGED_TENANTS)
+            ],
         )
 
-    async def _commit(self) -> None:
-        assert self.ledger
-        try:
-            await asyncio.to_thread(self.ledger.commit)
-        except LedgerError as error:
-            if not self.failing:
-                log.error("bills not written", reason=str(error))
-            self.failing = str(error)
-            return
-        if self.failing:
-            log.info("bills written again")
-        self.failing = ""
-
-    async def _compact(self) -> None:
-        assert self.ledger
-        before = wall_us() - self.options.keep_days * 86_400_000_000
-        try:
-            folded = await asyncio.to_thread(self.ledger.compact, before)
-            if folded:
-                log.info("ledger compacted", batches=folded)
-        except Exception as error:  # a full file has no room for that either
-            log.warning("ledger not compacted", reason=str(error))
+
+def _budget_settings(options: BillingOptions, settings: Settings) -> TokenBudgetSettings:
+    prefill_weight, cached_weight, output_weight = options.weights
+    return TokenBudgetSettings(
+        settings.replicas,
+        options.windows,
+        settings.replica_index,
+        settings.epoch_offset_us,
+        options.spread,
+        prefill_weight,
+        cached_weight,
+        output_weight,
+        options.lend,
+    )
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -101,7 +101,7 @@
         self._sweeper: asyncio.Task[None] | None = None
         self._saver: asyncio.Task[None] | None = None
         self._save_again = False
-        self.bills = Billing(config.billing, self.settings, self.instance, self.now())
+        self.billing = Billing(config.billing, self.settings, self.instance, self.now())
         zones = config.zones
         self.account = CrossZoneAccount(
             zones.names, zones.report, zones.report_bytes, config.settings.replica_index
@@ -127,7 +127,7 @@
             kept = load_cache(self.config.source.cache)
         except InvalidListError as error:
             log.warning("kept server list not taken", reason=str(error))
-        await self.bills.open(self.now())
+        await self.billing.open(self.now())
         self.listed(kept, io.UpdateKind.CACHED)
         self.source.start(self.listed)
         for install in FRONTS:
@@ -165,7 +165,7 @@
         ):  # Its thread can't be broken off: it writes to its end, as a file that is half made helps nobody.
             await self._saver
         self.account.write(self.account.close_interval())
-        await self.bills.close()
+        await self.billing.close()
         log.info("stopped", **{state.value: n for state, n in self.table.end_counts.items()})
 
     # -- events in
@@ -255,15 +255,15 @@
             if not error.known:
                 raise InvalidRequestError(error.field, error.reason, is_unknown=True) from None
             reason = error.reason
-        return model, self.routers.get(model, self.router), reason or self.bills.refusal()
+        return model, self.routers.get(model, self.router), reason or self.billing.rejection_reason()
 
     def admit(self, now: int, record: RequestRecord, cls: int) -> tuple[str, int, bool]:
-        verdict = self.bills.ask(now, record, cls)
+        verdict = self.billing.check_budget(now, record, cls)
         if verdict.over and record.client_request.request_class in self.config.billing.refuse_over:
             reason = f"the tenant's token budget of {verdict.window / 1e6:g} s is used up"
             return reason, max(verdict.wait, 0), True  # the true time, however long
         record.is_billed = True
-        self.bills.let_in(now, record, cls, verdict)
+        self.billing.request_admitted(now, record, cls, verdict)
         return "", 0, verdict.over
 
     def serving(self) -> bool:
@@ -272,12 +272,12 @@
     # -- actions out
 
     def stream_began(self, record: RequestRecord) -> None:
-        self.bills.began(record)
+        self.billing.stream_started(record)
 
     def request_removed(self, record: RequestRecord) -> None:
         if record.is_billed:
             record.is_billed = False
-            self.bills.ended(self.now(), record)
+            self.billing.request_ended(self.now(), record)
 
     def attempt_sent(self, record: RequestRecord, attempt: Attempt, action: io.SendAttempt) -> None:
         if action.cross_zone_cause and isinstance(attempt.call, GrpcCall):
