--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -126,7 +126,7 @@
                 assert (await each.wait()).status.code is Code.OK
                 each.check_tokens()
             assert len(w.seen("call", kind="write", engine=name)) == 1
-            await until(lambda: not w.node.channels._old)  # its channel ends once the stream has
+            await until(lambda: not w.node.channels._retired)  # its channel ends once the stream has
 
     run(go, virtual=True)
 
--- a/tuliptrack/node/grpc_engine_client.py
+++ b/tuliptrack/node/grpc_engine_client.py
@@ -1,4 +1,9 @@
-"""Engines that speak `tuliptrack.v1.Engine`: the core's attempts as gRPC calls, and what comes of them."""
+"""Carries out the core's attempts at engines that speak `tuliptrack.v1.Engine` over gRPC.
+
+A prefill is a call of its own (`Read`), a decode another (`Write`), which fetches the KV state from the
+engine that has it. Times are microseconds. The methods are those of `EngineClient` and `AttemptCall` in
+`node/port.py`, which says when each is called.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +16,8 @@
 from tuliptrack.fronts.port import FinishReason, Usage
 from tuliptrack.node.attempt_state import Delivery
 from tuliptrack.node.core import Core
-from tuliptrack.node.engine_channels import EngineChannels, load_of, outcome_of
+from tuliptrack.node.engine_channels import EngineChannels
+from tuliptrack.node.grpc_outcome import load_report_of, status_of
 from tuliptrack.node.port import AttemptResult
 from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
 from tuliptrack.proto import engine_pb2, generation_pb2
@@ -19,22 +25,24 @@
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.status import Code
 
-__all__ = ["ENGINE", "GrpcCall", "GrpcEngineClient"]
+__all__ = ["ENGINE_SERVICE_PATH", "GrpcCall", "GrpcEngineClient"]
 
 log = structlog.get_logger("node")
 
-ENGINE = "/tuliptrack.v1.Engine/"
-_SHORT_CALL = 1_000_000  # microseconds for Release, Hold and Probe, which wait in no queue
-_RELEASE_TRIES = (250_000, _SHORT_CALL)
-"""Microseconds for each try of a release: by the second one a silent connection is doubted and another one
-used."""
-_RELEASE_TRAVEL_US = 60_000  # a release takes so long at most to its engine, on a busy machine too
-_FINISH = {generation_pb2.STOP: FinishReason.STOP, generation_pb2.LENGTH: FinishReason.LENGTH}
-_HOW = {io.Status.TIMEOUT: How.TIMEOUT, io.Status.RESET: How.RESET}
+ENGINE_SERVICE_PATH = "/tuliptrack.v1.Engine/"
+SHORT_CALL_TIMEOUT_US = 1_000_000
+"""Of Release, Hold and Probe, which engines answer without queueing."""
+RELEASE_TIMEOUTS_US = (250_000, SHORT_CALL_TIMEOUT_US)
+"""Of each attempt at a release: by the second one a silent connection is doubtful and another one is used."""
+RELEASE_TRANSIT_US = 60_000
+"""How long a release takes at most to its engine, on a busy machine too."""
+
+_FINISH_REASONS = {generation_pb2.STOP: FinishReason.STOP, generation_pb2.LENGTH: FinishReason.LENGTH}
+_END_BY_STATUS = {io.Status.TIMEOUT: How.TIMEOUT, io.Status.RESET: How.RESET}
 
 
 class GrpcCall:
-    """An attempt that is out, on a call."""
+    """An attempt in flight, as a gRPC call."""
 
     __slots__ = ("call",)
 
@@ -42,47 +50,53 @@
         self.call = call
 
     def cancel(self, status: io.Status) -> None:
-        self.call.cancel(_HOW.get(status, How.CANCELLED))
+        """Cancel the call; its end is reported as `status`."""
+        self.call.cancel(_END_BY_STATUS.get(status, How.CANCELLED))
 
     def delivery(self) -> Delivery:
+        """Return how far the request has come, as far as the connection knows."""
         if self.call.link is None:
             return Delivery.NOT_SENT
         return Delivery.CONFIRMED if self.call.arrived else Delivery.POSSIBLE
 
     def confirm_arrival(self) -> None:
-        """Its connection looks for its own proofs."""
+        """Do nothing: the connection itself looks for proofs of arrival (`rpc/arrival.py`)."""
 
     def mark_doubtful(self) -> None:
-        """Its connection looks for its own proofs."""
+        """Do nothing: the connection itself finds out that it is silent (`rpc/arrival.py`)."""
 
     def pause(self) -> None:
+        """Stop reading the engine's stream."""
         self.call.pause()
 
     def resume(self) -> None:
+        """Read the engine's stream again."""
         self.call.resume()
 
 
 class GrpcEngineClient:
-    """See `node/port.py`; the channels are `EngineChannels`'."""
+    """The engine client of the node that speaks gRPC."""
 
     prefills_have_no_effect = True
     releases_are_global = False
-    release_transit_us = _RELEASE_TRAVEL_US
+    release_transit_us = RELEASE_TRANSIT_US
 
     def __init__(self, core: Core, channels: EngineChannels) -> None:
         self.core, self.channels = core, channels
 
     def is_reachable(self, server: int) -> bool:
+        """Return whether the endpoint is listed, with an address."""
         return self.channels.channel(server) is not None
 
     def start(self, record: RequestRecord, attempt: Attempt, timeout: int) -> GrpcCall:
+        """Start an attempt; the core itself ends it after `timeout`."""
         if attempt.is_prefill:
-            read = engine_pb2.ReadRequest(work=self._work(record, attempt))
-            return self._call("Read", read.SerializeToString(), record, attempt, self._read_message)
-        write = engine_pb2.WriteRequest(work=self._work(record, attempt))
+            prefill = engine_pb2.ReadRequest(work=_work(record, attempt))
+            return self._call("Read", prefill.SerializeToString(), record, attempt, self._handle_prefilled)
+        decode = engine_pb2.WriteRequest(work=_work(record, attempt))
         if record.kv_state:
-            write.state.state_id, write.state.address = record.kv_state.state_id, record.kv_state.address
-        return self._call("Write", write.SerializeToString(), record, attempt, self._token)
+            decode.state.state_id, decode.state.address = record.kv_state.state_id, record.kv_state.address
+        return self._call("Write", decode.SerializeToString(), record, attempt, self._handle_token)
 
     def _call(
         self,
@@ -93,162 +107,175 @@
         on_message: Callable[[RequestRecord, Attempt, bytes], None],
     ) -> GrpcCall:
         channel = self.channels.channel(attempt.endpoint_id)
-        assert channel
+        assert channel  # The core has asked `is_reachable`.
         connect_within = attempt.connect_by_us - self.core.now() if attempt.connect_by_us else None
         return GrpcCall(
             channel.call(
-                ENGINE + method,
+                ENGINE_SERVICE_PATH + method,
                 message=message,
                 connect_within=connect_within,
                 on_message=lambda data: on_message(record, attempt, data),
-                on_end=lambda end: self._over(record, attempt, end),
+                on_end=lambda end: self._handle_end(record, attempt, end),
             )
         )
 
-    def _over(self, record: RequestRecord, attempt: Attempt, end: End) -> None:
-        status = outcome_of(end)
-        lost = status is io.Status.AT_CAPACITY and end.status.code is Code.FAILED_PRECONDITION
-        self.core.attempt_ended(
-            record,
-            attempt,
-            AttemptResult(
-                status,
-                end.status.message,
-                lost,
-                load_of(end, attempt.endpoint_id),
-                is_confirmed=end.how is How.STATUS,
-                detail=end,
-                is_connection_only=end.lone,
-            ),
-        )
-
-    def _work(self, record: RequestRecord, attempt: Attempt) -> engine_pb2.Work:
-        ask = record.client_request
-        work = engine_pb2.Work(
-            request_id=record.name,
-            request_class=ask.request_class,
-            tenant=ask.tenant,
-            session=ask.session,
-            prefix=ask.prefix,
-            prompt=ask.prompt,
-            prompt_tokens=ask.prompt_tokens,
-            prefix_tokens=ask.prefix_tokens,
-            max_tokens=ask.max_tokens,
-            attempt=attempt.number,
-            model=record.model.name,
-            model_version=record.model.version,
+    def _handle_end(self, record: RequestRecord, attempt: Attempt, end: End) -> None:
+        status = status_of(end)
+        # An engine that lacks the KV state answers FAILED_PRECONDITION, which counts as no capacity.
+        is_state_lost = status is io.Status.AT_CAPACITY and end.status.code is Code.FAILED_PRECONDITION
+        result = AttemptResult(
+            status,
+            end.status.message,
+            is_state_lost,
+            load_report_of(end, attempt.endpoint_id),
+            is_confirmed=end.how is How.STATUS,
+            detail=end,
+            is_connection_only=end.lone,
         )
-        if ask.resume_index:
-            work.resume.next_index, work.resume.text = ask.resume_index, ask.resume_text
-        return work
+        self.core.attempt_ended(record, attempt, result)
 
-    def _read_message(self, record: RequestRecord, attempt: Attempt, data: bytes) -> None:
+    def _handle_prefilled(self, record: RequestRecord, attempt: Attempt, data: bytes) -> None:
         try:
-            answer = engine_pb2.ReadResponse.FromString(data)
+            response = engine_pb2.ReadResponse.FromString(data)
         except DecodeError:
-            self._engine_fault(record, attempt, "malformed ReadResponse")
+            self._handle_engine_fault(record, attempt, "malformed ReadResponse")
             return
         address = self.channels.addresses.get(attempt.endpoint_id, "")
-        self.core.prefill_finished(
-            record,
-            attempt,
-            KvStateLocation(attempt.endpoint_id, answer.state_id, address),
-            answer.kept_tokens,
-        )
+        location = KvStateLocation(attempt.endpoint_id, response.state_id, address)
+        self.core.prefill_finished(record, attempt, location, response.kept_tokens)
 
-    def _engine_fault(self, record: RequestRecord, attempt: Attempt, reason: str) -> None:
-        """An engine speaks nonsense: the attempt is broken off as an error of its."""
-        log.warning("engine fault", request=record.id, server=attempt.endpoint_id, reason=reason)
+    def _handle_engine_fault(self, record: RequestRecord, attempt: Attempt, reason: str) -> None:
+        """End an attempt whose engine breaks the protocol, as if its stream had been reset."""
+        log.warning("engine fault", request=record.id, endpoint=attempt.endpoint_id, reason=reason)
         if attempt.call:
             attempt.call.cancel(io.Status.RESET)
 
-    def _token(self, record: RequestRecord, attempt: Attempt, data: bytes) -> None:
-        """A token has come from a writer."""
+    def _handle_token(self, record: RequestRecord, attempt: Attempt, data: bytes) -> None:
         if record.attempt is not attempt or record.is_concluded:
             return
         try:
             message = generation_pb2.GenerateResponse.FromString(data)
         except DecodeError:
-            self._engine_fault(record, attempt, "malformed GenerateResponse")
-            return
-        if not self._in_order(record, message):
-            self._engine_fault(
-                record, attempt, f"token {message.index} came, {record.next_index} was to come"
-            )
+            self._handle_engine_fault(record, attempt, "malformed GenerateResponse")
             return
-        if not self.core.output_arrived(record, attempt):
+        if not _is_next_token(record, message):
+            reason = f"token {message.index} came, {record.next_index} was to come"
+            self._handle_engine_fault(record, attempt, reason)
             return
+        if self.core.output_arrived(record, attempt):
+            self._forward_token(record, attempt, message)
+
+    def _forward_token(
+        self, record: RequestRecord, attempt: Attempt, message: generation_pb2.GenerateResponse
+    ) -> None:
         record.next_index += 1
         usage = None
         if message.finish_reason:
-            record.finish_reason = _FINISH.get(message.finish_reason, FinishReason.STOP)
-            ask = record.client_request
-            usage = Usage(ask.prompt_tokens, record.cached_tokens, record.next_index - ask.resume_index)
-        self.core.output_forwarded(
-            record, attempt, record.response.token(message.index, message.text, record.finish_reason, usage)
-        )
-
-    def _in_order(self, record: RequestRecord, message: generation_pb2.GenerateResponse) -> bool:
-        """No token reaches a client twice, out of turn, or after the last one."""
-        return message.index == record.next_index and not record.finish_reason
+            record.finish_reason = _FINISH_REASONS.get(message.finish_reason, FinishReason.STOP)
+            request = record.client_request
+            output_tokens = record.next_index - request.resume_index
+            usage = Usage(request.prompt_tokens, record.cached_tokens, output_tokens)
+        may_send_more = record.response.token(message.index, message.text, record.finish_reason, usage)
+        self.core.output_forwarded(record, attempt, may_send_more)
 
     def release(self, server: int, record: RequestRecord, unsure: bool = False) -> None:
-        """Tell an engine to let go of what it holds; once more where that call broke or has had no answer for
-        a while."""
-        self._release(server, record, _RELEASE_TRIES)
+        """Release what an engine reserves for a request; once more where there was no answer."""
+        self._release(server, record, RELEASE_TIMEOUTS_US)
 
-    def _release(self, server: int, record: RequestRecord, timeouts: tuple[int, ...]) -> None:
-        channel = self.channels.channel(server)
+    def _release(self, endpoint_id: int, record: RequestRecord, timeouts_us: tuple[int, ...]) -> None:
+        """Send a release with the first of these time-outs; the others are for the attempts that follow."""
+        channel = self.channels.channel(endpoint_id)
         if channel is None:
             return
+        timeout_us, *more_timeouts_us = timeouts_us
 
-        def ended(end: End) -> None:
-            if timeouts[1:] and end.how in (How.RESET, How.TIMEOUT):
-                self._release(server, record, timeouts[1:])
+        def handle_end(end: End) -> None:
+            if more_timeouts_us and end.how in (How.RESET, How.TIMEOUT):
+                self._release(endpoint_id, record, tuple(more_timeouts_us))
 
         request = engine_pb2.ReleaseRequest(request_id=record.name)
         channel.call(
-            ENGINE + "Release", message=request.SerializeToString(), timeout=timeouts[0], on_end=ended
+            ENGINE_SERVICE_PATH + "Release",
+            message=request.SerializeToString(),
+            timeout=timeout_us,
+            on_end=handle_end,
         )
 
     def release_later(self, server: int, record: RequestRecord) -> None:
-        """What it comes to hold ends by its own lease."""
+        """Do nothing: what the engine may come to reserve ends by its own lease."""
 
     def cancel_release(self, record: RequestRecord) -> None:
-        """A call that is out names the request, not a state: it is left to its end."""
+        """Do nothing: a release in flight names the request, not a state, and is left to its end."""
 
     def reserve(self, server: int, record: RequestRecord, attempt: Attempt) -> None:
-        channel, got = self.channels.channel(server), list[bytes]()
+        """Ask an engine to reserve a place; its answer goes to `Core.reservation_answered`."""
+        channel = self.channels.channel(server)
         if channel is None:
             return
+        responses: list[bytes] = []
 
-        def ended(end: End) -> None:
-            held = (
-                end.status.code is Code.OK and bool(got) and engine_pb2.HoldResponse.FromString(got[0]).held
+        def handle_end(end: End) -> None:
+            is_reserved = (
+                end.status.code is Code.OK
+                and bool(responses)
+                and engine_pb2.HoldResponse.FromString(responses[0]).held
             )
-            self.core.reservation_answered(record, attempt, server, held)
+            self.core.reservation_answered(record, attempt, server, is_reserved)
 
-        request = engine_pb2.HoldRequest(work=self._work(record, attempt))
+        request = engine_pb2.HoldRequest(work=_work(record, attempt))
         channel.call(
-            ENGINE + "Hold",
+            ENGINE_SERVICE_PATH + "Hold",
             message=request.SerializeToString(),
-            timeout=_SHORT_CALL,
-            on_message=got.append,
-            on_end=ended,
+            timeout=SHORT_CALL_TIMEOUT_US,
+            on_message=responses.append,
+            on_end=handle_end,
         )
 
     def check_health(self, server: int, done: Callable[[io.HealthCheckResult], None]) -> None:
-        channel, sent = self.channels.channel(server), now_us()
-        if channel:
-            channel.call(
-                ENGINE + "Probe",
-                message=b"",
-                timeout=_SHORT_CALL,
-                on_end=lambda end: done(
-                    io.HealthCheckResult(server, outcome_of(end), now_us() - sent, load_of(end, server))
-                ),
-            )
+        """Check the health of an engine; `done` is called with the result."""
+        channel, sent_at_us = self.channels.channel(server), now_us()
+        if channel is None:
+            return
+
+        def handle_end(end: End) -> None:
+            latency_us = now_us() - sent_at_us
+            done(io.HealthCheckResult(server, status_of(end), latency_us, load_report_of(end, server)))
+
+        channel.call(
+            ENGINE_SERVICE_PATH + "Probe",
+            message=b"",
+            timeout=SHORT_CALL_TIMEOUT_US,
+            on_end=handle_end,
+        )
 
     def close_idle_connections(self, server: int) -> None:
+        """Close idle connections to an endpoint."""
         if channel := self.channels.channels.get(server):
             channel.close_idle()
+
+
+def _is_next_token(record: RequestRecord, message: generation_pb2.GenerateResponse) -> bool:
+    """Return whether this is the next token: none reaches a client twice, out of order or after the last."""
+    return message.index == record.next_index and not record.finish_reason
+
+
+def _work(record: RequestRecord, attempt: Attempt) -> engine_pb2.Work:
+    """Return what engines are told of a request, the same for each of its calls."""
+    request = record.client_request
+    work = engine_pb2.Work(
+        request_id=record.name,
+        request_class=request.request_class,
+        tenant=request.tenant,
+        session=request.session,
+        prefix=request.prefix,
+        prompt=request.prompt,
+        prompt_tokens=request.prompt_tokens,
+        prefix_tokens=request.prefix_tokens,
+        max_tokens=request.max_tokens,
+        attempt=attempt.number,
+        model=record.model.name,
+        model_version=record.model.version,
+    )
+    if request.resume_index:
+        work.resume.next_index, work.resume.text = request.resume_index, request.resume_text
+    return work
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -23,7 +23,7 @@
 from tuliptrack.node.core import Core
 from tuliptrack.node.cross_zone_account import CrossZoneAccount, Transfer, TransferStage
 from tuliptrack.node.engine_channels import EngineChannels
-from tuliptrack.node.grpc_engine_client import ENGINE, GrpcCall, GrpcEngineClient
+from tuliptrack.node.grpc_engine_client import ENGINE_SERVICE_PATH, GrpcCall, GrpcEngineClient
 from tuliptrack.node.port import AttemptResult
 from tuliptrack.node.request_reader import CoreLimits
 from tuliptrack.node.requests import Attempt, RequestRecord
@@ -180,7 +180,7 @@
             return
         # The routers go first: what they stop sending to may then be let go.
         self._tell_routers(listing.change, {e.id: Model(e.model, e.model_version) for e in message.servers})
-        self.channels.listed(listing.addresses, before - set(self.roster.held))
+        self.channels.update(listing.addresses, before - set(self.roster.held))
         if listing.change.kind in (io.UpdateKind.FULL, io.UpdateKind.DELTA):
             log.info(
                 "server list",
@@ -352,7 +352,7 @@
 
         request = engine_pb2.UsageRequest(request_id=record.name)
         channel.call(
-            ENGINE + "Usage",
+            ENGINE_SERVICE_PATH + "Usage",
             message=request.SerializeToString(),
             timeout=_USAGE_CALL,
             on_message=got.append,
@@ -395,4 +395,4 @@
                 if rows := self.account.close_interval():
                     await asyncio.to_thread(self.account.write, rows)
             self.sweep()
-            self.channels.sweep()
+            self.channels.close_idle()
