--- a/tests/fronts/test_kserve.py
+++ b/tests/fronts/test_kserve.py
@@ -305,8 +305,10 @@
             w.engines["m0"].apply(lab_pb2.Trouble(lose_before=1.0))
             await infer(w, "q9", "rose", timeout=400_000)
             assert (await infer(w, "q1", "tulip"))[0].status.code is Code.OK
-            assert len({id(router) for router in w.node.routers.values()}) == 4
-            assert all(router.quotas is w.node.router.quotas for router in w.node.routers.values())
+            assert len({id(router) for router in w.node.model_routers.routers.values()}) == 4
+            assert all(
+                router.quotas is w.node.router.quotas for router in w.node.model_routers.routers.values()
+            )
 
     run(go, virtual=True)
 
@@ -335,7 +337,7 @@
             assert (await infer(w, "q1", "tulip"))[0].status.code is Code.OK
             # Its router goes with the next list, as nothing of it is open any more.
             w.feed.change(w.entry("r0"))
-            await until(lambda: not any(m.name == "rose" for m in w.node.routers))
+            await until(lambda: not any(m.name == "rose" for m in w.node.model_routers.routers))
 
     run(go, virtual=True)
 
--- a/tests/test_actions.py
+++ b/tests/test_actions.py
@@ -138,8 +138,11 @@
     async def go() -> None:
         async with world("r0") as one:
             heard = listen(one)
-            one.node.peers = [Channel(one.address), Channel(one.address)]  # slot 0 is this node's: never told
-            one.node._install_peers()
+            one.node.gossip.channels = [
+                Channel(one.address),
+                Channel(one.address),
+            ]  # slot 0 is this node's: never told
+            one.node.gossip.install(one.node.server, one.node._handle_gossip)
             act(one, io.SendGossip(b"\0not for 0", peer=0))
             act(one, io.SendGossip(b"\0word"))
             await until(lambda: of(heard, io.GossipReceived))
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -325,7 +325,7 @@
 def test_the_last_list_is_kept_for_a_restart_without_its_feed() -> None:
     async def go() -> None:
         async with world("r0 w0") as w:
-            await until(lambda: w.node._saver is not None and w.node._saver.done())
+            await until(lambda: w.node.list_cache.task is not None and w.node.list_cache.task.done())
             await w.node.stop(0)
             await w.channel.close()
             await w.feed.stop()
--- a/tests/test_zones_path.py
+++ b/tests/test_zones_path.py
@@ -61,9 +61,9 @@
 
 
 def booked(w: World) -> dict[tuple[str, str, str, str, str], int]:
-    w.node.account.close_interval()
+    w.node.cross_zone_account.close_interval()
     found: dict[tuple[str, str, str, str, str], int] = defaultdict(int)
-    for key, row in w.node.account.total.items():
+    for key, row in w.node.cross_zone_account.total.items():
         found[key.request_class, key.tenant, key.stage, key.source, key.target] += row.size_bytes
     return dict(found)
 
@@ -102,7 +102,7 @@
             await until(lambda: not w.node.table.open)
             await settled(w)
             assert any(key[2] == "state" for key in seen(w)) and len(seen(w)) > 8
-            causes = {key.cause for key in w.node.account.total}
+            causes = {key.cause for key in w.node.cross_zone_account.total}
             assert causes <= {"budget", "forced", "retry"} and "forced" in causes
             assert all(not c.open for c in [w.node.router.locality.crossings] if c)
 
@@ -154,7 +154,7 @@
             narrow, wide = (sum(size for _, size in crossed[cls]) for cls in ("summary", "order"))
             assert 0 < narrow < wide / 2, (narrow, wide)
             assert booked(w) == seen(w)
-            assert {key.cause for key in w.node.account.total} == {"budget"}
+            assert {key.cause for key in w.node.cross_zone_account.total} == {"budget"}
 
     run(go, virtual=True)
 
--- /dev/null
+++ b/tuliptrack/node/model_routers.py
@@ -0,0 +1,91 @@
+"""One router for each model and version, as the endpoint list labels its endpoints.
+
+Endpoints without a label belong to the default router, which also has the subscription to the endpoint list
+and the state that the routers share.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+import structlog
+
+from tuliptrack.decisions.model_catalog import MAX_MODELS, Model, ModelCatalog, NotServedError
+from tuliptrack.fronts.port import ClientRequest, InvalidRequestError
+from tuliptrack.interface import EndpointListUpdate, Event, Settings, UpdateKind
+from tuliptrack.routing.router import Router
+
+__all__ = ["ModelRouters"]
+
+log = structlog.get_logger("node")
+
+Dispatch = Callable[[Event, Router | None], None]
+
+
+class ModelRouters:
+    """The routers of one node."""
+
+    def __init__(self, settings: Settings, seed: int, default: Router, dispatch: Dispatch) -> None:
+        """Begin with the default router alone.
+
+        Args:
+            settings: Those of every router.
+            seed: That of the default router; each further one gets the next number.
+            default: The router of endpoints without a label.
+            dispatch: Hands an event to a router, by way of the core.
+        """
+        self.settings, self.default, self.dispatch = settings, default, dispatch
+        self.catalog = ModelCatalog(settings.roles)
+        self.routers: dict[Model, Router] = {Model(): default}
+        self._last_seed = seed
+
+    def update(self, update: EndpointListUpdate, labels: Mapping[int, Model]) -> None:
+        """Hand an update of the endpoint list to the routers that it concerns.
+
+        Args:
+            update: The update, of the endpoints of all models.
+            labels: The model of each endpoint of the update.
+        """
+        if update.kind is UpdateKind.FAILED:
+            self.dispatch(update, None)
+            return
+        updates = self.catalog.split(update, dict(labels))
+        if update.kind is UpdateKind.CACHED:  # The default router waits for it, even if it has no endpoints.
+            updates.setdefault(Model(), EndpointListUpdate(update.kind, update.version))
+        listed = set(self.catalog.listed())
+        for model, part in updates.items():
+            self.dispatch(part, self._router_for(model))
+        self._remove_unused(listed)
+        if self.catalog.left_out:
+            log.warning("engines of too many models", left_out=len(self.catalog.left_out), max=MAX_MODELS)
+
+    def _router_for(self, model: Model) -> Router:
+        if model not in self.routers:
+            self._last_seed += 1
+            self.routers[model] = Router(self.settings, self._last_seed, self.default)
+        return self.routers[model]
+
+    def _remove_unused(self, listed: set[Model]) -> None:
+        """Remove the routers of models that are no longer listed.
+
+        One with requests in flight is looked at again with the next list.
+        """
+        for model in self.routers.keys() - listed - {Model()}:
+            if not self.routers[model].in_flight:
+                del self.routers[model]
+
+    def choose(self, request: ClientRequest) -> tuple[Model, Router, str]:
+        """Return the model and router of a request, and why it is rejected (empty: it isn't).
+
+        Raises:
+            InvalidRequestError: The request names a model that isn't known here.
+        """
+        # Requests of a session go to one version, so that what is cached of it is found again.
+        session = f"{request.tenant}\0{request.session or request.prompt}"
+        try:
+            model = self.catalog.choose(request.model, request.model_version, session)
+        except NotServedError as error:
+            if not error.known:
+                raise InvalidRequestError(error.field, error.reason, is_unknown=True) from None
+            return Model(), self.default, error.reason
+        return model, self.routers.get(model, self.default), ""
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -1,5 +1,9 @@
-"""The running node that speaks gRPC: the core with its fronts, engines and server lists, models, budgets and
-zones."""
+"""The node that speaks gRPC: its parts put together, its life cycle, and what it adds to the core.
+
+To the core (`node/core.py`) it adds fronts and engines on gRPC, the source of the endpoint list, a router for
+each model, token budgets and bills, the account of what crosses zones, and gossip with its peers. Each of
+these is a module of its own; this one connects them.
+"""
 
 from __future__ import annotations
 
@@ -7,40 +11,41 @@
 import contextlib
 import os
 import secrets
-from collections.abc import Callable
 from dataclasses import replace
 
 import structlog
 
 from tuliptrack import interface as io
-from tuliptrack.config.node import NodeConfig
+from tuliptrack.config.node import EngineOptions, NodeConfig, NodeLimits
 from tuliptrack.decisions.concurrency_limit import ByteBudget, ConcurrencyLimits
-from tuliptrack.decisions.model_catalog import MAX_MODELS, Model, ModelCatalog, NotServedError
+from tuliptrack.decisions.model_catalog import Model
 from tuliptrack.fronts import discovery
 from tuliptrack.fronts.installed import FRONTS, LISTENERS
-from tuliptrack.fronts.port import ClientRequest, InvalidRequestError
+from tuliptrack.fronts.port import ClientRequest
 from tuliptrack.node.billing import Billing
 from tuliptrack.node.core import Core
-from tuliptrack.node.cross_zone_account import CrossZoneAccount, Transfer, TransferStage
+from tuliptrack.node.cross_zone_account import CrossZoneAccount
+from tuliptrack.node.endpoint_list_cache import EndpointListCache
 from tuliptrack.node.engine_channels import EngineChannels
-from tuliptrack.node.grpc_engine_client import ENGINE_SERVICE_PATH, GrpcCall, GrpcEngineClient
+from tuliptrack.node.grpc_engine_client import GrpcEngineClient
+from tuliptrack.node.model_routers import ModelRouters
+from tuliptrack.node.peer_gossip import PeerGossip
 from tuliptrack.node.port import AttemptResult
 from tuliptrack.node.request_reader import CoreLimits
 from tuliptrack.node.requests import Attempt, RequestRecord
-from tuliptrack.proto import engine_pb2, fleet_pb2
+from tuliptrack.node.transfer_accounting import TransferAccounting
+from tuliptrack.node.zone_coverage import ZoneCoverage
+from tuliptrack.proto import fleet_pb2
 from tuliptrack.routing.router import Router
-from tuliptrack.rpc.channel import Channel, ClientCall, End, How
 from tuliptrack.rpc.clock import now_us, wall_us
 from tuliptrack.rpc.core import Limits
-from tuliptrack.rpc.server import Server, ServerCall, unary_request
-from tuliptrack.rpc.status import Code, Status
+from tuliptrack.rpc.server import Server
 from tuliptrack.sources.endpoint_list import (
     EndpointList,
     EndpointListSource,
     InvalidListError,
     ListedUpdate,
     load_cache,
-    save_cache,
 )
 from tuliptrack.sources.feed import FeedSource
 from tuliptrack.sources.file import FileSource
@@ -49,90 +54,90 @@
 
 log = structlog.get_logger("node")
 
-_SHORT_CALL = 1_000_000  # microseconds for a word to a peer, which waits in no queue
-_USAGE_CALL = 10_000_000  # microseconds for Usage, for which nobody waits
-_SWEEP_S = 0.25  # seconds between looks at silent streams, stalled clients and idle connections
+SWEEP_INTERVAL_S = 0.25
+"""Between looks at silent streams, stalled clients and idle connections."""
 
 
 class Node(Core):
     """One node. `start`, then `stop`; between them it serves."""
 
     def __init__(self, config: NodeConfig, source: EndpointListSource | None = None) -> None:
+        """Put a node together; nothing is opened or connected yet.
+
+        Args:
+            config: All settings.
+            source: Where the endpoint list comes from; None: as the settings say.
+        """
         self.config = config
-        # All nodes share wall time: its offset is taken once, so that later jumps of the clock change
-        # nothing.
+        # The nodes share wall time. The offset is taken once, so that a clock that is set changes nothing.
         settings = replace(config.settings, epoch_offset_us=wall_us() - now_us())
-        limits = config.limits
-        self._seed = config.seed or secrets.randbits(63)
+        seed = config.seed or secrets.randbits(63)
         super().__init__(
             settings,
-            self._seed,
+            seed,
             secrets.token_hex(6),
-            CoreLimits(
-                limits.tokens,
-                limits.bytes_per_token,
-                limits.answer_ahead,
-                limits.client_stall,
-                config.engines.token_silence,
-            ),
-            ConcurrencyLimits(limits.open_requests, limits.tenant_requests, limits.connection_requests),
+            _core_limits(config.limits, config.engines),
+            _concurrency_limits(config.limits),
         )
-        self.routers = {Model(): self.router}
-        self.models = ModelCatalog(config.settings.roles)
-        self.bodies = ByteBudget(limits.body_bytes)
-        self.channels = EngineChannels(config.engines, limits.message_bytes)
-        self.engines = GrpcEngineClient(self, self.channels)
-        self.server = Server(
-            Limits(
-                max_streams=limits.streams_per_connection,
-                max_header_bytes=limits.header_bytes,
-                max_message_bytes=limits.message_bytes,
-                pending_high=limits.answer_bytes,
-                pending_low=limits.answer_bytes // 4,
-            ),
-            limits.connections,
-            self.bodies,
-        )
-        self.server.outlook = self.overload
-        self.listeners = [made for make in LISTENERS if (made := make(self, config, self.bodies))]
+        self._connect_engines(seed)
+        self._add_fronts()
+        self._add_accounts()
         self.roster = EndpointList(config.kinds)
-        self.source = source if source is not None else self._source()
-        self.peers = [Channel(address, self.channels.options) for address in config.peers]
+        self.list_cache = EndpointListCache(config.source.cache, lambda: self.roster.whole())
+        self.source = source if source is not None else self._configured_source()
+        self.gossip = PeerGossip(config.peers, config.settings.replica_index, self.channels.options)
+        self._acts[io.SendGossip] = self.gossip.send
         self._sweeper: asyncio.Task[None] | None = None
-        self._saver: asyncio.Task[None] | None = None
-        self._save_again = False
-        self.billing = Billing(config.billing, self.settings, self.instance, self.now())
-        zones = config.zones
-        self.account = CrossZoneAccount(
-            zones.names, zones.report, zones.report_bytes, config.settings.replica_index
+        self._interval_closed_at_us = 0
+
+    def _connect_engines(self, seed: int) -> None:
+        self.channels = EngineChannels(self.config.engines, self.config.limits.message_bytes)
+        self.engines = GrpcEngineClient(self, self.channels)
+        self.model_routers = ModelRouters(self.config.settings, seed, self.router, self.dispatch)
+        self.models = self.model_routers.catalog
+
+    def _add_fronts(self) -> None:
+        limits = self.config.limits
+        self.bodies = ByteBudget(limits.body_bytes)
+        self.server = Server(_server_limits(limits), limits.connections, self.bodies)
+        self.server.outlook = self.overload
+        made = [make(self, self.config, self.bodies) for make in LISTENERS]
+        self.listeners = [listener for listener in made if listener]
+        self.health: discovery.Health
+
+    def _add_accounts(self) -> None:
+        zones = self.config.zones
+        self.billing = Billing(self.config.billing, self.settings, self.instance, self.now())
+        self.cross_zone_account = CrossZoneAccount(
+            zones.names, zones.report, zones.report_bytes, self.settings.replica_index
+        )
+        self.transfers = TransferAccounting(self.settings, self.cross_zone_account, self.channels)
+        self.zone_coverage = ZoneCoverage(
+            {self.settings.zone, *range(len(zones.names))}, self.cross_zone_account.zone_name
         )
-        self._booked_at = 0
-        self._lacking: set[tuple[str, str]] = set()
-        self._acts[io.SendGossip] = self._tell_peers
 
-    def _source(self) -> EndpointListSource:
+    def _configured_source(self) -> EndpointListSource:
         options = self.config.source
-        if options.feed:
-            return FeedSource(
-                options.feed, str(self.settings.replica_index), self.config.engines.connect_timeout
-            )
-        return FileSource(options.file, options.poll)
+        if not options.feed:
+            return FileSource(options.file, options.poll)
+        return FeedSource(options.feed, str(self.settings.replica_index), self.config.engines.connect_timeout)
 
-    # -- life
+    # -- Life cycle
 
     async def start(self) -> str:
-        """Serve; returns host:port."""
-        kept = fleet_pb2.ServerList()
-        try:
-            kept = load_cache(self.config.source.cache)
-        except InvalidListError as error:
-            log.warning("kept server list not taken", reason=str(error))
+        """Start to serve; returns host:port of the gRPC server.
+
+        Raises:
+            LedgerError: The ledger can't be opened.
+            OSError: An address can't be listened on.
+        """
+        cached_list = self._load_cached_list()
         await self.billing.open(self.now())
-        self.listed(kept, io.UpdateKind.CACHED)
-        self.source.start(self.listed)
+        self.handle_list(cached_list, io.UpdateKind.CACHED)
+        self.source.start(self.handle_list)
         for install in FRONTS:
             install(self.server, self, self.config)
-        self._install_peers()
+        self.gossip.install(self.server, self._handle_gossip)
         self.health = discovery.install(self.server)
         host, _, port = self.config.listen.rpartition(":")
         address = await self.server.listen(host, int(port))
@@ -143,256 +148,158 @@
         log.info("serving", address=address, instance=self.instance, pid=os.getpid())
         return address
 
+    def _load_cached_list(self) -> fleet_pb2.ServerList:
+        try:
+            return load_cache(self.config.source.cache)
+        except InvalidListError as error:
+            log.warning("kept server list not taken", reason=str(error))
+            return fleet_pb2.ServerList()
+
     async def stop(self, grace: float | None = None) -> None:
-        """Drain, then refuse, then end: what is open has `grace` seconds (None: the settings')."""
+        """Drain, then end what is still open, and write what is left to write.
+
+        Args:
+            grace: Seconds that open requests have; None: as the settings say.
+        """
         self.health.set(False)
-        grace = self.config.shutdown_grace / 1e6 if grace is None else grace
+        grace_s = self.config.shutdown_grace / 1e6 if grace is None else grace
         self.server.on_cut = self.conclude_open_requests
         self.stopping = True
-        await asyncio.gather(self.server.stop(grace), *(listener.stop(grace) for listener in self.listeners))
+        fronts = [self.server, *self.listeners]
+        await asyncio.gather(*(front.stop(grace_s) for front in fronts))
         await self.source.close()
         self.close()
-        await asyncio.sleep(0)  # Releases of what was held go out with this turn of the loop.
+        await asyncio.sleep(0)  # Releases of reserved KV states go out with this turn of the loop.
         await self.channels.close()
-        for peer in self.peers:
-            await peer.close()
+        await self.gossip.close()
         if self._sweeper:
             self._sweeper.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._sweeper
-        if (
-            self._saver
-        ):  # Its thread can't be broken off: it writes to its end, as a file that is half made helps nobody.
-            await self._saver
-        self.account.write(self.account.close_interval())
+        await self.list_cache.close()
+        self.cross_zone_account.write(self.cross_zone_account.close_interval())
         await self.billing.close()
-        log.info("stopped", **{state.value: n for state, n in self.table.end_counts.items()})
+        log.info("stopped", **{state.value: count for state, count in self.table.end_counts.items()})
+
+    async def _sweep(self) -> None:
+        """Look at times that need no timer of their own, until cancelled."""
+        while True:
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            now = now_us()
+            if now - self._interval_closed_at_us > self.config.zones.report_every:
+                self._interval_closed_at_us = now
+                if interval := self.cross_zone_account.close_interval():
+                    await asyncio.to_thread(self.cross_zone_account.write, interval)
+            self.sweep()
+            self.channels.close_idle()
+
+    def serving(self) -> bool:
+        """Return whether requests are accepted: the node has started and is not draining."""
+        return bool(self.server.address) and not self.server.stopping
 
-    # -- events in
+    # -- Endpoint list and gossip
 
-    def listed(self, message: fleet_pb2.ServerList, kind: io.UpdateKind | None = None) -> None:
-        """A server list has come."""
+    def handle_list(self, message: fleet_pb2.ServerList, kind: io.UpdateKind | None = None) -> None:
+        """Apply a list or a change of it; an invalid one is logged and ignored.
+
+        Args:
+            message: The list, as its source sent it.
+            kind: What it is, where the message itself doesn't say.
+        """
         before = set(self.roster.held)
         try:
             listing: ListedUpdate = self.roster.take(message, self.now(), kind)
         except InvalidListError as error:
             log.warning("server list not taken", reason=str(error))
             return
-        # The routers go first: what they stop sending to may then be let go.
-        self._tell_routers(listing.change, {e.id: Model(e.model, e.model_version) for e in message.servers})
+        # First the routers stop sending to an endpoint, then its channel may be retired.
+        labels = {entry.id: Model(entry.model, entry.model_version) for entry in message.servers}
+        self.model_routers.update(listing.change, labels)
         self.channels.update(listing.addresses, before - set(self.roster.held))
         if listing.change.kind in (io.UpdateKind.FULL, io.UpdateKind.DELTA):
-            log.info(
-                "server list",
-                kind=listing.change.kind.value,
-                version=listing.change.version,
-                servers=len(self.roster.held),
-            )
-            if self.config.source.cache:
-                self._keep()
-            if self.settings.zone_budgets:
-                self._look_at_zones()
-
-    def _tell_routers(self, change: io.EndpointListUpdate, labels: dict[int, Model]) -> None:
-        if change.kind is io.UpdateKind.FAILED:
-            self.dispatch(change)
-            return
-        changes = self.models.split(change, labels)
-        if change.kind is io.UpdateKind.CACHED:
-            changes.setdefault(Model(), io.EndpointListUpdate(change.kind, change.version))
-        listed = set(self.models.listed())
-        for model, part in changes.items():
-            if model not in self.routers:
-                self._seed += 1
-                self.routers[model] = Router(self.settings, self._seed, self.router)
-            self.dispatch(part, self.routers[model])
-        for model in self.routers.keys() - listed - {Model()}:
-            if not self.routers[model].in_flight:  # Else it is looked at again with the next list.
-                del self.routers[model]
-        if self.models.left_out:
-            log.warning("engines of too many models", left_out=len(self.models.left_out), most=MAX_MODELS)
-
-    def _look_at_zones(self) -> None:
-        """Tell the operators of zones that lack readers or writers: each request there must cross."""
-        seats = [
-            s
-            for router in self.routers.values()
-            for s in router.endpoints.values()
-            if s.info.state is io.EndpointState.READY
-        ]
-        zones = {s.info.zone for s in seats} | {self.settings.zone, *range(len(self.config.zones.names))}
-        lacking = {
-            (self.account.zone_name(zone), role.value)
-            for zone in zones
-            for role in (io.Role.PREFILL, io.Role.DECODE)
-            if not any(s.info.zone == zone and s.role in (role, io.Role.PREFILL_AND_DECODE) for s in seats)
-        }
-        for zone, role in sorted(lacking - self._lacking):
-            log.warning("zone lacks a role", zone=zone, role=role)
-        self._lacking = lacking
-
-    def _keep(self) -> None:
-        """Keep the list on disk, one write at a time, off the loop."""
-        self._save_again = True
-        if self._saver is None or self._saver.done():
-            self._saver = asyncio.get_running_loop().create_task(self._save())
-
-    async def _save(self) -> None:
-        while self._save_again:
-            self._save_again = False
-            try:
-                await asyncio.to_thread(save_cache, self.config.source.cache, self.roster.whole())
-            except OSError as error:
-                log.warning("server list not kept", reason=str(error))
+            self._handle_applied(listing.change)
+
+    def _handle_applied(self, update: io.EndpointListUpdate) -> None:
+        log.info(
+            "server list",
+            kind=update.kind.value,
+            version=update.version,
+            servers=len(self.roster.held),
+        )
+        self.list_cache.save()
+        if self.settings.zone_budgets:
+            routers = self.model_routers.routers.values()
+            self.zone_coverage.check(endpoint for router in routers for endpoint in router.endpoints.values())
+
+    def _handle_gossip(self, event: io.GossipReceived) -> None:
+        for router in self.model_routers.routers.values():
+            self.dispatch(event, router)
+
+    # -- What the core asks of a node
 
     def choose(self, ask: ClientRequest) -> tuple[Model, Router, str]:
-        model, reason = Model(), ""
-        try:
-            model = self.models.choose(
-                ask.model, ask.model_version, f"{ask.tenant}\0{ask.session or ask.prompt}"
-            )
-        except NotServedError as error:
-            if not error.known:
-                raise InvalidRequestError(error.field, error.reason, is_unknown=True) from None
-            reason = error.reason
-        return model, self.routers.get(model, self.router), reason or self.billing.rejection_reason()
+        """Return the model and router of a request, and why it is rejected (empty: it isn't).
+
+        Raises:
+            InvalidRequestError: The request names a model that isn't known here.
+        """
+        model, router, reason = self.model_routers.choose(ask)
+        return model, router, reason or self.billing.rejection_reason()
 
     def admit(self, now: int, record: RequestRecord, cls: int) -> tuple[str, int, bool]:
+        """Check a request against its tenant's budgets.
+
+        Returns:
+            Why it is rejected (empty: it isn't), after how many microseconds to retry, and whether it is
+            admitted over its budget.
+        """
         verdict = self.billing.check_budget(now, record, cls)
         if verdict.over and record.client_request.request_class in self.config.billing.refuse_over:
             reason = f"the tenant's token budget of {verdict.window / 1e6:g} s is used up"
-            return reason, max(verdict.wait, 0), True  # the true time, however long
+            # Unlike other waits it is not limited: a retry before the window's end would be rejected too.
+            return reason, max(verdict.wait, 0), True
         record.is_billed = True
         self.billing.request_admitted(now, record, cls, verdict)
         return "", 0, verdict.over
 
-    def serving(self) -> bool:
-        return bool(self.server.address) and not self.server.stopping
-
-    # -- actions out
-
     def stream_began(self, record: RequestRecord) -> None:
+        """Begin to bill a stream."""
         self.billing.stream_started(record)
 
     def request_removed(self, record: RequestRecord) -> None:
+        """Settle the budgets of a request and bill it."""
         if record.is_billed:
             record.is_billed = False
             self.billing.request_ended(self.now(), record)
 
     def attempt_sent(self, record: RequestRecord, attempt: Attempt, action: io.SendAttempt) -> None:
-        if action.cross_zone_cause and isinstance(attempt.call, GrpcCall):
-            attempt.cross_zone_cause = action.cross_zone_cause
-            self._count(
-                record, attempt, attempt.call.call, record.router.endpoints[action.endpoint_id].info.zone
-            )
+        """Begin to count what an attempt transfers between zones."""
+        self.transfers.attempt_sent(record, attempt, action)
 
     def cross_zone_bytes(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> float:
-        for move in attempt.transfers:
-            move.has_ended = True
-        if isinstance(ended.detail, End):
-            self._state_moved(record, attempt, ended.detail)
-        return float(sum(m.count_bytes() for m in attempt.transfers))
-
-    def _count(self, record: RequestRecord, attempt: Attempt, call: ClientCall, zone: int) -> None:
-        """Book what this attempt moves between zones, as it moves."""
-        own, tokens = self.settings.zone, record.client_request.prompt_tokens
-
-        def move(
-            stage: TransferStage, source: int, target: int, size: Callable[[], int], count: float
-        ) -> None:
-            if source != target:
-                assert attempt.cross_zone_cause
-                attempt.transfers.append(
-                    self.account.track(
-                        Transfer(
-                            record.client_request.request_class,
-                            record.client_request.tenant,
-                            stage,
-                            source,
-                            target,
-                            attempt.cross_zone_cause,
-                            size,
-                            count,
-                        )
-                    )
-                )
-
-        move(TransferStage.PROMPT, own, zone, lambda: call.traffic.sent, tokens)
-        move(TransferStage.OUTPUT, zone, own, lambda: call.traffic.received, 0.0)
-        if record.kv_state and not attempt.is_prefill:
-            reader = record.router.endpoints[record.kv_state.endpoint_id].info.zone
-            move(TransferStage.KV_STATE, reader, zone, lambda: attempt.state_bytes, tokens)
-
-    def _state_moved(self, record: RequestRecord, attempt: Attempt, end: End) -> None:
-        """How much of a state has crossed: the writer's word, else the reader's is asked for."""
-        state = next((m for m in attempt.transfers if m.stage is TransferStage.KV_STATE), None)
-        if state is None:
-            return
-        told = next((v for k, v in end.metadata if k == "tuliptrack-state-bytes"), "")
-        if isinstance(told, str) and told.isdigit():
-            self._booked_state(record, attempt, int(told))
-            return
-        channel = self.channels.channel(attempt.state_endpoint_id)
-        if channel is None or end.how is How.CONNECT:
-            return
-        got: list[bytes] = []
-        state.has_ended = False
-        # The reader tells what it has sent of this request's states in all, also what is booked already.
-        before = record.state_bytes_moved.get(attempt.state_endpoint_id, 0)
-
-        def ended(end: End) -> None:
-            state.has_ended = True
-            if end.status.code is Code.OK and got:
-                total = engine_pb2.UsageResponse.FromString(got[0]).state_bytes
-                self._booked_state(record, attempt, max(total - before, 0))
-            else:  # Its reader is gone too: all of it is assumed to have crossed.
-                self._booked_state(
-                    record, attempt, int(self.settings.state_bytes * record.client_request.prompt_tokens)
-                )
-
-        request = engine_pb2.UsageRequest(request_id=record.name)
-        channel.call(
-            ENGINE_SERVICE_PATH + "Usage",
-            message=request.SerializeToString(),
-            timeout=_USAGE_CALL,
-            on_message=got.append,
-            on_end=ended,
-        )
+        """Return the bytes that an attempt has transferred between zones."""
+        return self.transfers.attempt_ended(record, attempt, ended.detail)
 
-    def _booked_state(self, record: RequestRecord, attempt: Attempt, size: int) -> None:
-        attempt.state_bytes = size
-        record.state_bytes_moved[attempt.state_endpoint_id] = (
-            record.state_bytes_moved.get(attempt.state_endpoint_id, 0) + size
-        )
 
-    def _tell_peers(self, action: io.SendGossip) -> None:
-        message = fleet_pb2.PeerBytes(
-            sender=self.settings.replica_index, data=action.data
-        ).SerializeToString()
-        for number, channel in enumerate(self.peers):
-            if number != self.settings.replica_index and action.peer in (None, number):
-                channel.call("/tuliptrack.v1.Peers/Tell", message=message, timeout=_SHORT_CALL)
+def _core_limits(limits: NodeLimits, engines: EngineOptions) -> CoreLimits:
+    return CoreLimits(
+        limits.tokens,
+        limits.bytes_per_token,
+        limits.answer_ahead,
+        limits.client_stall,
+        engines.token_silence,
+    )
 
-    def _install_peers(self) -> None:
-        def told(call: ServerCall, message: fleet_pb2.PeerBytes) -> None:
-            call.send(b"")
-            call.end(Status(Code.OK))
-            for router in self.routers.values():
-                self.dispatch(io.GossipReceived(message.sender, message.data), router)
 
-        if self.peers:
-            self.server.add("tuliptrack.v1.Peers", "Tell", unary_request(fleet_pb2.PeerBytes, told))
+def _concurrency_limits(limits: NodeLimits) -> ConcurrencyLimits:
+    return ConcurrencyLimits(limits.open_requests, limits.tenant_requests, limits.connection_requests)
 
-    # -- sweeps
 
-    async def _sweep(self) -> None:
-        """Look at times that need no timer of their own, now and then."""
-        while True:
-            await asyncio.sleep(_SWEEP_S)
-            now = now_us()
-            if now - self._booked_at > self.config.zones.report_every:
-                self._booked_at = now
-                if rows := self.account.close_interval():
-                    await asyncio.to_thread(self.account.write, rows)
-            self.sweep()
-            self.channels.close_idle()
+def _server_limits(limits: NodeLimits) -> Limits:
+    return Limits(
+        max_streams=limits.streams_per_connection,
+        max_header_bytes=limits.header_bytes,
+        max_message_bytes=limits.message_bytes,
+        pending_high=limits.answer_bytes,
+        pending_low=limits.answer_bytes // 4,
+    )
