--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -606,7 +606,7 @@
 
 
 def always_wanted(core: Core) -> None:
-    core.may_still_begin = lambda record, server: True  # type: ignore[method-assign]
+    core.may_still_begin = lambda record, endpoint_id: True  # type: ignore[method-assign]
 
 
 def windows_forgotten(core: Core) -> None:
@@ -627,7 +627,9 @@
 def leavers_untold(core: Core) -> None:
     core.client_disconnected = lambda record, reason: None  # type: ignore[method-assign]
     submit = core.submit
-    core.submit = lambda ask, answer: submit(replace(ask, is_disconnected=lambda: False), answer)  # type: ignore[method-assign]
+    core.submit = lambda client_request, response: submit(  # type: ignore[method-assign]
+        replace(client_request, is_disconnected=lambda: False), response
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -126,7 +126,7 @@
                 assert (await each.wait()).status.code is Code.OK
                 each.check_tokens()
             assert len(w.seen("call", kind="write", engine=name)) == 1
-            await until(lambda: not w.node.channels._old)  # its channel ends once the stream has
+            await until(lambda: not w.node.channels._retired)  # its channel ends once the stream has
 
     run(go, virtual=True)
 
@@ -333,7 +333,7 @@
 def test_the_last_list_is_kept_for_a_restart_without_its_feed() -> None:
     async def go() -> None:
         async with world("r0 w0") as w:
-            await until(lambda: w.node._saver is not None and w.node._saver.done())
+            await until(lambda: w.node.list_cache.task is not None and w.node.list_cache.task.done())
             await w.node.stop(0)
             await w.channel.close()
             await w.feed.stop()
