--- a/tests/oracle/brain.py
+++ b/tests/oracle/brain.py
@@ -15,7 +15,8 @@
 from typing import Any
 
 from oracle.state import Asked, Blame, Fleet, Flight, Kind, Seat, any_of, least_of, median_low, mix
-from tuliptrack.decisions.cross_zone_budget import CrossZoneBudgets, ZoneRecovery
+from tuliptrack.decisions.cross_zone_budget import CrossZoneBudgets
+from tuliptrack.decisions.zone_recovery import ZoneRecovery
 from tuliptrack.interface import (
     Action,
     AttemptEnded,
@@ -143,7 +144,7 @@
         for seat in self.seats.values():
             seat.kind = self.kinds[seat.role, self._abroad(seat)]
         if self.zones:
-            self.zones.begin(self.now)
+            self.zones.start(self.now)
         self._note_zones()
 
     def _note_zones(self) -> None:
@@ -151,8 +152,8 @@
         if self.zones and len({s.info.zone for s in self.seats.values()}) > 1:
             up = [(s.info.zone, s.role) for s in self.seats.values()
                   if s.info.state is EndpointState.READY and _ALL not in s.blamed]
-            for zone, what in self.returns.note(self.now, up):
-                self.out.append(LogMessage(f"zone {zone}: {what}"))
+            for change in self.returns.observe(self.now, up):
+                self.out.append(LogMessage(str(change)))
 
     # -- arrival: worth and refusal
 
@@ -171,13 +172,13 @@
         self.gap += SMOOTHING * (self.now - (self.arrived_at or self.now) - self.gap)
         self.arrived_at = self.now
         if self.zones:
-            self.zones.arrived(self.now)
+            self.zones.record_arrival(self.now)
         reader, most = self._pick_reader(flight), tier * QUEUE_THRESHOLD * aim
         look = self._outlook(flight, reader)
         # Serving comes before the budget: the best reader of another zone is looked at before a refusal.
         if look > most and self.zones and tier >= 1 and (far := self._spill(flight, self._far(flight), 0.0)):
             reader, look = far, self._outlook(flight, far)
-        if look > most and self.zones and self.returns.back:  # Elsewhere is no room: its zone has it sooner.
+        if look > most and self.zones and self.returns.is_ramping_up:  # Elsewhere is no room: its zone has it sooner.
             flight.hurried = True
             reader = self._pick_reader(flight)
             look = self._outlook(flight, reader)
@@ -291,7 +292,7 @@
         if self.zones is None:
             return 0.0
         held = flight.held.info.zone if flight.held and seat.role is not Role.PREFILL else None
-        return self.zones.size(flight.request, seat.info.zone, held, seat.role is not Role.PREFILL, flight.cost)
+        return self.zones.crossing_bytes(flight.request, seat.info.zone, held, seat.role is not Role.PREFILL, flight.cost)
 
     def _price(self, flight: Flight, seat: Seat) -> float:
         if self.zones is None:
@@ -421,7 +422,7 @@
 
     def _usable(self, seat: Seat, flight: Flight) -> bool:
         """Not blamed for this kind of request, or due for a trial; nor in a zone it is yet to return to."""
-        if self.zones and self.returns.back and not flight.hurried and not self.returns.admits(
+        if self.zones and self.returns.is_ramping_up and not flight.hurried and not self.returns.admits(
                 self.now, seat.info.zone, seat.role, mix(flight.request.session) / 2**64):
             return False
         keys = self._keys(flight) if self.now - self.refused_at < CALM_US else (_PACE, *self._keys(flight))
--- a/tests/test_zones_path.py
+++ b/tests/test_zones_path.py
@@ -104,7 +104,7 @@
             assert any(key[2] == "state" for key in seen(w)) and len(seen(w)) > 8
             causes = {key[5] for key in w.node.account.total}
             assert causes <= {"budget", "forced", "retry"} and "forced" in causes
-            assert all(not c.open for c in [w.node.router.locality.crossings] if c)
+            assert all(not b.reservations for b in [w.node.router.locality.budgets] if b)
 
     run(go, virtual=True)
     rows = [json.loads(line) for line in report.read_text().splitlines()]
--- a/tuliptrack/decisions/shared_token_bucket.py
+++ b/tuliptrack/decisions/shared_token_bucket.py
@@ -1,138 +1,191 @@
-"""Turns at a common budget: how nodes that don't talk share a rate with a burst, without passing it together.
+"""Shares one token bucket among nodes that do not communicate, without exceeding its rate and burst together.
 
-Turn k comes at k x quantum / rate on a time that all nodes share, belongs to the node whose slot is k modulo
-`replicas`, and lapses after burst / rate. `decisions/cross_zone_budget.py` has the bound and its argument.
-Times in whole microseconds, amounts in whatever the budget counts. No I/O, no clock, no chance."""
+The bucket of a `rate` with a `burst` is dealt out in grants of `quantum` tokens, numbered on a time that all
+nodes share. Grant k comes at k x quantum / rate, belongs to the node whose index is k modulo `replicas`, and
+expires after burst / rate. `decisions/cross_zone_budget.py` states the bound over all nodes and why it holds.
+
+Times are in microseconds, tokens in whatever the budget counts (bytes, weighted tokens). The module does no
+I/O, reads no clock and draws no random numbers. Bound: 2 x `MAX_GRANTS` grants for each bucket.
+"""
 
 from __future__ import annotations
 
 import math
 from collections import deque
+from collections.abc import Sequence
 from dataclasses import dataclass
 
-__all__ = ["BudgetGrant", "SharedTokenBucket"]
+__all__ = ["AcquiredTokens", "BudgetGrant", "SharedBucketSettings", "SharedTokenBucket"]
 
-MAX_GRANTS = 4096  # turns that a node keeps at once; more of them are larger ones
-PHASE = 0.6180339887498949  # successive nodes' multiples of it, mod 1, spread evenly over 0 to 1
+MAX_GRANTS = 4096
+"""Grants that a node holds at once; where a burst would take more, each of them is larger."""
+GOLDEN_RATIO_FRACTION = 0.6180339887498949
+"""Successive multiples of it, modulo 1, are spread evenly from 0 to 1."""
 
 
 @dataclass(slots=True)
 class BudgetGrant:
-    """What one turn still allows, and when it lapses."""
+    """Tokens that a node may use until a point in time."""
+
+    expires_at_us: int
+    remaining: float
+
+
+@dataclass(frozen=True, slots=True)
+class AcquiredTokens:
+    """Tokens that were acquired from one grant, and may be refunded to it."""
+
+    grant: BudgetGrant
+    tokens: float
+
+
+@dataclass(frozen=True, slots=True)
+class SharedBucketSettings:
+    """One bucket, and which node of the fleet has this part of it."""
 
-    lapses: int
-    left: float
+    rate_per_s: float
+    burst: float
+    quantum: float
+    """Tokens of one grant."""
+    replicas: int
+    replica_index: int
+    epoch_offset_us: int = 0
+    """Added to the node's clock, it gives the time that all nodes share."""
+    by_traffic: float = 0.0
+    """Part of the rate that is earned by requests instead of granted in turn, from 0 to 1."""
 
 
 class SharedTokenBucket:
-    """One node's part of one budget: `rate` a second with a `burst`, dealt out in turns of `quantum`."""
-
-    def __init__(
-        self,
-        rate: float,
-        burst: float,
-        quantum: float,
-        replicas: int,
-        slot: int,
-        offset: int = 0,
-        by_traffic: float = 0.0,
-    ) -> None:
-        self.burst, self.quantum, self.replicas, self.slot, self.offset = (
-            burst,
-            quantum,
-            replicas,
-            slot,
-            offset,
-        )
-        rate /= 1e6
-        self.unit = quantum
-        """What requests earn is paid out in these."""
-        self.quantum = quantum * max(1.0, burst / quantum / replicas / MAX_GRANTS)
-        by_turns = rate * (1 - by_traffic)
-        self.every = self.quantum / by_turns if by_turns else 0.0
-        """Microseconds between two turns of all nodes."""
-        self.life = int(burst / rate) if rate else 0
-        self.earned = slot * PHASE % 1 * quantum
-        """What requests have earned and that make no quantum yet."""
-        self.turns: deque[BudgetGrant] = deque()
-        self.next: int | None = None
-        """Number of this node's next turn."""
-        self.owed = 0.0
-        """What was used beyond what turns had allowed: turns to come pay for it."""
-        self.lapsed = 0.0
-        """What has lapsed unused; its reader sets it back."""
-
-    def _come(self, now: int) -> None:
-        """Take the turns that have come, drop those that have lapsed."""
-        while self.turns and self.turns[0].lapses <= now:
-            self.lapsed += self.turns.popleft().left
-        if not self.every:
+    """One node's part of a token bucket that all nodes share."""
+
+    def __init__(self, settings: SharedBucketSettings) -> None:
+        """Nothing is available yet; grants that come after the first call with a time are the node's own."""
+        quantum, burst, replicas = settings.quantum, settings.burst, settings.replicas
+        rate_per_us = settings.rate_per_s / 1e6
+        granted_per_us = rate_per_us * (1 - settings.by_traffic)
+        self._replicas, self._replica_index = replicas, settings.replica_index
+        self._epoch_offset_us = settings.epoch_offset_us
+        self._earned_quantum = quantum
+        self._quantum = quantum * max(1.0, burst / quantum / replicas / MAX_GRANTS)
+        self._grant_interval_us = self._quantum / granted_per_us if granted_per_us else 0.0
+        """Time between two grants, of whichever nodes; 0 if nothing is granted in turn."""
+        self._grant_lifetime_us = int(burst / rate_per_us) if rate_per_us else 0
+        self.node_burst = max(burst / replicas, self._quantum)
+        """Tokens that this node may have saved up, if all nodes have equal traffic."""
+        self._earned = settings.replica_index * GOLDEN_RATIO_FRACTION % 1 * quantum
+        """Tokens earned by requests that do not make a quantum yet."""
+        self._grants: deque[BudgetGrant] = deque()
+        self._next_grant: int | None = None
+        """Number of this node's next grant; None before the first call with a time."""
+        self._debt = 0.0
+        """Tokens used beyond what was granted; the next grants pay for them."""
+        self._expired = 0.0
+        """Tokens that expired unused and were not collected yet."""
+
+    def advance(self, now_us: int) -> None:
+        """Add the grants that have come, and drop those that have expired."""
+        while self._grants and self._grants[0].expires_at_us <= now_us:
+            self._expired += self._grants.popleft().remaining
+        if not self._grant_interval_us:
             return
-        if self.next is None:  # Born now: what came before may have been used.
-            first = int((now + self.offset) / self.every) + 1
-            self.next = first + (self.slot - first) % self.replicas
-        last = int((now + self.offset) / self.every)
-        if last - self.next > 2 * MAX_GRANTS * self.replicas:  # A long sleep: all but the last have lapsed.
-            skip = (last - self.next - MAX_GRANTS * self.replicas) // self.replicas
-            self.owed = max(self.owed - skip * self.quantum, 0.0)
-            self.next += skip * self.replicas
-        while self.next <= last:
-            paid = min(self.owed, self.quantum)
-            self.owed -= paid
-            lapses = int(self.next * self.every) - self.offset + self.life
-            if lapses > now and paid < self.quantum:
-                self.turns.append(BudgetGrant(lapses, self.quantum - paid))
-            self.next += self.replicas
-
-    def earn(self, now: int, size: float) -> None:
-        """A request has come that brings so much; whole quanta are paid out."""
-        self.earned += size
-        if self.earned < self.unit:
+        last = int((now_us + self._epoch_offset_us) / self._grant_interval_us)
+        grant = self._first_due_grant(last)
+        while grant <= last:
+            self._add_grant(now_us, grant)
+            grant += self._replicas
+        self._next_grant = grant
+
+    def _first_due_grant(self, last: int) -> int:
+        """Return the number of the first grant of this node to be added, if not above `last`."""
+        if self._next_grant is None:
+            # What came before the node's start may have been used by its previous incarnation.
+            first = last + 1
+            return first + (self._replica_index - first) % self._replicas
+        max_behind = MAX_GRANTS * self._replicas
+        if last - self._next_grant <= 2 * max_behind:
+            return self._next_grant
+        # After a long pause all but the last grants have expired; stepping through them would stall the node.
+        skipped = (last - self._next_grant - max_behind) // self._replicas
+        self._debt = max(self._debt - skipped * self._quantum, 0.0)
+        return self._next_grant + skipped * self._replicas
+
+    def _add_grant(self, now_us: int, number: int) -> None:
+        tokens = self._quantum - self._pay_debt(self._quantum)
+        granted_at_us = int(number * self._grant_interval_us) - self._epoch_offset_us
+        expires_at_us = granted_at_us + self._grant_lifetime_us
+        if expires_at_us > now_us and tokens > 0:
+            self._grants.append(BudgetGrant(expires_at_us, tokens))
+
+    def _pay_debt(self, tokens: float) -> float:
+        """Return how many of the tokens go into what is owed."""
+        paid = min(self._debt, tokens)
+        self._debt -= paid
+        return paid
+
+    def earn(self, now_us: int, tokens: float) -> None:
+        """Credit what a request brings, where traffic fills the bucket; whole quanta become a grant."""
+        self._earned += tokens
+        if self._earned < self._earned_quantum:
             return
-        self._come(now)
-        whole = self.earned // self.unit * self.unit
-        self.earned -= whole
-        paid = min(self.owed, whole)
-        self.owed -= paid
-        if whole > paid and len(self.turns) < 2 * MAX_GRANTS:
-            self.turns.append(BudgetGrant(now + self.life, whole - paid))
-
-    def left(self, now: int) -> float:
-        """What this node may use now."""
-        self._come(now)
-        return sum(turn.left for turn in self.turns)
-
-    def take(self, size: float) -> list[tuple[BudgetGrant, float]]:
-        """Use the oldest turns; what they don't hold is owed, up to one burst of this node's part."""
-        parts = []
-        for turn in self.turns:
-            part = min(turn.left, size)
+        self.advance(now_us)
+        whole = self._earned // self._earned_quantum * self._earned_quantum
+        self._earned -= whole
+        granted = whole - self._pay_debt(whole)
+        if granted > 0 and len(self._grants) < 2 * MAX_GRANTS:
+            self._grants.append(BudgetGrant(now_us + self._grant_lifetime_us, granted))
+
+    def available(self, now_us: int) -> float:
+        """Return the tokens that this node may use now."""
+        self.advance(now_us)
+        return sum(grant.remaining for grant in self._grants)
+
+    def acquire(self, tokens: float) -> list[AcquiredTokens]:
+        """Use tokens of the oldest grants; what they lack is owed, up to the node's share of a burst."""
+        acquired = []
+        for grant in self._grants:
+            part = min(grant.remaining, tokens)
             if part > 0:
-                turn.left -= part
-                size -= part
-                parts.append((turn, part))
-            if size <= 0:
-                return parts
-        self.owed = min(self.owed + size, max(self.burst / self.replicas, self.quantum))
-        return parts
-
-    def back(self, parts: list[tuple[BudgetGrant, float]], size: float) -> None:
-        """Give back what was taken and not used, to the youngest turns first: the others lapse sooner."""
-        for turn, part in reversed(parts):
-            give = min(part, size)
-            turn.left += give
-            size -= give
-
-    def wait(self, now: int, size: float) -> int:
-        """Microseconds until so much may be used, if nothing else is; -1 where it never may be."""
-        short = size - self.left(now)
-        if short <= 0:
+                grant.remaining -= part
+                tokens -= part
+                acquired.append(AcquiredTokens(grant, part))
+            if tokens <= 0:
+                return acquired
+        self._debt = min(self._debt + tokens, self.node_burst)
+        return acquired
+
+    def refund(self, acquired: Sequence[AcquiredTokens], tokens: float) -> None:
+        """Return tokens that were acquired and not used, to the youngest grants first: they last longest."""
+        for part in reversed(acquired):
+            refunded = min(part.tokens, tokens)
+            part.grant.remaining += refunded
+            tokens -= refunded
+
+    def wait_us(self, now_us: int, tokens: float) -> int | None:
+        """Return the time until so many tokens are available if no others are used; None for never."""
+        missing = tokens - self.available(now_us)
+        if missing <= 0:
             return 0
-        if not self.every or size > self.quantum * max(
-            self.life // max(int(self.every * self.replicas), 1), 1
-        ):
-            return -1
-        assert self.next is not None
-        turns = math.ceil((short + self.owed) / self.quantum)
-        at = int((self.next + (turns - 1) * self.replicas) * self.every) - self.offset
-        return max(at - now, 1)
+        if not self._grant_interval_us or tokens > self._max_available():
+            return None
+        assert self._next_grant is not None
+        grants = math.ceil((missing + self._debt) / self._quantum)
+        last_grant = self._next_grant + (grants - 1) * self._replicas
+        available_at_us = int(last_grant * self._grant_interval_us) - self._epoch_offset_us
+        return max(available_at_us - now_us, 1)
+
+    def _max_available(self) -> float:
+        """Return the tokens that grants in turn can add up to before the oldest expires."""
+        return self._quantum * max(self._grant_lifetime_us // max(self._own_interval_us(), 1), 1)
+
+    def _own_interval_us(self) -> int:
+        """Return the time between two grants of this node."""
+        return int(self._grant_interval_us * self._replicas)
+
+    def collect_expired(self) -> float:
+        """Return the tokens that have expired unused since the last call."""
+        expired, self._expired = self._expired, 0.0
+        return expired
+
+    def next_expiry_us(self, now_us: int) -> int:
+        """Return when the oldest grant expires, or about when the next one comes if there is none."""
+        return self._grants[0].expires_at_us if self._grants else now_us + self._own_interval_us()
--- a/tuliptrack/decisions/token_budget.py
+++ b/tuliptrack/decisions/token_budget.py
@@ -27,7 +27,12 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from tuliptrack.decisions.shared_token_bucket import BudgetGrant, SharedTokenBucket
+from tuliptrack.decisions.shared_token_bucket import (
+    AcquiredTokens,
+    BudgetGrant,
+    SharedBucketSettings,
+    SharedTokenBucket,
+)
 from tuliptrack.structures.sketch import Heavy, Sketch
 from tuliptrack.structures.wheel import Wheel
 
@@ -106,7 +111,7 @@
     cls: int
     units: int
     prompt: int
-    parts: list[tuple[SharedTokenBucket, list[tuple[BudgetGrant, float]]]]
+    parts: list[tuple[SharedTokenBucket, list[AcquiredTokens]]]
     counted: bool
 
 
@@ -140,12 +145,14 @@
                 (
                     w,
                     SharedTokenBucket(
-                        w.units / w.length * 1e6,
-                        w.units,
-                        w.quantum or max(w.units / 10, 1),
-                        s.replicas,
-                        s.slot,
-                        s.offset,
+                        SharedBucketSettings(
+                            w.units / w.length * 1e6,
+                            w.units,
+                            w.quantum or max(w.units / 10, 1),
+                            s.replicas,
+                            s.slot,
+                            s.offset,
+                        )
                     ),
                 )
                 for w in windows
@@ -158,7 +165,7 @@
             ]
             self.tenants[name] = _Tenant(purses, days)
             for _, purse in purses:
-                purse.left(now)  # Turns that come from now on are this node's own.
+                purse.advance(now)  # Turns that come from now on are this node's own.
             if purses and s.lend:
                 self.lenders[name] = min(purses, key=lambda pair: pair[0].length)[1]
                 self.wheel.set(name, now + LEAST_LOOK_US)
@@ -219,14 +226,14 @@
             if day.used + units > day.part:
                 wait, short = (-1 if units > day.part else max(wait, rest)), day.window.length
         for window, purse in one.purses:
-            if purse.left(now) < units:
-                more = purse.wait(now, units)
-                wait, short = (-1 if wait < 0 or more < 0 else max(wait, more)), max(short, window.length)
+            if purse.available(now) < units:
+                more = purse.wait_us(now, units)
+                wait, short = (-1 if wait < 0 or more is None else max(wait, more)), max(short, window.length)
         if (
             short
             and self.settings.lend
             and short <= MAX_GRANTED_WINDOW_US
-            and sum(turn.left for turn in self.pool) >= units
+            and sum(grant.remaining for grant in self.pool) >= units
         ):
             return BudgetVerdict(False, units, lent=True)
         return BudgetVerdict(bool(short), units, wait, short)
@@ -239,11 +246,11 @@
         self.heavy.add(tenant, verdict.reserved)
         if one is None:
             return
-        parts: list[tuple[SharedTokenBucket, list[tuple[BudgetGrant, float]]]] = []
+        parts: list[tuple[SharedTokenBucket, list[AcquiredTokens]]] = []
         if verdict.lent:
             self._borrow(verdict.reserved)
         elif not verdict.over:
-            parts = [(purse, purse.take(verdict.reserved)) for _, purse in one.purses]
+            parts = [(purse, purse.acquire(verdict.reserved)) for _, purse in one.purses]
         for day in one.days:
             self._today(day, now)
             day.used += verdict.reserved
@@ -257,10 +264,10 @@
 
     def _borrow(self, units: float) -> None:
         while units > 0 and self.pool:
-            part = min(self.pool[0].left, units)
-            self.pool[0].left -= part
+            part = min(self.pool[0].remaining, units)
+            self.pool[0].remaining -= part
             units -= part
-            if self.pool[0].left <= 0:
+            if self.pool[0].remaining <= 0:
                 self.pool.popleft()
 
     def settle(self, now: int, request: int, kept: int, written: int, learn: bool) -> None:
@@ -276,11 +283,11 @@
             self._learn(reserved.tenant, reserved.cls, written)
         if reserved.counted:
             for purse, parts in reserved.parts:
-                purse.left(now)
+                purse.advance(now)
                 if used > reserved.units:
-                    purse.take(used - reserved.units)
+                    purse.acquire(used - reserved.units)
                 else:
-                    purse.back(parts, reserved.units - used)
+                    purse.refund(parts, reserved.units - used)
         for day in one.days:
             day.used = max(day.used + used - reserved.units, 0)
         one.use.held_back -= reserved.units
@@ -292,16 +299,15 @@
     def _lapse(self, now: int) -> None:
         """Lend what has lapsed unused in the shortest window of each tenant: longer ones hold the same tokens
         again. The wheel tells whose turn lapses, so nobody else is looked at."""
-        while self.pool and self.pool[0].lapses <= now:
+        while self.pool and self.pool[0].expires_at_us <= now:
             self.pool.popleft()
         for name in self.wheel.advance(now) if self.settings.lend else ():
             purse = self.lenders[name]
-            purse.left(now)
-            if purse.lapsed > 0:
-                self.pool.append(BudgetGrant(now + LEND_US, purse.lapsed))
-                purse.lapsed = 0.0
-            due = purse.turns[0].lapses if purse.turns else now + int(purse.every * purse.replicas)
-            self.wheel.set(name, min(max(due, now + LEAST_LOOK_US), now + MOST_LOOK_US))
+            purse.advance(now)
+            expired = purse.collect_expired()
+            if expired > 0:
+                self.pool.append(BudgetGrant(now + LEND_US, expired))
+            self.wheel.set(name, min(max(purse.next_expiry_us(now), now + LEAST_LOOK_US), now + MOST_LOOK_US))
 
     # -- after a restart, and for operators
 
--- a/tuliptrack/routing/locality.py
+++ b/tuliptrack/routing/locality.py
@@ -1,12 +1,14 @@
 """Decides what traffic may cross zones, and how fast a recovered zone gets its traffic back.
 
 Only where `zone_budgets` are set; otherwise no zone is remote and nothing has a price. The budgets and
-recovery ramps are those of `decisions/cross_zone_budget.py`; this module asks them about endpoints and
-requests. Sizes are bytes."""
+recovery ramps are those of `decisions/cross_zone_budget.py` and `decisions/zone_recovery.py`; this module
+asks them about endpoints and requests. Sizes are bytes.
+"""
 
 from __future__ import annotations
 
-from tuliptrack.decisions.cross_zone_budget import CrossZoneBudgets, ZoneRecovery
+from tuliptrack.decisions.cross_zone_budget import CrossZoneBudgets
+from tuliptrack.decisions.zone_recovery import ZoneRecovery
 from tuliptrack.interface import CrossZoneCause, EndpointState, Role
 from tuliptrack.routing.node_state import NodeState
 from tuliptrack.routing.outbox import Outbox
@@ -21,89 +23,86 @@
 class Locality:
     """One node's view of zones."""
 
-    def __init__(self, state: NodeState, outbox: Outbox, crossings: CrossZoneBudgets | None) -> None:
-        """`crossings` are this node's zone budgets, shared by its routers of several models; None without
-        budgets."""
+    def __init__(self, state: NodeState, outbox: Outbox, budgets: CrossZoneBudgets | None) -> None:
+        """`budgets` are shared by the node's routers of several models; None if nothing is budgeted."""
         self._state, self._outbox = state, outbox
-        self.crossings = crossings
-        self.returns = ZoneRecovery()
+        self.budgets = budgets
+        self._recovery = ZoneRecovery()
         classes = state.settings.classes
         self._max_priority_weight = max(cls.priority_weight for cls in classes)
 
     @property
     def is_budgeted(self) -> bool:
         """Whether cross-zone traffic is budgeted."""
-        return self.crossings is not None
+        return self.budgets is not None
 
     @property
     def is_recovering(self) -> bool:
         """Whether the traffic of some zone is being ramped up again."""
-        return self.crossings is not None and bool(self.returns.back)
+        return self.budgets is not None and self._recovery.is_ramping_up
 
     def is_remote(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint lies in another zone, where cross-zone traffic is budgeted."""
-        return self.crossings is not None and endpoint.info.zone != self._state.settings.zone
+        return self.budgets is not None and endpoint.info.zone != self._state.settings.zone
 
     def admits(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
         """Whether a request may go to the endpoint's zone, whose traffic may still be ramped up."""
         if not self.is_recovering or request.ignores_recovery_ramp:
             return True
         position = mix(request.request.session) / 2**64
-        return self.returns.admits(self._state.now_us, endpoint.info.zone, endpoint.role, position)
+        return self._recovery.admits(self._state.now_us, endpoint.info.zone, endpoint.role, position)
 
     def price(self, request: InFlightRequest, zone: int, is_decode: bool) -> float:
-        """Return what an attempt in a zone costs, as a share of a score or in mean loads; 0 if nothing
-        crosses."""
-        if self.crossings is None:
+        """Return what an attempt in a zone costs, in mean loads or as part of a score; 0 if none."""
+        if self.budgets is None:
             return 0.0
-        size = self._crossing_bytes(self.crossings, request, zone, is_decode)
+        size = self._crossing_bytes(self.budgets, request, zone, is_decode)
         relative_weight = request.request_class.priority_weight / self._max_priority_weight
-        return self.crossings.price(self._state.now_us, request.request.class_index, size, relative_weight)
+        return self.budgets.price(self._state.now_us, request.request.class_index, size, relative_weight)
 
     def record_arrival(self) -> None:
         """Record that a request has arrived, which some budgets are filled by."""
-        if self.crossings:
-            self.crossings.arrived(self._state.now_us)
+        if self.budgets:
+            self.budgets.record_arrival(self._state.now_us)
 
     def reserve(self, request: InFlightRequest, endpoint: Endpoint) -> CrossZoneCause | None:
         """Reserve what an attempt moves between zones; return why it may, or None if nothing is booked."""
-        if self.crossings is None:
+        if self.budgets is None:
             return None
         is_decode = endpoint.role is not Role.PREFILL
-        size = self._crossing_bytes(self.crossings, request, endpoint.info.zone, is_decode)
+        size = self._crossing_bytes(self.budgets, request, endpoint.info.zone, is_decode)
         is_retry = bool(request.excluded)
-        return self.crossings.reserve(
+        return self.budgets.reserve(
             self._state.now_us, request.request.request_id, request.request.class_index, size, is_retry
         )
 
     def settle(self, request_id: int, moved_bytes: float) -> None:
         """Settle an attempt's reservation by what it has moved."""
-        if self.crossings:
-            self.crossings.settle(self._state.now_us, request_id, moved_bytes)
+        if self.budgets:
+            self.budgets.settle(self._state.now_us, request_id, moved_bytes)
 
     def apply_list_update(self) -> None:
         """Take note of a changed endpoint list."""
-        if self.crossings:
-            self.crossings.begin(self._state.now_us)
+        if self.budgets:
+            self.budgets.start(self._state.now_us)
         self.observe_zones()
 
     def observe_zones(self) -> None:
         """Compare the zones' usable endpoints with before, and log zones that were lost or recovered."""
         endpoints = self._state.table.endpoints.values()
-        if self.crossings is None or len({one.info.zone for one in endpoints}) <= 1:
+        if self.budgets is None or len({one.info.zone for one in endpoints}) <= 1:
             return
         usable = [
             (one.info.zone, one.role)
             for one in endpoints
             if one.info.state is EndpointState.READY and WHOLE_ENDPOINT not in one.ejections
         ]
-        for zone, what in self.returns.note(self._state.now_us, usable):
-            self._outbox.log(f"zone {zone}: {what}")
+        for change in self._recovery.observe(self._state.now_us, usable):
+            self._outbox.log(str(change))
 
     def _crossing_bytes(
-        self, crossings: CrossZoneBudgets, request: InFlightRequest, zone: int, is_decode: bool
+        self, budgets: CrossZoneBudgets, request: InFlightRequest, zone: int, is_decode: bool
     ) -> float:
-        """Return the bytes that an attempt would move between zones: prompt, KV state, and the answer
-        back."""
+        """Return the bytes that an attempt would move between zones: prompt, KV state and output."""
         holder_zone = request.kv_holder.info.zone if request.kv_holder and is_decode else None
-        return crossings.size(request.request, zone, holder_zone, is_decode, request.projected_tokens)
+        return budgets.crossing_bytes(request.request, zone, holder_zone, is_decode, request.projected_tokens)
--- a/tuliptrack/routing/router.py
+++ b/tuliptrack/routing/router.py
@@ -323,5 +323,5 @@
 
 def _zone_budgets(settings: Settings, peer_router: Router | None) -> CrossZoneBudgets | None:
     if peer_router:
-        return peer_router.locality.crossings
+        return peer_router.locality.budgets
     return CrossZoneBudgets(settings) if settings.zone_budgets else None
