--- a/tests/fronts/test_kserve.py
+++ b/tests/fronts/test_kserve.py
@@ -109,9 +109,9 @@
             gone = {row["request"] for row in w.seen("gone", kind="write")}
             assert len(gone) >= 5  # the fifth, and those that the client left
             assert (
-                w.node.admission.open == 0
-                and not w.node.admission.tenants
-                and not w.node.admission.connections
+                w.node.admission.in_flight == 0
+                and not w.node.admission.by_tenant
+                and not w.node.admission.by_connection
             )
 
     run(go, virtual=True)
@@ -478,21 +478,21 @@
                 assert (await chunked.answer())[0] == 413
             async with rest(w) as held:  # others' bodies that are still arriving leave no room for this one
                 held.writer.write(HEAD + b"content-length: 19000\r\n\r\n{")
-                await until(lambda: w.node.bodies.held >= 19_000)
+                await until(lambda: w.node.bodies.used_bytes >= 19_000)
                 async with rest(w) as crowded:
                     crowded.writer.write(HEAD + b"content-length: 19000\r\n\r\n{")
                     status, got = await crowded.answer()
                     assert status == 503 and "too many bytes" in got["error"]
             status, got = await slow.answer()
             assert status == 408 and "0.7 s" in got["error"]
-            await until(lambda: w.node.bodies.held == 0)
+            await until(lambda: w.node.bodies.used_bytes == 0)
             deaf.generate("q1 what?", stream=True)
             await until(lambda: any(record.paused_at_us for record in w.node.table.open.values()))
             async with rest(w) as other:
                 other.generate("q2 what?", max_tokens=20)
                 assert (await other.answer())[1]["completion_tokens"] == 20
             await until(lambda: not w.node.table.open)  # its time to read is over
-            assert w.node.bodies.held == 0
+            assert w.node.bodies.used_bytes == 0
 
     run(go)
 
@@ -547,13 +547,13 @@
             w.node.admission.limits = type(w.node.admission.limits)(0, 1, 1)
             end = await w.ask("q" * 3_000_000).wait()
             assert end.status.code is Code.UNAVAILABLE and "harmless" in end.status.message
-            assert w.node.bodies.peak == 0 and w.node.server.refused_early == 1
+            assert w.node.bodies.peak_bytes == 0 and w.node.server.refused_early == 1
             w.node.admission.limits = type(w.node.admission.limits)(9, 9, 9)
             one = w.ask("q" * 3_000_000)  # there is a place, but no room for such a body
             end = await one.wait()
             assert end.status.code is Code.UNAVAILABLE and "too many bytes" in end.status.message
-            assert w.node.bodies.held == 0 and w.node.bodies.peak <= 100_000
+            assert w.node.bodies.used_bytes == 0 and w.node.bodies.peak_bytes <= 100_000
             assert (await w.ask("q" * 60_000).wait()).status.code is Code.OK
-            assert w.node.bodies.held == 0 and w.node.bodies.peak > 30_000
+            assert w.node.bodies.used_bytes == 0 and w.node.bodies.peak_bytes > 30_000
 
     run(go, virtual=True)
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -375,4 +375,6 @@
         for peer in [*engines.values(), made.agent]:
             await peer.stop()
         assert not made.relay.table.open and not made.relay.front.open, "requests left"
-        assert made.relay.front.kept.held == 0 and made.relay.front.server.bodies.held == 0, "bytes left"
+        assert made.relay.front.kept.used_bytes == 0 and made.relay.front.server.bodies.used_bytes == 0, (
+            "bytes left"
+        )
--- a/tests/rpc/test_http1.py
+++ b/tests/rpc/test_http1.py
@@ -92,7 +92,7 @@
         assert b"9\r\ndata: 2\n\n\r\n0\r\n\r\n" in whole
         assert without_dates(await talk(server, cut(REQUESTS, places))) == whole
         await server.stop()
-        assert meter.held == 0 and not server.links
+        assert meter.used_bytes == 0 and not server.links
 
     run(go)
 
@@ -110,7 +110,7 @@
         assert (await talk(server, [REQUESTS])).count(b"HTTP/1.1 200") == 4
         await until(lambda: not server.links)
         await server.stop()
-        assert meter.held == 0
+        assert meter.used_bytes == 0
 
     run(go)
 
--- a/tuliptrack/decisions/concurrency_limit.py
+++ b/tuliptrack/decisions/concurrency_limit.py
@@ -1,110 +1,145 @@
-"""What may enter a node at all: how many requests are open, of a tenant and of a connection, and how many
-bytes of bodies that are still arriving. Decided before the core is asked, for every front alike.
+"""Limits the requests in flight at a node, for a tenant and on a connection, and the bytes of arriving bodies.
 
-A refusal here costs nothing and has had no effect, so trying again is harmless; its reason names the limit.
-When to come back is said by how fast requests have been ending lately: the time until a place may be free.
+These limits hold before the router sees a request, whichever front it comes from. A rejection has had no
+effect, so a retry is harmless; its reason names the limit. When to retry follows from how fast requests have
+ended lately.
 
-No I/O, no clock: `now` in microseconds. Bound: one entry for each open connection and each tenant with open
-requests."""
+Times are in microseconds. The module does no I/O and reads no clock. Bound: one counter for each connection
+and each tenant with requests in flight.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Hashable
 from dataclasses import dataclass, field
-
-__all__ = ["BODIES_FULL", "ByteBudget", "ConcurrencyLimiter", "ConcurrencyLimits", "rejection_text"]
-
-SMOOTHING = 0.05  # weight of one more end in the mean time between two: some twenty tell the pace
+from enum import StrEnum
+from typing import TypeVar
+
+__all__ = [
+    "BODIES_FULL",
+    "ByteBudget",
+    "ConcurrencyLimiter",
+    "ConcurrencyLimits",
+    "ExceededLimit",
+    "rejection_text",
+]
+
+SMOOTHING = 0.05
+"""Weight of the newest interval between two ends in their mean."""
+RETRY_AFTER_SHARE = 10
+"""A client is told to retry when one in so many of the requests in flight will have ended."""
+MIN_RETRY_AFTER_US = 10_000
+MAX_RETRY_AFTER_US = 2_000_000
+"""Bounds on the advice: the pace of ends may be unknown, or may change soon."""
 BODIES_FULL = "too many bytes of requests are arriving"
-"""Why a body isn't taken for which a `ByteBudget` has no room."""
-LEAST_WAIT_US = 10_000
-MOST_WAIT_US = 2_000_000
+"""Reason for which a body is rejected that a `ByteBudget` has no capacity for."""
+
+_Key = TypeVar("_Key", bound=Hashable)
 
 
 def rejection_text(reason: str) -> str:
-    """What clients read of a refusal."""
+    """Return the text that clients get for a rejection."""
     return f"refused: {reason}; trying again is harmless"
 
 
+class ExceededLimit(StrEnum):
+    """The limit that a request would exceed; the value is the reason that clients get."""
+
+    NODE = "too many requests are open at this node"
+    TENANT = "too many requests of this tenant are open at this node"
+    CONNECTION = "too many requests are open on this connection"
+
+
 class ByteBudget:
-    """Bytes that may be held at once for bodies which are not yet whole. `take` says no where they would be
-    more."""
+    """Limits the bytes that incomplete request bodies occupy at once."""
 
-    __slots__ = ("held", "most", "peak", "refused")
+    __slots__ = ("limit_bytes", "peak_bytes", "rejections", "used_bytes")
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held, self.peak, self.refused = most, 0, 0, 0
+    def __init__(self, limit_bytes: int) -> None:
+        """Nothing is in use yet."""
+        self.limit_bytes = limit_bytes
+        self.used_bytes, self.peak_bytes, self.rejections = 0, 0, 0
 
-    def take(self, size: int) -> bool:
-        if self.held + size > self.most:
-            self.refused += 1
+    def acquire(self, size_bytes: int) -> bool:
+        """Take all of the bytes, or none of them and return False."""
+        if self.used_bytes + size_bytes > self.limit_bytes:
+            self.rejections += 1
             return False
-        self.held += size
-        self.peak = max(self.peak, self.held)
+        self.used_bytes += size_bytes
+        self.peak_bytes = max(self.peak_bytes, self.used_bytes)
         return True
 
-    def give(self, size: int) -> None:
-        self.held -= size
+    def release(self, size_bytes: int) -> None:
+        """Return bytes that were acquired."""
+        self.used_bytes -= size_bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ConcurrencyLimits:
-    """Requests that may be open at once."""
+    """Requests that may be in flight at once."""
 
-    requests: int
-    by_tenant: int
-    by_connection: int
+    max_requests: int
+    max_per_tenant: int
+    max_per_connection: int
 
 
 @dataclass(slots=True)
 class ConcurrencyLimiter:
-    """Counts what is open; `enter` gives a reason to refuse, or none and a place that `leave` gives back."""
+    """Counts the requests in flight; each `acquire` that succeeds is followed by one `release`."""
 
     limits: ConcurrencyLimits
-    open: int = 0
-    tenants: dict[str, int] = field(default_factory=dict)
-    connections: dict[object, int] = field(default_factory=dict)
-    gap_us: float = 0.0
-    """Smoothed time between two ends."""
-    ended_at: int = 0
-    turned_away: int = 0
-
-    def full(self) -> bool:
-        """Whether any request would be refused, whoever it is from: known before its body is read."""
-        return self.open >= self.limits.requests
-
-    def enter(self, tenant: str, connection: object) -> str:
-        """Take a place; a reason where there is none."""
-        of_tenant, of_connection = self.tenants.get(tenant, 0), self.connections.get(connection, 0)
-        reason = ""
-        if self.full():
-            reason = "too many requests are open at this node"
-        elif of_tenant >= self.limits.by_tenant:
-            reason = "too many requests of this tenant are open at this node"
-        elif of_connection >= self.limits.by_connection:
-            reason = "too many requests are open on this connection"
-        if reason:
-            self.turned_away += 1
-            return reason
-        self.open += 1
-        self.tenants[tenant] = of_tenant + 1
-        self.connections[connection] = of_connection + 1
-        return ""
-
-    def leave(self, now: int, tenant: str, connection: object) -> None:
-        """A request has ended."""
-        self.open -= 1
-        for table, key in ((self.tenants, tenant), (self.connections, connection)):
-            left = table[key] - 1  # type: ignore[index]
-            if left:
-                table[key] = left  # type: ignore[index]
-            else:
-                del table[key]  # type: ignore[arg-type]
-        if self.ended_at:
-            self.gap_us += SMOOTHING * (now - self.ended_at - self.gap_us)
-        self.ended_at = now
-
-    def wait(self, tenant: str) -> int:
-        """Microseconds after which a place may be free: the time in which a tenth of those open will have
-        ended, at the pace of late."""
-        waiting = self.limits.by_tenant if self.tenants.get(tenant, 0) >= self.limits.by_tenant else self.open
-        return int(min(max(self.gap_us * waiting / 10, LEAST_WAIT_US), MOST_WAIT_US))
+    in_flight: int = 0
+    by_tenant: dict[str, int] = field(default_factory=dict)
+    by_connection: dict[Hashable, int] = field(default_factory=dict)
+    rejections: int = 0
+    _end_interval_us: float = 0.0
+    """Smoothed time between the ends of two requests."""
+    _last_end_us: int = 0
+
+    def is_full(self) -> bool:
+        """Whether any request would be rejected, whoever sends it; known before its body has arrived."""
+        return self.in_flight >= self.limits.max_requests
+
+    def acquire(self, tenant: str, connection: Hashable) -> ExceededLimit | None:
+        """Count a request as in flight; return the limit that it would exceed instead, if any."""
+        exceeded = self._exceeded_limit(tenant, connection)
+        if exceeded is not None:
+            self.rejections += 1
+            return exceeded
+        self.in_flight += 1
+        self.by_tenant[tenant] = self.by_tenant.get(tenant, 0) + 1
+        self.by_connection[connection] = self.by_connection.get(connection, 0) + 1
+        return None
+
+    def _exceeded_limit(self, tenant: str, connection: Hashable) -> ExceededLimit | None:
+        if self.is_full():
+            return ExceededLimit.NODE
+        if self._is_tenant_full(tenant):
+            return ExceededLimit.TENANT
+        if self.by_connection.get(connection, 0) >= self.limits.max_per_connection:
+            return ExceededLimit.CONNECTION
+        return None
+
+    def _is_tenant_full(self, tenant: str) -> bool:
+        return self.by_tenant.get(tenant, 0) >= self.limits.max_per_tenant
+
+    def release(self, now_us: int, tenant: str, connection: Hashable) -> None:
+        """Count a request as ended."""
+        self.in_flight -= 1
+        _decrement(self.by_tenant, tenant)
+        _decrement(self.by_connection, connection)
+        if self._last_end_us:
+            self._end_interval_us += SMOOTHING * (now_us - self._last_end_us - self._end_interval_us)
+        self._last_end_us = now_us
+
+    def retry_after_us(self, tenant: str) -> int:
+        """Return the time after which a rejected request of the tenant may be admitted."""
+        waiting = self.limits.max_per_tenant if self._is_tenant_full(tenant) else self.in_flight
+        expected_us = self._end_interval_us * waiting / RETRY_AFTER_SHARE
+        return int(min(max(expected_us, MIN_RETRY_AFTER_US), MAX_RETRY_AFTER_US))
+
+
+def _decrement(counts: dict[_Key, int], key: _Key) -> None:
+    counts[key] -= 1
+    if not counts[key]:
+        del counts[key]
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -190,8 +190,8 @@
         if self.stopping:
             reason = "this node shuts down"
         wait, over = 0, False
-        if not reason and (reason := self.admission.enter(ask.tenant, ask.connection)):
-            wait = self.advised(self.admission.wait(ask.tenant))
+        if not reason and (reason := self.admission.acquire(ask.tenant, ask.connection) or ""):
+            wait = self.advised(self.admission.retry_after_us(ask.tenant))
         elif not reason:
             record.has_concurrency_slot = True
             reason, wait, over = self.admit(now, record, request.class_index)
@@ -209,8 +209,8 @@
     def overload(self) -> tuple[str, int]:
         if self.stopping:
             return "this node shuts down", 0
-        if self.admission.full():
-            return "too many requests are open at this node", self.advised(self.admission.wait(""))
+        if self.admission.is_full():
+            return "too many requests are open at this node", self.advised(self.admission.retry_after_us(""))
         return "", 0
 
     def _call_due(self, record: RequestRecord) -> None:
@@ -586,7 +586,7 @@
         self.request_removed(record)
         if record.has_concurrency_slot:
             record.has_concurrency_slot = False
-            self.admission.leave(now, record.client_request.tenant, record.client_request.connection)
+            self.admission.release(now, record.client_request.tenant, record.client_request.connection)
         ask = record.client_request
         log.info(
             "request",
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -65,7 +65,7 @@
 
     def let_go(self) -> None:
         """Its body need not be kept any more."""
-        self.front.kept.give(self.kept)
+        self.front.kept.release(self.kept)
         self.kept = 0
 
     def over(self) -> None:
@@ -168,7 +168,7 @@
             raise InvalidRequestError("x-call-id", f"{call_id[:60]!r} is open")
         _check_body(call.body)
         ask = self._ask(call, head, call_id)
-        if not self.kept.take(len(call.body)):
+        if not self.kept.acquire(len(call.body)):
             call.error(503, rejection_text("too many bytes of requests are open"), [("retry-after", "0.100")])
             return
         stream = self.open[call_id] = _Stream(self, call, call_id, len(call.body))
--- a/tuliptrack/rpc/core.py
+++ b/tuliptrack/rpc/core.py
@@ -321,7 +321,7 @@
 
     def _drop(self, call: _Call) -> None:
         if call.reserved and self.bodies:
-            self.bodies.give(call.reserved)
+            self.bodies.release(call.reserved)
             call.reserved = 0
         self.calls.pop(call.stream, None)
         self._dirty.pop(call.stream, None)
@@ -367,7 +367,7 @@
                 raise _Fault(Code.RESOURCE_EXHAUSTED, f"message of {size} bytes, {most} allowed")
             if len(buffer) - at - _PREFIX < size:
                 if self.bodies and size > call.reserved:  # Room for the whole of it, or none of it is taken.
-                    if not self.bodies.take(size - call.reserved):
+                    if not self.bodies.acquire(size - call.reserved):
                         raise _Fault(
                             Code.UNAVAILABLE,
                             rejection_text(BODIES_FULL),
@@ -378,7 +378,7 @@
             data = bytes(buffer[at + _PREFIX : at + _PREFIX + size])
             at += _PREFIX + size
             if call.reserved and self.bodies:
-                self.bodies.give(call.reserved)
+                self.bodies.release(call.reserved)
                 call.reserved = 0
             events.append(MessageReceived(call.stream, self._expand(call, flag, data) if flag else data))
         del buffer[:at]
--- a/tuliptrack/rpc/http1.py
+++ b/tuliptrack/rpc/http1.py
@@ -314,13 +314,13 @@
         self.let_go()
 
     def _hold(self, size: int) -> bool:
-        if not self.server.bodies.take(size):
+        if not self.server.bodies.acquire(size):
             return False
         self.held += size
         return True
 
     def let_go(self) -> None:
-        self.server.bodies.give(self.held)
+        self.server.bodies.release(self.held)
         self.held = 0
 
     # -- out
