--- a/tests/test_bills_path.py
+++ b/tests/test_bills_path.py
@@ -170,8 +170,8 @@
                 asked = [w.ask(tenant=tenant, max_tokens=20) for _ in range(8)]
                 assert {(await one.wait()).status.code for one in asked} == {Code.OK}
             assert w.node.bills.budgets
-            use = w.node.bills.budgets.use("small")
-            assert use.over > 0 and use.held_back == 0 and use.requests >= 9
+            use = w.node.bills.budgets.usage("small")
+            assert use.over_budget > 0 and use.open_units == 0 and use.requests >= 9
             w.node.bills.tell()
 
     run(go)
--- /dev/null
+++ b/tuliptrack/decisions/output_estimate.py
@@ -0,0 +1,54 @@
+"""Estimates how many output tokens a request will have, from earlier ones of its tenant and request class.
+
+An estimate is a smoothed mean and mean deviation. A tenant whose outputs are always as long as allowed makes
+only its own estimates longer. The module does no I/O and reads no clock. Bound: `MAX_ESTIMATES` pairs of
+tenant and class, the least recently updated of which are dropped.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from dataclasses import dataclass
+
+__all__ = ["OutputEstimates"]
+
+SMOOTHING = 0.1
+"""Weight of one more output, once ten have been seen; before, each has the same weight."""
+MARGIN_DEVIATIONS = 1.0
+"""Mean deviations added to the mean: most outputs are within it, and little is reserved for nothing."""
+MAX_ESTIMATES = 50_000
+
+
+@dataclass(frozen=True, slots=True)
+class _Estimate:
+    mean_tokens: float
+    mean_deviation: float
+    samples: int
+
+
+class OutputEstimates:
+    """The estimates of one node."""
+
+    def __init__(self) -> None:
+        """Nothing has been seen yet."""
+        self._estimates: OrderedDict[tuple[str, int], _Estimate] = OrderedDict()
+
+    def estimate(self, tenant: str, class_index: int, max_tokens: int) -> int:
+        """Return the tokens to reserve, at most `max_tokens`; half of those while no output has been seen."""
+        found = self._estimates.get((tenant, class_index))
+        if found is None:
+            return max_tokens // 2
+        expected = int(found.mean_tokens + MARGIN_DEVIATIONS * found.mean_deviation)
+        return max(min(expected, max_tokens), 1)
+
+    def record(self, tenant: str, class_index: int, tokens: int) -> None:
+        """Learn from a complete output."""
+        key = tenant, class_index
+        known = self._estimates.pop(key, None) or _Estimate(float(tokens), 0.0, 0)
+        weight = max(SMOOTHING, 1 / (known.samples + 1))
+        deviation, mean = known.mean_deviation, known.mean_tokens
+        deviation += weight * (abs(tokens - mean) - deviation)
+        mean += weight * (tokens - mean)
+        self._estimates[key] = _Estimate(mean, deviation, known.samples + 1)
+        if len(self._estimates) > MAX_ESTIMATES:
+            self._estimates.popitem(last=False)
--- a/tuliptrack/decisions/token_budget.py
+++ b/tuliptrack/decisions/token_budget.py
@@ -1,327 +1,359 @@
-"""Token budgets by tenant: how much a node lets a tenant use of what it has with all nodes together.
+"""Decides whether a request is within its tenant's token budgets, which hold for all nodes together.
 
-Tokens are weighed (read, kept and written ones differ) into whole units. A tenant has a budget for each of
-several windows; a request is within it when every window has room for what it is thought to use. Windows of
-up to LONG_US are dealt out by turns (`decisions/shared_token_bucket.py`): all nodes together use at most
-tokens x (W / window + 1) and a turn in any W, whatever the traffic. Longer windows, a day's, are counted by
-the calendar: each node's part is the tokens x spread / nodes, and its use is handed back in after a restart,
-since a turn of a day would be lost with it. `spread` says how uneven a tenant's traffic may be: a tenant that
-meets nodes / spread of them can use all, one that meets all of them spread times as much, at most.
+Tokens are weighted (prompt, cached and output tokens differ) into whole units. A tenant has a budget for each
+of several windows; a request is within budget if every window has capacity for what it is expected to use.
 
-The answer's length is not known before: a request reserves an estimate, learnt for its class and tenant and
-bounded by its max_tokens, and settles by what was streamed. What a window lacked at settling is taken from
-turns to come. A tenant whose answers are always as long as they may be makes its own estimate longer, and
-nobody else's.
+- Windows of up to `MAX_GRANTED_WINDOW_US` are token buckets that the nodes share by grants in turn
+  (`decisions/shared_token_bucket.py`): in any W all nodes together use at most units x (W / window + 1) and a
+  grant, whatever the traffic.
+- Longer windows, such as a day, follow the calendar: each node's part is units x spread / replicas, and its
+  usage is restored after a restart, since a grant of a day would be lost with it. `spread` says how uneven a
+  tenant's traffic may be: a tenant that reaches replicas / spread of the nodes can use all of its budget, one
+  that reaches all of them at most `spread` times as much.
 
-Over budget is no refusal by itself: it lowers the worth (the Router's tiers refuse it first), or is refused,
-as its class has it. What others let lapse unused is lent for LEND_US: an owner's turns are never lent while
-they are its own, so there is nothing to call back, and the sum over all tenants stays within the sum of their
-bounds, moved by LEND_US.
+The number of output tokens is not known before: a request reserves an estimate
+(`decisions/output_estimate.py`) and settles by what was streamed. What a window lacked at settling is taken
+from its next grants.
 
-No I/O, no clock, no chance; `now` in microseconds. Bounds: the tenants of the settings; MOST_ESTIMATES
-classes by tenants; as many reservations as requests are open."""
+A request over budget is not rejected for that: as its class says, it gets a lower priority or is rejected.
+What other tenants let expire unused is lent (`decisions/lending_pool.py`).
+
+Times are in microseconds. The module does no I/O, reads no clock and draws no random numbers. Bounds: the
+tenants of the settings, and one reservation for each request in flight.
+"""
 
 from __future__ import annotations
 
-from collections import OrderedDict, deque
-from collections.abc import Mapping
+from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 
+from tuliptrack.decisions.calendar_window import CalendarClock, CalendarWindow
+from tuliptrack.decisions.lending_pool import LendingPool
+from tuliptrack.decisions.output_estimate import OutputEstimates
 from tuliptrack.decisions.shared_token_bucket import (
     AcquiredTokens,
-    BudgetGrant,
     SharedBucketSettings,
     SharedTokenBucket,
 )
 from tuliptrack.structures.sketch import Heavy, Sketch
-from tuliptrack.structures.wheel import Wheel
-
-__all__ = ["BudgetUsage", "BudgetVerdict", "BudgetWindow", "TokenBudgetSettings", "TokenBudgets"]
 
-MAX_GRANTED_WINDOW_US = 3_600_000_000  # windows longer than an hour go by the calendar
-LEND_US = 2_000_000  # microseconds for which lapsed turns are lent: a burst's length, so that idleness of a minute ago isn't
-SMOOTHING = 0.1  # weight of one more answer in an estimate: ten tell its class
-MARGIN = 1.0  # mean deviations above the mean that an estimate reserves: covers about four answers in five
-MOST_ESTIMATES = 50_000
-HEAVY = 2_048  # tenants whose use is told to the operators
-LEAST_LOOK_US, MOST_LOOK_US = 10_000, 60_000_000  # between two looks at what a tenant lets lapse
+__all__ = [
+    "MAX_GRANTED_WINDOW_US",
+    "BudgetRequest",
+    "BudgetUsage",
+    "BudgetVerdict",
+    "BudgetWindow",
+    "ServedTokens",
+    "TokenBudgetSettings",
+    "TokenBudgets",
+    "TokenWeights",
+]
+
+MAX_GRANTED_WINDOW_US = 3_600_000_000
+"""Longer windows follow the calendar: a node that restarts loses the grants of a whole window."""
+DEFAULT_GRANTS_PER_WINDOW = 10
+SKETCH_COUNTERS = 2_048
+"""Size of the sketch that finds the tenants with the highest usage."""
+EMPTY_OUTPUT_TOKENS = -1
+"""What a complete output without tokens counts as in its estimate."""
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetWindow:
-    """Units that a tenant may use in so long, all nodes together. `quantum`: one node's turn; 0: a tenth."""
+    """Units that a tenant may use in a window, all nodes together."""
 
-    length: int
+    length_us: int
     units: int
-    quantum: int = 0
+    quantum_units: int = 0
+    """Units of one grant; 0 for a tenth of the window's."""
 
     def __post_init__(self) -> None:
-        if self.length <= 0 or self.units <= 0 or not 0 <= self.quantum <= self.units:
+        """Check the values."""
+        if self.length_us <= 0 or self.units <= 0 or not 0 <= self.quantum_units <= self.units:
             raise ValueError("window: length and units must be above 0, quantum from 0 to units")
 
 
+@dataclass(frozen=True, slots=True)
+class TokenWeights:
+    """Units of one token, by what was done for it."""
+
+    prompt: int = 10
+    cached: int = 1
+    output: int = 30
+
+    def units(self, prompt_tokens: int, cached_tokens: int, output_tokens: int) -> int:
+        """Return the units of some tokens; `prompt_tokens` are those that were not cached."""
+        return prompt_tokens * self.prompt + cached_tokens * self.cached + output_tokens * self.output
+
+
 @dataclass(frozen=True, slots=True)
 class TokenBudgetSettings:
-    """The same for every node but for `slot`. `offset` turns a node's clock into microseconds since 1970, a
-    time that all share, and is taken at the start."""
+    """The budgets; the same for every node except for `replica_index` and `epoch_offset_us`."""
 
     replicas: int
     windows: Mapping[str, tuple[BudgetWindow, ...]]
     """By tenant; tenants without any have no budget."""
-    slot: int = 0
-    offset: int = 0
+    replica_index: int = 0
+    epoch_offset_us: int = 0
+    """Added to the node's clock, it gives the time since 1970; set once, at the start."""
     spread: float = 4.0
-    read: int = 10
-    kept: int = 1
-    written: int = 30
-    """Units of a token read, kept, written."""
-    lend: bool = True
+    weights: TokenWeights = field(default_factory=TokenWeights)
+    is_lending: bool = True
+
+
+@dataclass(frozen=True, slots=True)
+class BudgetRequest:
+    """What the budgets have to know of a request."""
+
+    tenant: str
+    class_index: int
+    prompt_tokens: int
+    cached_tokens: int
+    """Those of the prompt that are expected to be cached."""
+    max_output_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetVerdict:
-    """What a request meets. `over`: some window has no room for it; `wait`: microseconds until it would have,
-    -1 for never."""
+    """Whether a request is within its tenant's budgets."""
 
-    over: bool
-    reserved: int = 0
-    wait: int = 0
-    window: int = 0
-    """Length of the window that is short; 0 where none is."""
-    lent: bool = False
+    is_over: bool
+    """Some window has no capacity for it."""
+    reserved_units: int = 0
+    retry_after_us: int | None = 0
+    """Time until every window has capacity for it; None for never."""
+    window_us: int = 0
+    """Length of the window that has none; 0 if all have."""
+    is_borrowed: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class ServedTokens:
+    """What a request got in the end."""
+
+    cached_tokens: int
+    output_tokens: int
 
 
 @dataclass(slots=True)
 class BudgetUsage:
-    """What the operators see of the estimates."""
+    """How reservations of one tenant compare with what was used, for operators."""
 
-    reserved: int = 0
-    used: int = 0
-    off: int = 0
-    """Sum of the differences, either way."""
+    reserved_units: int = 0
+    used_units: int = 0
+    estimate_error_units: int = 0
+    """Sum of the absolute differences of the two."""
     requests: int = 0
-    over: int = 0
-    held_back: int = 0
+    over_budget: int = 0
+    open_units: int = 0
     """Units reserved now."""
 
 
-@dataclass(slots=True)
-class _Reserved:
-    tenant: str
-    cls: int
-    units: int
-    prompt: int
-    parts: list[tuple[SharedTokenBucket, list[AcquiredTokens]]]
-    counted: bool
+@dataclass(frozen=True, slots=True)
+class _BucketReservation:
+    bucket: SharedTokenBucket
+    acquired: list[AcquiredTokens]
 
+    def settle(self, now_us: int, reserved_units: int, used_units: int) -> None:
+        self.bucket.advance(now_us)
+        if used_units > reserved_units:
+            self.bucket.acquire(used_units - reserved_units)
+        else:
+            self.bucket.refund(self.acquired, reserved_units - used_units)
 
-@dataclass(slots=True)
-class _Day:
-    """One calendar window of one tenant at this node."""
 
-    window: BudgetWindow
-    part: int
-    number: int = -1
-    used: int = 0
+@dataclass(frozen=True, slots=True)
+class _Reservation:
+    request: BudgetRequest
+    units: int
+    buckets: list[_BucketReservation]
+    """Empty if the request was over budget or borrowed its units."""
 
 
-@dataclass(slots=True)
-class _Tenant:
-    purses: list[tuple[BudgetWindow, SharedTokenBucket]]
-    days: list[_Day]
-    use: BudgetUsage = field(default_factory=BudgetUsage)
+@dataclass(frozen=True, slots=True)
+class _GrantedWindow:
+    length_us: int
+    bucket: SharedTokenBucket
+
+
+@dataclass(frozen=True, slots=True)
+class _TenantBudget:
+    granted: list[_GrantedWindow]
+    calendar: list[CalendarWindow]
+    usage: BudgetUsage
 
 
 class TokenBudgets:
     """One node's part of every tenant's budgets."""
 
-    def __init__(self, settings: TokenBudgetSettings, now: int) -> None:
-        self.settings = s = settings
-        self.tenants: dict[str, _Tenant] = {}
-        self.lenders: dict[str, SharedTokenBucket] = {}
-        self.wheel: Wheel[str] = Wheel(now)
-        for name, windows in s.windows.items():
-            purses = [
-                (
-                    w,
-                    SharedTokenBucket(
-                        SharedBucketSettings(
-                            w.units / w.length * 1e6,
-                            w.units,
-                            w.quantum or max(w.units / 10, 1),
-                            s.replicas,
-                            s.slot,
-                            s.offset,
-                        )
-                    ),
-                )
-                for w in windows
-                if w.length <= MAX_GRANTED_WINDOW_US
-            ]
-            days = [
-                _Day(w, max(int(w.units * min(s.spread / s.replicas, 1.0)), 1))
-                for w in windows
-                if w.length > MAX_GRANTED_WINDOW_US
-            ]
-            self.tenants[name] = _Tenant(purses, days)
-            for _, purse in purses:
-                purse.advance(now)  # Turns that come from now on are this node's own.
-            if purses and s.lend:
-                self.lenders[name] = min(purses, key=lambda pair: pair[0].length)[1]
-                self.wheel.set(name, now + LEAST_LOOK_US)
-        self.open: dict[int, _Reserved] = {}
-        self.estimates: OrderedDict[tuple[str, int], tuple[float, float, int]] = OrderedDict()
-        """Mean, mean deviation and number of answers' tokens, by tenant and class."""
-        self.pool: deque[BudgetGrant] = deque()
-        """What has lapsed unused and may be lent."""
-        self.heavy = Sketch(HEAVY)
-        self._last_wall = 0
-
-    # -- estimates
-
-    def estimate(self, tenant: str, cls: int, most: int) -> int:
-        """Tokens that an answer is thought to have: half of what it may, until some have been seen."""
-        mean, off, seen = self.estimates.get((tenant, cls), (0.0, 0.0, 0))
-        return most // 2 if not seen else max(min(int(mean + MARGIN * off), most), 1)
-
-    def _learn(self, tenant: str, cls: int, tokens: int) -> None:
-        mean, off, seen = self.estimates.pop((tenant, cls), (float(tokens), 0.0, 0))
-        weight = max(SMOOTHING, 1 / (seen + 1))
-        off += weight * (abs(tokens - mean) - off)
-        mean += weight * (tokens - mean)
-        self.estimates[tenant, cls] = (mean, off, seen + 1)
-        if len(self.estimates) > MOST_ESTIMATES:
-            self.estimates.popitem(last=False)
-
-    def units(self, read: int, kept: int, written: int) -> int:
-        s = self.settings
-        return read * s.read + kept * s.kept + written * s.written
-
-    # -- requests
-
-    def _number(self, window: BudgetWindow, now: int) -> tuple[int, int]:
-        """Which calendar window it is, and microseconds until the next. A clock that steps back starts none
-        anew."""
-        self._last_wall = wall = max(now + self.settings.offset, self._last_wall)
-        return wall // window.length, window.length - wall % window.length
-
-    def _today(self, day: _Day, now: int) -> int:
-        """Bring a calendar window to the present one; returns microseconds until the next."""
-        number, rest = self._number(day.window, now)
-        if number != day.number:
-            day.number, day.used = number, 0
-        return rest
-
-    def ask(self, now: int, tenant: str, cls: int, prompt: int, kept: int, most: int) -> BudgetVerdict:
-        """Whether a request is within its tenant's budgets; nothing is reserved. `kept`: prompt tokens that
-        are likely to need no reading."""
-        self._lapse(now)
-        one = self.tenants.get(tenant)
-        units = self.units(max(prompt - kept, 0), kept, self.estimate(tenant, cls, most))
-        if one is None:
+    def __init__(self, settings: TokenBudgetSettings, now_us: int) -> None:
+        """Grants that come from now on are this node's own."""
+        self._settings = settings
+        self._clock = CalendarClock(settings.epoch_offset_us)
+        self._lending_pool = LendingPool(now_us)
+        self._estimates = OutputEstimates()
+        self._top_tenants = Sketch(SKETCH_COUNTERS)
+        self._reservations: dict[int, _Reservation] = {}
+        self._tenants = {
+            tenant: self._tenant_budget(windows, now_us) for tenant, windows in settings.windows.items()
+        }
+        for tenant, budget in self._tenants.items():
+            if budget.granted and settings.is_lending:
+                # Longer windows hold the same tokens once more.
+                shortest = min(budget.granted, key=lambda window: window.length_us)
+                self._lending_pool.add_lender(now_us, tenant, shortest.bucket)
+
+    def _tenant_budget(self, windows: tuple[BudgetWindow, ...], now_us: int) -> _TenantBudget:
+        budget = _TenantBudget([], [], BudgetUsage())
+        for window in windows:
+            if window.length_us <= MAX_GRANTED_WINDOW_US:
+                bucket = self._bucket(window)
+                bucket.advance(now_us)
+                budget.granted.append(_GrantedWindow(window.length_us, bucket))
+            else:
+                share = min(self._settings.spread / self._settings.replicas, 1.0)
+                units = max(int(window.units * share), 1)
+                budget.calendar.append(CalendarWindow(window.length_us, units))
+        return budget
+
+    def _bucket(self, window: BudgetWindow) -> SharedTokenBucket:
+        settings = self._settings
+        return SharedTokenBucket(
+            SharedBucketSettings(
+                window.units / window.length_us * 1e6,
+                window.units,
+                window.quantum_units or max(window.units / DEFAULT_GRANTS_PER_WINDOW, 1),
+                settings.replicas,
+                settings.replica_index,
+                settings.epoch_offset_us,
+            )
+        )
+
+    @property
+    def open_reservations(self) -> int:
+        """Number of requests that have reserved units and are not settled."""
+        return len(self._reservations)
+
+    def expected_output_tokens(self, request: BudgetRequest) -> int:
+        """Return the output tokens that a request is expected to have."""
+        return self._estimates.estimate(request.tenant, request.class_index, request.max_output_tokens)
+
+    def units(self, prompt_tokens: int, cached_tokens: int, output_tokens: int) -> int:
+        """Return the units of some tokens; `prompt_tokens` are those that were not cached."""
+        return self._settings.weights.units(prompt_tokens, cached_tokens, output_tokens)
+
+    def _request_units(self, request: BudgetRequest, cached_tokens: int, output_tokens: int) -> int:
+        return self.units(max(request.prompt_tokens - cached_tokens, 0), cached_tokens, output_tokens)
+
+    def check(self, now_us: int, request: BudgetRequest) -> BudgetVerdict:
+        """Return whether a request is within its tenant's budgets; nothing is reserved."""
+        if self._settings.is_lending:
+            self._lending_pool.advance(now_us)
+        units = self._request_units(request, request.cached_tokens, self.expected_output_tokens(request))
+        budget = self._tenants.get(request.tenant)
+        if budget is None:
             return BudgetVerdict(False, units)
-        wait, short = 0, 0
-        for day in one.days:
-            rest = self._today(day, now)
-            if day.used + units > day.part:
-                wait, short = (-1 if units > day.part else max(wait, rest)), day.window.length
-        for window, purse in one.purses:
-            if purse.available(now) < units:
-                more = purse.wait_us(now, units)
-                wait, short = (-1 if wait < 0 or more is None else max(wait, more)), max(short, window.length)
-        if (
-            short
-            and self.settings.lend
-            and short <= MAX_GRANTED_WINDOW_US
-            and sum(grant.remaining for grant in self.pool) >= units
-        ):
-            return BudgetVerdict(False, units, lent=True)
-        return BudgetVerdict(bool(short), units, wait, short)
-
-    def take(
-        self, now: int, request: int, tenant: str, cls: int, prompt: int, verdict: BudgetVerdict
-    ) -> None:
-        """The request is let in, within its budget or over it: reserve."""
-        one = self.tenants.get(tenant)
-        self.heavy.add(tenant, verdict.reserved)
-        if one is None:
-            return
-        parts: list[tuple[SharedTokenBucket, list[AcquiredTokens]]] = []
-        if verdict.lent:
-            self._borrow(verdict.reserved)
-        elif not verdict.over:
-            parts = [(purse, purse.acquire(verdict.reserved)) for _, purse in one.purses]
-        for day in one.days:
-            self._today(day, now)
-            day.used += verdict.reserved
-        self.open[request] = _Reserved(
-            tenant, cls, verdict.reserved, prompt, parts, not verdict.over and not verdict.lent
+        verdict = self._check_granted(now_us, budget, self._check_calendar(now_us, budget, units))
+        if self._can_borrow(verdict):
+            return BudgetVerdict(False, units, is_borrowed=True)
+        return verdict
+
+    def _check_calendar(self, now_us: int, budget: _TenantBudget, units: int) -> BudgetVerdict:
+        retry_after_us: int | None = 0
+        window_us = 0
+        for window in budget.calendar:
+            unix_us = self._clock.unix_us(now_us)
+            window.advance(unix_us)
+            if window.used_units + units <= window.units:
+                continue
+            window_us = window.length_us
+            is_never = units > window.units
+            retry_after_us = None if is_never else max(retry_after_us or 0, window.remaining_us(unix_us))
+        return BudgetVerdict(window_us > 0, units, retry_after_us, window_us)
+
+    def _check_granted(self, now_us: int, budget: _TenantBudget, calendar: BudgetVerdict) -> BudgetVerdict:
+        units, retry_after_us = calendar.reserved_units, calendar.retry_after_us
+        window_us = calendar.window_us
+        for window in budget.granted:
+            if window.bucket.available(now_us) >= units:
+                continue
+            window_us = max(window_us, window.length_us)
+            wait_us = window.bucket.wait_us(now_us, units)
+            is_never = wait_us is None or retry_after_us is None
+            retry_after_us = None if is_never else max(wait_us or 0, retry_after_us or 0)
+        return BudgetVerdict(window_us > 0, units, retry_after_us, window_us)
+
+    def _can_borrow(self, verdict: BudgetVerdict) -> bool:
+        """Whether lent units make up for the lack; those of a calendar window are not lent."""
+        return (
+            verdict.is_over
+            and self._settings.is_lending
+            and verdict.window_us <= MAX_GRANTED_WINDOW_US
+            and self._lending_pool.available() >= verdict.reserved_units
         )
-        one.use.requests += 1
-        one.use.over += verdict.over
-        one.use.reserved += verdict.reserved
-        one.use.held_back += verdict.reserved
-
-    def _borrow(self, units: float) -> None:
-        while units > 0 and self.pool:
-            part = min(self.pool[0].remaining, units)
-            self.pool[0].remaining -= part
-            units -= part
-            if self.pool[0].remaining <= 0:
-                self.pool.popleft()
-
-    def settle(self, now: int, request: int, kept: int, written: int, learn: bool) -> None:
-        """The request has ended: it had so many of its prompt's tokens kept, and wrote so many, or was not
-        served at all (both negative). `learn`: the answer came to its end, so that its length tells
-        something."""
-        reserved = self.open.pop(request, None)
-        if reserved is None:
+
+    def reserve(self, now_us: int, request_id: int, request: BudgetRequest, verdict: BudgetVerdict) -> None:
+        """Reserve the units of an admitted request, whether it is within its budget or over it."""
+        units = verdict.reserved_units
+        self._top_tenants.add(request.tenant, units)
+        budget = self._tenants.get(request.tenant)
+        if budget is None:
+            return
+        buckets: list[_BucketReservation] = []
+        if verdict.is_borrowed:
+            self._lending_pool.borrow(units)
+        elif not verdict.is_over:
+            buckets = [
+                _BucketReservation(window.bucket, window.bucket.acquire(units)) for window in budget.granted
+            ]
+        self._use_calendar(now_us, budget, units)
+        self._reservations[request_id] = _Reservation(request, units, buckets)
+        budget.usage.requests += 1
+        budget.usage.over_budget += verdict.is_over
+        budget.usage.reserved_units += units
+        budget.usage.open_units += units
+
+    def _use_calendar(self, now_us: int, budget: _TenantBudget, units: int) -> None:
+        for window in budget.calendar:
+            window.advance(self._clock.unix_us(now_us))
+            window.used_units += units
+
+    def settle(self, now_us: int, request_id: int, served: ServedTokens | None, is_complete: bool) -> None:
+        """Settle an ended request by what it got, None for nothing.
+
+        `is_complete` tells whether the output came to its end, so that its length can be learnt from.
+        """
+        reservation = self._reservations.pop(request_id, None)
+        if reservation is None:
             return
-        one = self.tenants[reserved.tenant]
-        used = 0 if written < 0 else self.units(max(reserved.prompt - kept, 0), kept, written)
-        if learn:
-            self._learn(reserved.tenant, reserved.cls, written)
-        if reserved.counted:
-            for purse, parts in reserved.parts:
-                purse.advance(now)
-                if used > reserved.units:
-                    purse.acquire(used - reserved.units)
-                else:
-                    purse.refund(parts, reserved.units - used)
-        for day in one.days:
-            day.used = max(day.used + used - reserved.units, 0)
-        one.use.held_back -= reserved.units
-        one.use.used += used
-        one.use.off += abs(used - reserved.units)
-
-    # -- lending
-
-    def _lapse(self, now: int) -> None:
-        """Lend what has lapsed unused in the shortest window of each tenant: longer ones hold the same tokens
-        again. The wheel tells whose turn lapses, so nobody else is looked at."""
-        while self.pool and self.pool[0].expires_at_us <= now:
-            self.pool.popleft()
-        for name in self.wheel.advance(now) if self.settings.lend else ():
-            purse = self.lenders[name]
-            purse.advance(now)
-            expired = purse.collect_expired()
-            if expired > 0:
-                self.pool.append(BudgetGrant(now + LEND_US, expired))
-            self.wheel.set(name, min(max(purse.next_expiry_us(now), now + LEAST_LOOK_US), now + MOST_LOOK_US))
-
-    # -- after a restart, and for operators
-
-    def recovered(self, now: int, tenant: str, units: int) -> None:
-        """What the ledger says of a tenant's use in the calendar window that runs: it counts on."""
-        one = self.tenants.get(tenant)
-        for day in one.days if one else ():
-            self._today(day, now)
-            day.used += units
-
-    def use(self, tenant: str) -> BudgetUsage:
-        """Raises KeyError for a tenant without budgets."""
-        return self.tenants[tenant].use
-
-    def heaviest(self, count: int = 10) -> list[Heavy]:
-        """Who has used most, in units, among tenants of any number."""
-        return self.heavy.top(count)
+        request, reserved_units = reservation.request, reservation.units
+        used_units = self._request_units(request, served.cached_tokens, served.output_tokens) if served else 0
+        if is_complete:
+            output_tokens = served.output_tokens if served else EMPTY_OUTPUT_TOKENS
+            self._estimates.record(request.tenant, request.class_index, output_tokens)
+        for bucket in reservation.buckets:
+            bucket.settle(now_us, reserved_units, used_units)
+        budget = self._tenants[request.tenant]
+        for window in budget.calendar:
+            window.used_units = max(window.used_units + used_units - reserved_units, 0)
+        budget.usage.open_units -= reserved_units
+        budget.usage.used_units += used_units
+        budget.usage.estimate_error_units += abs(used_units - reserved_units)
+
+    def restore_usage(self, now_us: int, tenant: str, units: int) -> None:
+        """Count what a tenant has used, by the ledger, in the calendar windows that run now."""
+        budget = self._tenants.get(tenant)
+        if budget is not None:
+            self._use_calendar(now_us, budget, units)
+
+    def usage(self, tenant: str) -> BudgetUsage:
+        """Return a tenant's usage; KeyError for a tenant without budgets."""
+        return self._tenants[tenant].usage
+
+    def usages(self) -> Iterator[BudgetUsage]:
+        """Iterate over the usage of every tenant with budgets."""
+        return (budget.usage for budget in self._tenants.values())
+
+    def top_tenants(self, count: int = 10) -> list[Heavy]:
+        """Return the tenants that have reserved most, in units, with or without a budget."""
+        return self._top_tenants.top(count)
--- a/tuliptrack/node/billing.py
+++ b/tuliptrack/node/billing.py
@@ -17,9 +17,12 @@
 from tuliptrack.decisions.billing import CUT, NOTHING, OPEN, SERVED, TokenPrice, UsageRecord, fold
 from tuliptrack.decisions.token_budget import (
     MAX_GRANTED_WINDOW_US,
+    BudgetRequest,
     BudgetVerdict,
+    ServedTokens,
     TokenBudgets,
     TokenBudgetSettings,
+    TokenWeights,
 )
 from tuliptrack.interface import Settings
 from tuliptrack.node.requests import RequestRecord, RequestState
@@ -42,7 +45,6 @@
         """What turns the node's clock into microseconds since 1970; taken once."""
         self.budgets: TokenBudgets | None = None
         if options.windows:
-            read, kept, written = options.weights
             self.budgets = TokenBudgets(
                 TokenBudgetSettings(
                     settings.replicas,
@@ -50,9 +52,7 @@
                     settings.replica_index,
                     self.wall,
                     options.spread,
-                    read,
-                    kept,
-                    written,
+                    TokenWeights(*options.weights),
                     options.lend,
                 ),
                 now,
@@ -86,17 +86,17 @@
         )
         longest = max(
             (
-                w.length
+                w.length_us
                 for ws in self.options.windows.values()
                 for w in ws
-                if w.length > MAX_GRANTED_WINDOW_US
+                if w.length_us > MAX_GRANTED_WINDOW_US
             ),
             default=0,
         )
         if self.budgets and longest:
             wall = now + self.wall
             for bill in fold(await asyncio.to_thread(self.ledger.used_since, wall - wall % longest)):
-                self.budgets.recovered(
+                self.budgets.restore_usage(
                     now, bill.tenant, self.budgets.units(bill.read, bill.kept, bill.written)
                 )
 
@@ -120,23 +120,18 @@
         """Whether a request is within its tenant's budgets; what it needs is reserved if it is let in."""
         if self.budgets is None:
             return BudgetVerdict(False)
-        ask = record.client_request
-        kept = ask.prefix_tokens if ask.prefix else 0
-        return self.budgets.ask(
-            now, ask.tenant, cls, ask.prompt_tokens, kept, ask.max_tokens - ask.resume_index
-        )
+        return self.budgets.check(now, self._budget_request(record, cls))
 
     def let_in(self, now: int, record: RequestRecord, cls: int, verdict: BudgetVerdict) -> None:
         record.price = self._price(now + self.wall)
         if self.budgets:
-            self.budgets.take(
-                now,
-                record.id,
-                record.client_request.tenant,
-                cls,
-                record.client_request.prompt_tokens,
-                verdict,
-            )
+            self.budgets.reserve(now, record.id, self._budget_request(record, cls), verdict)
+
+    @staticmethod
+    def _budget_request(record: RequestRecord, cls: int) -> BudgetRequest:
+        ask = record.client_request
+        cached = ask.prefix_tokens if ask.prefix else 0
+        return BudgetRequest(ask.tenant, cls, ask.prompt_tokens, cached, ask.max_tokens - ask.resume_index)
 
     def _price(self, wall: int) -> TokenPrice:
         prices = self.options.prices
@@ -153,7 +148,8 @@
         got = record.next_index - record.client_request.resume_index
         whole = record.state is RequestState.SERVED
         if self.budgets:
-            self.budgets.settle(now, record.id, record.cached_tokens, got if got else -1, whole)
+            served = ServedTokens(record.cached_tokens, got) if got else None
+            self.budgets.settle(now, record.id, served, whole)
         if self.ledger:
             self._add(self._part(record, SERVED if whole else CUT if got else NOTHING))
 
@@ -211,15 +207,15 @@
         weight 1."""
         if self.budgets is None:
             return
-        uses = [one.use for one in self.budgets.tenants.values()]
-        used, off = sum(use.used for use in uses), sum(use.off for use in uses)
+        uses = list(self.budgets.usages())
+        used, off = sum(use.used_units for use in uses), sum(use.estimate_error_units for use in uses)
         log.info(
             "budgets",
             requests=sum(use.requests for use in uses),
-            over=sum(use.over for use in uses),
-            held_back=sum(use.held_back for use in uses) // 10,
+            over=sum(use.over_budget for use in uses),
+            held_back=sum(use.open_units for use in uses) // 10,
             off_share=round(off / max(used, 1), 3),
-            heaviest=[[heavy.name, heavy.amount // 10] for heavy in self.budgets.heaviest(5)],
+            heaviest=[[heavy.name, heavy.amount // 10] for heavy in self.budgets.top_tenants(5)],
         )
 
     async def _commit(self) -> None:
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -259,12 +259,12 @@
 
     def admit(self, now: int, record: RequestRecord, cls: int) -> tuple[str, int, bool]:
         verdict = self.bills.ask(now, record, cls)
-        if verdict.over and record.client_request.request_class in self.config.billing.refuse_over:
-            reason = f"the tenant's token budget of {verdict.window / 1e6:g} s is used up"
-            return reason, max(verdict.wait, 0), True  # the true time, however long
+        if verdict.is_over and record.client_request.request_class in self.config.billing.refuse_over:
+            reason = f"the tenant's token budget of {verdict.window_us / 1e6:g} s is used up"
+            return reason, verdict.retry_after_us or 0, True  # the true time, however long
         record.is_billed = True
         self.bills.let_in(now, record, cls, verdict)
-        return "", 0, verdict.over
+        return "", 0, verdict.is_over
 
     def serving(self) -> bool:
         return bool(self.server.address) and not self.server.stopping
