--- a/tuliptrack/decisions/consensus.py
+++ b/tuliptrack/decisions/consensus.py
@@ -1,131 +1,175 @@
-"""One value agreed on by a majority of hosts, whoever writes it: who acts for the fleet, and what was decided
-last.
+"""Agrees on one value by a quorum of hosts, whichever controller proposes it (the Paxos protocol).
 
-Each host's agent is an `Acceptor` and keeps three things on its disk. A controller that wants to act has a
-majority promise its epoch; by those promises it learns the newest value that any other may have settled,
-writes it anew under its own epoch, and acts on nothing that a majority has not accepted from it. An agent
-that promised a newer epoch accepts no older one's values or orders. So two controllers may both believe that
-they act, and only one can settle anything: no clock and no time-out has a part in it.
+The value says who acts for the fleet and what was decided last. Each host's agent is an `Acceptor` that keeps
+its promise, ballot and value on disk. A controller that wants to lead has a quorum promise its epoch. From
+those promises it learns the newest value that another proposer may have had chosen, proposes it again under
+its own epoch, and acts on nothing that a quorum has not accepted from it. An acceptor that promised a newer
+epoch accepts no values or orders of an older one. So two controllers may both believe that they lead, and
+only one can have a value chosen: safety depends on no clock and no time-out.
 
-No I/O, no clock. Bound: a value of `MOST_BYTES`, and one mark for each agent.
+The module does no I/O and reads no clock. Bound: a value of `MAX_VALUE_BYTES`, and one ballot for each
+acceptor.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
+
+__all__ = [
+    "FIRST_BALLOT",
+    "MAX_CONTROLLERS",
+    "MAX_VALUE_BYTES",
+    "NOTHING_ACCEPTED",
+    "AcceptedValue",
+    "Acceptor",
+    "Ballot",
+    "Proposer",
+    "epoch_after",
+]
+
+MAX_VALUE_BYTES = 1 << 20
+MAX_CONTROLLERS = 64
+"""Epochs of controller i are i modulo this, so no two controllers ever start the same one."""
 
-__all__ = ["MAX_CONTROLLERS", "Acceptor", "Ballot", "Proposer", "epoch_after"]
 
-MOST_BYTES = 1 << 20
-MAX_CONTROLLERS = 64
-"""Epochs of controller i are i modulo this: two controllers never claim the same one."""
+class Ballot(NamedTuple):
+    """Epoch of a proposer and number of its proposal; the greater ballot is the newer.
+
+    A tuple, because it is stored as a pair.
+    """
+
+    epoch: int
+    number: int
+
+
+FIRST_BALLOT = Ballot(0, 0)
+"""Older than any proposal: nothing has been accepted yet."""
 
-Ballot = tuple[int, int]
-"""Epoch and number of a value within it; the greater is the newer."""
 
+class AcceptedValue(NamedTuple):
+    """A value and the ballot under which it was accepted."""
 
-def epoch_after(seen: int, controller: int) -> int:
-    """The least epoch of this controller's that is above one that was seen."""
+    ballot: Ballot
+    value: bytes
+
+
+NOTHING_ACCEPTED = AcceptedValue(FIRST_BALLOT, b"")
+
+
+def epoch_after(epoch: int, controller: int) -> int:
+    """Return the lowest epoch of a controller that is above another epoch."""
     if not 0 <= controller < MAX_CONTROLLERS:
         raise ValueError(f"controller: must lie in [0, {MAX_CONTROLLERS}), got {controller!r}")
-    made = seen - seen % MAX_CONTROLLERS + controller
-    return made if made > seen else made + MAX_CONTROLLERS
+    own_epoch = epoch - epoch % MAX_CONTROLLERS + controller
+    return own_epoch if own_epoch > epoch else own_epoch + MAX_CONTROLLERS
 
 
 @dataclass(slots=True)
 class Acceptor:
-    """What one agent has promised and accepted. Its fields must be on disk before an answer leaves."""
+    """What one agent has promised and accepted. Its fields must be on disk before an answer is sent."""
 
-    promised: int = 0
-    mark: Ballot = (0, 0)
+    promised_epoch: int = 0
+    ballot: Ballot = FIRST_BALLOT
     value: bytes = b""
 
     def promise(self, epoch: int) -> bool:
-        """Whether this epoch may act; then no older one may any more."""
-        if epoch < self.promised:
+        """Promise to accept nothing older than an epoch; False if a newer one was promised."""
+        if epoch < self.promised_epoch:
             return False
-        self.promised = epoch
+        self.promised_epoch = epoch
         return True
 
-    def accept(self, mark: Ballot, value: bytes) -> bool:
-        """Whether this value is taken: from the newest epoch promised, and newer than the one that is held.
-        The very value that is held is taken again, as its answer may have been lost."""
-        if mark[0] < self.promised or mark < self.mark or len(value) > MOST_BYTES:
+    def accept(self, ballot: Ballot, value: bytes) -> bool:
+        """Accept a value unless its epoch or ballot is older than what was promised or accepted.
+
+        The value that was accepted last is accepted again, as the answer may have been lost.
+        """
+        if ballot.epoch < self.promised_epoch or ballot < self.ballot or len(value) > MAX_VALUE_BYTES:
             return False
-        if mark == self.mark and value != self.value:
+        if ballot == self.ballot and value != self.value:
             return False
-        self.promised, self.mark, self.value = mark[0], mark, value
+        self.promised_epoch, self.ballot, self.value = ballot.epoch, ballot, value
         return True
 
 
 @dataclass(slots=True)
 class Proposer:
-    """One controller's part: `claim`, then `write` what it decides; `settled` is what it may act on."""
+    """One controller's part: `start_epoch`, then `propose`; it may act on what was `chosen`."""
 
     controller: int
-    agents: frozenset[str]
+    acceptors: frozenset[str]
     epoch: int = 0
-    leads: bool = False
-    """A majority has promised this epoch, and no newer one has been heard of."""
-    seen: int = 0
-    """The newest epoch heard of."""
-    mark: Ballot = (0, 0)
-    """Of the value that is being written."""
+    is_leader: bool = False
+    """A quorum has promised this epoch, and no newer one is known."""
+    newest_epoch: int = 0
+    """The newest epoch that is known, of any proposer."""
+    ballot: Ballot = FIRST_BALLOT
+    """Of the value that is being proposed."""
     value: bytes = b""
-    settled: tuple[Ballot, bytes] | None = None
-    """The newest value that a majority has accepted under this epoch."""
-    _promises: set[str] = field(default_factory=set)
-    _newest: tuple[Ballot, bytes] = ((0, 0), b"")
-    _accepts: set[str] = field(default_factory=set)
+    chosen: AcceptedValue | None = None
+    """The newest value that a quorum has accepted under this epoch."""
+    _promised_by: set[str] = field(default_factory=set)
+    _newest_accepted: AcceptedValue = NOTHING_ACCEPTED
+    _accepted_by: set[str] = field(default_factory=set)
 
     @property
-    def majority(self) -> int:
-        return len(self.agents) // 2 + 1
-
-    def claim(self) -> int:
-        """Begin a new epoch, above any that was heard of; to be promised by a majority."""
-        self.epoch = epoch_after(max(self.seen, self.epoch), self.controller)
-        self.seen, self.leads, self.settled = self.epoch, False, None
-        self._promises, self._newest, self._accepts = set(), ((0, 0), b""), set()
+    def quorum(self) -> int:
+        """Acceptors that make a majority."""
+        return len(self.acceptors) // 2 + 1
+
+    def start_epoch(self) -> int:
+        """Start an epoch above any that is known; a quorum has to promise it."""
+        self.epoch = epoch_after(max(self.newest_epoch, self.epoch), self.controller)
+        self.newest_epoch, self.is_leader, self.chosen = self.epoch, False, None
+        self._promised_by, self._accepted_by = set(), set()
+        self._newest_accepted = NOTHING_ACCEPTED
         return self.epoch
 
-    def promised(self, agent: str, epoch: int, mark: Ballot, value: bytes) -> bool:
-        """An agent has promised this epoch and told what it holds. True once, when that makes a majority:
-        what the newest of them held is then being written anew (`mark`, `value`)."""
-        if epoch != self.epoch or agent not in self.agents or self.leads or self.seen > self.epoch:
+    def handle_promise(self, acceptor: str, epoch: int, accepted: AcceptedValue) -> bool:
+        """Record a promise and what its acceptor had accepted; True once, when that makes a quorum.
+
+        The newest of the accepted values is then being proposed again (`ballot`, `value`): it may have been
+        chosen, and what was chosen must not be lost.
+        """
+        is_outdated = epoch != self.epoch or self.newest_epoch > self.epoch
+        if is_outdated or self.is_leader or acceptor not in self.acceptors:
             return False
-        self._promises.add(agent)
-        self._newest = max(self._newest, (mark, value))
-        if len(self._promises) < self.majority:
+        self._promised_by.add(acceptor)
+        self._newest_accepted = max(self._newest_accepted, accepted)
+        if len(self._promised_by) < self.quorum:
             return False
-        self.leads = True
-        self.mark = (self.epoch, 0)
-        self.write(self._newest[1])
+        self.is_leader = True
+        self.ballot = Ballot(self.epoch, 0)
+        self.propose(self._newest_accepted.value)
         return True
 
-    def write(self, value: bytes) -> Ballot:
-        """Begin to write a value; only who leads may. What was being written before may still be settled by
-        others."""
-        if not self.leads:
-            raise RuntimeError("only who leads may write")
-        if len(value) > MOST_BYTES:
-            raise ValueError(f"value: at most {MOST_BYTES} bytes, got {len(value)}")
-        self.mark, self.value, self._accepts = (self.epoch, self.mark[1] + 1), value, set()
-        return self.mark
-
-    def accepted(self, agent: str, mark: Ballot) -> bool:
-        """An agent has accepted a value. True once, when that settles the newest one."""
-        if not self.leads or mark != self.mark or agent not in self.agents:
+    def propose(self, value: bytes) -> Ballot:
+        """Begin to propose a value; RuntimeError for who is not the leader.
+
+        A value that was being proposed before may still be chosen, through another proposer.
+        """
+        if not self.is_leader:
+            raise RuntimeError("only the leader may propose")
+        if len(value) > MAX_VALUE_BYTES:
+            raise ValueError(f"value: at most {MAX_VALUE_BYTES} bytes, got {len(value)}")
+        self.ballot, self.value = Ballot(self.epoch, self.ballot.number + 1), value
+        self._accepted_by = set()
+        return self.ballot
+
+    def handle_accept(self, acceptor: str, ballot: Ballot) -> bool:
+        """Record that a value was accepted; True once, when that makes the newest one chosen."""
+        if not self.is_leader or ballot != self.ballot or acceptor not in self.acceptors:
             return False
-        before = len(self._accepts)
-        self._accepts.add(agent)
-        if before < self.majority <= len(self._accepts):
-            self.settled = (self.mark, self.value)
+        before = len(self._accepted_by)
+        self._accepted_by.add(acceptor)
+        if before < self.quorum <= len(self._accepted_by):
+            self.chosen = AcceptedValue(self.ballot, self.value)
             return True
         return False
 
-    def refused(self, promised: int) -> None:
-        """An agent has told of a newer epoch: another acts now."""
-        self.seen = max(self.seen, promised)
-        if promised > self.epoch:
-            self.leads, self.settled = False, None
+    def handle_rejection(self, promised_epoch: int) -> None:
+        """Record an epoch that an acceptor has promised; a newer one means that another proposer leads."""
+        self.newest_epoch = max(self.newest_epoch, promised_epoch)
+        if promised_epoch > self.epoch:
+            self.is_leader, self.chosen = False, None
--- a/tuliptrack/fleet/agent.py
+++ b/tuliptrack/fleet/agent.py
@@ -23,7 +23,7 @@
 
 import structlog
 
-from tuliptrack.decisions.consensus import Acceptor
+from tuliptrack.decisions.consensus import Acceptor, Ballot
 from tuliptrack.decisions.rollout import Release
 from tuliptrack.fleet.measures import LogCounts
 from tuliptrack.proto import rollout_pb2 as pb
@@ -126,7 +126,7 @@
     def _load(self, told: dict[str, Any]) -> None:
         if told["format"] > FORMAT:
             raise sealed.SealedError(f"{self.root / 'state'}: format {told['format']} is newer than {FORMAT}")
-        self.acceptor = Acceptor(told["promised"], tuple(told["mark"]), base64.b64decode(told["value"]))
+        self.acceptor = Acceptor(told["promised"], Ballot(*told["mark"]), base64.b64decode(told["value"]))
         self.order, self.changes = tuple(told["order"]), told["changes"]
         self.release = Release(*told["release"])
 
@@ -137,8 +137,8 @@
             json.dumps(
                 {
                     "format": FORMAT,
-                    "promised": acceptor.promised,
-                    "mark": acceptor.mark,
+                    "promised": acceptor.promised_epoch,
+                    "mark": acceptor.ballot,
                     "order": order,
                     "changes": changes,
                     "value": base64.b64encode(acceptor.value).decode(),
@@ -155,8 +155,8 @@
         call.send(
             pb.AgentAnswer(
                 agreed=agreed,
-                promised=a.promised,
-                mark=pb.Mark(epoch=a.mark[0], number=a.mark[1]),
+                promised=a.promised_epoch,
+                mark=pb.Mark(epoch=a.ballot.epoch, number=a.ballot.number),
                 value=a.value,
             ).SerializeToString()
         )
@@ -178,7 +178,7 @@
 
     def _accept(self, call: ServerCall, request: pb.AcceptRequest) -> None:
         then = replace(self.acceptor)
-        self._change(call, then, then.accept((request.mark.epoch, request.mark.number), request.value))
+        self._change(call, then, then.accept(Ballot(request.mark.epoch, request.mark.number), request.value))
 
     def _look(self, call: ServerCall, request: pb.LookRequest) -> None:
         obeyed = not request.HasField("order") or self._obey(
@@ -190,7 +190,7 @@
         report = pb.HostReport(
             host=self.host,
             obeyed=obeyed,
-            promised=self.acceptor.promised,
+            promised=self.acceptor.promised_epoch,
             ready=bool(self.ready_at),
             died=self.died,
             ready_for=max(now - self.ready_at, 0) if self.ready_at else 0,
@@ -214,7 +214,7 @@
     def _obey(self, order: tuple[int, int], release: Release) -> bool:
         """Take an order; False where it is older than another or than the epoch promised. One without a
         release only tells that somebody leads."""
-        if order[0] < self.acceptor.promised or order < self.order:
+        if order[0] < self.acceptor.promised_epoch or order < self.order:
             return False
         self.led_at = now_us()
         if not release.program or (release == self.release and order == self.order):
--- a/tuliptrack/fleet/controller.py
+++ b/tuliptrack/fleet/controller.py
@@ -14,7 +14,7 @@
 
 import structlog
 
-from tuliptrack.decisions.consensus import Proposer
+from tuliptrack.decisions.consensus import AcceptedValue, Ballot, Proposer
 from tuliptrack.decisions.rollout import (
     Command,
     Phase,
@@ -121,7 +121,7 @@
 
     @property
     def acts(self) -> bool:
-        return self.proposer.leads and self.proposer.settled is not None
+        return self.proposer.is_leader and self.proposer.chosen is not None
 
     # -- what operators ask
 
@@ -197,8 +197,8 @@
         while True:
             await asyncio.sleep(self._pause)
             for report in self.reports.values():
-                self.proposer.refused(report.promised)
-            if not self.proposer.leads:
+                self.proposer.handle_rejection(report.promised)
+            if not self.proposer.is_leader:
                 self._learn()
                 await self._claim_if_unled()
             elif self.acts:
@@ -212,8 +212,8 @@
         is cut off keeps nobody else waiting."""
         while True:
             question = pb.LookRequest()
-            if self.acts and self.proposer.settled:
-                (question.order.epoch, question.order.number), _ = self.proposer.settled
+            if self.acts and self.proposer.chosen:
+                (question.order.epoch, question.order.number), _ = self.proposer.chosen
                 if wanted := self.rollout.record.release(name):
                     question.release.program, question.release.settings = wanted.program, wanted.settings
             try:
@@ -246,34 +246,36 @@
                 if answer is None:
                     continue
                 if not answer.agreed:
-                    self.proposer.refused(answer.promised)
+                    self.proposer.handle_rejection(answer.promised)
                 elif each(name, answer):
                     return
 
     async def _claim_if_unled(self) -> None:
         unled = sorted(r.unled_for for r in self.reports.values())
-        needed = self.proposer.majority
+        needed = self.proposer.quorum
         # By turns: a higher number waits longer, so that the lowest that is up claims first.
         if len(unled) < needed or unled[len(unled) - needed] < self.takeover * (1 + 0.5 * self.number):
             return
-        epoch = self.proposer.claim()
+        epoch = self.proposer.start_epoch()
         await self._ask_all(
             "Agent/Promise",
             pb.PromiseRequest(epoch=epoch),
-            lambda name, a: self.proposer.promised(name, epoch, (a.mark.epoch, a.mark.number), a.value),
+            lambda name, a: self.proposer.handle_promise(
+                name, epoch, AcceptedValue(Ballot(a.mark.epoch, a.mark.number), a.value)
+            ),
         )
-        if self.proposer.leads:
+        if self.proposer.is_leader:
             log.info("acts", controller=self.number, epoch=epoch)
             await self._settle(None)
 
     async def _settle(self, record: Record | None) -> None:
         """Have a record held by a majority: a new one, or again the one that is being written."""
         if record is not None:
-            self.proposer.write(json.dumps(record.as_dict()).encode())
-        mark, value = self.proposer.mark, self.proposer.value
+            self.proposer.propose(json.dumps(record.as_dict()).encode())
+        mark, value = self.proposer.ballot, self.proposer.value
         question = pb.AcceptRequest(mark=pb.Mark(epoch=mark[0], number=mark[1]), value=value)
-        await self._ask_all("Agent/Accept", question, lambda name, _: self.proposer.accepted(name, mark))
-        if self.proposer.settled == (mark, value):
+        await self._ask_all("Agent/Accept", question, lambda name, _: self.proposer.handle_accept(name, mark))
+        if self.proposer.chosen == (mark, value):
             self._settled(value)
 
     def _settled(self, value: bytes) -> None:
@@ -282,7 +284,7 @@
             record = Record.from_dict(json.loads(value)) if value else Record()
         except PlanError as error:
             log.error("record not understood", reason=str(error))
-            self.proposer.leads = False
+            self.proposer.is_leader = False
             return
         self.rollout.settled(record)
         if (record.phase, record.stage, record.reason) != (before.phase, before.stage, before.reason):
@@ -302,7 +304,11 @@
             wanted = self.rollout.window(now, self._gather())
         if wanted is not None:
             await self._settle(wanted)
-        if self.proposer.settled and self.proposer.mark != self.proposer.settled[0] and self.proposer.leads:
+        if (
+            self.proposer.chosen
+            and self.proposer.ballot != self.proposer.chosen[0]
+            and self.proposer.is_leader
+        ):
             await self._settle(None)  # Not yet held by a majority: told again until it is, or another acts.
 
     def _learn(self) -> None:
@@ -325,7 +331,7 @@
         for call, record in self._waiting:
             if self.acts and self.rollout.record == record:
                 self._tell(call)
-            elif not self.proposer.leads:
+            elif not self.proposer.is_leader:
                 call.end(Status(Code.UNAVAILABLE, "another controller acts now; ask for the state"))
             else:
                 continue
--- a/tuliptrack/lab/capacity/control.py
+++ b/tuliptrack/lab/capacity/control.py
@@ -107,7 +107,7 @@
         for _ in range(600):
             try:
                 told = await ask(self.channel, "Fleet/State", pb.StateRequest(), pb.FleetState, 5_000_000)
-                if told.leads and all(agent.acceptor.mark > (1, 1) for agent in self.agents):
+                if told.leads and all(agent.acceptor.ballot > (1, 1) for agent in self.agents):
                     return
             except Unanswered:
                 pass
--- a/tuliptrack/lab/hollow/agents.py
+++ b/tuliptrack/lab/hollow/agents.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tuliptrack.decisions.consensus import Acceptor
+from tuliptrack.decisions.consensus import Acceptor, Ballot
 from tuliptrack.proto import rollout_pb2 as pb
 from tuliptrack.rpc.server import Server, ServerCall, unary_request
 from tuliptrack.rpc.status import Code, Status
@@ -20,7 +20,7 @@
     def __init__(self, host: str, record: bytes = b"") -> None:
         """`record` is what it holds from the beginning, under an epoch that no controller claims."""
         self.host = host
-        self.acceptor = Acceptor(1, (1, 1), record) if record else Acceptor()
+        self.acceptor = Acceptor(1, Ballot(1, 1), record) if record else Acceptor()
         self.looks = 0
         self.server = Server()
         self.server.add("tuliptrack.v1.Agent", "Promise", unary_request(pb.PromiseRequest, self._promise))
@@ -40,9 +40,9 @@
         call.send(
             pb.AgentAnswer(
                 agreed=agreed,
-                promised=held.promised,
+                promised=held.promised_epoch,
                 value=held.value,
-                mark=pb.Mark(epoch=held.mark[0], number=held.mark[1]),
+                mark=pb.Mark(epoch=held.ballot.epoch, number=held.ballot.number),
             ).SerializeToString()
         )
         call.end(Status(Code.OK))
@@ -51,14 +51,16 @@
         self._answer(call, self.acceptor.promise(request.epoch))
 
     def _accept(self, call: ServerCall, request: pb.AcceptRequest) -> None:
-        self._answer(call, self.acceptor.accept((request.mark.epoch, request.mark.number), request.value))
+        self._answer(
+            call, self.acceptor.accept(Ballot(request.mark.epoch, request.mark.number), request.value)
+        )
 
     def _look(self, call: ServerCall, request: pb.LookRequest) -> None:
         self.looks += 1
         report = pb.HostReport(
             host=self.host,
             obeyed=True,
-            promised=self.acceptor.promised,
+            promised=self.acceptor.promised_epoch,
             ready=True,
             ready_for=60_000_000 + self.looks,
             life="1234abcd",
