--- a/tuliptrack/node/billing.py
+++ b/tuliptrack/node/billing.py
@@ -18,9 +18,12 @@
 from tuliptrack.decisions.billing import TokenPrice
 from tuliptrack.decisions.token_budget import (
     MAX_GRANTED_WINDOW_US,
+    BudgetRequest,
     BudgetVerdict,
+    ServedTokens,
     TokenBudgets,
     TokenBudgetSettings,
+    TokenWeights,
 )
 from tuliptrack.interface import Settings
 from tuliptrack.node.request_state import RequestState
@@ -72,17 +75,17 @@
     async def _recover_usage(self, now: int) -> None:
         """Count what the ledger has of the calendar windows that are open, as after a restart they go on."""
         calendar_lengths = [
-            window.length
+            window.length_us
             for windows in self.options.windows.values()
             for window in windows
-            if window.length > MAX_GRANTED_WINDOW_US
+            if window.length_us > MAX_GRANTED_WINDOW_US
         ]
         if self.budgets is None or not calendar_lengths:
             return
         wall_time_us = now + self.epoch_offset_us
         for bill in await self.recorder.usage_since(wall_time_us - wall_time_us % max(calendar_lengths)):
             units = self.budgets.units(bill.read, bill.kept, bill.written)
-            self.budgets.recovered(now, bill.tenant, units)
+            self.budgets.restore_usage(now, bill.tenant, units)
 
     async def close(self) -> None:
         """End the commits, after a last one."""
@@ -100,12 +103,7 @@
         """Return whether a request is within its tenant's budgets; nothing is reserved yet."""
         if self.budgets is None:
             return BudgetVerdict(False)
-        request = record.client_request
-        cached_tokens = request.prefix_tokens if request.prefix else 0
-        max_output_tokens = request.max_tokens - request.resume_index
-        return self.budgets.ask(
-            now, request.tenant, class_index, request.prompt_tokens, cached_tokens, max_output_tokens
-        )
+        return self.budgets.check(now, _budget_request(record, class_index))
 
     def request_admitted(
         self, now: int, record: RequestRecord, class_index: int, verdict: BudgetVerdict
@@ -113,8 +111,7 @@
         """Fix the price of an admitted request, and reserve what it is expected to use."""
         record.price = self._price_at(now + self.epoch_offset_us)
         if self.budgets:
-            request = record.client_request
-            self.budgets.take(now, record.id, request.tenant, class_index, request.prompt_tokens, verdict)
+            self.budgets.reserve(now, record.id, _budget_request(record, class_index), verdict)
 
     def _price_at(self, wall_time_us: int) -> TokenPrice:
         """Return the price in force; prices are in the order of the times from which they hold."""
@@ -131,8 +128,8 @@
         if self.budgets:
             output_tokens = record.next_index - record.client_request.resume_index
             is_complete = record.state is RequestState.SERVED
-            # Without output a request counts as not served, which the budgets take as a negative count.
-            self.budgets.settle(now, record.id, record.cached_tokens, output_tokens or -1, is_complete)
+            served = ServedTokens(record.cached_tokens, output_tokens) if output_tokens else None
+            self.budgets.settle(now, record.id, served, is_complete)
         self.recorder.request_ended(record)
 
     async def _run(self) -> None:
@@ -151,32 +148,36 @@
         """
         if self.budgets is None:
             return
-        usages = [tenant.use for tenant in self.budgets.tenants.values()]
-        used = sum(usage.used for usage in usages)
-        difference = sum(usage.off for usage in usages)
+        usages = list(self.budgets.usages())
+        used = sum(usage.used_units for usage in usages)
+        difference = sum(usage.estimate_error_units for usage in usages)
         log.info(
             "budgets",
             requests=sum(usage.requests for usage in usages),
-            over_budget=sum(usage.over for usage in usages),
-            reserved_tokens=sum(usage.held_back for usage in usages) // UNITS_PER_TOKEN,
+            over_budget=sum(usage.over_budget for usage in usages),
+            reserved_tokens=sum(usage.open_units for usage in usages) // UNITS_PER_TOKEN,
             estimate_error_share=round(difference / max(used, 1), 3),
             heaviest=[
                 [tenant.name, tenant.amount // UNITS_PER_TOKEN]
-                for tenant in self.budgets.heaviest(LOGGED_TENANTS)
+                for tenant in self.budgets.top_tenants(LOGGED_TENANTS)
             ],
         )
 
 
+def _budget_request(record: RequestRecord, class_index: int) -> BudgetRequest:
+    request = record.client_request
+    cached_tokens = request.prefix_tokens if request.prefix else 0
+    max_output_tokens = request.max_tokens - request.resume_index
+    return BudgetRequest(request.tenant, class_index, request.prompt_tokens, cached_tokens, max_output_tokens)
+
+
 def _budget_settings(options: BillingOptions, settings: Settings) -> TokenBudgetSettings:
-    prefill_weight, cached_weight, output_weight = options.weights
     return TokenBudgetSettings(
         settings.replicas,
         options.windows,
         settings.replica_index,
         settings.epoch_offset_us,
         options.spread,
-        prefill_weight,
-        cached_weight,
-        output_weight,
+        TokenWeights(*options.weights),
         options.lend,
     )
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -16,7 +16,7 @@
 import structlog
 
 from tuliptrack import interface as io
-from tuliptrack.decisions.concurrency_limit import ConcurrencyLimits
+from tuliptrack.decisions.concurrency_limit import ConcurrencyLimits, ExceededLimit
 from tuliptrack.fronts.port import ClientRequest, Failure, ResponseWriter
 from tuliptrack.node.attempt_end import AttemptEndHandler
 from tuliptrack.node.attempt_start import AttemptStarter
@@ -131,7 +131,7 @@
         if record.has_concurrency_slot:
             record.has_concurrency_slot = False
             client_request = record.client_request
-            self.admission.leave(now_us, client_request.tenant, client_request.connection)
+            self.admission.release(now_us, client_request.tenant, client_request.connection)
         log_request(record, now_us)
 
     # -- what fronts report
@@ -168,9 +168,9 @@
         if reason:
             return Admission(reason)
         client_request = record.client_request
-        if reason := self.admission.enter(client_request.tenant, client_request.connection):
-            retry_after_us = self.admission.wait(client_request.tenant)
-            return Admission(reason, self.advised_retry_after(retry_after_us))
+        if limit := self.admission.acquire(client_request.tenant, client_request.connection):
+            retry_after_us = self.admission.retry_after_us(client_request.tenant)
+            return Admission(limit.value, self.advised_retry_after(retry_after_us))
         record.has_concurrency_slot = True
         return Admission(*self.admit(record.accepted_at_us, record, class_index))
 
@@ -178,9 +178,9 @@
         """Return why requests are rejected unseen (empty: they are not), and when to retry."""
         if self.stopping:
             return SHUTTING_DOWN, 0
-        if self.admission.full():
-            retry_after_us = self.advised_retry_after(self.admission.wait(""))
-            return "too many requests are open at this node", retry_after_us
+        if self.admission.is_full():
+            retry_after_us = self.advised_retry_after(self.admission.retry_after_us(""))
+            return ExceededLimit.NODE.value, retry_after_us
         return "", 0
 
     def _handle_deadline(self, record: RequestRecord) -> None:
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -254,13 +254,13 @@
             admitted over its budget.
         """
         verdict = self.billing.check_budget(now, record, cls)
-        if verdict.over and record.client_request.request_class in self.config.billing.refuse_over:
-            reason = f"the tenant's token budget of {verdict.window / 1e6:g} s is used up"
+        if verdict.is_over and record.client_request.request_class in self.config.billing.refuse_over:
+            reason = f"the tenant's token budget of {verdict.window_us / 1e6:g} s is used up"
             # Unlike other waits it is not limited: a retry before the window's end would be rejected too.
-            return reason, max(verdict.wait, 0), True
+            return reason, verdict.retry_after_us or 0, True
         record.is_billed = True
         self.billing.request_admitted(now, record, cls, verdict)
-        return "", 0, verdict.over
+        return "", 0, verdict.is_over
 
     def stream_began(self, record: RequestRecord) -> None:
         """Begin to bill a stream."""
