--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -25,7 +25,9 @@
 from tuliptrack.node.request_reader import CoreLimits
 from tuliptrack.node.requests import RequestRecord, RequestState
 from tuliptrack.relay.config import RelayConfig, RelayConfigError, RelayConfigUnreadable, load
-from tuliptrack.relay.discovery import MOST_CALLS, Discovery, ListError, Members
+from tuliptrack.relay.discovery import MAX_CONNECTIONS, Discovery
+from tuliptrack.relay.endpoint_directory import EndpointDirectory
+from tuliptrack.relay.endpoint_entries import InvalidEndpointListError
 from tuliptrack.relay.engine_client import HttpEngineClient
 from tuliptrack.relay.front import Front
 from tuliptrack.relay.pools import EnginePools
@@ -58,7 +60,7 @@
 # Descriptors that neither clients nor engines get: log and standard streams (3), listener, selector, its
 # wake-up (2), the settings' file, one that an import may need; connections accepted before they are looked
 # at; the list's calls.
-_OWN = 8 + ACCEPTED_AT_ONCE + MOST_CALLS
+_OWN = 8 + ACCEPTED_AT_ONCE + MAX_CONNECTIONS
 _CLIENTS, _ENGINES = 0.45, 0.4  # of the descriptors, at most: what they get where there are many
 _BODY = 262_144  # bytes of one body, in or out, by the protocol
 
@@ -101,10 +103,10 @@
             ByteBudget(config.memory_bytes // 8),
             ByteBudget(config.memory_bytes // 6),
         )
-        self.members = Members(config.kinds, config.zones)
+        self.directory = EndpointDirectory(config.kinds, config.zones)
         self.source = Discovery(
             config.discovery,
-            lambda: max(self.members.revision, 0),
+            lambda: max(self.directory.revision, 0),
             lambda told, first: self.listed(told, anew=first),
             config.settings.drain_grace_us,
         )
@@ -127,7 +129,7 @@
             f"listening at {self.config.listen}", lambda: self.front.server.listen(host, int(port)), _START_S
         )
         self._sweeper = asyncio.get_running_loop().create_task(self._sweep())
-        if self.members.addresses:
+        if self.directory.addresses:
             self.front.ready = True
         else:
             self._getting_ready = asyncio.get_running_loop().call_later(_LIST_S, self._is_ready)
@@ -138,22 +140,22 @@
             pid=os.getpid(),
             sockets=self.config.sockets,
             memory_mb=self.config.memory_bytes >> 20,
-            servers=len(self.members.addresses),
+            servers=len(self.directory.addresses),
         )
         return address
 
     def listed(self, told: Mapping[str, Any], cached: bool = False, anew: bool = False) -> bool:
         """A list of engines has come; `anew`: the first one of an agent. False where it is older than the one
-        held, ListError where it can't be used."""
+        held, InvalidEndpointListError where it can't be used."""
         try:
-            change = self.members.take(told, cached, anew)
-        except ListError as error:
+            change = self.directory.apply(told, is_cached=cached, is_new_agent=anew)
+        except InvalidEndpointListError as error:
             self._turn_down(str(error))
             if not cached:
                 raise
             change = io.EndpointListUpdate(io.UpdateKind.CACHED)
         if change is None:
-            self._turn_down(f"older than revision {self.members.revision}")
+            self._turn_down(f"older than revision {self.directory.revision}")
             return False
         self._turned_down = self._turned_down if cached else ""
         self._is_ready()
@@ -164,12 +166,12 @@
             return True  # Nothing new: the answer only shows that the agent speaks.
         # The router goes first: what it stops sending to may then be let go.
         self.dispatch(change)
-        self.pools.update(self.members.addresses)
+        self.pools.update(self.directory.addresses)
         log.info(
             "server list",
             kind=change.kind.value,
             version=change.version,
-            servers=len(self.members.addresses),
+            servers=len(self.directory.addresses),
             changed=[f"{s.state.value}:{s.id % 1_000_000}" for s in change.endpoints] if not cached else [],
         )
         return True
@@ -220,7 +222,7 @@
                 )
             return
         log.info("settings read anew", discovery=config.discovery)
-        self.source.move(config.discovery)
+        self.source.switch_to(config.discovery)
 
     def _cancel_reload(self) -> None:
         if self._reload:
--- /dev/null
+++ b/tuliptrack/relay/agent_polls.py
@@ -0,0 +1,251 @@
+"""Polls one discovery agent for its endpoint list, one long poll after another, overlapping where one is late.
+
+The platform counts an endpoint list as received 6 s after the agent had it and could be reached, whatever
+polls failed in between. So no single poll is relied upon. A long poll is answered within
+`LONG_POLL_GRACE_SHARE` of the drain grace, by an empty delta if nothing changes. Where no answer has come
+after a further `LATE_GRACE_SHARE`, the next poll starts beside it on another connection, and one more after
+each such time-out. The earlier ones go on: a connection may come up slowly, an answer may arrive in small
+pieces, or this process may be late to read it. With `MAX_POLLS_PER_AGENT` open, the one that has received
+nothing for longest gives way; none lasts longer than `MAX_POLL_S`, its connection included.
+
+The bound, from a change at an agent that can be reached (from then on a poll is answered in full within
+`MAX_POLL_S`): at worst all of `MAX_POLLS_PER_AGENT` are open, each still receiving an answer older than the
+change, and end at `MAX_POLL_S`; then comes a backoff; then a poll that takes `MAX_POLL_S` itself. 2 x 2.5 s +
+1.5 x `BACKOFF_GRACE_SHARE` of 2 s at most: 5.3 s, and 0.7 s are left for this process to be late. Where
+answers come at once it is one time-out and one backoff: 0.65 of the grace.
+
+A poll that fails at once (connection rejected or reset, half a body, 503, not JSON) costs one backoff, and so
+does an answer that is rejected, after which the full list is requested. Polls start at least a backoff apart,
+however quickly they are answered.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import random
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+import structlog
+
+from tuliptrack.rpc.http1_client import ClientOptions
+from tuliptrack.rpc.http1_exchange import Exchange, How
+from tuliptrack.rpc.http1_pool import Connections, Pool
+
+__all__ = ["MAX_POLLS_PER_AGENT", "AgentPolls", "ListHandler"]
+
+log = structlog.get_logger("discovery")
+LONG_POLL_GRACE_SHARE = 0.25
+"""Share of the drain grace that the agent may wait for a change before it answers."""
+LATE_GRACE_SHARE = 0.25
+"""Share of the drain grace after which, beyond that, an answer is late."""
+BACKOFF_GRACE_SHARE = 0.1
+"""Share of the drain grace between the starts of two polls; jittered by half after a failure."""
+MAX_POLLS_PER_AGENT = 8
+"""Polls open at once, each on a connection of its own."""
+MAX_POLL_S = 2.5
+"""Two polls of this length and a backoff end before the 6 s of the platform."""
+MAX_OLDER_ANSWERS = 3
+"""Answers in a row that are older than the known list, after which the agent must have restarted."""
+MAX_BODY_BYTES = 16_777_216
+"""Of one answer."""
+MAX_REASON_CHARACTERS = 200
+_HTTP_OK = 200
+_PATH = "/api/targets"
+
+ListHandler = Callable[[Any, bool], bool]
+"""Handles the JSON of an answer; the second argument says whether it is the first one of its agent, or of a
+restarted agent. Returns whether it was applied, False if it is older than the known list; raises where it
+cannot be used."""
+
+
+@dataclass(slots=True, eq=False)
+class _Poll:
+    """One poll. Times are on the loop's clock, in seconds."""
+
+    exchange: Exchange
+    started_at: float
+    last_received_at: float
+    body: list[bytes] = field(default_factory=list)
+    outcome: How = How.GIVEN_UP
+    failure: str = ""
+
+    def message(self) -> Any:
+        """Return the answer's JSON.
+
+        Raises:
+            OSError: There is no answer.
+            ValueError: It is not JSON.
+        """
+        if self.outcome is not How.ANSWER:
+            raise OSError(self.failure)
+        if self.exchange.status != _HTTP_OK:
+            raise OSError(f"answered {self.exchange.status}")
+        return json.loads(b"".join(self.body))
+
+
+class AgentPolls:
+    """Polls one agent from its creation until `stop` or `close`."""
+
+    def __init__(
+        self, address: str, drain_grace_s: float, known_revision: Callable[[], int], handle: ListHandler
+    ) -> None:
+        self.address = address
+        self._drain_grace_s = drain_grace_s
+        self._known_revision = known_revision
+        self._handle = handle
+        self._poll_timeout_s = (LONG_POLL_GRACE_SHARE + LATE_GRACE_SHARE) * drain_grace_s
+        """After which a poll is late, and the next one starts beside it."""
+        self._needs_full_list = True
+        """The next poll requests the full list."""
+        self._is_first_answer = True
+        self._is_reachable = True
+        """Of the last answer or failure: each change is logged once."""
+        self._older_answers = 0
+        """Answers in a row that were older than the known list."""
+        self._open: list[_Poll] = []
+        self._ended: deque[_Poll] = deque()
+        """Polls that have ended by themselves and have not been handled."""
+        self._has_ended_poll = asyncio.Event()
+        self._next_poll_at = 0.0
+        """On the loop's clock, in seconds."""
+        self._is_stopped = False
+        self._loop = asyncio.get_running_loop()
+        self._task = self._loop.create_task(self._run())
+
+    def request_full_list(self) -> None:
+        """Have the next poll request the full list."""
+        self._needs_full_list = True
+
+    def stop(self) -> None:
+        """Handle no answer from now on."""
+        self._is_stopped = True
+        self._task.cancel()
+
+    async def close(self) -> None:
+        """End every poll and connection."""
+        self.stop()
+        with contextlib.suppress(asyncio.CancelledError):
+            await self._task
+
+    async def _run(self) -> None:
+        pool = Pool(
+            self.address,
+            ClientOptions(connect_timeout=int(MAX_POLL_S * 1e6), rest=0, body_bytes=MAX_BODY_BYTES),
+            Connections(MAX_POLLS_PER_AGENT),
+        )
+        self._next_poll_at = self._loop.time()
+        try:
+            while not self._is_stopped:
+                self._cancel_overlong_polls()
+                if self._loop.time() >= self._next_poll_at:
+                    self._start_next_poll(pool)
+                if await self._has_answer():
+                    pause_s = self._handle_ended(self._ended.popleft())
+                    self._next_poll_at = self._loop.time() + pause_s
+        finally:
+            self._open.clear()
+            await pool.close()
+
+    async def _has_answer(self) -> bool:
+        """Wait for a poll to end; False where the next one is due before."""
+        if self._ended:
+            return True
+        self._has_ended_poll.clear()
+        try:
+            async with asyncio.timeout_at(self._next_poll_at):
+                await self._has_ended_poll.wait()
+        except TimeoutError:
+            if self._open:
+                self._log_failure("no answer in time")
+            return False
+        return True
+
+    def _start_next_poll(self, pool: Pool) -> None:
+        self._cancel_silent_poll_at_limit()
+        if len(self._open) < MAX_POLLS_PER_AGENT:
+            self._start_poll(pool)
+        self._next_poll_at = self._loop.time() + self._poll_timeout_s
+
+    def _start_poll(self, pool: Pool) -> None:
+        now_s = self._loop.time()
+        poll = _Poll(Exchange("GET", self._target(), [("host", self.address)]), now_s, now_s)
+
+        def record_data(part: bytes) -> None:
+            poll.body.append(part)
+            poll.last_received_at = self._loop.time()
+
+        def record_end(outcome: How, failure: str) -> None:
+            if poll in self._open:
+                self._open.remove(poll)
+                poll.outcome, poll.failure = outcome, failure
+                self._ended.append(poll)
+                self._has_ended_poll.set()
+
+        poll.exchange.on_data, poll.exchange.on_end = record_data, record_end
+        self._open.append(poll)
+        pool.send(poll.exchange)
+
+    def _target(self) -> str:
+        if self._needs_full_list:
+            return _PATH
+        wait_ms = int(LONG_POLL_GRACE_SHARE * self._drain_grace_s * 1e3)
+        return f"{_PATH}?since={self._known_revision()}&timeout_ms={wait_ms}"
+
+    def _cancel(self, poll: _Poll) -> None:
+        # Removed first: the end of a poll that is cancelled here is not handled.
+        self._open.remove(poll)
+        poll.exchange.cancel()
+
+    def _cancel_overlong_polls(self) -> None:
+        now_s = self._loop.time()
+        for poll in [poll for poll in self._open if now_s - poll.started_at >= MAX_POLL_S]:
+            self._cancel(poll)
+
+    def _cancel_silent_poll_at_limit(self) -> None:
+        """With as many polls open as may be, cancel the one that has received nothing for longest."""
+        # Failure: an agent whose machine is cut off leaves every open poll without an end. It would show as
+        # a list that stays old after the agent is back. A silent poll that is late makes way for a new one;
+        # one that still receives data is kept, since it may bring the list.
+        if len(self._open) < MAX_POLLS_PER_AGENT:
+            return
+        silent = min(self._open, key=lambda poll: poll.last_received_at)
+        if self._loop.time() - silent.last_received_at >= self._poll_timeout_s:
+            self._cancel(silent)
+
+    def _handle_ended(self, poll: _Poll) -> float:
+        """Handle a poll that has ended; return the seconds until the next one."""
+        try:
+            is_applied = self._handle(poll.message(), self._is_first_answer)
+        except Exception as error:  # Polling goes on, whatever an agent answers.
+            # An answer that could not be used may have been a delta, which is missing now.
+            self._needs_full_list = self._needs_full_list or not isinstance(error, OSError)
+            self._log_failure(str(error) or type(error).__name__)
+            return BACKOFF_GRACE_SHARE * self._drain_grace_s * (0.5 + random.random())
+        self._record_answer(is_applied)
+        for other in [other for other in self._open if not other.body]:
+            self._cancel(other)
+        next_poll_at = poll.started_at + BACKOFF_GRACE_SHARE * self._drain_grace_s
+        return max(next_poll_at - self._loop.time(), 0.0)
+
+    def _record_answer(self, is_applied: bool) -> None:
+        # Failure: an agent that restarted counts its revisions from the start, so that each of its lists is
+        # older than the known one. It would show as a list that never changes again. A single older answer
+        # may have been overtaken by a later poll; several in a row cannot, so the next is a first answer.
+        self._older_answers = 0 if is_applied else self._older_answers + 1
+        self._is_first_answer = self._older_answers >= MAX_OLDER_ANSWERS
+        self._needs_full_list = self._is_first_answer
+        if not self._is_reachable:
+            self._is_reachable = True
+            log.info("endpoint list polls succeed again", address=self.address)
+
+    def _log_failure(self, reason: str) -> None:
+        if self._is_reachable:
+            self._is_reachable = False
+            log.warning(
+                "endpoint list polls fail", address=self.address, reason=reason[:MAX_REASON_CHARACTERS]
+            )
--- /dev/null
+++ b/tuliptrack/relay/endpoint_entries.py
@@ -0,0 +1,183 @@
+"""Reads the platform's endpoint lists: from the JSON of an answer to typed values.
+
+The JSON field names of the platform's protocol appear in this module only. A message that is no list at all
+raises `InvalidEndpointListError`, and so does a single entry that cannot be used; the text names the place of
+the entry and the field. Start times arrive as Unix milliseconds and become monotonic microseconds.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from tuliptrack.interface import EndpointInfo, EndpointState
+from tuliptrack.node.request_reader import key
+from tuliptrack.sources.start_times import StartTimes
+
+__all__ = [
+    "MAX_ENDPOINTS",
+    "EndpointEntry",
+    "EntryParser",
+    "InvalidEndpointListError",
+    "ListMessage",
+    "ReadingTime",
+    "entry_name",
+    "parse_message",
+]
+
+MAX_ENDPOINTS = 10_000
+"""Entries of one list: a bound on memory and time, above any fleet of the platform."""
+MAX_PORT = 65_535
+MAX_QUOTED_CHARACTERS = 40
+"""Of a wrong value, in the text of an error."""
+MAX_QUOTED_ADDRESS_CHARACTERS = 80
+US_PER_MS = 1_000
+
+_STATES = {
+    "Ready": EndpointState.READY,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.REMOVED,
+}
+
+
+class InvalidEndpointListError(Exception):
+    """A list or an entry that cannot be used; the text names the place and the field."""
+
+
+@dataclass(frozen=True, slots=True)
+class ListMessage:
+    """One answer of the agent, checked as a whole; its entries are not read yet."""
+
+    revision: int
+    is_full: bool
+    """Whether it names every endpoint that there is, not only those that changed."""
+    entries: list[Any]
+
+
+@dataclass(frozen=True, slots=True)
+class ReadingTime:
+    """When a list is read, on both clocks at the same moment."""
+
+    monotonic_us: int
+    wall_us: int
+    """Since 1970."""
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointEntry:
+    """One entry of a list, and what it was read as."""
+
+    received: Mapping[str, Any]
+    """The entry's JSON, so that an equal one is not read again; empty where `endpoint` differs from it."""
+    endpoint: EndpointInfo
+    address: str
+    """host:port"""
+    name: str
+    started_at_ms: object
+    """As the agent states it: it identifies an incarnation of the endpoint."""
+
+
+def parse_message(message: object) -> ListMessage:
+    """Check an answer as a whole.
+
+    Raises:
+        InvalidEndpointListError: It is no list.
+    """
+    if not isinstance(message, dict) or not isinstance(message.get("members", []), list):
+        raise InvalidEndpointListError("must be an object with members")
+    revision = message.get("revision", 0)
+    if not isinstance(revision, int) or isinstance(revision, bool) or revision < 0:
+        raise InvalidEndpointListError(f"revision: must be a whole number, is {_quote(revision)}")
+    entries = message.get("members", [])
+    if len(entries) > MAX_ENDPOINTS:
+        raise InvalidEndpointListError(f"members: {len(entries)} entries, {MAX_ENDPOINTS} at most")
+    return ListMessage(revision, message.get("complete") is True, entries)
+
+
+def entry_name(entry: object) -> str | None:
+    """Return the name that an entry gives its endpoint; None where it gives none."""
+    name = entry.get("id") if isinstance(entry, dict) else None
+    return name if isinstance(name, str) else None
+
+
+class EntryParser:
+    """Reads entries by the kinds and zones of the settings, both numbered in their order there."""
+
+    def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...], start_times: StartTimes) -> None:
+        self._kinds = {name: number for number, name in enumerate(kinds)}
+        self._zones = {name: number for number, name in enumerate(zones)}
+        self._start_times = start_times
+
+    def parse(self, entry: object, place: str, now: ReadingTime) -> EndpointEntry:
+        """Read one entry; `place` is where it stands in the list.
+
+        Raises:
+            InvalidEndpointListError: It cannot be used.
+        """
+        if not isinstance(entry, dict):
+            raise InvalidEndpointListError(f"{place}: must be an object")
+        name = entry_name(entry)
+        if not name:
+            raise InvalidEndpointListError(f"{place}.id: is required")
+        state = _STATES.get(str(entry.get("phase")))
+        if state is None:
+            raise InvalidEndpointListError(f"{place}.phase: {_quote(entry.get('phase'))} is unknown")
+        # A change may state only the name and the phase of an endpoint that has been removed.
+        is_removed = state is EndpointState.REMOVED
+        kind = self._parse_kind(entry, place, is_removed)
+        address = _parse_address(entry, place, is_removed)
+        weight = _parse_number(entry, "size", place, default=1.0)
+        started_at_ms = _parse_number(entry, "up_since_ms", place, default=0)
+        cell = _parse_number(entry, "cell", place, default=0)
+        zone = self._parse_zone(entry, place, is_removed)
+        endpoint_id = key(name)
+        started_at_us = self._start_times.monotonic(
+            endpoint_id, int(started_at_ms * US_PER_MS), now.monotonic_us, now.wall_us
+        )
+        endpoint = EndpointInfo(
+            endpoint_id, kind, state, float(weight) or 1.0, int(cell), zone, started_at_us
+        )
+        return EndpointEntry(entry, endpoint, address, name, entry.get("up_since_ms", 0))
+
+    def _parse_kind(self, entry: Mapping[str, Any], place: str, is_removed: bool) -> int:
+        kind = self._kinds.get(str(entry.get("flavor")))
+        if kind is None and not is_removed:
+            raise InvalidEndpointListError(
+                f"{place}.flavor: {_quote(entry.get('flavor'))} is not among the settings' kinds"
+            )
+        return kind or 0
+
+    def _parse_zone(self, entry: Mapping[str, Any], place: str, is_removed: bool) -> int:
+        default = None if self._zones else 0
+        zone = self._zones.get(str(entry.get("locality")), default)
+        if zone is None and not is_removed:
+            raise InvalidEndpointListError(
+                f"{place}.locality: {_quote(entry.get('locality'))} is not among the settings' zones"
+            )
+        return zone or 0
+
+
+def _parse_address(entry: Mapping[str, Any], place: str, is_removed: bool) -> str:
+    address = str(entry.get("host_port", ""))
+    if is_removed:
+        return address
+    host, _, port = address.rpartition(":")
+    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+        quoted = repr(address[:MAX_QUOTED_ADDRESS_CHARACTERS])
+        raise InvalidEndpointListError(f"{place}.host_port: must be host:port, is {quoted}")
+    return address
+
+
+def _parse_number(entry: Mapping[str, Any], name: str, place: str, default: float) -> float:
+    value = entry.get(name, default)
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or not math.isfinite(value) or value < 0:
+        raise InvalidEndpointListError(f"{place}.{name}: must be a number from 0, is {_quote(value)}")
+    number: float = value
+    return number
+
+
+def _quote(value: object) -> str:
+    return repr(str(value)[:MAX_QUOTED_CHARACTERS])
