--- a/tuliptrack/lab/hollow/node.py
+++ b/tuliptrack/lab/hollow/node.py
@@ -83,8 +83,8 @@
         await self.source.close()
 
     def _role_of(self, server: int) -> Role:
-        seat = self.router.seats.get(server)
-        return seat.role if seat else ROLES[0]
+        endpoint = self.router.endpoints.get(server)
+        return endpoint.role if endpoint else ROLES[0]
 
     def _listed(self, told: Any, first: bool) -> bool:
         """As the platform's node takes a list: see `relay/__main__.py`."""
@@ -121,11 +121,11 @@
             elif isinstance(action, SetTimer):
                 self._later(action.delay_us, self._decide, TimerFired(action.token))
             elif isinstance(event, Request | AttemptEnded | StreamStarted):
-                self.report.refusals += type(action).__name__ == "Refuse"
+                self.report.refusals += type(action).__name__ == "Reject"
 
     def _sent(self, now: int, action: SendAttempt) -> None:
         self.report.sends += 1
-        started = self.router.seats[action.endpoint_id].info.started_at
+        started = self.router.endpoints[action.endpoint_id].info.started_at_us
         if started and now < started + self.settings.slow_start_us:
             self.report.cold_sends.append((action.endpoint_id, now / 1e6))
         for late, answer in self.traffic.answers(action):
