--- a/tests/relay/test_corroboration.py
+++ b/tests/relay/test_corroboration.py
@@ -1,5 +1,5 @@
-"""Attempts that bring no word for longer than a lease: those that surely wait at their engine, and those that
-never came."""
+"""Attempts without a sign from their engine for longer than a lease: those that surely wait there, and those
+that never arrived."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 ALLOWED_S = SETTINGS["specifics"]["letGoBy"] / 1e6
 IN_TIME_S = ALLOWED_S + 0.3
-JAM_S = 3 * ALLOWED_S
+OVERLOAD_S = 3 * ALLOWED_S
 PATIENT = {"settings": {"classes": [{**SETTINGS["classes"][0], "promise": 4_000_000}]}}
-"""Requests that wait for longer than a jam lasts."""
+"""Settings with a latency objective longer than the overload."""
 
 
 def now() -> float:
@@ -41,17 +41,17 @@
 
 
 class Engines:
-    """Two readers and a writer, which notes what reached them of one request."""
+    """Two prefill engines and a decode engine; records what reached them of one request."""
 
     def __init__(self) -> None:
-        self.jammed = False
-        """The writer lets requests wait for `JAM_S` before it begins an answer."""
-        self.read_at = 0.0
+        self.overloaded = False
+        """The decode engine lets requests wait for `OVERLOAD_S` before it starts an answer."""
+        self.prefilled_at = 0.0
         self.released_at: list[float] = []
         self.by_name: dict[str, Proxied] = {
-            "r0": Proxied(self.reader),
-            "r1": Proxied(self.reader),
-            "w0": Proxied(self.writer),
+            "r0": Proxied(self.prefill),
+            "r1": Proxied(self.prefill),
+            "w0": Proxied(self.decode),
         }
 
     @property
@@ -59,49 +59,50 @@
         """For a platform."""
         return dict(self.by_name)
 
-    async def reader(self, one: Seen, writer: asyncio.StreamWriter) -> None:
-        self.note(one)
+    async def prefill(self, one: Seen, writer: asyncio.StreamWriter) -> None:
+        self.record(one)
         await reads(one, writer)
 
-    async def writer(self, one: Seen, writer: asyncio.StreamWriter) -> None:
-        self.note_release(one)
-        if one.method == "POST" and self.jammed:
-            await asyncio.sleep(JAM_S)
+    async def decode(self, one: Seen, writer: asyncio.StreamWriter) -> None:
+        self.record_release(one)
+        if one.method == "POST" and self.overloaded:
+            await asyncio.sleep(OVERLOAD_S)
         await writes(one, writer)
 
-    def note(self, one: Seen) -> None:
-        self.note_release(one)
+    def record(self, one: Seen) -> None:
+        self.record_release(one)
         if one.method == "POST" and one.call_id == "watched":
-            self.read_at = now()
+            self.prefilled_at = now()
 
-    def note_release(self, one: Seen) -> None:
+    def record_release(self, one: Seen) -> None:
         if one.method == "DELETE" and one.target.endswith("/watched"):
             self.released_at.append(now())
 
     async def warm_up(self, p: Platform) -> None:
-        """Have a request that has been served, and one kept connection to each engine that was asked, which
-        has rested."""
+        """Serve requests, so that there is one idle connection to each engine that got some."""
         for _ in range(4):
             await p.ask()
             await asyncio.sleep(0.1)
 
-    def at_the_attempt(self, what: Callable[[], None]) -> None:
-        """Do this as the watched request's bytes come to the writer's machine, before they are handed on."""
+    def before_attempt_arrives(self, action: Callable[[], None]) -> None:
+        """Call `action` as the watched request's bytes reach the decode engine's machine, before its engine."""
         proxy = self.by_name["w0"].proxy
 
-        def look(connection: object, data: bytes) -> None:
+        def inspect(connection: object, data: bytes) -> None:
             if data.startswith(b"POST") and b"watched" in data:
-                what()
+                action()
 
-        proxy.on_request_bytes = look
+        proxy.on_request_bytes = inspect
 
 
-def test_nothing_is_let_go_beside_an_attempt_that_waits_at_an_engine_that_answers() -> None:
+def test_nothing_is_released_beside_an_attempt_that_waits_at_an_engine_that_answers() -> None:
+    """An overloaded engine starts no answer for longer than a lease, and answers probes."""
+
     async def go() -> None:
         engines = Engines()
         async with platform(PATIENT, **engines.scripts) as p:
             await engines.warm_up(p)
-            engines.jammed = True
+            engines.overloaded = True
             reply = await p.say(request("watched"))
             assert reply.status == 200 and reply.whole
             assert not engines.released_at
@@ -121,31 +122,31 @@
 
 
 @pytest.mark.parametrize("silence", [silence_its_machine, silence_all_open_connections])
-def test_a_state_is_let_go_in_time_where_its_attempt_is_swallowed_as_it_arrives(
+def test_a_state_is_released_in_time_if_its_attempt_is_lost_as_it_arrives(
     silence: Callable[[Engines], None],
 ) -> None:
-    """The connection had proven itself the moment before."""
+    """The connection answered a probe the moment before, and falls silent with the attempt."""
 
     async def go() -> None:
         engines = Engines()
         async with platform(PATIENT, **engines.scripts) as p:
             await engines.warm_up(p)
-            engines.at_the_attempt(lambda: silence(engines))
+            engines.before_attempt_arrives(lambda: silence(engines))
             await p.say(request("watched", budget="2.0"))
-            assert engines.read_at
-            assert engines.released_at and engines.released_at[0] - engines.read_at <= IN_TIME_S
+            assert engines.prefilled_at
+            assert engines.released_at and engines.released_at[0] - engines.prefilled_at <= IN_TIME_S
 
     run(go, virtual=True)
 
 
-def test_a_state_that_an_attempt_came_for_is_let_go_in_time_after_that_attempt_is_given_up() -> None:
-    """The lease that its arrival had ended begins anew with its end."""
+def test_a_state_is_released_in_time_after_an_attempt_that_arrived_is_cancelled() -> None:
+    """The attempt's arrival had ended the lease of the state; a new one starts with the attempt's end."""
 
     async def go() -> None:
         engines = Engines()
         async with platform(PATIENT, **engines.scripts) as p:
             await engines.warm_up(p)
-            engines.jammed = True
+            engines.overloaded = True
             reply = await p.say(request("watched", budget="0.7"))
             ended_at = now()
             assert reply.status != 200
@@ -155,23 +156,23 @@
     run(go, virtual=True)
 
 
-def test_an_attempt_on_a_connection_that_has_only_come_up_is_not_taken_to_have_arrived() -> None:
-    """A kernel, a proxy or a middlebox may have accepted it."""
+def test_an_attempt_on_a_new_connection_is_not_taken_to_have_arrived() -> None:
+    """A kernel, a proxy or a middlebox may have accepted the connection."""
 
     async def go() -> None:
         engines = Engines()
         async with platform(PATIENT, **engines.scripts) as p:
             await engines.warm_up(p)
             p.relay.channels.close_idle_connections(key("w0"))
-            engines.jammed = True
+            engines.overloaded = True
             await p.say(request("watched"))
-            assert engines.released_at and engines.released_at[0] - engines.read_at <= IN_TIME_S
+            assert engines.released_at and engines.released_at[0] - engines.prefilled_at <= IN_TIME_S
 
     run(go, virtual=True)
 
 
-def test_an_attempt_whose_connection_took_long_to_answer_is_not_taken_to_have_arrived() -> None:
-    """Much may have happened to the connection in the meantime."""
+def test_an_attempt_whose_connection_answered_its_probe_late_is_not_taken_to_have_arrived() -> None:
+    """Much may have happened to the connection since the probe."""
 
     async def go() -> None:
         engines = Engines()
@@ -179,9 +180,9 @@
             await engines.warm_up(p)
             engines.by_name[
                 "w0"
-            ].proxy.delay_s = 0.015  # each way, and so within the time that a kept one has to answer
-            engines.jammed = True
+            ].proxy.delay_s = 0.015  # each way, and so within the time that an idle connection has to answer
+            engines.overloaded = True
             await p.say(request("watched"))
-            assert engines.released_at and engines.released_at[0] - engines.read_at <= IN_TIME_S
+            assert engines.released_at and engines.released_at[0] - engines.prefilled_at <= IN_TIME_S
 
     run(go, virtual=True)
--- a/tests/relay/test_late_releases.py
+++ b/tests/relay/test_late_releases.py
@@ -1,5 +1,4 @@
-"""An engine that hangs through a request and ends its read later is asked itself to let go, and does so in
-time."""
+"""An engine that hangs during a request and ends its prefill later gets a release of its own, in time."""
 
 from __future__ import annotations
 
@@ -16,95 +15,104 @@
 
 
 @dataclass
-class StoppedReader:
-    """A reader whose process is stopped: what reached it is taken up as it goes on, also what was given up
-    meanwhile."""
+class StoppedPrefillEngine:
+    """A prefill engine whose process is stopped: it processes what reached it when it continues, also what was
+    cancelled meanwhile."""
 
-    goes_on: asyncio.Event = field(default_factory=asyncio.Event)
-    read_at: dict[str, float] = field(default_factory=dict)
+    continues: asyncio.Event = field(default_factory=asyncio.Event)
+    prefilled_at: dict[str, float] = field(default_factory=dict)
     released_at: dict[str, list[float]] = field(default_factory=dict)
     _tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     async def __call__(self, one: Seen, writer: asyncio.StreamWriter) -> None:
         if one.method == "POST":
-            self._tasks.append(asyncio.ensure_future(self._end_read(one.call_id)))
-        await self.goes_on.wait()
+            self._tasks.append(asyncio.ensure_future(self._end_prefill(one.call_id)))
+        await self.continues.wait()
         if one.method == "DELETE":
             self.released_at.setdefault(one.target.rpartition("/")[2], []).append(
                 asyncio.get_running_loop().time()
             )
         await reads(one, writer)
 
-    async def _end_read(self, call_id: str) -> None:
-        await self.goes_on.wait()
-        self.read_at[call_id] = asyncio.get_running_loop().time()
+    async def _end_prefill(self, call_id: str) -> None:
+        await self.continues.wait()
+        self.prefilled_at[call_id] = asyncio.get_running_loop().time()
 
-    def let_go_after(self, call_id: str) -> float | None:
-        """Seconds from the end of a read to the first release after it."""
-        later = [at for at in self.released_at.get(call_id, []) if at >= self.read_at[call_id]]
-        return later[0] - self.read_at[call_id] if later else None
+    def released_after_s(self, call_id: str) -> float | None:
+        """Return the seconds from the end of a prefill to the first release after it."""
+        later = [at for at in self.released_at.get(call_id, []) if at >= self.prefilled_at[call_id]]
+        return later[0] - self.prefilled_at[call_id] if later else None
 
 
-async def given_up(p: Platform, reader: StoppedReader, call_id: str) -> None:
-    """A request whose read hangs until its client's time is over."""
+async def time_out(p: Platform, call_id: str) -> None:
+    """A request whose prefill hangs until its client's time-out."""
     reply = await p.say(request(call_id, budget="0.3"))
     assert reply.status == 504
 
 
-def test_what_a_hanging_reader_reads_after_all_is_let_go_in_time() -> None:
+def test_a_prefill_that_ends_after_a_hang_is_released_in_time() -> None:
+    """The engine hangs until long after the request has failed. When it continues it ends the prefill, and a
+    state is reserved that no attempt will use."""
+
     async def go() -> None:
-        reader = StoppedReader()
-        async with platform(r0=reader, w0=writes) as p:
-            await given_up(p, reader, "hung")
-            await asyncio.sleep(3 * ALLOWED_S)  # All releases at engines that go on are over.
-            reader.goes_on.set()
-            await until(lambda: reader.read_at and reader.let_go_after("hung") is not None, 2.0)
-            held_for = reader.let_go_after("hung")
-            assert held_for is not None and held_for <= ALLOWED_S + 0.3
+        engine = StoppedPrefillEngine()
+        async with platform(r0=engine, w0=writes) as p:
+            await time_out(p, "hung")
+            await asyncio.sleep(3 * ALLOWED_S)  # All releases at running engines are over.
+            engine.continues.set()
+            await until(lambda: engine.prefilled_at and engine.released_after_s("hung") is not None, 2.0)
+            reserved_s = engine.released_after_s("hung")
+            assert reserved_s is not None and reserved_s <= ALLOWED_S + 0.3
             await until(lambda: not len(p.relay.channels.late_releases), 2.0)
 
     run(go, virtual=True)
 
 
-def test_a_release_that_an_engine_takes_up_before_the_read_is_followed_by_another() -> None:
+def test_a_release_that_an_engine_may_process_before_the_prefill_is_followed_by_another() -> None:
+    """An engine that continues after a hang processes what it had waiting in any order."""
+
     async def go() -> None:
-        reader = StoppedReader()
-        async with platform(r0=reader, w0=writes) as p:
-            await given_up(p, reader, "hung")
+        engine = StoppedPrefillEngine()
+        async with platform(r0=engine, w0=writes) as p:
+            await time_out(p, "hung")
             await until(
                 lambda: any(one.target.endswith("/hung") for one in p.engines["r0"].asked("DELETE")), 2.0
             )
-            reader.goes_on.set()
-            await until(lambda: len(reader.released_at.get("hung", [])) >= late_releases.ROUNDS, 2.0)
+            engine.continues.set()
+            await until(lambda: len(engine.released_at.get("hung", [])) >= late_releases.ROUNDS, 2.0)
 
     run(go, virtual=True)
 
 
-def test_one_release_at_a_time_is_tried_at_an_engine_and_none_once_it_has_left_the_list() -> None:
+def test_one_release_at_a_time_is_tried_at_an_engine_and_none_after_its_removal() -> None:
+    """Many releases are pending at an engine that hangs; then it leaves the endpoint list."""
+
     async def go() -> None:
-        reader = StoppedReader()
-        async with platform(r0=reader, w0=writes) as p:
-            late = p.relay.channels.late_releases
+        engine = StoppedPrefillEngine()
+        async with platform(r0=engine, w0=writes) as p:
+            releases = p.relay.channels.late_releases
             for number in range(20):
-                late.begin(key("r0"), f"many-{number}")
+                releases.start(key("r0"), f"many-{number}")
             await asyncio.sleep(2.5 * ALLOWED_S)
             assert 1 <= len(p.engines["r0"].asked("DELETE")) <= 4
             p.relay.pools.update({key("w0"): p.engines["w0"].address})
-            await until(lambda: not len(late), 2.0)
+            await until(lambda: not len(releases), 2.0)
 
     run(go, virtual=True)
 
 
-def test_what_is_pending_is_bounded_and_forgotten_when_the_client_asks_again() -> None:
+def test_pending_releases_are_bounded_and_cancelled_when_the_client_sends_again() -> None:
+    """More releases start than may be pending; then a client sends one of these requests again."""
+
     async def go() -> None:
-        reader = StoppedReader()
-        async with platform(r0=reader, w0=writes) as p:
-            late = p.relay.channels.late_releases
-            for number in range(late_releases.MOST_PENDING + 5):
-                late.begin(key("r0"), f"many-{number}")
-            assert len(late) == late_releases.MOST_PENDING
+        engine = StoppedPrefillEngine()
+        async with platform(r0=engine, w0=writes) as p:
+            releases = p.relay.channels.late_releases
+            for number in range(late_releases.MAX_PENDING + 5):
+                releases.start(key("r0"), f"many-{number}")
+            assert len(releases) == late_releases.MAX_PENDING
             assert p.relay.counter_values()["late_releases_dropped"] == 5
-            late.forget("many-7")
-            assert len(late) == late_releases.MOST_PENDING - 1
+            releases.cancel("many-7")
+            assert len(releases) == late_releases.MAX_PENDING - 1
 
     run(go, virtual=True)
--- a/tuliptrack/lab/capacity/roles.py
+++ b/tuliptrack/lab/capacity/roles.py
@@ -266,7 +266,7 @@
         _open_connections(8 / 7),
         "a zone's nodes lost",
         1_024 * ENGINE_CONNECTIONS_SHARE,
-        "`relay/pools.py`: kept by engine, bounded in all",
+        "`relay/engine_pools.py`: kept by engine, bounded in all",
     ),
     Row(
         "node",
@@ -458,7 +458,7 @@
         lambda r, t: 2 * _reader_connections(r, t),
         "half of the readers moved",
         None,
-        "`relay/pools.py`: each node keeps its own; a subset for each node would bound them",
+        "`relay/engine_pools.py`: each node keeps its own; a subset for each node would bound them",
     ),
 )
 """Every line of every role's table."""
--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -29,8 +29,8 @@
 from tuliptrack.relay.endpoint_directory import EndpointDirectory
 from tuliptrack.relay.endpoint_entries import InvalidEndpointListError
 from tuliptrack.relay.engine_client import HttpEngineClient
+from tuliptrack.relay.engine_pools import EnginePools
 from tuliptrack.relay.front import Front
-from tuliptrack.relay.pools import EnginePools
 from tuliptrack.rpc.http1 import HttpLimits
 from tuliptrack.rpc.http1_client import ClientOptions
 from tuliptrack.rpc.http1_pool import Connections
--- a/tuliptrack/relay/engine_client.py
+++ b/tuliptrack/relay/engine_client.py
@@ -18,9 +18,9 @@
 from tuliptrack.node.port import AttemptResult
 from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
 from tuliptrack.relay.corroboration import Corroboration
+from tuliptrack.relay.engine_pools import EnginePools
+from tuliptrack.relay.kv_state_releases import UNCONFIRMED_END_ROUNDS, KvStateReleases, release_request
 from tuliptrack.relay.late_releases import LateReleases
-from tuliptrack.relay.pools import EnginePools
-from tuliptrack.relay.releases import UNSURE_ROUNDS, Releases, release_request
 from tuliptrack.rpc.h1 import Answer, Fields
 from tuliptrack.rpc.http1_exchange import Exchange, How
 from tuliptrack.rpc.http1_pool import Pool
@@ -111,7 +111,7 @@
             return Delivery.NOT_SENT
         if self.exchange.heard:
             return Delivery.CONFIRMED
-        return Delivery.CORROBORATED if self._arrival.holds() else Delivery.POSSIBLE
+        return Delivery.CORROBORATED if self._arrival.is_corroborated() else Delivery.POSSIBLE
 
     def confirm_arrival(self) -> None:
         if not self.exchange.heard:
@@ -246,7 +246,7 @@
             self._load,
             is_connection_only=exchange.spoilt or exchange.lone,
             is_confirmed=exchange.heard,
-            is_corroborated=self._arrival.holds(),
+            is_corroborated=self._arrival.is_corroborated(),
         )
 
     def _kept(self) -> int:
@@ -257,7 +257,7 @@
 
 
 class HttpEngineClient:
-    """See `node/port.py`. Bounds: the connections of `EnginePools`, what `Releases` keeps."""
+    """See `node/port.py`. Bounds: the connections of `EnginePools`, the pending releases of `KvStateReleases`."""
 
     prefills_have_no_effect = False
     releases_are_global = True
@@ -265,7 +265,7 @@
 
     def __init__(self, core: Core, pools: EnginePools, report_names: tuple[str, ...]) -> None:
         self.core, self.pools, self.report_names = core, pools, report_names
-        self.releases = Releases(pools, core.settings.release_within_us, core.counters)
+        self.releases = KvStateReleases(pools, core.settings.release_within_us, core.counters)
         self.late_releases = LateReleases(pools, core.settings.release_within_us, core.counters)
         self._served_id = ""
         """A request that has been served: nothing is held for it, so its release has no effect."""
@@ -286,7 +286,10 @@
     # -- attempts
 
     def start(self, record: RequestRecord, attempt: Attempt, timeout: int) -> _Attempt:
-        inbound, pool = cast(Inbound, record.client_request.payload), self.pools.get(attempt.endpoint_id)
+        inbound, pool = (
+            cast(Inbound, record.client_request.payload),
+            self.pools.get_or_create(attempt.endpoint_id),
+        )
         assert pool
         exchange = Exchange(inbound.method, inbound.target, [], inbound.body)
         exchange.validated, exchange.connect_by = True, attempt.connect_by_us
@@ -310,15 +313,15 @@
     # -- letting go
 
     def release(self, server: int, record: RequestRecord, unsure: bool = False) -> None:
-        self.releases.begin(record.client_request.call_id, UNSURE_ROUNDS if unsure else 1)
+        self.releases.start(record.client_request.call_id, UNCONFIRMED_END_ROUNDS if unsure else 1)
 
     def cancel_release(self, record: RequestRecord) -> None:
         call_id = record.client_request.call_id
-        self.releases.forget(call_id)
-        self.late_releases.forget(call_id)
+        self.releases.cancel(call_id)
+        self.late_releases.cancel(call_id)
 
     def release_later(self, server: int, record: RequestRecord) -> None:
-        self.late_releases.begin(server, record.client_request.call_id)
+        self.late_releases.start(server, record.client_request.call_id)
 
     # -- what this protocol has no word for
 
@@ -329,12 +332,12 @@
         asyncio.get_running_loop().call_soon(done, io.HealthCheckResult(server, io.Status.ERROR, 0))
 
     def close_idle_connections(self, server: int) -> None:
-        if pool := self.pools.made(server):
+        if pool := self.pools.get(server):
             pool.close_idle()
 
     async def close(self) -> None:
         """Wait for what is still to be let go, then end every connection."""
-        await self.releases.drained()
+        await self.releases.wait_until_idle()
         self.releases.close()
         self.late_releases.close()
         await self.pools.close()
--- a/tuliptrack/relay/late_releases.py
+++ b/tuliptrack/relay/late_releases.py
@@ -1,13 +1,13 @@
-"""What an engine may come to hold after its attempt was given up: it is asked itself to let go, until it
-answers.
+"""Releases at engines that may reserve a KV state after their attempt was cancelled.
 
-A release that another engine confirms lets go of what is held by then. An engine that hangs, or whose machine
-is cut off, may end a read later, and may see later that an attempt has ended. So every engine that gave no
-word on an attempt gets a release of its own once the request is over, and another one a while later, as it
-may take up what it had waiting in any order.
+A release that another engine confirms covers what is reserved by then. An engine that hangs, or whose machine
+is cut off, may end a prefill later, and may see later that an attempt has ended. So every engine that gave no
+sign on an attempt gets a release of its own once the request is over, and another one a while later, since it
+may process what it had waiting in any order.
 
-Bounds: `MOST_PENDING` releases, past which a new one is dropped and counted; one try at a time to each
-engine; each release is given up after `ABANDONED_AFTER_S`, or once its engine has left the list."""
+Bounds: `MAX_PENDING` releases, past which a new one is dropped and counted; one try at a time to each engine;
+each release is abandoned after `ABANDONED_AFTER_S`, or once its engine is no longer listed.
+"""
 
 from __future__ import annotations
 
@@ -16,125 +16,149 @@
 from dataclasses import dataclass, field
 
 from tuliptrack.node.counters import Counters
-from tuliptrack.relay.pools import EnginePools
-from tuliptrack.relay.releases import ABANDONED_AFTER_S, release_request
+from tuliptrack.relay.engine_pools import EnginePools
+from tuliptrack.relay.kv_state_releases import (
+    ABANDONED_AFTER_S,
+    allowed_seconds,
+    is_confirmed,
+    release_request,
+)
 from tuliptrack.rpc.http1_exchange import Exchange, How
 
 __all__ = ["LateReleases"]
 
-MOST_PENDING = 4_096
+MAX_PENDING = 4_096
 ROUNDS = 2
+"""Confirmations of each release: an engine may process the first one before the attempt that it follows."""
 
 
 @dataclass(slots=True, eq=False)
-class _Late:
-    """What one engine is to let go of for one request."""
+class _LateRelease:
+    """The release at one engine of what is reserved for one request."""
 
     call_id: str
-    until: float
+    abandoned_at: float
     """On the loop's clock, in seconds."""
     rounds: int = ROUNDS
-    """Confirmations that are still wanted."""
-    failed: bool = False
-    """A try has failed: kept connections to the engine may have fallen silent, so the next ones are new."""
+    """Confirmations that are still missing."""
+    has_failed: bool = False
+    """A try has failed: idle connections may have fallen silent, so further tries use new ones."""
 
 
 @dataclass(slots=True)
-class _Engine:
+class _EngineQueue:
     """What is pending at one engine, in the order in which it is due."""
 
-    due: deque[_Late] = field(default_factory=deque)
-    trying: Exchange | None = None
+    releases: deque[_LateRelease] = field(default_factory=deque)
+    open_try: Exchange | None = None
     timer: asyncio.TimerHandle | None = None
-    """When the try is given up, or the next one begins."""
+    """When the try is cancelled, or the next one starts."""
 
 
 class LateReleases:
-    """Releases at engines that gave no word on an attempt. `close` ends every try and timer."""
-
-    def __init__(self, pools: EnginePools, within: int, counters: Counters) -> None:
-        """`within`: microseconds after which a state that no attempt waits for has to be let go."""
-        self.pools, self.counters = pools, counters
-        self.pause = max(within / 1e6, 0.001)
-        """Seconds that a try may take, and between two where one has failed."""
-        self._engines: dict[int, _Engine] = {}
-        self._pending: dict[tuple[int, str], _Late] = {}
+    """The pending releases by engine and request. `close` ends every try and timer."""
+
+    def __init__(self, pools: EnginePools, release_within_us: int, counters: Counters) -> None:
+        """Release nothing yet.
+
+        Args:
+            pools: The engines.
+            release_within_us: After which a state that no attempt waits for must have been released.
+            counters: Of the node.
+        """
+        self._pools, self._counters = pools, counters
+        self._pause_s = allowed_seconds(release_within_us)
+        """How long a try may take, and the pause between two where one has failed."""
+        self._queues: dict[int, _EngineQueue] = {}
+        self._pending: dict[tuple[int, str], _LateRelease] = {}
+        """By `endpoint_id` and the client's id of the request."""
 
     def __len__(self) -> int:
+        """Return how many releases are pending."""
         return len(self._pending)
 
-    def begin(self, server: int, call_id: str) -> None:
-        """Have one engine let go of all that is held for a request that is over."""
-        if (server, call_id) in self._pending:
+    def start(self, endpoint_id: int, call_id: str) -> None:
+        """Have one engine release all that is reserved for a request that is over."""
+        if (endpoint_id, call_id) in self._pending:
             return
-        if len(self._pending) >= MOST_PENDING:
-            self.counters.add("late_releases_dropped")
+        if len(self._pending) >= MAX_PENDING:
+            self._counters.add("late_releases_dropped")
             return
-        self.counters.add("late_releases")
-        late = _Late(call_id, asyncio.get_running_loop().time() + ABANDONED_AFTER_S)
-        self._pending[server, call_id] = late
-        engine = self._engines.setdefault(server, _Engine())
-        engine.due.append(late)
-        if engine.trying is None and engine.timer is None:
-            self._next(server, engine)
-
-    def forget(self, call_id: str) -> None:
-        """The client has sent its request again: what is held for it from now on is wanted."""
-        for server in self._engines:
-            self._pending.pop((server, call_id), None)
+        self._counters.add("late_releases")
+        release = _LateRelease(call_id, asyncio.get_running_loop().time() + ABANDONED_AFTER_S)
+        self._pending[endpoint_id, call_id] = release
+        queue = self._queues.setdefault(endpoint_id, _EngineQueue())
+        queue.releases.append(release)
+        if queue.open_try is None and queue.timer is None:
+            self._try_next(endpoint_id, queue)
+
+    def cancel(self, call_id: str) -> None:
+        """Stop the releases of a request that its client has sent again: its new state is needed."""
+        for endpoint_id in self._queues:
+            self._pending.pop((endpoint_id, call_id), None)
 
     def close(self) -> None:
-        """Give up whatever is pending."""
+        """Give up every release."""
         self._pending.clear()
-        for engine in self._engines.values():
-            engine.due.clear()
-            if engine.timer:
-                engine.timer.cancel()
-            if engine.trying:
-                engine.trying.cancel()
-        self._engines.clear()
-
-    def _next(self, server: int, engine: _Engine) -> None:
-        """Try the release that is due first; an engine with none is forgotten."""
-        engine.timer = None
-        now = asyncio.get_running_loop().time()
-        while engine.due:
-            late = engine.due[0]
-            wanted = self._pending.get((server, late.call_id)) is late
-            if wanted and now < late.until and server in self.pools:
-                self._try(server, engine, late)
+        for queue in self._queues.values():
+            queue.releases.clear()
+            if queue.timer:
+                queue.timer.cancel()
+            if queue.open_try:
+                queue.open_try.cancel()
+        self._queues.clear()
+
+    def _is_pending(self, endpoint_id: int, release: _LateRelease) -> bool:
+        return self._pending.get((endpoint_id, release.call_id)) is release
+
+    def _try_next(self, endpoint_id: int, queue: _EngineQueue) -> None:
+        """Try the release that is due first; the queue of an engine without one is removed."""
+        queue.timer = None
+        now_s = asyncio.get_running_loop().time()
+        while queue.releases:
+            release = queue.releases[0]
+            is_pending = self._is_pending(endpoint_id, release)
+            if is_pending and now_s < release.abandoned_at and endpoint_id in self._pools:
+                self._try(endpoint_id, queue, release)
                 return
-            engine.due.popleft()
-            if wanted:
-                del self._pending[server, late.call_id]
-                self.counters.add("late_releases_abandoned")
-        self._engines.pop(server, None)
-
-    def _try(self, server: int, engine: _Engine, late: _Late) -> None:
-        pool = self.pools.get(server)
+            queue.releases.popleft()
+            if is_pending:
+                del self._pending[endpoint_id, release.call_id]
+                self._counters.add("late_releases_abandoned")
+        self._queues.pop(endpoint_id, None)
+
+    def _try(self, endpoint_id: int, queue: _EngineQueue, release: _LateRelease) -> None:
+        pool = self._pools.get_or_create(endpoint_id)
         assert pool
-        exchange = engine.trying = release_request(late.call_id, pool.address)
-        exchange.fresh = late.failed
-        exchange.on_end = lambda how, reason: self._tried(server, engine, late, exchange, how)
-        engine.timer = asyncio.get_running_loop().call_later(self.pause, exchange.cancel)
+        exchange = queue.open_try = release_request(release.call_id, pool.address)
+        exchange.fresh = release.has_failed
+        exchange.on_end = lambda outcome, _failure: self._try_ended(endpoint_id, queue, release, outcome)
+        queue.timer = asyncio.get_running_loop().call_later(self._pause_s, exchange.cancel)
         pool.send(exchange)
 
-    def _tried(self, server: int, engine: _Engine, late: _Late, exchange: Exchange, how: How) -> None:
-        if engine.timer:
-            engine.timer.cancel()
-        engine.trying, engine.timer = None, None
-        if self._engines.get(server) is not engine:
+    def _try_ended(self, endpoint_id: int, queue: _EngineQueue, release: _LateRelease, outcome: How) -> None:
+        exchange = queue.open_try
+        if queue.timer:
+            queue.timer.cancel()
+        queue.open_try, queue.timer = None, None
+        if self._queues.get(endpoint_id) is not queue:
             return  # Closed meanwhile.
+        if exchange and is_confirmed(exchange, outcome):
+            pause_s = self._record_confirmation(endpoint_id, queue)
+        else:
+            release.has_failed = True
+            pause_s = self._pause_s
         loop = asyncio.get_running_loop()
-        if how is not How.ANSWER or not 200 <= exchange.status < 300:
-            late.failed = True
-            engine.timer = loop.call_later(self.pause, self._next, server, engine)
-            return
-        engine.due.popleft()
-        late.rounds -= 1
-        if late.rounds:
-            engine.due.append(late)
-        elif self._pending.get((server, late.call_id)) is late:
-            del self._pending[server, late.call_id]
-        pause = self.pause / 2 if all(one.rounds < ROUNDS for one in engine.due) else 0.0
-        engine.timer = loop.call_later(pause, self._next, server, engine)
+        queue.timer = loop.call_later(pause_s, self._try_next, endpoint_id, queue)
+
+    def _record_confirmation(self, endpoint_id: int, queue: _EngineQueue) -> float:
+        """Put the first release at the end for its next round, or end it; return the pause in seconds."""
+        release = queue.releases.popleft()
+        release.rounds -= 1
+        if release.rounds:
+            queue.releases.append(release)
+        elif self._is_pending(endpoint_id, release):
+            del self._pending[endpoint_id, release.call_id]
+        # Rounds of the same release need a pause between them; first rounds follow each other at once.
+        has_first_round = any(pending.rounds == ROUNDS for pending in queue.releases)
+        return 0.0 if has_first_round else self._pause_s / 2
