--- a/tests/relay/test_spoilt_answers.py
+++ b/tests/relay/test_malformed_answers.py
@@ -1,4 +1,4 @@
-"""Answers of engines that can't be used, or that nobody asked for."""
+"""Answers of engines that are malformed, or that belong to no request."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from world import run, until
 
 
-def spoilt(*parts: bytes) -> Script:
+def malformed(*parts: bytes) -> Script:
     async def script(one: Seen, writer: asyncio.StreamWriter) -> None:
         if one.method == "DELETE":
             await reads(one, writer)
@@ -54,17 +54,20 @@
         "empty",
     ],
 )
-def test_a_stream_spoilt_before_its_first_event_is_tried_elsewhere(parts: tuple[bytes, ...]) -> None:
+def test_a_stream_that_is_malformed_before_its_first_event_is_retried(parts: tuple[bytes, ...]) -> None:
+    """The first decode engine answers with something that is no event stream; nothing has reached the client,
+    so another engine gets the request."""
+
     async def go() -> None:
         tried: list[Seen] = []
-        bad = spoilt(*parts)
+        malformed_answer = malformed(*parts)
 
-        async def first_bad(one: Seen, writer: asyncio.StreamWriter) -> None:
+        async def malformed_at_first(one: Seen, writer: asyncio.StreamWriter) -> None:
             if one.method == "POST":
                 tried.append(one)
-            await (bad if len(tried) == 1 and one.method == "POST" else writes)(one, writer)
+            await (malformed_answer if len(tried) == 1 and one.method == "POST" else writes)(one, writer)
 
-        async with platform(r0=reads, w0=first_bad, w1=first_bad) as p:
+        async with platform(r0=reads, w0=malformed_at_first, w1=malformed_at_first) as p:
             reply = await p.ask()
             assert (reply.status, reply.whole, reply.body) == (200, True, STREAM)
             assert len(tried) == 2
@@ -82,9 +85,11 @@
         chunk(b"data: cut") + b"0\r\n\r\n",
     ],
 )
-def test_a_stream_spoilt_later_ends_the_clients_connection_without_its_last_chunk(part: bytes) -> None:
+def test_a_stream_that_is_malformed_later_breaks_the_clients_answer(part: bytes) -> None:
+    """The client has got events already, so there is no retry: its answer ends without the last chunk."""
+
     async def go() -> None:
-        async with platform(r0=reads, w0=spoilt(OPENING + chunk(TOKENS[0]), part), w1=hangs) as p:
+        async with platform(r0=reads, w0=malformed(OPENING + chunk(TOKENS[0]), part), w1=hangs) as p:
             p.tell(w1="Terminating")
             await until(lambda: p.relay.directory.revision == p.revision)
             reply = await asyncio.wait_for(p.ask(), 5.0)
@@ -94,14 +99,16 @@
     run(go, virtual=True)
 
 
-def test_what_an_engine_sends_unasked_reaches_no_other_request() -> None:
+def test_an_answer_to_no_request_reaches_no_client() -> None:
+    """An engine sends a second answer on a connection after the one to its request."""
+
     async def go() -> None:
-        async def talks_on(one: Seen, writer: asyncio.StreamWriter) -> None:
+        async def sends_twice(one: Seen, writer: asyncio.StreamWriter) -> None:
             await writes(one, writer)
             await asyncio.sleep(0.005)
             writer.write(OPENING + chunk(b"data: not yours\n\n") + b"0\r\n\r\n")
 
-        async with platform(r0=reads, w0=talks_on) as p:
+        async with platform(r0=reads, w0=sends_twice) as p:
             for _ in range(6):
                 reply = await p.ask()
                 assert (reply.status, reply.whole, reply.body) == (200, True, STREAM)
--- a/tests/relay/test_view.py
+++ b/tests/relay/test_view.py
@@ -12,7 +12,8 @@
 from world import run, until
 
 from tuliptrack import interface as io
-from tuliptrack.relay.engine_client import HttpEngineClient, _Attempt
+from tuliptrack.relay.engine_client import HttpEngineClient
+from tuliptrack.relay.http_attempt import HttpAttempt
 from tuliptrack.routing.router import Router
 
 
@@ -64,7 +65,7 @@
                     for exchange in on_links | coming_up
                     if exchange.open and exchange.method == "POST"
                 }
-                calls = {call.exchange for a in out.values() if isinstance(call := a.call, _Attempt)}
+                calls = {call.exchange for a in out.values() if isinstance(call := a.call, HttpAttempt)}
                 if carried != calls or books != {
                     (number, attempt.endpoint_id) for number, attempt in out.items()
                 }:
--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -178,7 +178,7 @@
 
     def request_removed(self, record: RequestRecord) -> None:
         if record.state is RequestState.SERVED:
-            self.channels.served(record)
+            self.channels.record_served(record)
 
     def counter_values(self) -> dict[str, int]:
         connections = self.pools.connections
--- /dev/null
+++ b/tuliptrack/relay/event_stream.py
@@ -0,0 +1,114 @@
+"""Reads an engine's event stream: complete events for the client, and what the node itself needs of them.
+
+Bytes go in by `EventStream.feed`, which returns the events that have arrived in full, as they came. Comments
+are for the node: they carry load reports and are not forwarded. The node reads two more things: the last
+event, by which a stream is complete, and the token counts that come with the end.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from tuliptrack.relay.load_reports import REPORT_FIELD, parse_load_report
+
+__all__ = ["JSON_FIELD_ERRORS", "EventStream", "MalformedStreamError", "StreamUsage"]
+
+MAX_EVENT_BYTES = 65_536
+"""Of an event that has not arrived in full; beyond it the stream is malformed."""
+JSON_FIELD_ERRORS = (ValueError, TypeError, KeyError, RecursionError, OverflowError)
+"""What reading a field of unchecked JSON may raise."""
+_SEPARATOR = b"\n\n"
+_COMMENT = b":"
+_DATA = b"data:"
+_LAST_EVENT = b"[DONE]"
+
+
+class MalformedStreamError(Exception):
+    """The stream cannot be forwarded any further."""
+
+
+@dataclass(frozen=True, slots=True)
+class StreamUsage:
+    """Token counts of an answer."""
+
+    cached_tokens: int
+    output_tokens: int | None
+    """None where the engine states no valid number."""
+
+
+class EventStream:
+    """The event stream of one answer. Bound: `MAX_EVENT_BYTES` and one piece of the body."""
+
+    __slots__ = ("_buffer", "_record_usage", "_report_names", "has_last_event", "load_report")
+
+    def __init__(self, report_names: tuple[str, ...], record_usage: Callable[[StreamUsage], None]) -> None:
+        """Expect the first byte of the stream.
+
+        Args:
+            report_names: Names of a load report's values.
+            record_usage: Called with the token counts, before `feed` returns the event that carries them.
+        """
+        self._report_names, self._record_usage = report_names, record_usage
+        self._buffer = bytearray()
+        self.load_report: tuple[float, ...] = ()
+        """The last valid one; empty before it."""
+        self.has_last_event = False
+        """Whether the engine has marked the stream as complete."""
+
+    @property
+    def is_complete(self) -> bool:
+        """Whether the stream has ended as it should, with nothing after its last event."""
+        return self.has_last_event and not self._buffer
+
+    def feed(self, data: bytes) -> bytes:
+        """Add a piece of the body; return the events that are complete now, without comments.
+
+        Raises:
+            MalformedStreamError: It is no event stream.
+        """
+        self._buffer += data
+        end = self._buffer.rfind(_SEPARATOR)
+        if end < 0:
+            if len(self._buffer) > MAX_EVENT_BYTES:
+                raise MalformedStreamError("an event without an end")
+            return b""
+        complete = bytes(self._buffer[:end])
+        del self._buffer[: end + len(_SEPARATOR)]
+        events = [event for event in complete.split(_SEPARATOR) if self._read_event(event)]
+        return _SEPARATOR.join([*events, b""]) if events else b""
+
+    def _read_event(self, event: bytes) -> bool:
+        """Read an event; return whether the client gets it."""
+        if event.startswith(_COMMENT):
+            self._read_comment(event)
+            return False
+        if not event.startswith(_DATA):
+            raise MalformedStreamError("something that is no event")
+        self._read_data(event.removeprefix(_DATA).strip())
+        return True
+
+    def _read_comment(self, event: bytes) -> None:
+        name, _, value = event.removeprefix(_COMMENT).decode("latin-1").partition(":")
+        if name.strip().lower() == REPORT_FIELD:
+            self.load_report = parse_load_report(value, self._report_names) or self.load_report
+
+    def _read_data(self, text: bytes) -> None:
+        if text == _LAST_EVENT:
+            self.has_last_event = True
+        elif b'"usage"' in text and (usage := _parse_usage(text)):
+            self._record_usage(usage)
+
+
+def _parse_usage(text: bytes) -> StreamUsage | None:
+    """Return the token counts of an event; None where they cannot be read, as they are meant for the client."""
+    try:
+        usage = json.loads(text)["usage"]
+        cached_tokens = int(usage["prompt_tokens_details"]["cached_tokens"])
+    except JSON_FIELD_ERRORS:
+        return None
+    try:
+        return StreamUsage(cached_tokens, int(usage["completion_tokens"]))
+    except JSON_FIELD_ERRORS:
+        return StreamUsage(cached_tokens, None)
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -17,7 +17,7 @@
     Usage,
 )
 from tuliptrack.node.core import Core
-from tuliptrack.relay.engine_client import Inbound
+from tuliptrack.relay.forwarded_request import ForwardedRequest
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.h1 import Fields
 from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Refusal
@@ -205,7 +205,7 @@
             is_resumed=again == "again",
             call_id=call_id,
             is_disconnected=call.left,
-            payload=Inbound(call.method, call.target, call.body, _end_to_end(call.fields)),
+            payload=ForwardedRequest(call.method, call.target, call.body, _end_to_end(call.fields)),
         )
 
 
--- /dev/null
+++ b/tuliptrack/relay/http_attempt.py
@@ -0,0 +1,245 @@
+"""One attempt at an engine on the platform's HTTP: its answer as it arrives, and its end in the core's terms.
+
+A prefill is answered by 202 with a small JSON body, a decode by 200 with an event stream. A rejection carries
+`x-rejected: 1`: the engine has not run the request. Everything else is an error, or a broken connection.
+"""
+
+from __future__ import annotations
+
+import json
+from typing import cast
+
+import structlog
+
+from tuliptrack.fronts.port import FinishReason, RawResponseWriter
+from tuliptrack.interface import Status
+from tuliptrack.node.attempt_state import Delivery
+from tuliptrack.node.core import Core
+from tuliptrack.node.port import AttemptResult
+from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
+from tuliptrack.relay.corroboration import Corroboration
+from tuliptrack.relay.event_stream import JSON_FIELD_ERRORS, EventStream, MalformedStreamError, StreamUsage
+from tuliptrack.relay.forwarded_request import ForwardedRequest
+from tuliptrack.relay.load_reports import REPORT_FIELD, parse_load_report
+from tuliptrack.rpc.h1 import Answer
+from tuliptrack.rpc.http1_exchange import Exchange, How
+
+__all__ = ["HttpAttempt"]
+
+log = structlog.get_logger("engines")
+MAX_BODY_BYTES = 65_536
+"""Of an answer that is no stream."""
+_REJECTED_FIELD = "x-rejected"
+_STREAM_STATUS = 200
+_PREFILL_STATUS = 202
+_STATE_LOST_STATUS = 410
+_AT_CAPACITY_STATUSES = (503, 504)
+_INVALID_REQUEST_STATUSES = range(400, 500)
+_STATUS_BY_OUTCOME = {
+    How.CONNECT: Status.CONNECT_FAILED,
+    How.NO_ROOM: Status.ABANDONED,
+    How.RESET: Status.RESET,
+}
+
+
+class HttpAttempt:
+    """An attempt that is in progress; see `node.port.AttemptCall`."""
+
+    __slots__ = (
+        "_attempt",
+        "_body",
+        "_core",
+        "_corroboration",
+        "_head_load_report",
+        "_is_rejected",
+        "_record",
+        "_report_names",
+        "_status_if_cancelled",
+        "_stream",
+        "exchange",
+    )
+
+    def __init__(
+        self,
+        core: Core,
+        record: RequestRecord,
+        attempt: Attempt,
+        exchange: Exchange,
+        corroboration: Corroboration,
+        report_names: tuple[str, ...],
+    ) -> None:
+        self.exchange = exchange
+        self._core, self._record, self._attempt = core, record, attempt
+        self._corroboration = corroboration
+        self._report_names = report_names
+        self._stream = EventStream(report_names, self._record_usage)
+        self._body = bytearray()
+        """Of an answer that is no stream."""
+        self._head_load_report: tuple[float, ...] = ()
+        self._is_rejected = False
+        self._status_if_cancelled = Status.CANCELLED
+        exchange.on_head = self._handle_head
+        exchange.on_data = self._handle_data
+        exchange.on_end = self._handle_end
+
+    def cancel(self, status: Status) -> None:
+        """End the attempt, as `status`."""
+        self._status_if_cancelled = status
+        self.exchange.cancel()
+
+    def delivery(self) -> Delivery:
+        """Return how far the attempt has come."""
+        if not self.exchange.sent:
+            return Delivery.NOT_SENT
+        if self.exchange.heard:
+            return Delivery.CONFIRMED
+        return Delivery.CORROBORATED if self._corroboration.is_corroborated() else Delivery.POSSIBLE
+
+    def confirm_arrival(self) -> None:
+        """Find out whether the attempt has arrived."""
+        if not self.exchange.heard:
+            self._corroboration.seek()
+
+    def mark_doubtful(self) -> None:
+        """Do not rely on its connection and its engine until they send something."""
+        self.exchange.doubt()
+
+    def pause(self) -> None:
+        """Read no more of the answer for now."""
+        self.exchange.pause()
+
+    def resume(self) -> None:
+        """Read on."""
+        self.exchange.resume()
+
+    @property
+    def _is_stream(self) -> bool:
+        return self.exchange.status == _STREAM_STATUS and not self._attempt.is_prefill
+
+    @property
+    def _load_report(self) -> tuple[float, ...]:
+        return self._stream.load_report or self._head_load_report
+
+    def _handle_head(self, head: Answer) -> None:
+        for name, value in head.fields:
+            if name == REPORT_FIELD:
+                self._head_load_report = parse_load_report(value, self._report_names)
+            elif name == _REJECTED_FIELD and value.strip() == "1":
+                self._is_rejected = True
+
+    def _handle_data(self, data: bytes) -> None:
+        if self._is_stream:
+            self._handle_events(data)
+            return
+        self._body += data
+        if len(self._body) > MAX_BODY_BYTES:
+            self._fail("an answer that is too long")
+
+    def _handle_events(self, data: bytes) -> None:
+        try:
+            events = self._stream.feed(data)
+        except MalformedStreamError as error:
+            self._fail(str(error))
+            return
+        if not events or not self._core.output_arrived(self._record, self._attempt):
+            return
+        cast(ForwardedRequest, self._record.client_request.payload).body = b""
+        is_accepted = cast(RawResponseWriter, self._record.response).events(events)
+        self._core.output_forwarded(self._record, self._attempt, is_accepted)
+
+    def _fail(self, reason: str) -> None:
+        """End an attempt whose answer cannot be used."""
+        log.warning("engine fault", request=self._record.id, server=self._attempt.endpoint_id, reason=reason)
+        self.exchange.spoilt = True
+        self.cancel(Status.RESET)
+
+    def _record_usage(self, usage: StreamUsage) -> None:
+        max_cached_tokens = self._record.client_request.prompt_tokens
+        self._record.cached_tokens = max(0, min(usage.cached_tokens, max_cached_tokens))
+        if usage.output_tokens is not None:
+            self._record.next_index = usage.output_tokens
+
+    def _handle_end(self, outcome: How, failure: str) -> None:
+        self._corroboration.close()
+        self._core.attempt_ended(self._record, self._attempt, self._result(outcome, failure))
+
+    def _result(self, outcome: How, failure: str) -> AttemptResult:
+        if outcome is How.GIVEN_UP and not self.exchange.sent:
+            return self._result_of_unsent()
+        if outcome is How.GIVEN_UP:
+            return self._result_of_broken(self._status_if_cancelled, "given up")
+        if outcome is not How.ANSWER:
+            return self._result_of_broken(_STATUS_BY_OUTCOME[outcome], failure)
+        return self._result_of_answer()
+
+    def _result_of_unsent(self) -> AttemptResult:
+        """Return the result of an attempt that was cancelled before it was sent.
+
+        It never ran, and its end says nothing of its engine but that no connection came up in time.
+        """
+        is_timeout = self._status_if_cancelled is Status.TIMEOUT
+        return AttemptResult(
+            Status.CONNECT_FAILED if is_timeout else Status.ABANDONED,
+            "given up before it was sent",
+            is_connection_only=is_timeout,
+        )
+
+    def _result_of_broken(self, status: Status, reason: str) -> AttemptResult:
+        exchange = self.exchange
+        return AttemptResult(
+            status,
+            reason,
+            # A malformed stream has run: the KV state that it needed is gone.
+            is_state_lost=exchange.spoilt and not self._attempt.is_prefill,
+            load_report=self._load_report,
+            is_connection_only=exchange.spoilt or exchange.lone,
+            is_confirmed=exchange.heard,
+            is_corroborated=self._corroboration.is_corroborated(),
+        )
+
+    def _result_of_answer(self) -> AttemptResult:
+        status = self.exchange.status
+        if self._is_rejected and status in _AT_CAPACITY_STATUSES:
+            return self._confirmed(Status.AT_CAPACITY, "turned away")
+        if self._is_rejected and status == _STATE_LOST_STATUS:
+            return self._confirmed(Status.AT_CAPACITY, "the state is gone", is_state_lost=True)
+        if status == _PREFILL_STATUS and self._attempt.is_prefill:
+            location = KvStateLocation(self._attempt.endpoint_id, "", "")
+            self._core.prefill_finished(self._record, self._attempt, location, self._cached_tokens())
+            return self._confirmed(Status.OK)
+        if self._is_stream:
+            return self._result_of_stream()
+        is_invalid = status in _INVALID_REQUEST_STATUSES
+        return self._confirmed(Status.ERROR, f"answered {status}", is_invalid_request=is_invalid)
+
+    def _result_of_stream(self) -> AttemptResult:
+        if not self._stream.is_complete:
+            self.exchange.spoilt = True
+            return self._result_of_broken(Status.RESET, "a stream that isn't whole")
+        self._record.finish_reason = FinishReason.STOP
+        return self._confirmed(Status.OK)
+
+    def _confirmed(
+        self,
+        status: Status,
+        reason: str = "",
+        *,
+        is_state_lost: bool = False,
+        is_invalid_request: bool = False,
+    ) -> AttemptResult:
+        """Return the result of an attempt that its engine has answered in full."""
+        return AttemptResult(
+            status,
+            reason,
+            is_state_lost=is_state_lost,
+            load_report=self._load_report,
+            is_invalid_request=is_invalid_request,
+            is_confirmed=True,
+        )
+
+    def _cached_tokens(self) -> int:
+        """Return how much of the prompt the prefill found cached; 0 where its answer does not say."""
+        try:
+            return int(json.loads(bytes(self._body))["cached_tokens"])
+        except JSON_FIELD_ERRORS:
+            return 0
