--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -24,7 +24,7 @@
 from tuliptrack.node.logs import lines_lost, set_up
 from tuliptrack.node.request_reader import CoreLimits
 from tuliptrack.node.requests import RequestRecord, RequestState
-from tuliptrack.relay.config import RelayConfig, RelayConfigError, RelayConfigUnreadable, load
+from tuliptrack.relay.config import RelayConfig, RelayConfigError, RelayConfigUnreadableError, load
 from tuliptrack.relay.discovery import MAX_CONNECTIONS, Discovery
 from tuliptrack.relay.endpoint_directory import EndpointDirectory
 from tuliptrack.relay.endpoint_entries import InvalidEndpointListError
@@ -70,17 +70,17 @@
 
     def __init__(self, config: RelayConfig) -> None:
         self.config = config
-        room = config.sockets - _OWN
-        clients = min(int(config.sockets * _CLIENTS), room // 2)
-        engines = min(int(config.sockets * _ENGINES), room - clients)
+        room = config.max_descriptors - _OWN
+        clients = min(int(config.max_descriptors * _CLIENTS), room // 2)
+        engines = min(int(config.max_descriptors * _ENGINES), room - clients)
         super().__init__(
             config.settings,
             config.seed or random.getrandbits(63),
             config.name,
             CoreLimits(answer_ahead=20_000, token_silence=_SILENCE),
-            ConcurrencyLimits(min(config.open_requests, clients), clients, 1),
+            ConcurrencyLimits(min(config.max_open_requests, clients), clients, 1),
         )
-        idle = config.idle or 15_000_000
+        idle = config.engine_idle_timeout_us or 15_000_000
         self.pools = EnginePools(
             ClientOptions(
                 connect_timeout=config.settings.connect_timeout_us,
@@ -105,7 +105,7 @@
         )
         self.directory = EndpointDirectory(config.kinds, config.zones)
         self.source = Discovery(
-            config.discovery,
+            config.discovery_address,
             lambda: max(self.directory.revision, 0),
             lambda told, first: self.listed(told, anew=first),
             config.settings.drain_grace_us,
@@ -122,7 +122,7 @@
     async def start(self) -> str:
         """Serve; returns host:port. It is ready once what it is asked is looked at: it listens, and knows
         engines, from its settings or from a first list, or has waited for one for `_LIST_S`."""
-        self.listed(self.config.known, cached=True)
+        self.listed(self.config.cached_list, cached=True)
         self.source.start()
         host, _, port = self.config.listen.rpartition(":")
         address = await retry_async(
@@ -138,7 +138,7 @@
             address=address,
             name=self.config.name,
             pid=os.getpid(),
-            sockets=self.config.sockets,
+            sockets=self.config.max_descriptors,
             memory_mb=self.config.memory_bytes >> 20,
             servers=len(self.directory.addresses),
         )
@@ -213,7 +213,7 @@
         try:
             config = load(os.environ)
         except RelayConfigError as error:
-            tries_on = isinstance(error, RelayConfigUnreadable) and self.now() < until
+            tries_on = isinstance(error, RelayConfigUnreadableError) and self.now() < until
             if not (again and tries_on):
                 log.error("settings not taken", reason=str(error), read_again=tries_on)
             if tries_on:
@@ -221,8 +221,8 @@
                     _RELOAD_AGAIN_S, self._try_reload, until, True
                 )
             return
-        log.info("settings read anew", discovery=config.discovery)
-        self.source.switch_to(config.discovery)
+        log.info("settings read anew", discovery=config.discovery_address)
+        self.source.switch_to(config.discovery_address)
 
     def _cancel_reload(self) -> None:
         if self._reload:
@@ -299,7 +299,7 @@
         "reading the settings",
         lambda: load(os.environ),
         _START_S,
-        lambda error: isinstance(error, RelayConfigUnreadable),
+        lambda error: isinstance(error, RelayConfigUnreadableError),
     )
 
 
--- a/tuliptrack/relay/config.py
+++ b/tuliptrack/relay/config.py
@@ -1,4 +1,7 @@
-"""What the platform tells a node: its environment, and the file that `RELAY_CONFIG` names."""
+"""The settings of one node: the JSON file that `RELAY_CONFIG` names, and the environment for what it omits.
+
+The names of the file's fields appear in this module only. An error names the field that is wrong.
+"""
 
 from __future__ import annotations
 
@@ -12,136 +15,159 @@
 from tuliptrack.interface import Settings
 from tuliptrack.simulator_adapter import WireError, settings_of
 
-__all__ = ["RelayConfig", "RelayConfigError", "RelayConfigUnreadable", "load", "parse"]
+__all__ = ["RelayConfig", "RelayConfigError", "RelayConfigUnreadableError", "load", "parse"]
 
-_LARGEST = 16_777_216  # bytes of the file
-LEAST_SOCKETS = (
-    48  # descriptors below which a node can't serve: what it needs itself and some for clients and engines
-)
+MAX_FILE_BYTES = 16_777_216
+MIN_DESCRIPTORS = 48
+"""Below it a node cannot serve: what it needs itself, and some for clients and engines."""
+DEFAULT_DESCRIPTORS = 1_024
+DEFAULT_MEMORY_MIB = 192
+DEFAULT_MAX_OPEN_REQUESTS = 20_000
+BYTES_PER_MIB = 1_048_576
+MAX_PORT = 65_535
+MAX_ERROR_CHARACTERS = 200
+"""Of an error's text, since a wrong value may be long."""
 
 
 class RelayConfigError(Exception):
-    """Settings that can't be used; the text names the field."""
+    """Settings that cannot be used; the text names the field."""
+
 
+class RelayConfigUnreadableError(RelayConfigError):
+    """The file cannot be read, or is no complete JSON.
 
-class RelayConfigUnreadable(RelayConfigError):
-    """A file that can't be read, or holds no whole JSON: it may be just being written, or its folder may fail
-    for a while."""
+    It may be in the middle of being written, or its folder may fail for a while, so reading it again may help.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class RelayConfig:
-    """One node's settings. Times in microseconds."""
+    """One node's settings."""
 
     name: str
     listen: str
-    """host:port to listen on, and no other."""
-    discovery: str
-    """host:port of the agent that tells the list."""
+    """host:port to listen on."""
+    discovery_address: str
+    """host:port of the agent that serves the endpoint list."""
     seed: int
+    """Of the router's random choices; 0: a random one."""
     memory_bytes: int
-    sockets: int
-    """Descriptors that the process may hold: what the settings say, or the system where that is less."""
-    known: Mapping[str, Any]
-    """The list as this node had it last, in discovery's form; it may be old."""
+    max_descriptors: int
+    """File descriptors that the process may use, by the settings or by the system, whichever is less."""
+    cached_list: Mapping[str, Any]
+    """The endpoint list as this node had it last, in the agent's format; it may be old."""
     settings: Settings
     kinds: tuple[str, ...]
-    """Names of the kinds of engines, by number."""
+    """Names of the kinds of engines, in the order of their numbers."""
     zones: tuple[str, ...]
-    """Names of the zones, by number."""
+    """Names of the zones, in the order of their numbers."""
     report_names: tuple[str, ...]
-    """What a load report calls its values, in the settings' order."""
-    idle: int
-    """After so long an engine closes a connection that stands idle; 0: not told."""
-    open_requests: int
+    """Names of a load report's values, in the settings' order."""
+    engine_idle_timeout_us: int
+    """After which an engine closes an idle connection; 0: unknown."""
+    max_open_requests: int
 
 
 def load(environ: Mapping[str, str]) -> RelayConfig:
-    """The settings that the environment points to; RelayConfigError where they can't be used."""
+    """Read the settings that the environment points to.
+
+    Raises:
+        RelayConfigUnreadableError: The file cannot be read now.
+        RelayConfigError: The settings cannot be used.
+    """
     path = environ.get("RELAY_CONFIG", "")
     if not path:
         raise RelayConfigError("RELAY_CONFIG: is not set")
     try:
         with Path(path).open("rb") as file:
-            text = file.read(_LARGEST + 1)
+            text = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise RelayConfigUnreadable(f"RELAY_CONFIG: {path}: {error.strerror or error}") from None
-    if len(text) > _LARGEST:
-        raise RelayConfigError(f"RELAY_CONFIG: {path}: more than {_LARGEST} bytes")
+        raise RelayConfigUnreadableError(f"RELAY_CONFIG: {path}: {error.strerror or error}") from None
+    if len(text) > MAX_FILE_BYTES:
+        raise RelayConfigError(f"RELAY_CONFIG: {path}: more than {MAX_FILE_BYTES} bytes")
     config = parse(text, environ)
-    system, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    sockets = config.sockets if system == resource.RLIM_INFINITY else min(config.sockets, system)
-    if sockets < LEAST_SOCKETS:
+    system_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    is_unlimited = system_limit == resource.RLIM_INFINITY
+    max_descriptors = config.max_descriptors if is_unlimited else min(config.max_descriptors, system_limit)
+    if max_descriptors < MIN_DESCRIPTORS:
         raise RelayConfigError(
-            f"limits.sockets: must be {LEAST_SOCKETS} at least, is {config.sockets}, and the system allows {system}"
+            f"limits.sockets: must be {MIN_DESCRIPTORS} at least, is {config.max_descriptors}, "
+            f"and the system allows {system_limit}"
         )
-    return replace(config, sockets=sockets)
+    return replace(config, max_descriptors=max_descriptors)
 
 
 def parse(text: bytes, environ: Mapping[str, str]) -> RelayConfig:
-    """The file's settings; the environment stands in for what it leaves out."""
+    """Parse the file's text; the environment states what it omits.
+
+    Raises:
+        RelayConfigUnreadableError: It is no JSON.
+        RelayConfigError: The settings cannot be used.
+    """
     try:
-        told = json.loads(text)
+        file = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise RelayConfigUnreadable(f"not JSON ({error})"[:200]) from None
-    if not isinstance(told, dict):
+        raise RelayConfigUnreadableError(f"not JSON ({error})"[:MAX_ERROR_CHARACTERS]) from None
+    if not isinstance(file, dict):
         raise RelayConfigError("not a JSON object")
-    limits = _object(told, "limits")
-    raw = _object(told, "settings", True)
+    process_limits = _object(file, "limits")
+    policy = _object(file, "settings", is_required=True)
     try:
-        settings = settings_of(raw)
+        settings = settings_of(policy)
     except WireError as error:
         raise RelayConfigError(str(error)) from None
-    reporting, own = _object(raw, "reporting"), _object(raw, "limits")
+    reporting, policy_limits = _object(policy, "reporting"), _object(policy, "limits")
     return RelayConfig(
-        name=str(told.get("name") or environ.get("RELAY_NAME") or "node"),
-        listen=_address(told.get("listen") or environ.get("RELAY_LISTEN"), "listen"),
-        discovery=_address(told.get("discovery") or environ.get("RELAY_DISCOVERY"), "discovery"),
-        seed=_seed(told.get("seed", "0")),
-        memory_bytes=int(_number(limits, "limits.memory_mb", 192) * 1_048_576),
-        sockets=int(_number(limits, "limits.sockets", 1_024)),
-        known=_object(told, "known"),
+        name=str(file.get("name") or environ.get("RELAY_NAME") or "node"),
+        listen=_address(file.get("listen") or environ.get("RELAY_LISTEN"), "listen"),
+        discovery_address=_address(file.get("discovery") or environ.get("RELAY_DISCOVERY"), "discovery"),
+        seed=_seed(file.get("seed", "0")),
+        memory_bytes=int(_number(process_limits, "limits.memory_mb", DEFAULT_MEMORY_MIB) * BYTES_PER_MIB),
+        max_descriptors=int(_number(process_limits, "limits.sockets", DEFAULT_DESCRIPTORS)),
+        cached_list=_object(file, "known"),
         settings=settings,
-        kinds=_names(raw, "hostTypes"),
-        zones=_names(raw, "failureDomains"),
+        kinds=_names(policy, "hostTypes"),
+        zones=_names(policy, "failureDomains"),
         report_names=_names(reporting, "fields") if reporting.get("how") != "silent" else (),
-        idle=int(own.get("connIdle") or 0),
-        open_requests=int(own.get("openCap") or 20_000),
+        engine_idle_timeout_us=int(policy_limits.get("connIdle") or 0),
+        max_open_requests=int(policy_limits.get("openCap") or DEFAULT_MAX_OPEN_REQUESTS),
     )
 
 
-def _object(of: Mapping[str, Any], name: str, needed: bool = False) -> dict[str, Any]:
-    found = of.get(name)
-    if found is None and not needed:
+def _object(parent: Mapping[str, Any], name: str, is_required: bool = False) -> dict[str, Any]:
+    value = parent.get(name)
+    if value is None and not is_required:
         return {}
-    if not isinstance(found, dict):
+    if not isinstance(value, dict):
         raise RelayConfigError(f"{name}: must be an object")
-    return found
+    return value
 
 
-def _number(of: Mapping[str, Any], name: str, default: float) -> float:
-    found = of.get(name.rpartition(".")[2], default)
-    if isinstance(found, bool) or not isinstance(found, int | float) or not found > 0:
-        raise RelayConfigError(f"{name}: must be a number above 0, is {found!r}"[:200])
-    return found
+def _number(parent: Mapping[str, Any], name: str, default: float) -> float:
+    value = parent.get(name.rpartition(".")[2], default)
+    if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
+        raise RelayConfigError(f"{name}: must be a number above 0, is {value!r}"[:MAX_ERROR_CHARACTERS])
+    return value
 
 
-def _names(of: Mapping[str, Any], name: str) -> tuple[str, ...]:
-    found = of.get(name) or []
-    if not isinstance(found, list) or not all(isinstance(one, str) for one in found):
+def _names(parent: Mapping[str, Any], name: str) -> tuple[str, ...]:
+    value = parent.get(name) or []
+    if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
         raise RelayConfigError(f"{name}: must be a list of names")
-    return tuple(found)
+    return tuple(value)
 
 
-def _seed(found: object) -> int:
+def _seed(value: object) -> int:
     try:
-        return int(str(found), 16)
+        return int(str(value), 16)
     except ValueError:
-        raise RelayConfigError(f"seed: must be a hexadecimal number, is {found!r}"[:200]) from None
+        raise RelayConfigError(
+            f"seed: must be a hexadecimal number, is {value!r}"[:MAX_ERROR_CHARACTERS]
+        ) from None
 
 
-def _address(found: object, name: str) -> str:
-    host, _, port = str(found or "").rpartition(":")
-    if not host or not port.isdigit() or not 0 <= int(port) <= 65_535:
-        raise RelayConfigError(f"{name}: must be host:port, is {found!r}"[:200])
-    return str(found)
+def _address(value: object, name: str) -> str:
+    host, _, port = str(value or "").rpartition(":")
+    if not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
+        raise RelayConfigError(f"{name}: must be host:port, is {value!r}"[:MAX_ERROR_CHARACTERS])
+    return str(value)
