--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -2,8 +2,7 @@
 
 SIGHUP reads the settings' file anew and follows the list's new address. SIGTERM or SIGINT: requests are still
 served for as long as nothing may kill the node, since clients keep their connections; then what is open ends,
-and the program.
-"""
+and the program."""
 
 from __future__ import annotations
 
@@ -26,11 +25,13 @@
 from tuliptrack.node.request_reader import CoreLimits
 from tuliptrack.node.request_state import RequestState
 from tuliptrack.node.requests import RequestRecord
-from tuliptrack.relay.config import RelayConfig, RelayConfigError, RelayConfigUnreadable, load
-from tuliptrack.relay.discovery import MOST_CALLS, Discovery, ListError, Members
+from tuliptrack.relay.config import RelayConfig, RelayConfigError, RelayConfigUnreadableError, load
+from tuliptrack.relay.discovery import MAX_CONNECTIONS, Discovery
+from tuliptrack.relay.endpoint_directory import EndpointDirectory
+from tuliptrack.relay.endpoint_entries import InvalidEndpointListError
 from tuliptrack.relay.engine_client import HttpEngineClient
+from tuliptrack.relay.engine_pools import EnginePools
 from tuliptrack.relay.front import Front
-from tuliptrack.relay.pools import EnginePools
 from tuliptrack.rpc.http1 import HttpLimits
 from tuliptrack.rpc.http1_client import ClientOptions
 from tuliptrack.rpc.http1_pool import Connections
@@ -60,7 +61,7 @@
 # Descriptors that neither clients nor engines get: log and standard streams (3), listener, selector, its
 # wake-up (2), the settings' file, one that an import may need; connections accepted before they are looked
 # at; the list's calls.
-_OWN = 8 + ACCEPTED_AT_ONCE + MOST_CALLS
+_OWN = 8 + ACCEPTED_AT_ONCE + MAX_CONNECTIONS
 _CLIENTS, _ENGINES = 0.45, 0.4  # of the descriptors, at most: what they get where there are many
 _BODY = 262_144  # bytes of one body, in or out, by the protocol
 
@@ -70,17 +71,17 @@
 
     def __init__(self, config: RelayConfig) -> None:
         self.config = config
-        room = config.sockets - _OWN
-        clients = min(int(config.sockets * _CLIENTS), room // 2)
-        engines = min(int(config.sockets * _ENGINES), room - clients)
+        room = config.max_descriptors - _OWN
+        clients = min(int(config.max_descriptors * _CLIENTS), room // 2)
+        engines = min(int(config.max_descriptors * _ENGINES), room - clients)
         super().__init__(
             config.settings,
             config.seed or random.getrandbits(63),
             config.name,
             CoreLimits(answer_ahead=20_000, token_silence=_SILENCE),
-            ConcurrencyLimits(min(config.open_requests, clients), clients, 1),
+            ConcurrencyLimits(min(config.max_open_requests, clients), clients, 1),
         )
-        idle = config.idle or 15_000_000
+        idle = config.engine_idle_timeout_us or 15_000_000
         self.pools = EnginePools(
             ClientOptions(
                 connect_timeout=config.settings.connect_timeout_us,
@@ -103,10 +104,10 @@
             ByteBudget(config.memory_bytes // 8),
             ByteBudget(config.memory_bytes // 6),
         )
-        self.members = Members(config.kinds, config.zones)
+        self.directory = EndpointDirectory(config.kinds, config.zones)
         self.source = Discovery(
-            config.discovery,
-            lambda: max(self.members.revision, 0),
+            config.discovery_address,
+            lambda: max(self.directory.revision, 0),
             lambda told, first: self.listed(told, anew=first),
             config.settings.drain_grace_us,
         )
@@ -121,16 +122,15 @@
 
     async def start(self) -> str:
         """Serve; returns host:port. It is ready once what it is asked is looked at: it listens, and knows
-        engines, from its settings or from a first list, or has waited for one for `_LIST_S`.
-        """
-        self.listed(self.config.known, cached=True)
+        engines, from its settings or from a first list, or has waited for one for `_LIST_S`."""
+        self.listed(self.config.cached_list, cached=True)
         self.source.start()
         host, _, port = self.config.listen.rpartition(":")
         address = await retry_async(
             f"listening at {self.config.listen}", lambda: self.front.server.listen(host, int(port)), _START_S
         )
         self._sweeper = asyncio.get_running_loop().create_task(self._sweep())
-        if self.members.addresses:
+        if self.directory.addresses:
             self.front.ready = True
         else:
             self._getting_ready = asyncio.get_running_loop().call_later(_LIST_S, self._is_ready)
@@ -139,25 +139,24 @@
             address=address,
             name=self.config.name,
             pid=os.getpid(),
-            sockets=self.config.sockets,
+            sockets=self.config.max_descriptors,
             memory_mb=self.config.memory_bytes >> 20,
-            servers=len(self.members.addresses),
+            servers=len(self.directory.addresses),
         )
         return address
 
     def listed(self, told: Mapping[str, Any], cached: bool = False, anew: bool = False) -> bool:
         """A list of engines has come; `anew`: the first one of an agent. False where it is older than the one
-        held, ListError where it can't be used.
-        """
+        held, InvalidEndpointListError where it can't be used."""
         try:
-            change = self.members.take(told, cached, anew)
-        except ListError as error:
+            change = self.directory.apply(told, is_cached=cached, is_new_agent=anew)
+        except InvalidEndpointListError as error:
             self._turn_down(str(error))
             if not cached:
                 raise
             change = io.EndpointListUpdate(io.UpdateKind.CACHED)
         if change is None:
-            self._turn_down(f"older than revision {self.members.revision}")
+            self._turn_down(f"older than revision {self.directory.revision}")
             return False
         self._turned_down = self._turned_down if cached else ""
         self._is_ready()
@@ -168,19 +167,19 @@
             return True  # Nothing new: the answer only shows that the agent speaks.
         # The router goes first: what it stops sending to may then be let go.
         self.dispatch(change)
-        self.pools.update(self.members.addresses)
+        self.pools.update(self.directory.addresses)
         log.info(
             "server list",
             kind=change.kind.value,
             version=change.version,
-            servers=len(self.members.addresses),
+            servers=len(self.directory.addresses),
             changed=[f"{s.state.value}:{s.id % 1_000_000}" for s in change.endpoints] if not cached else [],
         )
         return True
 
     def request_removed(self, record: RequestRecord) -> None:
         if record.state is RequestState.SERVED:
-            self.channels.served(record)
+            self.channels.record_served(record)
 
     def counter_values(self) -> dict[str, int]:
         connections = self.pools.connections
@@ -205,8 +204,7 @@
 
     def reload(self) -> None:
         """Read the settings' file anew: the list's new address holds from now on. What else has changed waits
-        for the next start, as requests in flight were let in under the old settings.
-        """
+        for the next start, as requests in flight were let in under the old settings."""
         self._cancel_reload()
         self._try_reload(self.now() + int(_RELOAD_S * 1e6))
 
@@ -216,7 +214,7 @@
         try:
             config = load(os.environ)
         except RelayConfigError as error:
-            tries_on = isinstance(error, RelayConfigUnreadable) and self.now() < until
+            tries_on = isinstance(error, RelayConfigUnreadableError) and self.now() < until
             if not (again and tries_on):
                 log.error("settings not taken", reason=str(error), read_again=tries_on)
             if tries_on:
@@ -224,8 +222,8 @@
                     _RELOAD_AGAIN_S, self._try_reload, until, True
                 )
             return
-        log.info("settings read anew", discovery=config.discovery)
-        self.source.move(config.discovery)
+        log.info("settings read anew", discovery=config.discovery_address)
+        self.source.switch_to(config.discovery_address)
 
     def _cancel_reload(self) -> None:
         if self._reload:
@@ -238,8 +236,7 @@
         no other yet. Then streams that still run are handed back, while their clients can find another node:
         the kill would break them all the same. What comes from then on is refused, each answer closing its
         connection; a connection without a request stays open until the kill is due, as one may be on its way
-        there.
-        """
+        there."""
         began = self.now()
         log.info("stopping", open=len(self.table.open))
         self._is_ready()
@@ -303,7 +300,7 @@
         "reading the settings",
         lambda: load(os.environ),
         _START_S,
-        lambda error: isinstance(error, RelayConfigUnreadable),
+        lambda error: isinstance(error, RelayConfigUnreadableError),
     )
 
 
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -1,6 +1,5 @@
 """Clients on the platform's HTTP: a request's head becomes an `ClientRequest`, its end a status; an engine's
-events pass through.
-"""
+events pass through."""
 
 from __future__ import annotations
 
@@ -18,7 +17,7 @@
     Usage,
 )
 from tuliptrack.node.core import Core
-from tuliptrack.relay.engine_client import Inbound
+from tuliptrack.relay.forwarded_request import ForwardedRequest
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.h1 import Fields
 from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Refusal
@@ -105,8 +104,7 @@
 
 class Front:
     """The listener. Bounds: connections, heads and bodies by `HttpLimits`; bodies kept for engines by
-    `kept`.
-    """
+    `kept`."""
 
     def __init__(self, core: Core, limits: HttpLimits, arriving: ByteBudget, kept: ByteBudget) -> None:
         self.core, self.kept = core, kept
@@ -117,8 +115,7 @@
 
     def _early(self, call: HttpCall) -> Refusal | None:
         """What is known from the head alone. Not that the node ends: its refusal comes when the whole request
-        has, lest the close overtake it on its way to a client that still sends.
-        """
+        has, lest the close overtake it on its way to a client that still sends."""
         if call.method == "POST" and not self.core.stopping:
             reason, wait = self.core.overload()
             if reason:
@@ -208,14 +205,13 @@
             is_resumed=again == "again",
             call_id=call_id,
             is_disconnected=call.left,
-            payload=Inbound(call.method, call.target, call.body, _end_to_end(call.fields)),
+            payload=ForwardedRequest(call.method, call.target, call.body, _end_to_end(call.fields)),
         )
 
 
 def _end_to_end(fields: Fields) -> Fields:
     """What engines get of a head unchanged: all but what is of one connection only, also by the word of
-    `Connection`.
-    """
+    `Connection`."""
     named = {
         name.strip().lower() for field, value in fields if field == "connection" for name in value.split(",")
     }
