--- a/tests/test_actions.py
+++ b/tests/test_actions.py
@@ -105,7 +105,7 @@
             # The router asks again by itself, by its own timer.
             await until(lambda: of(heard, io.EndpointListUpdate)[-1].kind is io.UpdateKind.FULL)
             act(w, io.Subscribe(False))
-            assert w.node.source.stream is None
+            assert not w.node.source.is_watching
 
     run(go, virtual=True)
 
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -172,21 +172,21 @@
 
     def listed(self, message: fleet_pb2.ServerList, kind: io.UpdateKind | None = None) -> None:
         """A server list has come."""
-        before = set(self.roster.held)
+        before = set(self.roster.entries)
         try:
-            listing: ListedUpdate = self.roster.take(message, self.now(), kind)
+            listing: ListedUpdate = self.roster.apply(message, self.now(), kind)
         except InvalidListError as error:
             log.warning("server list not taken", reason=str(error))
             return
         # The routers go first: what they stop sending to may then be let go.
-        self._tell_routers(listing.change, {e.id: Model(e.model, e.model_version) for e in message.servers})
-        self.channels.listed(listing.addresses, before - set(self.roster.held))
-        if listing.change.kind in (io.UpdateKind.FULL, io.UpdateKind.DELTA):
+        self._tell_routers(listing.update, {e.id: Model(e.model, e.model_version) for e in message.servers})
+        self.channels.listed(listing.addresses, before - set(self.roster.entries))
+        if listing.update.kind in (io.UpdateKind.FULL, io.UpdateKind.DELTA):
             log.info(
                 "server list",
-                kind=listing.change.kind.value,
-                version=listing.change.version,
-                servers=len(self.roster.held),
+                kind=listing.update.kind.value,
+                version=listing.update.version,
+                servers=len(self.roster.entries),
             )
             if self.config.source.cache:
                 self._keep()
@@ -241,7 +241,7 @@
         while self._save_again:
             self._save_again = False
             try:
-                await asyncio.to_thread(save_cache, self.config.source.cache, self.roster.whole())
+                await asyncio.to_thread(save_cache, self.config.source.cache, self.roster.to_message())
             except OSError as error:
                 log.warning("server list not kept", reason=str(error))
 
--- a/tuliptrack/relay/discovery.py
+++ b/tuliptrack/relay/discovery.py
@@ -131,7 +131,7 @@
                 continue
             entries[entry.server.id] = self._as_before(entry) if behind else entry
         self.revision = revision
-        self._starts.list_heard(now)
+        self._starts.record_list(now)
         if whole:
             self._forget_absent(entries)
         for entry in entries.values():
@@ -234,7 +234,7 @@
                 float(size) or 1.0,
                 int(cell),
                 zone or 0,
-                self._starts.monotonic(server, int(since * 1000), now, wall),
+                self._starts.to_monotonic_us(server, int(since * 1000), now, wall),
             ),
             address,
             name,
--- a/tuliptrack/sources/endpoint_list.py
+++ b/tuliptrack/sources/endpoint_list.py
@@ -1,8 +1,9 @@
-"""What a source of server lists tells: a change in the router's terms, and where each server listens.
+"""The endpoint list of a gRPC node: received messages are checked, applied and converted for the router.
 
-`EndpointList` keeps the list that the changes add up to, turns wall times of starts into the node's monotonic
-time once a start, and checks every entry: a list with anything wrong in it is turned down whole, and the old
-one still holds."""
+`EndpointList` is the sum of all updates so far. It converts the start times of engines from wall time to the
+node's monotonic time. A message with any invalid entry is rejected as a whole, and the list before it stays
+in force. `save_cache` and `load_cache` store the list on disk for the node's next start.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +19,7 @@
 from tuliptrack.config.textformat import ConfigError, read_file
 from tuliptrack.interface import EndpointInfo, EndpointListUpdate, EndpointState, UpdateKind
 from tuliptrack.proto import fleet_pb2 as pb
-from tuliptrack.rpc.clock import wall_us
+from tuliptrack.rpc.clock import wall_us as read_wall_us
 from tuliptrack.sources.start_times import StartTimes
 
 __all__ = [
@@ -30,13 +31,24 @@
     "save_cache",
 ]
 
-MOST_SERVERS = 100_000  # entries of one list: a bound, far above any fleet
+MAX_ENDPOINTS = 100_000
+"""Entries of one list: a bound, far above any fleet."""
+MAX_PORT = 65_535
+VERSION_MASK = 0xFFFF_FFFF
+"""Versions are passed to the router as 32 bits."""
+DEFAULT_WEIGHT = 1.0
+MAX_QUOTED_KIND = 40
+"""Characters of an invalid kind that an error quotes."""
+MAX_QUOTED_ADDRESS = 80
+"""Characters of an invalid address that an error quotes."""
+CACHE_HEADER = "# The last server list of a tuliptrack node.\n"
+
 _STATES = {
     pb.ServerEntry.READY: EndpointState.READY,
     pb.ServerEntry.DRAINING: EndpointState.DRAINING,
     pb.ServerEntry.GONE: EndpointState.REMOVED,
 }
-_KINDS = {
+_UPDATE_KINDS = {
     pb.ServerList.FULL: UpdateKind.FULL,
     pb.ServerList.DELTA: UpdateKind.DELTA,
     pb.ServerList.FAILED: UpdateKind.FAILED,
@@ -44,121 +56,166 @@
 
 
 class InvalidListError(Exception):
-    """A list that can't be taken; the text names the entry, the field and the reason."""
+    """A list that is rejected; the text names the entry, the field and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListedUpdate:
-    """One change for the router, and the addresses (host:port) of the servers that it names."""
+    """One update for the router, with the addresses of the endpoints that it names."""
 
-    change: EndpointListUpdate
+    update: EndpointListUpdate
     addresses: dict[int, str]
+    """`host:port` by endpoint id."""
 
 
 class EndpointListSource(Protocol):
-    """A source of server lists. It calls `tell` from the loop, in order; `close` ends its tasks."""
+    """A source of endpoint lists, which it publishes in order from the event loop."""
 
-    def start(self, tell: Callable[[pb.ServerList], None]) -> None: ...
+    def start(self, publish: Callable[[pb.ServerList], None]) -> None:
+        """Call `publish` with each list from now on."""
 
     def subscribe(self, on: bool) -> None:
-        """Open or close the standing subscription, where there is such a thing."""
+        """Open or close the watch stream, if the source has one."""
 
     def fetch(self) -> None:
-        """Ask for the whole list once; a failure is told as a list of kind FAILED."""
+        """Request the full list once; a failure is published as a list of kind FAILED."""
 
-    async def close(self) -> None: ...
+    async def close(self) -> None:
+        """End all tasks and streams."""
 
 
 class EndpointList:
-    """The list held, and the translation of changes to it. Bound: `MOST_SERVERS`."""
+    """The endpoint list in force. Bound: `MAX_ENDPOINTS` entries for each message."""
 
     def __init__(self, kinds: Sequence[str]) -> None:
-        self.kinds = {name: number for number, name in enumerate(kinds)}
-        self.held: dict[int, pb.ServerEntry] = {}
+        """Begin with an empty list; `kinds` are the names of the settings' roles, in their order."""
+        self.entries: dict[int, pb.ServerEntry] = {}
+        """By endpoint id; removed endpoints have none."""
         self.version = 0
-        self._starts = StartTimes()
-
-    def take(
-        self, message: pb.ServerList, now: int, kind: UpdateKind | None = None, wall: int | None = None
+        self._kind_indexes = {name: index for index, name in enumerate(kinds)}
+        self._start_times = StartTimes()
+
+    def apply(
+        self,
+        message: pb.ServerList,
+        now_us: int,
+        kind: UpdateKind | None = None,
+        wall_us: int | None = None,
     ) -> ListedUpdate:
-        """Apply a list; `now` monotonic, `wall` since 1970, both microseconds. ListError leaves all as it
-        was."""
-        what = kind or _KINDS.get(message.kind)
-        if what is None:
+        """Apply a message and return what the router needs to know of it.
+
+        Args:
+            message: A full list, a delta or the notice that a request for a list failed.
+            now_us: The monotonic clock's reading.
+            kind: What the message is, if not what it says.
+            wall_us: The wall clock's reading since 1970; read here if None.
+
+        Raises:
+            InvalidListError: The message is rejected, and nothing has changed.
+        """
+        update_kind = kind or _UPDATE_KINDS.get(message.kind)
+        if update_kind is None:
             raise InvalidListError(f"kind: unknown value {message.kind}")
-        if what is UpdateKind.FAILED:
+        if update_kind is UpdateKind.FAILED:
             return ListedUpdate(EndpointListUpdate(UpdateKind.FAILED), {})
-        if len(message.servers) > MOST_SERVERS:
-            raise InvalidListError(f"servers: {len(message.servers)} entries, {MOST_SERVERS} at most")
-        wall = wall_us() if wall is None else wall
-        seen: set[int] = set()
-        servers = []
-        for place, entry in enumerate(message.servers):
-            self._check(entry, f"servers[{place}]", seen)
-        for entry in message.servers:
-            servers.append(
-                EndpointInfo(
-                    entry.id,
-                    self.kinds[entry.kind],
-                    _STATES[entry.state],
-                    entry.weight or 1.0,
-                    entry.cell,
-                    entry.zone,
-                    self._starts.monotonic(entry.id, entry.started_unix_us, now, wall),
-                )
-            )
-        if what is not UpdateKind.DELTA:
-            self.held.clear()
+        named_ids = self._check(message)
+        wall_us = read_wall_us() if wall_us is None else wall_us
+        endpoints = tuple(self._endpoint_info(entry, now_us, wall_us) for entry in message.servers)
+        if update_kind is not UpdateKind.DELTA:
+            self.entries.clear()
+        self._merge(message)
+        self._start_times.record_list(now_us)
+        self._start_times.retain(self.entries.keys() | named_ids)
+        self.version = message.version
+        update = EndpointListUpdate(update_kind, message.version & VERSION_MASK, endpoints)
+        return ListedUpdate(update, {entry.id: entry.address for entry in message.servers})
+
+    def _endpoint_info(self, entry: pb.ServerEntry, now_us: int, wall_us: int) -> EndpointInfo:
+        return EndpointInfo(
+            id=entry.id,
+            kind=self._kind_indexes[entry.kind],
+            state=_STATES[entry.state],
+            weight=entry.weight or DEFAULT_WEIGHT,
+            cell=entry.cell,
+            zone=entry.zone,
+            started_at_us=self._start_times.to_monotonic_us(entry.id, entry.started_unix_us, now_us, wall_us),
+        )
+
+    def _merge(self, message: pb.ServerList) -> None:
         for entry in message.servers:
             if entry.state == pb.ServerEntry.GONE:
-                self.held.pop(entry.id, None)
+                self.entries.pop(entry.id, None)
             else:
-                self.held[entry.id] = entry
-        self._starts.list_heard(now)
-        self._starts.keep(self.held.keys() | seen)
-        self.version = message.version
-        change = EndpointListUpdate(what, message.version & 0xFFFFFFFF, tuple(servers))
-        return ListedUpdate(change, {entry.id: entry.address for entry in message.servers})
-
-    def _check(self, entry: pb.ServerEntry, place: str, seen: set[int]) -> None:
-        host, _, port = entry.address.rpartition(":")
-        if entry.id == 0:
-            raise InvalidListError(f"{place}.id: is required and not 0")
-        if entry.id in seen:
-            raise InvalidListError(f"{place}.id: {entry.id} stands twice")
-        seen.add(entry.id)
+                self.entries[entry.id] = entry
+
+    def _check(self, message: pb.ServerList) -> set[int]:
+        """Return the ids of all entries; InvalidListError at the first invalid one."""
+        if len(message.servers) > MAX_ENDPOINTS:
+            raise InvalidListError(f"servers: {len(message.servers)} entries, {MAX_ENDPOINTS} at most")
+        ids: set[int] = set()
+        for index, entry in enumerate(message.servers):
+            path = f"servers[{index}]"
+            _check_id(entry, path, ids)
+            ids.add(entry.id)
+            self._check_enumerations(entry, path)
+            _check_address(entry, path)
+            _check_numbers(entry, path)
+        return ids
+
+    def _check_enumerations(self, entry: pb.ServerEntry, path: str) -> None:
         if entry.state not in _STATES:
-            raise InvalidListError(f"{place}.state: unknown value {entry.state}")
-        if entry.kind not in self.kinds:
-            raise InvalidListError(f"{place}.kind: {entry.kind[:40]!r} is not among the settings' kinds")
-        if not host or not port.isdigit() or not 0 < int(port) <= 65_535:
-            raise InvalidListError(f"{place}.address: must be host:port, is {entry.address[:80]!r}")
-        if not math.isfinite(entry.weight) or entry.weight < 0:
-            raise InvalidListError(f"{place}.weight: must be a number from 0, is {entry.weight}")
-        if entry.started_unix_us < 0:
-            raise InvalidListError(
-                f"{place}.started_unix_us: must not be negative, is {entry.started_unix_us}"
-            )
-
-    def whole(self) -> pb.ServerList:
-        """The list held, to be kept on disk."""
-        return pb.ServerList(version=self.version, servers=self.held.values())
-
-
-def save_cache(path: str, held: pb.ServerList) -> None:
-    """Keep the list for the next start: written beside, then moved over, so that a crash leaves old or
-    new."""
+            raise InvalidListError(f"{path}.state: unknown value {entry.state}")
+        if entry.kind not in self._kind_indexes:
+            quoted = repr(entry.kind[:MAX_QUOTED_KIND])
+            raise InvalidListError(f"{path}.kind: {quoted} is not among the settings' kinds")
+
+    def to_message(self) -> pb.ServerList:
+        """Return the full list, as it is cached on disk."""
+        return pb.ServerList(version=self.version, servers=self.entries.values())
+
+
+def _check_id(entry: pb.ServerEntry, path: str, ids: set[int]) -> None:
+    if entry.id == 0:
+        raise InvalidListError(f"{path}.id: is required and not 0")
+    if entry.id in ids:
+        raise InvalidListError(f"{path}.id: {entry.id} stands twice")
+
+
+def _check_address(entry: pb.ServerEntry, path: str) -> None:
+    host, _, port = entry.address.rpartition(":")
+    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+        quoted = repr(entry.address[:MAX_QUOTED_ADDRESS])
+        raise InvalidListError(f"{path}.address: must be host:port, is {quoted}")
+
+
+def _check_numbers(entry: pb.ServerEntry, path: str) -> None:
+    if not math.isfinite(entry.weight) or entry.weight < 0:
+        raise InvalidListError(f"{path}.weight: must be a number from 0, is {entry.weight}")
+    if entry.started_unix_us < 0:
+        raise InvalidListError(f"{path}.started_unix_us: must not be negative, is {entry.started_unix_us}")
+
+
+def save_cache(path: str, endpoint_list: pb.ServerList) -> None:
+    """Store the list for the node's next start.
+
+    A crash leaves either the old file or the new one: the list is written to a file beside it, which then
+    replaces it.
+    """
     target = Path(path)
-    beside = target.with_name(target.name + ".new")
-    with beside.open("w") as file:
-        file.write("# The last server list of a tuliptrack node.\n" + text_format.MessageToString(held))
+    temporary = target.with_name(target.name + ".new")
+    with temporary.open("w") as file:
+        file.write(CACHE_HEADER + text_format.MessageToString(endpoint_list))
         file.flush()
         os.fsync(file.fileno())
-    beside.replace(target)
+    temporary.replace(target)
 
 
 def load_cache(path: str) -> pb.ServerList:
-    """The list kept, or an empty one where there is none. ListError where it can't be read."""
+    """Return the cached list, or an empty one if there is none.
+
+    Raises:
+        InvalidListError: The file can't be read.
+    """
     if not path or not Path(path).exists():
         return pb.ServerList()
     try:
--- a/tuliptrack/sources/file.py
+++ b/tuliptrack/sources/file.py
@@ -1,4 +1,4 @@
-"""Server lists from a file in text format, read again whenever it has changed."""
+"""Endpoint lists from a file in protobuf text format, read again whenever the file has changed."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import contextlib
 import os
 from collections.abc import Callable
+from typing import NamedTuple
 
 import structlog
 
@@ -17,52 +18,68 @@
 log = structlog.get_logger("sources.file")
 
 
+class _FileVersion(NamedTuple):
+    """What tells one state of the file from another; all zero if it can't be examined."""
+
+    modified_ns: int = 0
+    size_bytes: int = 0
+    inode: int = 0
+
+
 class FileSource:
-    """Looks at the file every `poll` microseconds. A file that can't be read, or is half written, is logged
-    once and told as FAILED; the list held stays."""
+    """Polls a file. One that is unreadable or half written is logged once and published as FAILED."""
 
-    def __init__(self, path: str, poll: int) -> None:
-        self.path, self.poll = path, poll
-        self.tell: Callable[[pb.ServerList], None] = lambda _: None
+    def __init__(self, path: str, poll_interval_us: int) -> None:
+        """Prepare to read the file at `path`; `start` begins to poll."""
+        self._path = path
+        self._poll_interval_us = poll_interval_us
+        self._publish: Callable[[pb.ServerList], None] = lambda _: None
         self._task: asyncio.Task[None] | None = None
-        self._seen: tuple[int, int, int] | None = None
+        self._last_version: _FileVersion | None = None
 
-    def start(self, tell: Callable[[pb.ServerList], None]) -> None:
-        self.tell = tell
-        self._task = asyncio.get_running_loop().create_task(self._run())
+    def start(self, publish: Callable[[pb.ServerList], None]) -> None:
+        """Begin to poll; `publish` is called with each list read."""
+        self._publish = publish
+        self._task = asyncio.get_running_loop().create_task(self._poll())
 
-    async def _run(self) -> None:
+    async def _poll(self) -> None:
         while True:
-            self.look()
-            await asyncio.sleep(self.poll / 1e6)
+            self._read_if_changed()
+            await asyncio.sleep(self._poll_interval_us / 1e6)
 
-    def look(self, anew: bool = False) -> None:
-        """Read the file where it isn't what was read last, or `anew`."""
-        try:
-            status = os.stat(self.path)
-            mark = (status.st_mtime_ns, status.st_size, status.st_ino)
-        except OSError:
-            mark = (0, 0, 0)
-        if mark == self._seen and not anew:
-            return
-        self._seen = mark
+    def _read_if_changed(self) -> None:
+        version = self._file_version()
+        if version != self._last_version:
+            self._read(version)
+
+    def _read(self, version: _FileVersion) -> None:
+        self._last_version = version
         try:
-            message, located = read_file(self.path, pb.ServerList)
+            message, located = read_file(self._path, pb.ServerList)
             located.check()
         except ConfigError as error:
-            log.warning("server list not taken", source=self.path, reason=str(error))
+            log.warning("endpoint list rejected", source=self._path, reason=str(error))
             message = pb.ServerList(kind=pb.ServerList.FAILED)
-        self.tell(message)
+        self._publish(message)
+
+    def _file_version(self) -> _FileVersion:
+        try:
+            status = os.stat(self._path)
+        except OSError:
+            return _FileVersion()
+        return _FileVersion(status.st_mtime_ns, status.st_size, status.st_ino)
 
     def subscribe(self, on: bool) -> None:
-        """A file needs no subscription; asked for one, it is read anew."""
+        """Read the file if `on`; there is no watch stream to open or close."""
         if on:
             self.fetch()
 
     def fetch(self) -> None:
-        asyncio.get_running_loop().call_soon(self.look, True)
+        """Read the file soon, changed or not."""
+        asyncio.get_running_loop().call_soon(lambda: self._read(self._file_version()))
 
     async def close(self) -> None:
+        """Stop polling."""
         if self._task:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
--- a/tuliptrack/sources/start_times.py
+++ b/tuliptrack/sources/start_times.py
@@ -1,58 +1,82 @@
-"""When servers started: wall times, as lists tell them, in the node's monotonic time.
+"""Start times of engines: wall times, as endpoint lists give them, converted to the node's monotonic time.
 
-The wall clock may be stepped at any time. Each start is translated once, and a server that has just started
-is never taken for a warm one on the word of a clock that may be wrong: the clock's offset is read with the
-first list and again with each one, and the reading by which the start is later counts. A start that was not
-told in the list before, and that would lie far before that list was heard, has been told by another clock
-than ours: it counts as now."""
+The wall clock may be stepped at any time. Each start is converted once, and an engine that has just started
+is never taken for a warm one because of a clock that may be wrong: the offset between the clocks is read with
+the first list and again with each later one, and the reading by which the start is later counts. A start that
+was not in the list before, and that would lie far before that list was received, comes from a clock that
+differs from ours: it counts as now.
+
+All times are in microseconds.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Container
+from dataclasses import dataclass
 
 __all__ = ["StartTimes"]
 
-_TOLD_LATE_US = 30_000_000
-"""A start is told in the lists at most so much later: outages of discovery last some seconds."""
+MAX_ANNOUNCEMENT_DELAY_US = 30_000_000
+"""A start appears in the lists at most this much later: outages of discovery last some seconds."""
+
+
+@dataclass(frozen=True, slots=True)
+class _KnownStart:
+    unix_us: int
+    """As the list gave it."""
+    monotonic_us: int
 
 
 class StartTimes:
-    """Bound: one entry for each server asked for and not forgotten, by `forget` or with the last `keep`."""
+    """Starts by endpoint id.
+
+    Bound: one entry for each endpoint converted and not dropped since, by `forget` or `retain`.
+    """
 
     def __init__(self) -> None:
-        self._offset: int | None = None
-        """From monotonic to wall time, by the clock's first reading."""
-        self._known: dict[int, tuple[int, int]] = {}
-        self._list_heard_at: int | None = None
-
-    def monotonic(self, server: int, unix_us: int, now: int, wall: int) -> int:
-        """A start in monotonic microseconds; the same for each telling of one start, whatever the wall clock
-        does. 0 (long ago) stays 0. `now` is monotonic, `wall` since 1970, both in microseconds and read in
-        the same moment."""
-        if self._offset is None:
-            self._offset = wall - now
+        self._first_offset_us: int | None = None
+        """Wall time minus monotonic time, by the first reading of the clocks."""
+        self._known: dict[int, _KnownStart] = {}
+        self._last_list_at_us: int | None = None
+
+    def to_monotonic_us(self, endpoint_id: int, unix_us: int, now_us: int, wall_us: int) -> int:
+        """Convert a start to monotonic time; the same start always gives the same result.
+
+        Args:
+            endpoint_id: The endpoint whose start it is.
+            unix_us: The start since 1970, or 0 for long ago.
+            now_us: The monotonic clock's reading.
+            wall_us: The wall clock's reading of the same moment, since 1970.
+
+        Returns:
+            The start in monotonic time, from 1 to `now_us`; 0 for long ago.
+        """
+        if self._first_offset_us is None:
+            self._first_offset_us = wall_us - now_us
         if not unix_us:
             return 0
-        known = self._known.get(server)
-        if known and known[0] == unix_us:
-            return known[1]
-        started = max(unix_us - self._offset, unix_us - (wall - now))
-        if self._list_heard_at is not None and started < self._list_heard_at - _TOLD_LATE_US:
-            started = now
-        # A start in the future is a clock that's behind: it counts as now, so that the server is cold, not
-        # warm.
-        started = max(min(started, now), 1)
-        self._known[server] = (unix_us, started)
-        return started
-
-    def list_heard(self, now: int) -> None:
-        """A list has been taken whole."""
-        self._list_heard_at = now
-
-    def forget(self, server: int) -> None:
-        """It has gone."""
-        self._known.pop(server, None)
-
-    def keep(self, servers: Container[int]) -> None:
-        """Forget all but these."""
-        self._known = {server: start for server, start in self._known.items() if server in servers}
+        known = self._known.get(endpoint_id)
+        if known is None or known.unix_us != unix_us:
+            known = _KnownStart(unix_us, self._convert(unix_us, self._first_offset_us, now_us, wall_us))
+            self._known[endpoint_id] = known
+        return known.monotonic_us
+
+    def _convert(self, unix_us: int, first_offset_us: int, now_us: int, wall_us: int) -> int:
+        started_us = max(unix_us - first_offset_us, unix_us - (wall_us - now_us))
+        last_list_at_us = self._last_list_at_us
+        if last_list_at_us is not None and started_us < last_list_at_us - MAX_ANNOUNCEMENT_DELAY_US:
+            started_us = now_us
+        # A start in the future comes from a clock ahead of ours: as now, the engine is warming up, not warm.
+        return max(min(started_us, now_us), 1)
+
+    def record_list(self, now_us: int) -> None:
+        """Record that a list was received and applied as a whole."""
+        self._last_list_at_us = now_us
+
+    def forget(self, endpoint_id: int) -> None:
+        """Drop the start of an endpoint that was removed."""
+        self._known.pop(endpoint_id, None)
+
+    def retain(self, endpoint_ids: Container[int]) -> None:
+        """Drop the starts of all other endpoints."""
+        self._known = {key: start for key, start in self._known.items() if key in endpoint_ids}
