--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -19,8 +19,8 @@
 from tuliptrack.decisions.billing import SERVED, TokenPrice, UsageRecord, fold
 from tuliptrack.store.ledger import Ledger
 from tuliptrack.store.ledger_reading import read_parts, verify
-from tuliptrack.structures.sketch import Sketch
-from tuliptrack.structures.wheel import Wheel
+from tuliptrack.structures.heavy_hitters import HeavyHitterSketch
+from tuliptrack.structures.timing_wheel import TimingWheel
 
 
 def timed(act: object) -> float:
@@ -69,14 +69,14 @@
         )
     count = 1_000_000
     whens = [chance.randrange(60_000_000) for _ in range(count)]
-    wheel: Wheel[int] = Wheel(0)
+    wheel: TimingWheel[int] = TimingWheel(0)
     heap: list[tuple[int, int]] = []
 
     def by_wheel() -> None:
         for key, when in enumerate(whens):
-            wheel.set(key, when)
+            wheel.schedule(key, when)
         for key, when in enumerate(whens[: count // 2]):
-            wheel.set(key, when + 1_000_000)  # half are moved
+            wheel.schedule(key, when + 1_000_000)  # half are moved
         for now in range(0, 62_000_000, 10_000):
             for _ in wheel.advance(now):
                 pass
@@ -98,7 +98,7 @@
         f"{count} timers, half moved: wheel {timed(by_wheel):.2f} s, heap with dead entries {timed(by_heap):.2f} s"
     )
     names = [f"t{int(100_000 * chance.random() ** 3)}" for _ in range(count)]
-    sketch, plain = Sketch(2_048), Counter[str]()
+    sketch, plain = HeavyHitterSketch(2_048), Counter[str]()
     took = timed(lambda: [sketch.add(name, 10) for name in names])
     took_plain = timed(lambda: [plain.update((name,)) for name in names])
     best = {h.name for h in sketch.top(20)}
--- a/tuliptrack/decisions/billing.py
+++ b/tuliptrack/decisions/billing.py
@@ -20,7 +20,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from tuliptrack.structures.spans import Spans
+from tuliptrack.structures.interval_set import IntervalSet
 
 __all__ = ["Bill", "DailyTotal", "TokenPrice", "UsageRecord", "fold", "later", "latest", "totals"]
 
@@ -150,7 +150,7 @@
     """One work, its parts from the earliest to the latest."""
     first = parts[0]
     bill = Bill(first.tenant, first.work, first.at_us, parts=len(parts))
-    covered, prompt = Spans(), False
+    covered, prompt = IntervalSet(), False
     for part in parts:
         bill.lost_read += part.lost_read
         bill.lost_written += part.lost_written
--- a/tuliptrack/decisions/token_budget.py
+++ b/tuliptrack/decisions/token_budget.py
@@ -28,8 +28,8 @@
 from dataclasses import dataclass, field
 
 from tuliptrack.decisions.shared_token_bucket import BudgetGrant, SharedTokenBucket
-from tuliptrack.structures.sketch import Heavy, Sketch
-from tuliptrack.structures.wheel import Wheel
+from tuliptrack.structures.heavy_hitters import HeavyHitter, HeavyHitterSketch
+from tuliptrack.structures.timing_wheel import TimingWheel
 
 __all__ = ["BudgetUsage", "BudgetVerdict", "BudgetWindow", "TokenBudgetSettings", "TokenBudgets"]
 
@@ -134,7 +134,7 @@
         self.settings = s = settings
         self.tenants: dict[str, _Tenant] = {}
         self.lenders: dict[str, SharedTokenBucket] = {}
-        self.wheel: Wheel[str] = Wheel(now)
+        self.wheel: TimingWheel[str] = TimingWheel(now)
         for name, windows in s.windows.items():
             purses = [
                 (
@@ -161,13 +161,13 @@
                 purse.left(now)  # Turns that come from now on are this node's own.
             if purses and s.lend:
                 self.lenders[name] = min(purses, key=lambda pair: pair[0].length)[1]
-                self.wheel.set(name, now + LEAST_LOOK_US)
+                self.wheel.schedule(name, now + LEAST_LOOK_US)
         self.open: dict[int, _Reserved] = {}
         self.estimates: OrderedDict[tuple[str, int], tuple[float, float, int]] = OrderedDict()
         """Mean, mean deviation and number of answers' tokens, by tenant and class."""
         self.pool: deque[BudgetGrant] = deque()
         """What has lapsed unused and may be lent."""
-        self.heavy = Sketch(HEAVY)
+        self.heavy = HeavyHitterSketch(HEAVY)
         self._last_wall = 0
 
     # -- estimates
@@ -301,7 +301,7 @@
                 self.pool.append(BudgetGrant(now + LEND_US, purse.lapsed))
                 purse.lapsed = 0.0
             due = purse.turns[0].lapses if purse.turns else now + int(purse.every * purse.replicas)
-            self.wheel.set(name, min(max(due, now + LEAST_LOOK_US), now + MOST_LOOK_US))
+            self.wheel.schedule(name, min(max(due, now + LEAST_LOOK_US), now + MOST_LOOK_US))
 
     # -- after a restart, and for operators
 
@@ -316,6 +316,6 @@
         """Raises KeyError for a tenant without budgets."""
         return self.tenants[tenant].use
 
-    def heaviest(self, count: int = 10) -> list[Heavy]:
+    def heaviest(self, count: int = 10) -> list[HeavyHitter]:
         """Who has used most, in units, among tenants of any number."""
         return self.heavy.top(count)
--- a/tuliptrack/routing/decode_placement.py
+++ b/tuliptrack/routing/decode_placement.py
@@ -75,7 +75,7 @@
         if not self._locality.is_budgeted:
             return {}
         table = self._state.table
-        counts = table.memory.counts(math.inf, candidates.excluded)
+        counts = table.memory.counts_up_to(math.inf, candidates.excluded)
         return {
             group: self._locality.price(request, table.groups[group].zone, is_decode=True)
             for group, count in counts.items()
@@ -100,7 +100,7 @@
     ) -> ProjectedLoads:
         """Return the loads of the candidates; a cross-zone price counts as so many mean loads more."""
         state, table = self._state, self._state.table
-        counts = table.memory.counts(max_memory_share, candidates.excluded)
+        counts = table.memory.counts_up_to(max_memory_share, candidates.excluded)
         counts = {group: count for group, count in counts.items() if count}
         role_loads = {
             role: state.local_statistics(role).assign(0.0, state.now_us) / table.capacity.capacity(role)
--- a/tuliptrack/state/endpoint_table.py
+++ b/tuliptrack/state/endpoint_table.py
@@ -18,7 +18,7 @@
 from tuliptrack.state.selection import lowest_ranked, random_member
 from tuliptrack.state.stream_rate import StreamRate
 from tuliptrack.structures.grouped_values import GroupedValues
-from tuliptrack.structures.rendezvous import RendezvousColumn
+from tuliptrack.structures.rendezvous import RendezvousHasher
 from tuliptrack.structures.sorted_members import SortedMembers
 
 __all__ = ["MAX_REMOVED", "AppliedUpdate", "EndpointTable"]
@@ -81,7 +81,7 @@
         """At most the earliest start time among them."""
         self._by_cell: dict[int, SortedMembers[Endpoint]] = {}
         """Ready endpoints that decode."""
-        self._prefill_column: RendezvousColumn[Endpoint] | None = None
+        self._prefill_hasher: RendezvousHasher[Endpoint] | None = None
 
     # -- updates of the list
 
@@ -153,7 +153,7 @@
                 self._earliest_start_us = min(self._earliest_start_us, info.started_at_us)
         endpoint.group = self._group_index(EndpointGroup(role, info.zone if self.groups_by_zone else 0))
         if role is not Role.DECODE:
-            self._prefill_column = None
+            self._prefill_hasher = None
             self.prefill_latency.put(info.id, endpoint.group, endpoint.prefill_latency_us)
         if role is not Role.PREFILL:
             endpoint.projected_load = endpoint.projected_tokens / max(info.weight, MIN_WEIGHT)
@@ -168,7 +168,7 @@
         for members in (*self._ready.values(), *self._started_lately.values()):
             members.remove(info.id)
         if role is not Role.DECODE:
-            self._prefill_column = None
+            self._prefill_hasher = None
             self.prefill_latency.remove(info.id)
         if role is not Role.PREFILL:
             self.memory.remove(info.id)
@@ -316,13 +316,13 @@
         observed = self._observed_since(since_us)
         examined = candidates.among(observed.values())
         left_out = candidates.excluded | {key for key in observed if key in self.prefill_latency}
-        without_latency = self.prefill_latency.counts(0.0, left_out)
+        without_latency = self.prefill_latency.counts_up_to(0.0, left_out)
         scores_and_counts: list[tuple[float, int]] = []
         for group, count in without_latency.items():
             if count:
-                first = next(key for _, key in self.prefill_latency.rising(group) if key not in left_out)
+                first = next(key for _, key in self.prefill_latency.ascending(group) if key not in left_out)
                 scores_and_counts.append((score(self.endpoints[first]), count))
-            rising = self.prefill_latency.rising(group, 0.0)
+            rising = self.prefill_latency.ascending(group, 0.0)
             examined += _first_tied((self.endpoints[key] for _, key in rising if key not in left_out), score)
         lowest_examined = lowest_ranked(examined, score)
         scores = [*(own for own, _ in scores_and_counts), *(score(one) for one in lowest_examined[:1])]
@@ -335,14 +335,14 @@
             lambda one: one in candidates and score(one) == lowest, unexamined_tied + len(tied), random
         )
 
-    def prefill_ranking(self) -> RendezvousColumn[Endpoint]:
+    def prefill_ranking(self) -> RendezvousHasher[Endpoint]:
         """Return the ready endpoints that prefill, to be ranked for a prefix."""
-        if self._prefill_column is None:
+        if self._prefill_hasher is None:
             endpoints = list(self._ready[Role.PREFILL])
-            self._prefill_column = RendezvousColumn(
+            self._prefill_hasher = RendezvousHasher(
                 endpoints, [one.id for one in endpoints], [one.info.weight for one in endpoints]
             )
-        return self._prefill_column
+        return self._prefill_hasher
 
     def oldest_waiting(self, role: Role) -> Iterable[tuple[Endpoint, WaitingAttempt]]:
         """Yield the oldest waiting attempt at each ready endpoint of a role."""
--- a/tuliptrack/structures/__init__.py
+++ b/tuliptrack/structures/__init__.py
@@ -1,2 +1,4 @@
-"""Data structures made for the decisions' questions, each measured against a plain one
-(`bench/ledger.py`)."""
+"""Data structures of the routing decisions and budgets; the standard library alone.
+
+`bench/structures.py` and `bench/ledger.py` compare them with plain ones.
+"""
--- /dev/null
+++ b/tuliptrack/structures/heavy_hitters.py
@@ -0,0 +1,70 @@
+"""Heavy hitters in bounded memory: the names with the largest sums, out of more names than can be stored.
+
+The space-saving algorithm: there is a fixed number of counters. A new name takes over the smallest counter
+with its amount, which is the most that the new name can have had before. So an amount is never too low, and
+too high by at most the total / number of counters; any name that has more than that has a counter. Source:
+Metwally, Agrawal, El Abbadi, "Efficient computation of frequent and top-k elements in data streams", 2005.
+
+The paper keeps counters in linked buckets by value, for counts that grow by one. Here amounts differ, so the
+smallest counter is found with a heap that is corrected late: an entry whose counter has grown is pushed back
+when it reaches the top.
+"""
+
+from __future__ import annotations
+
+import heapq
+from dataclasses import dataclass
+
+__all__ = ["HeavyHitter", "HeavyHitterSketch"]
+
+
+@dataclass(frozen=True, slots=True)
+class HeavyHitter:
+    """One of the names with the largest sums: its true sum is from `amount - error` to `amount`."""
+
+    name: str
+    amount: int
+    error: int
+
+
+class HeavyHitterSketch:
+    """Sums of whole amounts for the heaviest names. Bound: `max_names` counters."""
+
+    def __init__(self, max_names: int) -> None:
+        """Begin with no names; at most `max_names` have a counter at any time."""
+        self.max_names = max_names
+        self.total = 0
+        """Sum of the amounts of all names."""
+        self.counters: dict[str, tuple[int, int]] = {}
+        """Amount and error by name."""
+        self._heap: list[tuple[int, str]] = []
+        """An entry for each counter, with its amount of now or of an earlier time."""
+
+    def add(self, name: str, amount: int) -> None:
+        """Add an amount to the sum of a name."""
+        self.total += amount
+        counter = self.counters.get(name)
+        if counter:
+            self.counters[name] = (counter[0] + amount, counter[1])
+        elif len(self.counters) < self.max_names:
+            self.counters[name] = (amount, 0)
+            heapq.heappush(self._heap, (amount, name))
+        else:
+            smallest, loser = self._smallest()
+            del self.counters[loser]
+            self.counters[name] = (smallest + amount, smallest)
+            heapq.heapreplace(self._heap, (smallest + amount, name))
+
+    def _smallest(self) -> tuple[int, str]:
+        """Return amount and name of the smallest counter, and leave its entry at the top of the heap."""
+        while True:
+            known, name = self._heap[0]
+            current = self.counters[name][0]
+            if current == known:
+                return known, name
+            heapq.heapreplace(self._heap, (current, name))
+
+    def top(self, count: int) -> list[HeavyHitter]:
+        """Return the heaviest names, the largest sum first; those with equal sums in the order of names."""
+        heaviest = heapq.nsmallest(count, self.counters.items(), key=lambda item: (-item[1][0], item[0]))
+        return [HeavyHitter(name, amount, error) for name, (amount, error) in heaviest]
--- a/tuliptrack/structures/rendezvous.py
+++ b/tuliptrack/structures/rendezvous.py
@@ -1,11 +1,11 @@
-"""Weighted rendezvous hashing: every process ranks the members alike for a key, and a change of members moves
-few keys.
+"""Weighted rendezvous hashing: all processes rank members alike, and a change of members moves few keys.
 
-A member's score for a key is `weight / -ln(u)`, u being the key's and the member's hash as a number between 0
-and 1. To find the first members all hashes are needed, so they are worked out at once: the members' own
-hashes stand side by side in one large integer, a lane of 128 bits each, and the mixing steps are done on that
-integer. A product of 64 by 64 bits fits into a lane, so no lane reaches into the next. For 850 members that
-takes a ninth of the time of one member after another (`bench/structures.py`). Standard library only."""
+A member's score for a key is `weight / -ln(u)`, where u is the hash of the key and the member as a number
+between 0 and 1. Ranking needs the hashes of all members, so they are computed at once: the members' own
+hashes are laid out in one large integer, in lanes of 128 bits, and the mixing steps are applied to that
+integer. A product of 64 by 64 bits fits into a lane, so no lane carries into the next. That is much faster
+than hashing one member after another, with the standard library alone (`bench/structures.py`).
+"""
 
 from __future__ import annotations
 
@@ -14,115 +14,135 @@
 from heapq import nlargest
 from typing import Generic, TypeVar
 
-__all__ = ["Ranking", "RendezvousColumn", "mix", "rendezvous_score"]
+__all__ = ["MAX_CACHED_RANKINGS", "Ranking", "RendezvousHasher", "mix", "rendezvous_score"]
 
 T = TypeVar("T")
-_MASK = (1 << 64) - 1
-_GAMMA, _FIRST, _SECOND = 0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9, 0x94D049BB133111EB
-_SHIFTS = (30, 27, 31)
-_LANE_BYTES = 16
-_HEAD = 24  # members ranked first, as most callers look at a few only
-_RANKINGS_KEPT = 1_000  # keys whose ranking is kept
+HASH_BITS = 64
+HASH_MASK = (1 << HASH_BITS) - 1
+MIX_INCREMENT = 0x9E3779B97F4A7C15
+FIRST_MULTIPLIER, SECOND_MULTIPLIER = 0xBF58476D1CE4E5B9, 0x94D049BB133111EB
+MIX_SHIFTS = FIRST_SHIFT, SECOND_SHIFT, LAST_SHIFT = 30, 27, 31
+LANE_BYTES = 16
+LANE_WORDS = 2
+"""Words of 64 bits in a lane; the lower one holds the hash."""
+HEAD_COUNT = 24
+"""Members that are ranked first, as most callers use a few only."""
+LIKELY_EXCESS = 3
+"""Members expected above a bound on hashes, for each one wanted above it."""
+MAX_CACHED_RANKINGS = 1_000
 
 
 def mix(value: int) -> int:
-    """A fixed 64-bit mixer (SplitMix64's finaliser), so that all nodes and processes hash alike."""
-    value = (value + _GAMMA) & _MASK
-    value = ((value ^ (value >> 30)) * _FIRST) & _MASK
-    value = ((value ^ (value >> 27)) * _SECOND) & _MASK
-    return value ^ (value >> 31)
+    """Return a fixed 64-bit hash (the finaliser of SplitMix64), the same in all processes."""
+    value = (value + MIX_INCREMENT) & HASH_MASK
+    value = ((value ^ (value >> FIRST_SHIFT)) * FIRST_MULTIPLIER) & HASH_MASK
+    value = ((value ^ (value >> SECOND_SHIFT)) * SECOND_MULTIPLIER) & HASH_MASK
+    return value ^ (value >> LAST_SHIFT)
 
 
-def rendezvous_score(key: int, member: int, weight: float) -> float:
-    """The score of one member for a key."""
-    return _score(mix(key ^ mix(member)), weight)
+def rendezvous_score(key: int, member_id: int, weight: float) -> float:
+    """Return the score of one member for a key."""
+    return _score(mix(key ^ mix(member_id)), weight)
 
 
 def _score(hashed: int, weight: float) -> float:
-    return weight / -math.log((hashed + 1) / (2**64 + 1))
-
-
-class RendezvousColumn(Generic[T]):
-    """Members that are ranked together; made anew when they change."""
-
-    def __init__(self, members: Sequence[T], numbers: Sequence[int], weights: Sequence[float]) -> None:
-        """`numbers` are the members' own keys, `weights` their sizes."""
-        self.members, self.weights = members, weights
-        self._equal = len(set(weights)) <= 1
-        """All weigh the same: the order of scores is that of hashes."""
-        self._ones = int.from_bytes((1).to_bytes(_LANE_BYTES, "little") * len(members), "little")
-        self._lanes = int.from_bytes(
-            b"".join(mix(n).to_bytes(_LANE_BYTES, "little") for n in numbers), "little"
-        )
-        self._gammas = _GAMMA * self._ones
-        self._mask = _MASK * self._ones
+    return weight / -math.log((hashed + 1) / (2**HASH_BITS + 1))
+
+
+class RendezvousHasher(Generic[T]):
+    """Ranks a fixed set of members for any key. Bound: `MAX_CACHED_RANKINGS` rankings of the members."""
+
+    def __init__(self, members: Sequence[T], ids: Sequence[int], weights: Sequence[float]) -> None:
+        """Prepare to rank `members`, which have the ids and weights at the same positions."""
+        self.members = members
+        self._weights = weights
+        self._has_equal_weights = len(set(weights)) <= 1
+        """If so, the order of the scores is that of the hashes."""
+        self._ones = _in_lanes([1] * len(members))
+        self._hashed_ids = _in_lanes([mix(member_id) for member_id in ids])
+        self._increments = MIX_INCREMENT * self._ones
+        self._mask = HASH_MASK * self._ones
+        self._shift_masks = [(HASH_MASK >> shift) * self._ones for shift in MIX_SHIFTS]
+        """For each shift, the bits that did not come from the next lane."""
         self._rankings: dict[int, Ranking[T]] = {}
-        self._shift_masks = [(_MASK >> shift) * self._ones for shift in _SHIFTS]
 
     def hashes(self, key: int) -> list[int]:
-        """Each member's hash for a key, as `mix(key ^ mix(number))` gives it."""
+        """Return the hash of each member for a key: `mix(key ^ mix(member_id))`."""
         if not self.members:
             return []
-        first, second, third = self._shift_masks
-        lanes = ((self._lanes ^ (key & _MASK) * self._ones) + self._gammas) & self._mask
-        lanes = (lanes ^ (lanes >> _SHIFTS[0] & first)) * _FIRST & self._mask
-        lanes = (lanes ^ (lanes >> _SHIFTS[1] & second)) * _SECOND & self._mask
-        lanes ^= lanes >> _SHIFTS[2] & third
-        return memoryview(lanes.to_bytes(_LANE_BYTES * len(self.members), "little")).cast("Q").tolist()[::2]
+        first_mask, second_mask, last_mask = self._shift_masks
+        lanes = ((self._hashed_ids ^ (key & HASH_MASK) * self._ones) + self._increments) & self._mask
+        lanes = (lanes ^ (lanes >> FIRST_SHIFT & first_mask)) * FIRST_MULTIPLIER & self._mask
+        lanes = (lanes ^ (lanes >> SECOND_SHIFT & second_mask)) * SECOND_MULTIPLIER & self._mask
+        lanes ^= lanes >> LAST_SHIFT & last_mask
+        words = memoryview(lanes.to_bytes(LANE_BYTES * len(self.members), "little")).cast("Q").tolist()
+        return words[::LANE_WORDS]
 
     def scores(self, key: int) -> Sequence[float]:
-        """By which members are ranked for a key: the higher goes first."""
-        hashed = self.hashes(key)
-        return hashed if self._equal else [_score(h, w) for h, w in zip(hashed, self.weights, strict=True)]
-
-    def likely(self, scores: Sequence[float], count: int) -> list[int]:
-        """Places that are sure to hold the highest scores, so many at least; none where that can't be told at
-        once. Hashes are spread evenly, so three times as many lie above a bound that is easily told."""
-        if not self._equal:
+        """Return numbers by which members are ranked for a key, the highest first: scores or just hashes."""
+        hashes = self.hashes(key)
+        if self._has_equal_weights:
+            return hashes
+        return [_score(hashed, weight) for hashed, weight in zip(hashes, self._weights, strict=True)]
+
+    def likely_top(self, scores: Sequence[float], count: int) -> list[int]:
+        """Return positions that are sure to include those of the `count` highest scores.
+
+        Hashes are spread evenly, so a fixed bound separates a few of the highest from the rest.
+
+        Returns:
+            The positions, or none if the bound does not separate enough of them.
+        """
+        if not self._has_equal_weights:
             return []
-        bound = _MASK - _MASK * 3 * count // len(self.members)
-        found = [place for place, hashed in enumerate(scores) if hashed > bound]
+        bound = HASH_MASK - HASH_MASK * LIKELY_EXCESS * count // len(self.members)
+        found = [position for position, hashed in enumerate(scores) if hashed > bound]
         return found if len(found) >= count else []
 
     def ranking(self, key: int) -> Ranking[T]:
-        """The members in this key's order, ranked as far as they are asked for; kept for the last keys."""
-        known = self._rankings.get(key)
-        if known is None:
-            if len(self._rankings) >= _RANKINGS_KEPT:
+        """Return the members in the order for a key, ranked as far as is needed; cached."""
+        cached = self._rankings.get(key)
+        if cached is None:
+            if len(self._rankings) >= MAX_CACHED_RANKINGS:
                 self._rankings.clear()
-            known = self._rankings[key] = Ranking(self, key)
-        return known
+            cached = self._rankings[key] = Ranking(self, key)
+        return cached
 
 
 class Ranking(Generic[T]):
-    """Members by falling score for one key, of equal ones the earlier first."""
+    """Members by falling score for one key; of members with equal scores the earlier first."""
 
-    __slots__ = ("_column", "_key", "_ranked")
+    __slots__ = ("_hasher", "_key", "_ranked")
 
-    def __init__(self, column: RendezvousColumn[T], key: int) -> None:
-        self._column, self._key = column, key
+    def __init__(self, hasher: RendezvousHasher[T], key: int) -> None:
+        """Prepare to rank; nothing is computed before the first iteration."""
+        self._hasher, self._key = hasher, key
         self._ranked: list[T] = []
 
     def __len__(self) -> int:
-        return len(self._column.members)
+        return len(self._hasher.members)
 
     def __iter__(self) -> Iterator[T]:
-        place = 0
-        while place < len(self):
-            if place >= len(self._ranked):
-                self._rank(_HEAD if not self._ranked else len(self))
-            yield self._ranked[place]
-            place += 1
+        position = 0
+        while position < len(self):
+            if position >= len(self._ranked):
+                self._rank(HEAD_COUNT if not self._ranked else len(self))
+            yield self._ranked[position]
+            position += 1
 
     def _rank(self, count: int) -> None:
-        scores, members = self._column.scores(self._key), self._column.members
-        places: Sequence[int] = range(len(members))
+        scores, members = self._hasher.scores(self._key), self._hasher.members
+        positions: Sequence[int] = range(len(members))
         if count < len(members):
-            places = self._column.likely(scores, count) or places
-            places = nlargest(count, places, key=scores.__getitem__)
+            positions = self._hasher.likely_top(scores, count) or positions
+            positions = nlargest(count, positions, key=scores.__getitem__)
         else:
-            places = sorted(places, key=scores.__getitem__, reverse=True)
-        self._ranked = [members[place] for place in places]
+            positions = sorted(positions, key=scores.__getitem__, reverse=True)
+        self._ranked = [members[position] for position in positions]
 
     def __contains__(self, member: object) -> bool:
-        return member in self._column.members
+        return member in self._hasher.members
+
+
+def _in_lanes(values: Sequence[int]) -> int:
+    return int.from_bytes(b"".join(value.to_bytes(LANE_BYTES, "little") for value in values), "little")
--- a/tuliptrack/structures/sorted_members.py
+++ b/tuliptrack/structures/sorted_members.py
@@ -1,8 +1,9 @@
-"""Members by whole-number key, kept in the order of the keys: found by key, by place, and in turn.
+"""Members in the order of their whole-number keys: found by key, by position, and iterated in order.
 
-A sorted list with bisection: a change moves what follows in one block, which for some thousands of members
-takes about a microsecond. `bench/structures.py` has it beside a rebuilt list and a sorted container of the
-registry."""
+It is a sorted list of keys with bisection. A change moves all that follows in one block, which is fast for
+thousands of members; `bench/structures.py` compares it with a list that is rebuilt and with a sorted
+container of another library.
+"""
 
 from __future__ import annotations
 
@@ -16,12 +17,13 @@
 
 
 class SortedMembers(Generic[T]):
-    """Bound: as many members as were put and not removed."""
+    """A mapping in the order of its keys. Bound: the members that were put and not removed."""
 
     __slots__ = ("_keys", "_members")
 
     def __init__(self) -> None:
         self._keys: list[int] = []
+        """In rising order."""
         self._members: dict[int, T] = {}
 
     def put(self, key: int, member: T) -> None:
@@ -31,12 +33,12 @@
         self._members[key] = member
 
     def remove(self, key: int) -> None:
-        """Take a member out; nothing where there is none."""
+        """Remove the member with this key, if there is one."""
         if self._members.pop(key, None) is not None:
             del self._keys[bisect_left(self._keys, key)]
 
     def keys(self) -> KeysView[int]:
-        """The members' keys, to ask for many of them."""
+        """Return the keys, in no particular order, for many membership tests."""
         return self._members.keys()
 
     def __contains__(self, key: object) -> bool:
@@ -45,10 +47,10 @@
     def __len__(self) -> int:
         return len(self._keys)
 
-    def __getitem__(self, place: int) -> T:
-        """The member at a place in the order of the keys."""
-        return self._members[self._keys[place]]
+    def __getitem__(self, index: int) -> T:
+        """Return the member at a position in the order of the keys."""
+        return self._members[self._keys[index]]
 
     def __iter__(self) -> Iterator[T]:
-        """Members in the order of their keys."""
+        """Iterate over the members in the order of their keys."""
         return (self._members[key] for key in self._keys)
