--- a/tuliptrack/cli/fleet.py
+++ b/tuliptrack/cli/fleet.py
@@ -12,8 +12,8 @@
 
 from tuliptrack.cli.running import run_until_told
 from tuliptrack.decisions.consensus import MAX_CONTROLLERS
-from tuliptrack.fleet.ask import Unanswered, ask
 from tuliptrack.fleet.controller import Controller, Host
+from tuliptrack.fleet.unary_call import CallError, call_unary
 from tuliptrack.node.logs import set_up
 from tuliptrack.proto import rollout_pb2 as pb
 from tuliptrack.rpc.channel import Channel, Options
@@ -64,15 +64,15 @@
 
 async def _first(controllers: tuple[str, ...], method: str, question: Any) -> pb.FleetState:
     """The answer of the controller that acts; Unanswered with the last reason where none does."""
-    last = Unanswered(Code.UNAVAILABLE, "no controller was named")
+    last = CallError(Code.UNAVAILABLE, "no controller was named")
     for address in controllers:
         channel = Channel(address, Options(connect_timeout=1_000_000))
         try:
-            state = await ask(channel, method, question, pb.FleetState, _ANSWER_US)
+            state = await call_unary(channel, method, question, pb.FleetState, _ANSWER_US)
             if state.leads:
                 return state
-            last = Unanswered(Code.FAILED_PRECONDITION, f"{address} does not act")
-        except Unanswered as error:
+            last = CallError(Code.FAILED_PRECONDITION, f"{address} does not act")
+        except CallError as error:
             last = error
             if error.code in (Code.INVALID_ARGUMENT, Code.ABORTED):
                 break
@@ -84,7 +84,7 @@
 def _ask(controllers: tuple[str, ...], method: str, question: Any) -> pb.FleetState:
     try:
         return asyncio.run(_first(controllers, method, question))
-    except Unanswered as error:
+    except CallError as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -144,7 +144,7 @@
     while wait:
         try:
             state = asyncio.run(_first(controllers, "Fleet/State", pb.StateRequest()))
-        except Unanswered as error:
+        except CallError as error:
             state = None
             line = f"no controller acts just now ({error.text})"
         if state:
--- a/tuliptrack/fleet/agent.py
+++ b/tuliptrack/fleet/agent.py
@@ -25,7 +25,7 @@
 
 from tuliptrack.decisions.consensus import Acceptor
 from tuliptrack.decisions.rollout import Release
-from tuliptrack.fleet.measures import LogCounts
+from tuliptrack.fleet.log_metrics import LogMetrics
 from tuliptrack.proto import rollout_pb2 as pb
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.server import Server, ServerCall, unary_request
@@ -103,7 +103,7 @@
         self.ready_at, self._in_a_row, self._stopping_at = 0, 0, 0.0
         self._not_before = 0.0
         self.led_at = now_us()
-        self.counts = LogCounts(root / "node.log", from_end=True)
+        self.counts = LogMetrics(root / "node.log", from_end=True)
         self._task: asyncio.Task[None] | None = None
         self._children: dict[int, subprocess.Popen[bytes]] = {}
 
--- a/tuliptrack/fleet/controller.py
+++ b/tuliptrack/fleet/controller.py
@@ -26,7 +26,7 @@
     Rollout,
     Stage,
 )
-from tuliptrack.fleet.ask import Unanswered, ask
+from tuliptrack.fleet.unary_call import CallError, call_unary
 from tuliptrack.proto import rollout_pb2 as pb
 from tuliptrack.rpc.channel import Channel, Options
 from tuliptrack.rpc.clock import now_us
@@ -217,10 +217,10 @@
                 if wanted := self.rollout.record.release(name):
                     question.release.program, question.release.settings = wanted.program, wanted.settings
             try:
-                self.reports[name] = await ask(
+                self.reports[name] = await call_unary(
                     self.channels[name], "Agent/Look", question, pb.HostReport, _ANSWER_US
                 )
-            except Unanswered as error:
+            except CallError as error:
                 log.debug("no report", host=name, reason=str(error))
                 self.reports.pop(name, None)
             await asyncio.sleep(self._pause)
@@ -231,8 +231,10 @@
 
         async def one(name: str) -> tuple[str, pb.AgentAnswer | None]:
             try:
-                return name, await ask(self.channels[name], method, question, pb.AgentAnswer, _ANSWER_US)
-            except Unanswered as error:
+                return name, await call_unary(
+                    self.channels[name], method, question, pb.AgentAnswer, _ANSWER_US
+                )
+            except CallError as error:
                 log.debug("no answer", host=name, method=method, reason=str(error))
                 return name, None
 
--- a/tuliptrack/lab/capacity/control.py
+++ b/tuliptrack/lab/capacity/control.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from tuliptrack.decisions.rollout import Phase, Plan, Record, Release, Stage
-from tuliptrack.fleet.ask import Unanswered, ask
+from tuliptrack.fleet.unary_call import CallError, call_unary
 from tuliptrack.lab.capacity.node import NodeCosts
 from tuliptrack.lab.hollow.agents import HollowAgent
 from tuliptrack.lab.wire import Cut, Wire
@@ -106,10 +106,12 @@
         """Wait until the controller acts and every agent holds what it has written."""
         for _ in range(600):
             try:
-                told = await ask(self.channel, "Fleet/State", pb.StateRequest(), pb.FleetState, 5_000_000)
+                told = await call_unary(
+                    self.channel, "Fleet/State", pb.StateRequest(), pb.FleetState, 5_000_000
+                )
                 if told.leads and all(agent.acceptor.mark > (1, 1) for agent in self.agents):
                     return
-            except Unanswered:
+            except CallError:
                 pass
             await asyncio.sleep(0.05)
         raise TimeoutError("the controller never acted")
