--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -68,19 +68,19 @@
         return await call_unary(self.channel, "Agent/Look", request, pb.HostReport, 2_000_000)
 
     def kill_node(self) -> None:
-        if self.agent.pid:
-            os.kill(self.agent.pid, signal.SIGKILL)
+        if self.agent.node.pid:
+            os.kill(self.agent.node.pid, signal.SIGKILL)
 
 
 def test_an_order_is_carried_out_once_and_an_older_one_never(tmp_path: Path) -> None:
     async def go() -> None:
         async with Asking(host(tmp_path / "h")) as a:
-            await until(lambda: a.agent.ready_at)
+            await until(lambda: a.agent.node.ready_at_us)
             assert (await a.promise(65)).agreed and (await a.accept(65, 1, b"record")).agreed
             for _ in range(3):
                 assert (await a.order(65, 1, TWO)).obeyed
-            await until(lambda: a.agent.running == TWO and a.agent.ready_at)
-            assert a.agent.changes == 1 and a.agent.died == 0
+            await until(lambda: a.agent.node.running == TWO and a.agent.node.ready_at_us)
+            assert a.agent.state.change_count == 1 and a.agent.node.unexpected_exits == 0
             assert not (await a.order(64, 9, ONE)).obeyed and not (await a.order(65, 0, ONE)).obeyed
             assert (await a.promise(130)).agreed
             assert not (await a.order(65, 2, ONE)).obeyed, (
@@ -93,7 +93,9 @@
                 held = await a.promise(1)
                 assert (held.agreed, held.promised, held.value) == (False, 130, b"record")
                 assert (
-                    not (await a.order(65, 9, ONE)).obeyed and a.agent.running == TWO and a.agent.changes == 1
+                    not (await a.order(65, 9, ONE)).obeyed
+                    and a.agent.node.running == TWO
+                    and a.agent.state.change_count == 1
                 )
                 command = ["agent", "h", str(tmp_path / "h"), "--program", "one", "--settings", "conf"]
                 second = subprocess.run(
@@ -111,7 +113,7 @@
 ) -> None:
     async def go() -> None:
         async with Asking(host(tmp_path)) as a:
-            await until(lambda: a.agent.ready_at)
+            await until(lambda: a.agent.node.ready_at_us)
             assert (await a.promise(65)).agreed
 
             def full(path: Path, body: bytes) -> None:
@@ -125,7 +127,7 @@
             monkeypatch.undo()
             assert (await a.promise(64)).promised == 65
             assert (await a.order(65, 2, TWO)).trouble == ""
-            await until(lambda: a.agent.running == TWO)
+            await until(lambda: a.agent.node.running == TWO)
             a.kill_node()
 
     run(go, 60)
@@ -134,15 +136,15 @@
 def test_what_is_not_at_hand_is_named_and_the_node_goes_on(tmp_path: Path) -> None:
     async def go() -> None:
         async with Asking(host(tmp_path)) as a:
-            await until(lambda: a.agent.ready_at)
-            pid = a.agent.pid
+            await until(lambda: a.agent.node.ready_at_us)
+            pid = a.agent.node.pid
             for release, text in (
                 (Release("three", "conf"), "'three' is not at hand"),
                 (Release("two", "x"), "'x' are not at hand"),
                 (Release("../one", "conf"), "no digest"),
             ):
                 assert text in (await a.order(1, 1, release)).trouble
-            assert a.agent.pid == pid and a.agent.running == ONE
+            assert a.agent.node.pid == pid and a.agent.node.running == ONE
             a.kill_node()
 
     run(go, 60)
@@ -151,18 +153,18 @@
 def test_a_node_that_dies_is_started_again_and_one_that_ignores_sigterm_is_killed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("tuliptrack.fleet.agent._TERM_S", 0.5)
+    monkeypatch.setattr("tuliptrack.fleet.node_supervisor.TERMINATION_GRACE_S", 0.5)
 
     async def go() -> None:
         async with Asking(host(tmp_path, one=STUBBORN)) as a:
-            await until(lambda: a.agent.ready_at)
-            first = a.agent.pid
+            await until(lambda: a.agent.node.ready_at_us)
+            first = a.agent.node.pid
             a.kill_node()
-            await until(lambda: a.agent.ready_at and a.agent.pid != first)
-            assert a.agent.died == 1
+            await until(lambda: a.agent.node.ready_at_us and a.agent.node.pid != first)
+            assert a.agent.node.unexpected_exits == 1
             await a.order(1, 1, TWO)
-            await until(lambda: a.agent.running == TWO and a.agent.ready_at)
-            assert a.agent.died == 1, "a death that was asked for counts for nothing"
+            await until(lambda: a.agent.node.running == TWO and a.agent.node.ready_at_us)
+            assert a.agent.node.unexpected_exits == 1, "a death that was asked for counts for nothing"
             a.kill_node()
 
     run(go, 60)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -93,7 +93,7 @@
         self._channels: dict[str, Channel] = {}
         self.hosts: dict[str, Any] = {}
 
-    async def call_unary(self, method: str, question: Any) -> pb.FleetState:
+    async def call_leader(self, method: str, question: Any) -> pb.FleetState:
         """The answer of whichever controller acts."""
         last: CallError | None = None
         for _ in range(400):
@@ -116,7 +116,7 @@
         return self._channels[address]
 
     async def record(self) -> dict[str, Any]:
-        state = await self.ask("State", pb.StateRequest())
+        state = await self.call_leader("State", pb.StateRequest())
         self.hosts = json.loads(state.hosts)
         return dict(json.loads(state.record))
 
@@ -130,7 +130,7 @@
 
     async def acting(self) -> int:
         """Which controller acts, by the epoch."""
-        return int((await self.ask("State", pb.StateRequest())).epoch % 64)
+        return int((await self.call_leader("State", pb.StateRequest())).epoch % 64)
 
     async def look(self) -> dict[str, pb.HostReport]:
         """What agents say themselves, with no controller between."""
@@ -248,7 +248,7 @@
             await asyncio.sleep(0.1)
         made.tasks.append(asyncio.get_running_loop().create_task(made.clients()))
         await until(lambda: made.answers["OK"] > 200)
-        while (await made.ask("State", pb.StateRequest())).learnt < 2:
+        while (await made.call_leader("State", pb.StateRequest())).learnt < 2:
             await asyncio.sleep(0.1)
         yield made
         assert not made.double, "calls with two ends"
@@ -273,8 +273,8 @@
     async def go() -> None:
         async with fleet(tmp_path) as f:
             with pytest.raises(CallError, match="no host of the fleet"):
-                await f.ask("Begin", f.plan(BAD, stages=[{"hosts": ["h9"]}]))
-            await f.ask("Begin", f.plan(BAD))
+                await f.call_leader("Begin", f.plan(BAD, stages=[{"hosts": ["h9"]}]))
+            await f.call_leader("Begin", f.plan(BAD))
             record = await f.until_phase("taken back", "done", "held")
             assert (
                 record["phase"] == "taken back" and "'refused'" in record["reason"] and record["stage"] == 0
@@ -294,13 +294,15 @@
 def test_a_rollout_goes_on_when_the_controller_that_acts_is_paused_and_comes_back(tmp_path: Path) -> None:
     async def go() -> None:
         async with fleet(tmp_path) as f:
-            await f.ask("Begin", f.plan(GOOD + "b"))  # Not at hand anywhere: begun, and not carried out.
+            await f.call_leader(
+                "Begin", f.plan(GOOD + "b")
+            )  # Not at hand anywhere: begun, and not carried out.
             first = await f.acting()
             f.controllers[first].send(signal.SIGSTOP)
             while await f.acting() == first:
                 await asyncio.sleep(0.05)
             f.controllers[first].send(signal.SIGCONT)
-            await f.ask("Say", pb.SayRequest(command="abort"))
+            await f.call_leader("Say", pb.SayRequest(command="abort"))
             record = await f.until_phase("taken back")
             assert record["number"] == 1 and "aborted" in record["reason"]
             assert all(r.changes == 0 and r.ready for r in (await f.look()).values()) and f.most_out == 0
@@ -339,7 +341,7 @@
 def test_a_release_that_does_not_start_is_taken_back(tmp_path: Path) -> None:
     async def go() -> None:
         async with fleet(tmp_path) as f:
-            await f.ask("Begin", f.plan(DEAD, ready_within=3_000_000))
+            await f.call_leader("Begin", f.plan(DEAD, ready_within=3_000_000))
             record = await f.until_phase("taken back", "done", "held")
             assert record["phase"] == "taken back" and "h0 was not ready" in record["reason"]
             assert f.most_out <= 1 and (await f.look())["h0"].release.program == GOOD
@@ -355,7 +357,7 @@
             f.wires["h0"].set(Cut.BACK)
             while not f.hosts or f.hosts["h0"]["heard"]:
                 await f.record()
-            await f.ask(
+            await f.call_leader(
                 "Begin",
                 f.plan(GOOD + "b", stages=[{"hosts": ["h1"], "shortest": 0}, {"hosts": ["h0", "h2"]}]),
             )
@@ -364,7 +366,7 @@
                 assert reports["h1"].changes == reports["h2"].changes == 0 and f.most_out <= 1
                 await asyncio.sleep(0.05)
             assert (await f.record())["wanted"] == [] and not f.hosts["h0"]["heard"]
-            await f.ask("Say", pb.SayRequest(command="abort"))
+            await f.call_leader("Say", pb.SayRequest(command="abort"))
             f.wires["h0"].set(Cut.NOTHING)
             record = await f.until_phase("taken back")
             assert "aborted" in record["reason"] and f.most_out == 0
@@ -377,7 +379,7 @@
 ) -> None:
     async def go() -> None:
         async with fleet(tmp_path) as f:
-            await f.ask("Begin", f.plan(BAD))
+            await f.call_leader("Begin", f.plan(BAD))
             while (await f.look())["h0"].changes == 0:
                 await asyncio.sleep(0.02)
             first = await f.acting()
--- a/tuliptrack/cli/agent.py
+++ b/tuliptrack/cli/agent.py
@@ -32,6 +32,6 @@
     set_up(json_lines=True)
     try:
         one = Agent(host, folder, Release(program, settings))
-        asyncio.run(run_until_told(one, listen, life=one.life))
+        asyncio.run(run_until_told(one, listen, life=one.incarnation))
     except (SealedError, OSError) as error:
         raise click.ClickException(str(error)) from None
--- a/tuliptrack/fleet/log_metrics.py
+++ b/tuliptrack/fleet/log_metrics.py
@@ -19,8 +19,8 @@
 """Measures as reports name them: rejected, failed before or after the first token, first token late."""
 REQUEST_EVENT = "request"
 REJECTED_ENDS = ("refused", "rejected")
-"""Ends of rejected requests in the log: nodes of different versions write one or the other, and an agent has to
-count both."""
+"""Ends of rejected requests in the log: nodes of different versions write one or the other, and an agent has
+to count both."""
 FAILED_END = "failed"
 DEFAULT_LATE_MS = 1000.0
 CHUNK_BYTES = 1 << 20
--- /dev/null
+++ b/tuliptrack/fleet/node_process.py
@@ -0,0 +1,99 @@
+"""Processes of nodes, as the kernel shows them: started here, or left running by an earlier agent.
+
+A node is a session of its own, so it goes on when the agent ends. Its environment carries a mark with the
+host's folder and the release, by which the next agent finds it, whenever the one before ended.
+"""
+
+from __future__ import annotations
+
+import os
+import subprocess
+from dataclasses import dataclass
+from pathlib import Path
+
+from tuliptrack.decisions.rollout import Release
+from tuliptrack.fleet.host_folder import HostFolder
+
+__all__ = ["NodeProcess", "find_node", "start_node"]
+
+MARK_VARIABLE = "TULIPTRACK_HOST"
+"""In a node's environment: the host's folder, the program and the settings."""
+MARK_SEPARATOR = "|"
+PROC = Path("/proc")
+STATE_FIELD = 0
+START_TIME_FIELD = 19
+"""Positions in `/proc/PID/stat`, counted after the process name."""
+ZOMBIE = "Z"
+
+
+@dataclass(frozen=True, slots=True)
+class NodeProcess:
+    """One process of a node."""
+
+    pid: int
+    start_time: str
+    """By the kernel's count: with another one, the pid is that of another process."""
+    release: Release
+    child: subprocess.Popen[bytes] | None = None
+    """If this agent started it."""
+
+    def is_running(self) -> bool:
+        """Return whether the process has not ended."""
+        if self.child:
+            self.child.poll()  # Otherwise it would remain as a zombie.
+        return _start_time(self.pid) == self.start_time
+
+
+def find_node(root: Path) -> NodeProcess | None:
+    """Return the node that an earlier agent started for this folder, if it still runs."""
+    for entry in PROC.iterdir():
+        if not entry.name.isdigit():
+            continue
+        try:
+            release = _release_of(entry, root)
+            pid = int(entry.name)
+            start_time = _start_time(pid)
+            if release and os.getsid(pid) == pid and start_time:
+                return NodeProcess(pid, start_time, release)
+        except (OSError, ValueError):
+            continue  # Another user's process, or one that has ended meanwhile.
+    return None
+
+
+def _release_of(entry: Path, root: Path) -> Release | None:
+    """Return the release in the mark of a process, or None if that is no node of this folder."""
+    prefix = f"{MARK_VARIABLE}={root}{MARK_SEPARATOR}".encode()
+    variables = (entry / "environ").read_bytes().split(b"\0")
+    marks = [variable for variable in variables if variable.startswith(prefix)]
+    if not marks:
+        return None
+    _, program, settings = marks[0].decode().split(MARK_SEPARATOR)
+    return Release(program, settings)
+
+
+def _start_time(pid: int) -> str:
+    """Return when a process started, by the kernel's count; empty if there is none or it has ended."""
+    try:
+        fields = (PROC / str(pid) / "stat").read_text().rpartition(")")[2].split()
+    except OSError:
+        return ""
+    return "" if fields[STATE_FIELD] == ZOMBIE else fields[START_TIME_FIELD]
+
+
+def start_node(folder: HostFolder, release: Release) -> NodeProcess:
+    """Start a node.
+
+    Raises:
+        OSError: It could not be started.
+    """
+    mark = MARK_SEPARATOR.join((str(folder.root), release.program, release.settings))
+    with open(folder.node_output, "wb") as output, open(folder.node_log, "ab") as node_log:
+        child = subprocess.Popen(
+            [str(folder.program(release)), str(folder.settings(release))],
+            stdout=output,
+            stderr=node_log,
+            stdin=subprocess.DEVNULL,
+            start_new_session=True,
+            env={**os.environ, MARK_VARIABLE: mark},
+        )
+    return NodeProcess(child.pid, _start_time(child.pid), release, child)
--- /dev/null
+++ b/tuliptrack/fleet/node_supervisor.py
@@ -0,0 +1,146 @@
+"""Keeps the node of one host running: starts it, restarts it with backoff, replaces it by another release.
+
+The supervisor looks at the process in short intervals. It decides nothing: which release has to run is said
+by `run_release`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import os
+import signal
+from dataclasses import dataclass
+
+import structlog
+
+from tuliptrack.decisions.rollout import Release
+from tuliptrack.fleet.host_folder import HostFolder
+from tuliptrack.fleet.node_process import NodeProcess, find_node, start_node
+from tuliptrack.rpc.clock import now_us
+
+__all__ = ["NodeSupervisor"]
+
+log = structlog.get_logger("agent")
+POLL_INTERVAL_S = 0.05
+TERMINATION_GRACE_S = 10.0
+"""From SIGTERM to SIGKILL: a node that ignores the first would keep its host from ever changing."""
+MIN_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 5.0
+
+
+@dataclass(slots=True)
+class _RestartBackoff:
+    """When a node may be started: after each failure in a row the delay doubles, up to a maximum."""
+
+    failures_in_row: int = 0
+    not_before_s: float = 0.0
+
+    def record_failure(self, now_s: float) -> None:
+        self.not_before_s = now_s + min(MIN_BACKOFF_S * 2**self.failures_in_row, MAX_BACKOFF_S)
+        self.failures_in_row += 1
+
+    def reset(self) -> None:
+        self.failures_in_row, self.not_before_s = 0, 0.0
+
+
+class NodeSupervisor:
+    """One host's node. `find`, then `watch` for as long as the agent runs."""
+
+    def __init__(self, folder: HostFolder, release: Release) -> None:
+        """Prepare to run `release`; nothing is started yet."""
+        self.fault = ""
+        """Why the release does not run, for operators; empty where it does."""
+        self.address = ""
+        """host:port of the node, once it is ready."""
+        self.ready_at_us = 0
+        """Since when the node has been ready; 0 while it is not."""
+        self.unexpected_exits = 0
+        self._folder, self._release = folder, release
+        self._node: NodeProcess | None = None
+        self._stopping_at_s = 0.0
+        """When the node was sent SIGTERM; 0 if it was not."""
+        self._backoff = _RestartBackoff()
+
+    @property
+    def pid(self) -> int:
+        """The node's process; 0 if there is none."""
+        return self._node.pid if self._node else 0
+
+    @property
+    def running(self) -> Release | None:
+        """The release that runs, ready or not."""
+        return self._node.release if self._node else None
+
+    def run_release(self, release: Release) -> None:
+        """Run this release from now on; it is started without any backoff from earlier failures."""
+        self._release = release
+        self._backoff.reset()
+
+    def find(self) -> None:
+        """Take over the node that an earlier agent left running, if there is one."""
+        self._node = find_node(self._folder.root)
+        if self._node:
+            log.info("node found", pid=self._node.pid, release=self._node.release.name)
+
+    async def watch(self) -> None:
+        """Keep the node running until cancelled, which leaves it as it is."""
+        while True:
+            self._step(asyncio.get_running_loop().time())
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    def _step(self, now_s: float) -> None:
+        if self._node and not self._node.is_running():
+            self._handle_exit(self._node, now_s)
+        if not self._node:
+            if now_s >= self._backoff.not_before_s:
+                self._start(now_s)
+        elif self._stopping_at_s:
+            if now_s - self._stopping_at_s > TERMINATION_GRACE_S:
+                _send(self._node, signal.SIGKILL)
+        elif self._node.release != self._release:
+            self._begin_replacement(self._node, now_s)
+        elif not self.ready_at_us:
+            self._check_readiness()
+
+    def _handle_exit(self, node: NodeProcess, now_s: float) -> None:
+        is_unexpected = not self._stopping_at_s
+        log.info("node ended", pid=node.pid, unexpected=is_unexpected)
+        self._node, self._stopping_at_s = None, 0.0
+        self.ready_at_us, self.address = 0, ""
+        if is_unexpected:
+            self.unexpected_exits += 1
+            self._backoff.record_failure(now_s)
+        else:
+            self._backoff.reset()
+
+    def _begin_replacement(self, node: NodeProcess, now_s: float) -> None:
+        log.info("node replaced", old=node.release.name, new=self._release.name)
+        self._stopping_at_s, self.ready_at_us = now_s, 0
+        self._backoff.reset()
+        _send(node, signal.SIGTERM)
+
+    def _check_readiness(self) -> None:
+        """Read the line that the node prints once it serves; until then there is none, or a part of it."""
+        with contextlib.suppress(OSError, ValueError, KeyError, TypeError):
+            self.address = str(json.loads(self._folder.node_output.read_text())["address"])
+            self.ready_at_us = now_us()
+            self._backoff.reset()
+            log.info("node ready", address=self.address)
+
+    def _start(self, now_s: float) -> None:
+        if missing := self._folder.missing(self._release):
+            self.fault = missing
+            return
+        try:
+            self._node = start_node(self._folder, self._release)
+            log.info("node started", pid=self._node.pid, release=self._release.name)
+        except OSError as error:
+            self.fault = f"{self._folder.program(self._release)}: {error.strerror or error}"
+            self._backoff.record_failure(now_s)
+
+
+def _send(node: NodeProcess, number: signal.Signals) -> None:
+    with contextlib.suppress(ProcessLookupError):
+        os.kill(node.pid, number)
