--- a/tuliptrack/cli/fleet.py
+++ b/tuliptrack/cli/fleet.py
@@ -12,7 +12,8 @@
 
 from tuliptrack.cli.running import run_until_told
 from tuliptrack.decisions.consensus import MAX_CONTROLLERS
-from tuliptrack.fleet.controller import Controller, Host
+from tuliptrack.fleet.controller import Controller
+from tuliptrack.fleet.host import Host
 from tuliptrack.fleet.unary_call import CallError, call_unary
 from tuliptrack.node.logs import set_up
 from tuliptrack.proto import rollout_pb2 as pb
--- /dev/null
+++ b/tuliptrack/fleet/record_consensus.py
@@ -0,0 +1,93 @@
+"""A controller's part in the consensus on the fleet's record: claims to lead, and has records accepted.
+
+A record counts once a quorum of agents has accepted it (`decisions/consensus.py` decides that). Who leads
+follows from epochs alone; nothing here depends on a clock.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from tuliptrack.decisions.consensus import Ballot, Proposer
+from tuliptrack.fleet.agent_calls import AgentCalls
+from tuliptrack.proto import rollout_pb2 as pb
+
+__all__ = ["RecordConsensus"]
+
+
+class RecordConsensus:
+    """Calls agents for a `Proposer`."""
+
+    def __init__(self, number: int, hosts: Iterable[str], calls: AgentCalls) -> None:
+        """Prepare for controller `number`; `hosts` are those whose agents make up the quorum."""
+        self._proposer = Proposer(number, frozenset(hosts))
+        self._calls = calls
+
+    @property
+    def epoch(self) -> int:
+        """The epoch that this controller claimed last."""
+        return self._proposer.epoch
+
+    @property
+    def quorum(self) -> int:
+        """How many agents have to accept a record."""
+        return self._proposer.majority
+
+    @property
+    def has_promises(self) -> bool:
+        """Whether a quorum promised this controller's epoch, and no newer one is known."""
+        return self._proposer.leads
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether this controller may act: it has the promises, and a record settled under its epoch."""
+        return self._proposer.leads and self._proposer.settled is not None
+
+    @property
+    def settled_ballot(self) -> Ballot | None:
+        """Ballot of the newest record settled under this epoch."""
+        return self._proposer.settled[0] if self._proposer.settled else None
+
+    @property
+    def has_unsettled_write(self) -> bool:
+        """Whether the record written last is not yet accepted by a quorum."""
+        return self._proposer.leads and self._proposer.mark != self.settled_ballot
+
+    def record_promised(self, epoch: int) -> None:
+        """Take into account that an agent promised an epoch: if it is newer, another controller leads."""
+        self._proposer.refused(epoch)
+
+    def resign(self) -> None:
+        """Stop leading."""
+        self._proposer.leads = False
+
+    async def claim(self) -> bool:
+        """Claim to lead with a new epoch; return whether a quorum promised it."""
+        epoch = self._proposer.claim()
+
+        def handle(host: str, answer: pb.AgentAnswer) -> bool:
+            ballot = (answer.mark.epoch, answer.mark.number)
+            return self._agreed(answer) and self._proposer.promised(host, epoch, ballot, answer.value)
+
+        await self._calls.call_all_until("Agent/Promise", pb.PromiseRequest(epoch=epoch), handle)
+        return self._proposer.leads
+
+    def write(self, value: bytes) -> None:
+        """Begin to write a new record; `settle` has it accepted."""
+        self._proposer.write(value)
+
+    async def settle(self) -> bytes | None:
+        """Have the record written last accepted by a quorum; return it, or None if that failed for now."""
+        ballot, value = self._proposer.mark, self._proposer.value
+
+        def handle(host: str, answer: pb.AgentAnswer) -> bool:
+            return self._agreed(answer) and self._proposer.accepted(host, ballot)
+
+        mark = pb.Mark(epoch=ballot[0], number=ballot[1])
+        await self._calls.call_all_until("Agent/Accept", pb.AcceptRequest(mark=mark, value=value), handle)
+        return value if self._proposer.settled == (ballot, value) else None
+
+    def _agreed(self, answer: pb.AgentAnswer) -> bool:
+        if not answer.agreed:
+            self._proposer.refused(answer.promised)
+        return answer.agreed
--- /dev/null
+++ b/tuliptrack/fleet/report_collector.py
@@ -0,0 +1,56 @@
+"""What each host's node did in a window, from reports whose counts began with the agent's start."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from tuliptrack.decisions.rollout import Release, Report
+from tuliptrack.proto import rollout_pb2 as pb
+
+__all__ = ["ReportCollector"]
+
+
+class ReportCollector:
+    """The last report of each host, and that of the window before."""
+
+    def __init__(self, zones: Mapping[str, str]) -> None:
+        """Begin without reports; `zones` are those of the hosts, by name."""
+        self.latest: dict[str, pb.HostReport] = {}
+        """By host; those whose last call failed have none."""
+        self._zones = zones
+        self._at_last_window: dict[str, pb.HostReport] = {}
+
+    def end_window(self) -> list[Report]:
+        """Return what each host did since the last window, and begin the next."""
+        reports = [self._difference(host, report) for host, report in self.latest.items()]
+        self._at_last_window = dict(self.latest)
+        return reports
+
+    def _difference(self, host: str, report: pb.HostReport) -> Report:
+        earlier = self._at_last_window.get(host)
+        if earlier is None or earlier.life != report.life:
+            # The counts of another incarnation of the agent began elsewhere: this window shows no requests.
+            earlier = report
+        running = report.release
+        return Report(
+            host=host,
+            zone=self._zones[host],
+            release=Release(running.program, running.settings) if running.program else None,
+            ready=report.ready,
+            since=report.ready_for,
+            classes=_count_differences(earlier, report),
+            died=report.died - earlier.died,
+        )
+
+
+def _count_differences(
+    earlier: pb.HostReport, later: pb.HostReport
+) -> dict[str, dict[str, tuple[float, float]]]:
+    """Return by class and measure how many requests ended between two reports, and how many of them badly."""
+    earlier_counts = {(counts.request_class, counts.measure): counts for counts in earlier.counts}
+    by_class: dict[str, dict[str, tuple[float, float]]] = {}
+    for counts in later.counts:
+        before = earlier_counts.get((counts.request_class, counts.measure), pb.Counts())
+        difference = (float(counts.count - before.count), float(counts.bad - before.bad))
+        by_class.setdefault(counts.request_class, {})[counts.measure] = difference
+    return by_class
