--- a/tuliptrack/decisions/lending_pool.py
+++ b/tuliptrack/decisions/lending_pool.py
@@ -10,7 +10,7 @@
 from collections import deque
 
 from tuliptrack.decisions.shared_token_bucket import BudgetGrant, SharedTokenBucket
-from tuliptrack.structures.wheel import Wheel
+from tuliptrack.structures.timing_wheel import TimingWheel
 
 __all__ = ["LendingPool"]
 
@@ -27,13 +27,13 @@
     def __init__(self, now_us: int) -> None:
         """Nobody lends yet."""
         self._lenders: dict[str, SharedTokenBucket] = {}
-        self._next_check: Wheel[str] = Wheel(now_us)
+        self._next_check: TimingWheel[str] = TimingWheel(now_us)
         self._expired: deque[BudgetGrant] = deque()
 
     def add_lender(self, now_us: int, tenant: str, bucket: SharedTokenBucket) -> None:
         """Lend what expires in a tenant's bucket from now on."""
         self._lenders[tenant] = bucket
-        self._next_check.set(tenant, now_us + MIN_CHECK_INTERVAL_US)
+        self._next_check.schedule(tenant, now_us + MIN_CHECK_INTERVAL_US)
 
     def advance(self, now_us: int) -> None:
         """Drop what was lent out long enough, and collect what has expired at the lenders that are due."""
@@ -46,7 +46,7 @@
             if expired > 0:
                 self._expired.append(BudgetGrant(now_us + LENDING_US, expired))
             check_at_us = max(bucket.next_expiry_us(now_us), now_us + MIN_CHECK_INTERVAL_US)
-            self._next_check.set(tenant, min(check_at_us, now_us + MAX_CHECK_INTERVAL_US))
+            self._next_check.schedule(tenant, min(check_at_us, now_us + MAX_CHECK_INTERVAL_US))
 
     def available(self) -> float:
         """Return what can be borrowed."""
--- a/tuliptrack/decisions/token_budget.py
+++ b/tuliptrack/decisions/token_budget.py
@@ -35,7 +35,7 @@
     SharedBucketSettings,
     SharedTokenBucket,
 )
-from tuliptrack.structures.sketch import Heavy, Sketch
+from tuliptrack.structures.heavy_hitters import HeavyHitter, HeavyHitterSketch
 
 __all__ = [
     "MAX_GRANTED_WINDOW_US",
@@ -192,7 +192,7 @@
         self._clock = CalendarClock(settings.epoch_offset_us)
         self._lending_pool = LendingPool(now_us)
         self._estimates = OutputEstimates()
-        self._top_tenants = Sketch(SKETCH_COUNTERS)
+        self._top_tenants = HeavyHitterSketch(SKETCH_COUNTERS)
         self._reservations: dict[int, _Reservation] = {}
         self._tenants = {
             tenant: self._tenant_budget(windows, now_us) for tenant, windows in settings.windows.items()
@@ -354,6 +354,6 @@
         """Iterate over the usage of every tenant with budgets."""
         return (budget.usage for budget in self._tenants.values())
 
-    def top_tenants(self, count: int = 10) -> list[Heavy]:
+    def top_tenants(self, count: int = 10) -> list[HeavyHitter]:
         """Return the tenants that have reserved most, in units, with or without a budget."""
         return self._top_tenants.top(count)
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -83,7 +83,7 @@
         self._add_fronts()
         self._add_accounts()
         self.roster = EndpointList(config.kinds)
-        self.list_cache = EndpointListCache(config.source.cache, lambda: self.roster.whole())
+        self.list_cache = EndpointListCache(config.source.cache, lambda: self.roster.to_message())
         self.source = source if source is not None else self._configured_source()
         self.gossip = PeerGossip(config.peers, config.settings.replica_index, self.channels.options)
         self.action_handlers[io.SendGossip] = self.gossip.send
@@ -206,25 +206,25 @@
             message: The list, as its source sent it.
             kind: What it is, where the message itself doesn't say.
         """
-        before = set(self.roster.held)
+        before = set(self.roster.entries)
         try:
-            listing: ListedUpdate = self.roster.take(message, self.now(), kind)
+            listing: ListedUpdate = self.roster.apply(message, self.now(), kind)
         except InvalidListError as error:
             log.warning("server list not taken", reason=str(error))
             return
         # First the routers stop sending to an endpoint, then its channel may be retired.
         labels = {entry.id: Model(entry.model, entry.model_version) for entry in message.servers}
-        self.model_routers.update(listing.change, labels)
-        self.channels.update(listing.addresses, before - set(self.roster.held))
-        if listing.change.kind in (io.UpdateKind.FULL, io.UpdateKind.DELTA):
-            self._handle_applied(listing.change)
+        self.model_routers.update(listing.update, labels)
+        self.channels.update(listing.addresses, before - set(self.roster.entries))
+        if listing.update.kind in (io.UpdateKind.FULL, io.UpdateKind.DELTA):
+            self._handle_applied(listing.update)
 
     def _handle_applied(self, update: io.EndpointListUpdate) -> None:
         log.info(
             "server list",
             kind=update.kind.value,
             version=update.version,
-            servers=len(self.roster.held),
+            servers=len(self.roster.entries),
         )
         self.list_cache.save()
         if self.settings.zone_budgets:
--- a/tuliptrack/relay/endpoint_directory.py
+++ b/tuliptrack/relay/endpoint_directory.py
@@ -93,7 +93,7 @@
         now = ReadingTime(now_us(), wall_us())
         entries = self._read_entries(received, now, is_older)
         self.revision = received.revision
-        self._start_times.list_heard(now.monotonic_us)
+        self._start_times.record_list(now.monotonic_us)
         if is_full:
             self._remove_absent(entries)
         for entry in entries.values():
--- a/tuliptrack/relay/endpoint_entries.py
+++ b/tuliptrack/relay/endpoint_entries.py
@@ -133,7 +133,7 @@
         cell = _parse_number(entry, "cell", place, default=0)
         zone = self._parse_zone(entry, place, is_removed)
         endpoint_id = key(name)
-        started_at_us = self._start_times.monotonic(
+        started_at_us = self._start_times.to_monotonic_us(
             endpoint_id, int(started_at_ms * US_PER_MS), now.monotonic_us, now.wall_us
         )
         endpoint = EndpointInfo(
