--- a/tests/fronts/test_codes.py
+++ b/tests/fronts/test_grpc_status.py
@@ -9,7 +9,7 @@
 import pytest
 from google.rpc import error_details_pb2
 
-from tuliptrack.fronts.codes import failure
+from tuliptrack.fronts.grpc_status import failure_status
 from tuliptrack.fronts.kserve.mapping import failure_text
 from tuliptrack.fronts.port import Failure
 from tuliptrack.rpc.status import Code
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize("how", PUBLISHED)
 def test_a_failure_keeps_its_published_reason_and_code_on_grpc(how: Failure) -> None:
     reason, code = PUBLISHED[how]
-    status = failure(how, "failed: why", next_index="3")
+    status = failure_status(how, "failed: why", next_index="3")
     info = next(one for one in status.parsed() if isinstance(one, error_details_pb2.ErrorInfo))
     assert (info.reason, info.domain, dict(info.metadata)) == (reason, "tuliptrack", {"next_index": "3"})
     assert status.code is code
--- a/tuliptrack/fronts/generation.py
+++ b/tuliptrack/fronts/generation.py
@@ -1,19 +1,13 @@
-"""The front of `tuliptrack.v1.Generation`: requests in, token streams out, codes as `docs/operate/grpc.md`
-lists."""
+"""The front of `tuliptrack.v1.Generation` on gRPC: a request in, a stream of tokens out.
+
+`docs/operate/grpc.md` has the status codes.
+"""
 
 from __future__ import annotations
 
 from tuliptrack.config.node import NodeConfig
-from tuliptrack.fronts.codes import bad_request, failure
-from tuliptrack.fronts.port import (
-    ClientRequest,
-    Core,
-    Failure,
-    FinishReason,
-    InvalidRequestError,
-    RequestHandle,
-    Usage,
-)
+from tuliptrack.fronts.grpc_status import failure_status, invalid_request_status
+from tuliptrack.fronts.port import ClientRequest, Core, Failure, FinishReason, InvalidRequestError, Usage
 from tuliptrack.proto import generation_pb2 as pb
 from tuliptrack.rpc.server import Server, ServerCall, unary_request
 from tuliptrack.rpc.status import Code, Status, refusal
@@ -21,23 +15,21 @@
 __all__ = ["SERVICE", "install"]
 
 SERVICE = "tuliptrack.v1.Generation"
-_FINISH = {FinishReason.STOP: pb.STOP, FinishReason.LENGTH: pb.LENGTH}
-_OK = Status(Code.OK)
+_FINISH_REASONS = {FinishReason.STOP: pb.STOP, FinishReason.LENGTH: pb.LENGTH}
 
 
-class _Stream:
-    """One call, as the core's `Answer`."""
+class _GenerateResponseWriter:
+    """Writes the response of one call; a `ResponseWriter`."""
 
-    __slots__ = ("call", "ticket")
+    __slots__ = ("call",)
 
     def __init__(self, call: ServerCall) -> None:
         self.call = call
-        self.ticket: RequestHandle | None = None
 
     def token(self, index: int, text: str, finish: FinishReason | None, usage: Usage | None) -> bool:
         message = pb.GenerateResponse(index=index, text=text)
         if finish:
-            message.finish_reason = _FINISH[finish]
+            message.finish_reason = _FINISH_REASONS[finish]
         if usage:
             message.usage.prompt_tokens = usage.prompt_tokens
             message.usage.cached_tokens = usage.cached_tokens
@@ -45,43 +37,46 @@
         return self.call.send(message.SerializeToString())
 
     def served(self) -> None:
-        self.call.end(_OK)
+        self.call.end(Status(Code.OK))
 
-    def rejected(self, reason: str, retry_after: int) -> None:
-        self.call.end(refusal(reason, retry_after))
+    def rejected(self, reason: str, retry_after_us: int) -> None:
+        self.call.end(refusal(reason, retry_after_us))
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
-        self.call.end(failure(how, f"failed: {reason}", reason=reason, next_index=str(next_index)))
-
-
-def install(server: Server, core: Core, config: NodeConfig) -> None:
+        status = failure_status(how, f"failed: {reason}", reason=reason, next_index=str(next_index))
+        self.call.end(status)
+
+
+def _client_request(call: ServerCall, request: pb.GenerateRequest) -> ClientRequest:
+    return ClientRequest(
+        request_class=request.request_class,
+        prompt=request.prompt,
+        tenant=request.tenant,
+        session=request.session,
+        prefix=request.prefix,
+        prompt_tokens=request.prompt_tokens,
+        prefix_tokens=request.prefix_tokens,
+        max_tokens=request.max_tokens,
+        resume_index=request.resume.next_index,
+        resume_text=request.resume.text,
+        is_retry=request.repeat,
+        deadline_us=call.deadline,
+        model=request.model,
+        model_version=request.model_version,
+        work_id=request.work,
+        connection=call.link,
+    )
+
+
+def install(server: Server, core: Core, _config: NodeConfig) -> None:
     """Serve the protocol on this server, for this core."""
 
-    def generate(call: ServerCall, request: pb.GenerateRequest) -> None:
-        ask = ClientRequest(
-            request.request_class,
-            request.prompt,
-            request.tenant,
-            request.session,
-            request.prefix,
-            request.prompt_tokens,
-            request.prefix_tokens,
-            request.max_tokens,
-            request.resume.next_index,
-            request.resume.text,
-            request.repeat,
-            call.deadline,
-            request.model,
-            request.model_version,
-            request.work,
-            call.link,
-        )
-        stream = _Stream(call)
+    def generate(call: ServerCall, message: pb.GenerateRequest) -> None:
         try:
-            ticket = stream.ticket = core.submit(ask, stream)
+            handle = core.submit(_client_request(call, message), _GenerateResponseWriter(call))
         except InvalidRequestError as error:
-            call.end(bad_request(error))
+            call.end(invalid_request_status(error))
             return
-        call.on_gone, call.on_writable = ticket.disconnected, ticket.writable
+        call.on_gone, call.on_writable = handle.disconnected, handle.writable
 
     server.add(SERVICE, "Generate", unary_request(pb.GenerateRequest, generate), early=True)
--- a/tuliptrack/fronts/installed.py
+++ b/tuliptrack/fronts/installed.py
@@ -1,5 +1,8 @@
-"""The protocols that clients speak. A new one is a file here and a line in `FRONTS` (services of the gRPC
-server) or `LISTENERS` (what listens on an address of its own); `node/` knows none by name."""
+"""The client protocols that a node on gRPC serves.
+
+A new protocol is a module of this package and an entry here: in `FRONTS` if it is a service of the node's
+gRPC server, in `LISTENERS` if it listens on an address of its own. `node/` knows none of them by name.
+"""
 
 from __future__ import annotations
 
@@ -18,16 +21,20 @@
 
 
 class Listener(Protocol):
-    """A front with an address of its own."""
+    """A front that listens on an address of its own."""
 
     form: str
+    """Name of the protocol, for the log."""
 
     async def listen(self) -> str:
-        """Serve; returns host:port."""
+        """Start to serve; returns host:port."""
 
     async def stop(self, grace: float) -> None:
-        """Take nothing new, let what is open run for `grace` seconds, end."""
+        """Accept nothing new, and end what is still open after `grace` seconds."""
 
 
 FRONTS: tuple[Callable[[Server, Core, NodeConfig], None], ...] = (generation.install, kserve_grpc.install)
+"""Each adds its services to the gRPC server, for this core."""
 LISTENERS: tuple[Callable[[Core, NodeConfig, ByteBudget], Listener | None], ...] = (kserve_rest.make,)
+"""Each makes its listener, or None where the settings want none. The byte budget is that of request bodies,
+shared with the gRPC server."""
--- a/tuliptrack/fronts/kserve/grpc.py
+++ b/tuliptrack/fronts/kserve/grpc.py
@@ -10,7 +10,7 @@
 
 from tuliptrack.config.node import NodeConfig
 from tuliptrack.decisions.concurrency_limit import rejection_text
-from tuliptrack.fronts.codes import bad_request, failure
+from tuliptrack.fronts.grpc_status import failure_status, invalid_request_status
 from tuliptrack.fronts.kserve.mapping import (
     INPUTS,
     OUTPUTS,
@@ -113,7 +113,7 @@
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
         # Nothing of it has reached the client, so there is nothing to go on from.
-        self.call.end(failure(how, failure_text(how, reason, 0), reason=reason))
+        self.call.end(failure_status(how, failure_text(how, reason, 0), reason=reason))
 
 
 class _Part:
@@ -262,7 +262,7 @@
         if not found:
             field = "version" if any(m.name == request.name for m in core.models.listed()) else "name"
             call.end(
-                bad_request(
+                invalid_request_status(
                     InvalidRequestError(
                         field, f"{getattr(request, field)[:60]!r} is not served here", is_unknown=True
                     )
@@ -284,7 +284,7 @@
             whole = _Whole(call, taken, config.limits.message_bytes)
             whole.ticket = core.submit(ask, whole)
         except InvalidRequestError as error:
-            call.end(bad_request(error))
+            call.end(invalid_request_status(error))
             return
         call.on_gone, call.on_writable = whole.ticket.disconnected, whole.ticket.writable
 
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -19,7 +19,7 @@
 from tuliptrack.config.node import EngineOptions, NodeConfig, NodeLimits
 from tuliptrack.decisions.concurrency_limit import ByteBudget, ConcurrencyLimits
 from tuliptrack.decisions.model_catalog import Model
-from tuliptrack.fronts import discovery
+from tuliptrack.fronts import health, reflection
 from tuliptrack.fronts.installed import FRONTS, LISTENERS
 from tuliptrack.fronts.port import ClientRequest
 from tuliptrack.node.billing import Billing
@@ -103,7 +103,7 @@
         self.server.outlook = self.overload
         made = [make(self, self.config, self.bodies) for make in LISTENERS]
         self.listeners = [listener for listener in made if listener]
-        self.health: discovery.Health
+        self.health: health.HealthService
 
     def _add_accounts(self) -> None:
         zones = self.config.zones
@@ -138,7 +138,8 @@
         for install in FRONTS:
             install(self.server, self, self.config)
         self.gossip.install(self.server, self._handle_gossip)
-        self.health = discovery.install(self.server)
+        self.health = health.install(self.server)
+        reflection.install(self.server)
         host, _, port = self.config.listen.rpartition(":")
         address = await self.server.listen(host, int(port))
         for listener in self.listeners:
@@ -165,8 +166,8 @@
         grace_s = self.config.shutdown_grace / 1e6 if grace is None else grace
         self.server.on_cut = self.conclude_open_requests
         self.stopping = True
-        fronts = [self.server, *self.listeners]
-        await asyncio.gather(*(front.stop(grace_s) for front in fronts))
+        listeners_stop = [listener.stop(grace_s) for listener in self.listeners]
+        await asyncio.gather(self.server.stop(grace_s), *listeners_stop)
         await self.source.close()
         self.close()
         await asyncio.sleep(0)  # Releases of reserved KV states go out with this turn of the loop.
