--- a/tests/fronts/test_mapping.py
+++ b/tests/fronts/test_mapping.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from tuliptrack.config.node import KserveOptions
-from tuliptrack.fronts.kserve.mapping import Infer, Value, ask_of
+from tuliptrack.fronts.kserve.mapping import InferRequest, Value, client_request_of
 from tuliptrack.fronts.kserve.tensors import Tensor
 
 
@@ -26,7 +26,7 @@
         "resume_index": 2,
         "resume_text": "so far",
     }
-    made = ask_of(Infer("m", "1", "id", parameters, [text]), KserveOptions(), 0, None, None)
+    made = client_request_of(InferRequest("m", "1", "id", parameters, [text]), KserveOptions(), 0, None, None)
     assert (made.session, made.prefix, made.tenant, made.request_class) == ("s1", "p", "north", "question")
     assert (made.work_id, made.is_retry) == ("job-7", True)
     assert (made.prompt_tokens, made.prefix_tokens, made.max_tokens) == (40, 30, 9)
--- a/tests/fronts/test_tensors.py
+++ b/tests/fronts/test_tensors.py
@@ -12,7 +12,7 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from tuliptrack.fronts.kserve.grpc import infer_of as grpc_infer
+from tuliptrack.fronts.kserve.grpc import parse_infer as grpc_infer
 from tuliptrack.fronts.kserve.rest import generate_of
 from tuliptrack.fronts.kserve.rest import infer_of as rest_infer
 from tuliptrack.fronts.kserve.tensors import (
--- a/tuliptrack/fronts/kserve/mapping.py
+++ b/tuliptrack/fronts/kserve/mapping.py
@@ -1,10 +1,11 @@
-"""What a v2 request means to the core, and what the core's words mean in v2: one table for gRPC and REST.
+"""What a v2 request means to the core, and what the core's answers mean in v2, for gRPC and REST alike.
 
-`docs/operate/kserve.md` has the table for users.
+`docs/operate/kserve.md` has the table for users. Times are microseconds.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from importlib.metadata import version
 from typing import Any
@@ -21,34 +22,66 @@
 )
 
 __all__ = [
+    "EXTENSIONS",
     "INPUTS",
     "OUTPUTS",
     "VERSION",
-    "Gathered",
-    "Infer",
-    "ask_of",
-    "facts_of",
+    "BufferedResponse",
+    "InferRequest",
+    "Value",
+    "client_request_of",
     "failure_text",
-    "wants_final",
+    "final_parameters",
+    "wants_empty_final_response",
     "wants_stream",
 ]
 
 Value = bool | int | float | str
+"""Of a parameter."""
 VERSION = version("tuliptrack")
+EXTENSIONS = ("binary_tensor_data", "generate", "model_stream_infer")
 INPUTS = (("text_input", "BYTES", (1,)), ("max_tokens", "INT32", (1,)), ("stream", "BOOL", (1,)))
 """Name, datatype and shape of what a model takes; the first is required."""
 OUTPUTS = (("text_output", "BYTES", (1,)),)
-_COUNTS = frozenset({"INT32", "INT64", "UINT32", "UINT64"})
-_TEXTS = ("session", "prefix", "tenant", "request_class", "resume_text", "work")
-_NUMBERS = ("prompt_tokens", "prefix_tokens", "max_tokens", "resume_index")
-_FIELDS = {"sequence_id": "session", "work": "work_id", "repeat": "is_retry"}
-"""Fields of a `ClientRequest` that have another name than their parameter."""
-_MOST_TIMEOUT = 86_400_000_000  # microseconds: a day
+"""Name, datatype and shape of what a model returns."""
+MAX_TIMEOUT_US = 86_400_000_000
+MAX_COUNT = 1 << 40
+"""Of tokens."""
+MAX_PRIORITY = 1 << 63
+MAX_SEQUENCE_ID = 1 << 64
+MAX_DIGITS = 20
+"""Of a number that is given as a string."""
+MAX_QUOTED_NAME = 60
+"""Characters of a name that are repeated to the client."""
+
+_COUNT_DATATYPES = frozenset({"INT32", "INT64", "UINT32", "UINT64"})
+_TEXT_FIELDS = {
+    "session": "session",
+    "prefix": "prefix",
+    "tenant": "tenant",
+    "request_class": "request_class",
+    "resume_text": "resume_text",
+    "work": "work_id",
+}
+"""Parameters that are strings, and the fields of `ClientRequest` that they set."""
+_COUNT_FIELDS = frozenset({"prompt_tokens", "prefix_tokens", "max_tokens", "resume_index"})
+"""Parameters that are numbers of tokens, and fields of the same name."""
+_OTHER_PARAMETERS = frozenset(
+    {
+        "priority",
+        "stream",
+        "sequence_start",
+        "sequence_end",
+        "triton_enable_empty_final_response",
+        "binary_data_output",
+    }
+)
+"""Parameters that set no field by themselves: read elsewhere, or without meaning here."""
 
 
 @dataclass(slots=True)
-class Infer:
-    """A request of either form, taken apart but not yet understood."""
+class InferRequest:
+    """A request of either form, parsed but not yet interpreted."""
 
     model: str
     version: str
@@ -59,177 +92,242 @@
     """Outputs asked for; none: all."""
 
 
-def _one(tensor: Tensor, place: str) -> Any:
-    if len(tensor.values) != 1:
-        raise InvalidRequestError(place, f"one element expected, shape is {list(tensor.shape)}")
-    return tensor.values[0]
+@dataclass(slots=True)
+class _Inputs:
+    """The values of the input tensors; None: not given."""
+
+    text_input: str | None = None
+    max_tokens: int | None = None
+    stream: bool | None = None
 
 
-def ask_of(
-    infer: Infer, options: KserveOptions, now: int, deadline: int | None, connection: object
+def client_request_of(
+    infer: InferRequest, options: KserveOptions, now: int, deadline_us: int | None, connection: object
 ) -> ClientRequest:
-    """The core's request; AskError names what can't be taken. `now` and `deadline` in monotonic
-    microseconds."""
-    given: dict[str, Any] = {}
-    for tensor in infer.inputs:
-        place = f"inputs.{tensor.name[:60]}"
-        if tensor.name in given:
-            raise InvalidRequestError(place, "stands twice")
-        value: Any = _one(tensor, place) if tensor.name in ("text_input", "max_tokens", "stream") else None
-        if tensor.name == "text_input" and tensor.datatype == "BYTES":
-            try:
-                given["text_input"] = value.decode()
-            except UnicodeDecodeError as error:
-                raise InvalidRequestError(place, f"is not UTF-8: {error}") from None
-        elif tensor.name == "max_tokens" and tensor.datatype in _COUNTS:
-            given["max_tokens"] = value
-        elif tensor.name == "stream" and tensor.datatype == "BOOL":
-            given["stream"] = value
-        elif value is not None:
-            wanted = next(kind for name, kind, _ in INPUTS if name == tensor.name)
-            raise InvalidRequestError(place, f"must be {wanted}, is {tensor.datatype[:20]}")
-        else:
-            raise InvalidRequestError(
-                place, f"is no input of this model; {', '.join(name for name, _, _ in INPUTS)} are"
-            )
-    if "text_input" not in given:
+    """Return the core's request.
+
+    Args:
+        infer: The parsed request.
+        options: What holds for requests that don't say otherwise.
+        now: The present, monotonic.
+        deadline_us: The deadline of the call, monotonic; None: none.
+        connection: Identifies the client's connection.
+
+    Raises:
+        InvalidRequestError: Names what can't be accepted.
+    """
+    inputs = _read_inputs(infer.inputs)
+    if inputs.text_input is None:
         raise InvalidRequestError("inputs.text_input", "is required")
-    for name in infer.outputs:
-        if name not in {out for out, _, _ in OUTPUTS}:
-            raise InvalidRequestError(
-                f"outputs.{name[:60]}", f"is no output of this model; {OUTPUTS[0][0]} is"
-            )
-    words = _parameters(infer.parameters, options)
-    timeout = words.pop("timeout", None)
-    if timeout is not None:
-        deadline = min(deadline, now + timeout) if deadline is not None else now + timeout
-    counted = words.pop("max_tokens", 0)
-    ask = ClientRequest(
-        prompt=given["text_input"],
-        deadline_us=deadline,
+    _check_outputs(infer.outputs)
+    fields = _read_parameters(infer.parameters, options)
+    timeout_us = fields.pop("timeout", None)
+    if timeout_us is not None:
+        timeout_at = now + timeout_us
+        deadline_us = timeout_at if deadline_us is None else min(deadline_us, timeout_at)
+    if inputs.max_tokens is not None:
+        if inputs.max_tokens <= 0:
+            raise InvalidRequestError("inputs.max_tokens", f"must be above 0, is {inputs.max_tokens}")
+        fields["max_tokens"] = inputs.max_tokens
+    return ClientRequest(
+        prompt=inputs.text_input,
+        deadline_us=deadline_us,
         model=infer.model,
         model_version=infer.version,
         connection=connection,
-        max_tokens=given.get("max_tokens", counted),
-        **words,
+        **fields,
     )
-    if given.get("max_tokens") is not None and given["max_tokens"] <= 0:
-        raise InvalidRequestError("inputs.max_tokens", f"must be above 0, is {given['max_tokens']}")
-    return ask
 
 
-def _parameters(parameters: dict[str, Value], options: KserveOptions) -> dict[str, Any]:
-    words: dict[str, Any] = {"request_class": options.request_class, "tenant": options.tenant}
+def _read_inputs(tensors: list[Tensor]) -> _Inputs:
+    inputs = _Inputs()
+    seen: set[str] = set()
+    for tensor in tensors:
+        place = f"inputs.{tensor.name[:MAX_QUOTED_NAME]}"
+        if tensor.name in seen:
+            raise InvalidRequestError(place, "stands twice")
+        seen.add(tensor.name)
+        setattr(inputs, tensor.name, _input_value(tensor, place))
+    return inputs
+
+
+def _input_value(tensor: Tensor, place: str) -> Any:
+    """Return the one value of an input tensor, of the type of its field in `_Inputs`."""
+    datatypes = {name: datatype for name, datatype, _ in INPUTS}
+    if tensor.name not in datatypes:
+        raise InvalidRequestError(place, f"is no input of this model; {', '.join(datatypes)} are")
+    if len(tensor.values) != 1:
+        raise InvalidRequestError(place, f"one element expected, shape is {list(tensor.shape)}")
+    wanted = datatypes[tensor.name]
+    is_count = tensor.name == "max_tokens" and tensor.datatype in _COUNT_DATATYPES
+    if tensor.datatype != wanted and not is_count:
+        raise InvalidRequestError(place, f"must be {wanted}, is {tensor.datatype[:20]}")
+    if tensor.name != "text_input":
+        return tensor.values[0]
+    try:
+        return tensor.values[0].decode()
+    except UnicodeDecodeError as error:
+        raise InvalidRequestError(place, f"is not UTF-8: {error}") from None
+
+
+def _check_outputs(names: list[str]) -> None:
+    known = [output for output, _, _ in OUTPUTS]
+    for name in names:
+        if name not in known:
+            place = f"outputs.{name[:MAX_QUOTED_NAME]}"
+            raise InvalidRequestError(place, f"is no output of this model; {known[0]} is")
+
+
+def _read_parameters(parameters: dict[str, Value], options: KserveOptions) -> dict[str, Any]:
+    """Return the fields of `ClientRequest` that the parameters set, and `timeout` in microseconds."""
+    fields: dict[str, Any] = {"request_class": options.request_class, "tenant": options.tenant}
     if "priority" in parameters:
-        rank = _whole(parameters, "priority", 0, 2**63)
-        if not options.priority_classes:
-            raise InvalidRequestError(
-                "parameters.priority", "is not known here: the settings name no priority_class"
-            )
-        if rank:
-            words["request_class"] = options.priority_classes[min(rank, len(options.priority_classes)) - 1]
-    for name, value in parameters.items():
-        place = f"parameters.{name[:60]}"
-        if name in _TEXTS or (name == "sequence_id" and isinstance(value, str)):
-            if not isinstance(value, str):
-                raise InvalidRequestError(place, f"must be a string, is {value!r}"[:120])
-            words[_FIELDS.get(name, name)] = value
-        elif name == "sequence_id":
-            words["session"] = str(_whole(parameters, name, 0, 2**64)) if value else ""
-        elif name in _NUMBERS:
-            words[name] = _whole(parameters, name, 0, 2**40)
-        elif name == "timeout":
-            if wait := _whole(parameters, name, 0, _MOST_TIMEOUT):
-                words["timeout"] = wait
-        elif name == "repeat":
-            if not isinstance(value, bool):
-                raise InvalidRequestError(place, f"must be true or false, is {value!r}"[:120])
-            words[_FIELDS[name]] = value
-        elif name not in _IGNORED:
-            raise InvalidRequestError(place, "is not known here")
-    return words
-
-
-_IGNORED = frozenset(
-    {
-        "priority",
-        "stream",
-        "sequence_start",
-        "sequence_end",
-        "triton_enable_empty_final_response",
-        "binary_data_output",
-    }
-)
+        _apply_priority(parameters, options, fields)
+    for name in parameters:
+        if reader := _reader_of(name):
+            reader(parameters, name, fields)
+        elif name not in _OTHER_PARAMETERS:
+            raise InvalidRequestError(_place_of(name), "is not known here")
+    return fields
+
+
+_Reader = Callable[[dict[str, Value], str, dict[str, Any]], None]
+
+
+def _reader_of(name: str) -> _Reader | None:
+    """Return what reads a parameter and sets its field."""
+    if name in _TEXT_FIELDS:
+        return _read_text
+    if name in _COUNT_FIELDS:
+        return _read_count
+    return {"sequence_id": _read_sequence_id, "timeout": _read_timeout, "repeat": _read_repeat}.get(name)
+
 
+def _place_of(name: str) -> str:
+    return f"parameters.{name[:MAX_QUOTED_NAME]}"
 
-def _whole(parameters: dict[str, Value], name: str, least: int, most: int) -> int:
+
+def _apply_priority(parameters: dict[str, Value], options: KserveOptions, fields: dict[str, Any]) -> None:
+    """Set the request class by a priority: 1 is the first class of the settings, 0 the default."""
+    priority = _integer(parameters, "priority", MAX_PRIORITY)
+    classes = options.priority_classes
+    if not classes:
+        reason = "is not known here: the settings name no priority_class"
+        raise InvalidRequestError("parameters.priority", reason)
+    if priority:
+        fields["request_class"] = classes[min(priority, len(classes)) - 1]
+
+
+def _read_text(parameters: dict[str, Value], name: str, fields: dict[str, Any]) -> None:
     value = parameters[name]
-    if isinstance(value, str) and value.isascii() and value.isdigit() and len(value) < 21:
+    if not isinstance(value, str):
+        raise InvalidRequestError(_place_of(name), f"must be a string, is {value!r}"[:120])
+    fields[_TEXT_FIELDS[name]] = value
+
+
+def _read_count(parameters: dict[str, Value], name: str, fields: dict[str, Any]) -> None:
+    fields[name] = _integer(parameters, name, MAX_COUNT)
+
+
+def _read_sequence_id(parameters: dict[str, Value], name: str, fields: dict[str, Any]) -> None:
+    """Set the session: a sequence may be named by a string or a number, of which 0 stands for none."""
+    value = parameters[name]
+    if isinstance(value, str):
+        fields["session"] = value
+    else:
+        fields["session"] = str(_integer(parameters, name, MAX_SEQUENCE_ID)) if value else ""
+
+
+def _read_timeout(parameters: dict[str, Value], name: str, fields: dict[str, Any]) -> None:
+    if timeout_us := _integer(parameters, name, MAX_TIMEOUT_US):  # 0 stands for none.
+        fields["timeout"] = timeout_us
+
+
+def _read_repeat(parameters: dict[str, Value], name: str, fields: dict[str, Any]) -> None:
+    value = parameters[name]
+    if not isinstance(value, bool):
+        raise InvalidRequestError(_place_of(name), f"must be true or false, is {value!r}"[:120])
+    fields["is_retry"] = value
+
+
+def _integer(parameters: dict[str, Value], name: str, maximum: int) -> int:
+    """Return a parameter that is a number from 0 to `maximum`, or a string of its digits."""
+    value = parameters[name]
+    if isinstance(value, str) and value.isascii() and value.isdigit() and len(value) <= MAX_DIGITS:
         value = int(value)
-    if not isinstance(value, int) or isinstance(value, bool) or not least <= value <= most:
-        raise InvalidRequestError(
-            f"parameters.{name}", f"must be a whole number from {least} to {most}, is {value!r}"[:160]
-        )
+    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value <= maximum:
+        reason = f"must be a whole number from 0 to {maximum}, is {value!r}"[:160]
+        raise InvalidRequestError(f"parameters.{name}", reason)
     return value
 
 
-def wants_stream(infer: Infer) -> bool:
-    """Whether each token is to be told as it comes; else the whole answer at its end."""
-    told = next((t.values[0] for t in infer.inputs if t.name == "stream" and len(t.values) == 1), None)
-    told = infer.parameters.get("stream", told)
-    return True if told is None else bool(told)
+def wants_stream(infer: InferRequest) -> bool:
+    """Return whether each token is to be sent as it comes, rather than all at the end."""
+    tensors = (one for one in infer.inputs if one.name == "stream" and len(one.values) == 1)
+    from_input = next((tensor.values[0] for tensor in tensors), None)
+    wanted = infer.parameters.get("stream", from_input)
+    return wanted is None or bool(wanted)
 
 
-def wants_final(infer: Infer) -> bool:
-    """Whether the end is to be told by an empty response of its own."""
+def wants_empty_final_response(infer: InferRequest) -> bool:
+    """Return whether the end of the stream is to be an empty response of its own."""
     return infer.parameters.get("triton_enable_empty_final_response") is True
 
 
-def facts_of(finish: FinishReason | None, usage: Usage | None) -> dict[str, Value]:
-    """Parameters of a response that ends an answer."""
-    facts: dict[str, Value] = {}
+def final_parameters(finish: FinishReason | None, usage: Usage | None) -> dict[str, Value]:
+    """Return the parameters of the response with the last token."""
+    parameters: dict[str, Value] = {}
     if finish:
-        facts["finish_reason"] = finish.value
+        parameters["finish_reason"] = finish.value
     if usage:
-        facts.update(
+        parameters.update(
             prompt_tokens=usage.prompt_tokens,
             cached_tokens=usage.cached_tokens,
             completion_tokens=usage.completion_tokens,
         )
-    return facts
+    return parameters
+
 
+class BufferedResponse:
+    """A response that is sent in one piece; its tokens are buffered, up to `max_bytes` of text.
 
-class Gathered:
-    """An answer that goes out in one piece: the tokens of it are kept here, within `most` bytes of text."""
+    The base of a `ResponseWriter`.
+    """
 
-    def __init__(self, infer: Infer, most: int) -> None:
-        self.infer, self.left = infer, most
-        self.parts: list[str] = []
-        self.facts: dict[str, Value] = {}
-        """What its last token tells."""
-        self.ticket: RequestHandle | None = None
+    def __init__(self, infer: InferRequest, max_bytes: int) -> None:
+        """Begin without tokens."""
+        self.infer = infer
+        self.parameters: dict[str, Value] = {}
+        """Of the response, known with the last token."""
+        self.handle: RequestHandle | None = None
+        self._bytes_left = max_bytes
+        self._parts: list[str] = []
 
     @property
     def text(self) -> str:
-        return "".join(self.parts)
+        """All tokens so far."""
+        return "".join(self._parts)
 
     def token(self, index: int, text: str, finish: FinishReason | None, usage: Usage | None) -> bool:
-        self.left -= len(text.encode())
-        if self.left < 0:
+        """Buffer a token; a response that grows too large ends the request."""
+        self._bytes_left -= len(text.encode())
+        if self._bytes_left < 0:
             self.too_large("failed: the answer is too large for one response; stream it")
-            if self.ticket:
-                self.ticket.disconnected("the answer is too large for one response")
+            if self.handle:
+                self.handle.disconnected("the answer is too large for one response")
             return True
-        self.parts.append(text)
+        self._parts.append(text)
         if finish:
-            self.facts = facts_of(finish, usage)
+            self.parameters = final_parameters(finish, usage)
         return True
 
     def too_large(self, text: str) -> None:
-        """End the call with this."""
+        """End the call with this error."""
         raise NotImplementedError
 
 
 def failure_text(how: Failure, reason: str, next_index: int) -> str:
-    resume = f"; it can go on from token {next_index}" if how in (Failure.BROKEN, Failure.MIGRATED) else ""
+    """Return the message of a failed request, for people."""
+    can_resume = how in (Failure.BROKEN, Failure.MIGRATED)
+    resume = f"; it can go on from token {next_index}" if can_resume else ""
     return f"failed ({how.value}): {reason}{resume}"
--- a/tuliptrack/fronts/kserve/rest.py
+++ b/tuliptrack/fronts/kserve/rest.py
@@ -12,16 +12,16 @@
 
 from tuliptrack.config.node import NodeConfig
 from tuliptrack.decisions.concurrency_limit import ByteBudget, rejection_text
-from tuliptrack.fronts.kserve.grpc import EXTENSIONS
 from tuliptrack.fronts.kserve.mapping import (
+    EXTENSIONS,
     INPUTS,
     OUTPUTS,
     VERSION,
-    Gathered,
-    Infer,
-    ask_of,
-    facts_of,
+    BufferedResponse,
+    InferRequest,
+    client_request_of,
     failure_text,
+    final_parameters,
 )
 from tuliptrack.fronts.kserve.tensors import Tensor, TensorError, from_json, from_raw
 from tuliptrack.fronts.port import Core, Failure, FinishReason, InvalidRequestError, RequestHandle, Usage
@@ -77,7 +77,7 @@
     return dict(given)
 
 
-def infer_of(model: str, version: str, body: bytes, header: str | None) -> tuple[Infer, bool]:
+def infer_of(model: str, version: str, body: bytes, header: str | None) -> tuple[InferRequest, bool]:
     """A request of `infer`, and whether its output is wanted as binary data; AskError names what is wrong."""
     size = len(body)
     if header is not None:
@@ -88,7 +88,7 @@
             )
         size = int(header)
     data = _object(body[:size], "body")
-    infer = Infer(model, version, str(data.get("id", "")), _parameters(data.get("parameters", {})))
+    infer = InferRequest(model, version, str(data.get("id", "")), _parameters(data.get("parameters", {})))
     at = size
     binary = infer.parameters.get("binary_data_output") is True
     inputs, outputs = data.get("inputs"), data.get("outputs", [])
@@ -128,7 +128,7 @@
     return infer, binary
 
 
-def generate_of(model: str, version: str, body: bytes) -> Infer:
+def generate_of(model: str, version: str, body: bytes) -> InferRequest:
     """A request of the generate extension: text_input, and parameters beside it or in `parameters`."""
     data = _object(body, "body")
     parameters = _parameters(
@@ -138,13 +138,17 @@
     if not isinstance(text, str):
         raise InvalidRequestError("text_input", "is required and must be a string")
     parameters = {**parameters, **_parameters(data)}
-    return Infer(model, version, told, parameters, [Tensor("text_input", "BYTES", (1,), [text.encode()])])
+    return InferRequest(
+        model, version, told, parameters, [Tensor("text_input", "BYTES", (1,), [text.encode()])]
+    )
 
 
-class _Whole(Gathered):
+class _Whole(BufferedResponse):
     """An answer in one piece."""
 
-    def __init__(self, call: HttpCall, infer: Infer, most: int, write: Callable[[_Whole], None]) -> None:
+    def __init__(
+        self, call: HttpCall, infer: InferRequest, most: int, write: Callable[[_Whole], None]
+    ) -> None:
         super().__init__(infer, most)
         self.call, self.write = call, write
 
@@ -165,9 +169,9 @@
     """An answer as server-sent events. Until the first token nothing is sent, so that a refusal has its own
     status."""
 
-    def __init__(self, call: HttpCall, infer: Infer) -> None:
+    def __init__(self, call: HttpCall, infer: InferRequest) -> None:
         self.call, self.infer = call, infer
-        self.ticket: RequestHandle | None = None
+        self.handle: RequestHandle | None = None
         head = {
             "model_name": infer.model,
             "model_version": infer.version,
@@ -181,7 +185,9 @@
 
     def token(self, index: int, text: str, finish: FinishReason | None, usage: Usage | None) -> bool:
         tail = (
-            "".join(f', "{k}": {json.dumps(v)}' for k, v in facts_of(finish, usage).items()) if finish else ""
+            "".join(f', "{k}": {json.dumps(v)}' for k, v in final_parameters(finish, usage).items())
+            if finish
+            else ""
         )
         self.call.start(200, "text/event-stream")
         return self.call.send(
@@ -309,7 +315,7 @@
             infer, binary = infer_of(model, version, call.body, call.headers.get(_BINARY))
         else:
             infer = generate_of(model, version, call.body)
-        ask = ask_of(infer, self.config.kserve, now_us(), None, call.connection)
+        ask = client_request_of(infer, self.config.kserve, now_us(), None, call.connection)
         answer: _Whole | _Events
         if what == "generate_stream":
             answer = _Events(call, infer)
@@ -322,8 +328,8 @@
                 else self._write_json
             )
             answer = _Whole(call, infer, self.config.limits.message_bytes, write)
-        answer.ticket = self.core.submit(ask, answer)
-        call.on_gone, call.on_writable = answer.ticket.disconnected, answer.ticket.writable
+        answer.handle = self.core.submit(ask, answer)
+        call.on_gone, call.on_writable = answer.handle.disconnected, answer.handle.writable
 
     # -- answers
 
@@ -332,12 +338,14 @@
         return {**head, "id": one.infer.id} if one.infer.id else head
 
     def _write_generated(self, one: _Whole) -> None:
-        one.call.respond(200, json.dumps({**self._head(one), "text_output": one.text, **one.facts}).encode())
+        one.call.respond(
+            200, json.dumps({**self._head(one), "text_output": one.text, **one.parameters}).encode()
+        )
 
     def _write_json(self, one: _Whole) -> None:
         output = {"name": OUTPUTS[0][0], "datatype": "BYTES", "shape": [1], "data": [one.text]}
         one.call.respond(
-            200, json.dumps({**self._head(one), "parameters": one.facts, "outputs": [output]}).encode()
+            200, json.dumps({**self._head(one), "parameters": one.parameters, "outputs": [output]}).encode()
         )
 
     def _write_binary(self, one: _Whole) -> None:
@@ -349,5 +357,5 @@
             "shape": [1],
             "parameters": {"binary_data_size": len(raw)},
         }
-        head = json.dumps({**self._head(one), "parameters": one.facts, "outputs": [output]}).encode()
+        head = json.dumps({**self._head(one), "parameters": one.parameters, "outputs": [output]}).encode()
         one.call.respond(200, head + raw, [(_BINARY, str(len(head)))], "application/octet-stream")
--- a/tuliptrack/fronts/kserve/tensors.py
+++ b/tuliptrack/fronts/kserve/tensors.py
@@ -1,21 +1,37 @@
 """Tensors of the v2 protocol: from typed contents, raw bytes or JSON to flat lists of values, and back.
 
 Pure functions; `TensorError` names the tensor and what is wrong with it. Source: the Open Inference
-Protocol's tensor data types and the binary tensor data extension (little-endian, row-major; BYTES elements
-each after a 4-byte length)."""
+Protocol's tensor data types and its binary tensor data extension: little-endian, row-major, each BYTES
+element after its length in 4 bytes.
+"""
 
 from __future__ import annotations
 
 import math
 import struct
-from collections.abc import Iterable, Sequence
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ["DATATYPES", "Tensor", "TensorError", "from_contents", "from_json", "from_raw", "to_raw"]
-
-MOST_ELEMENTS = 1 << 24
-_STRUCT = {
+__all__ = [
+    "DATATYPES",
+    "Tensor",
+    "TensorError",
+    "encode_element",
+    "from_contents",
+    "from_json",
+    "from_raw",
+    "to_raw",
+]
+
+MAX_ELEMENTS = 1 << 24
+MAX_DIMENSIONS = 16
+MAX_QUOTED_DATATYPE = 20
+"""Characters of an unknown datatype that are repeated to the client."""
+LENGTH_BYTES = 4
+"""Of the length before a BYTES element."""
+
+_STRUCT_FORMATS = {
     "BOOL": "?",
     "UINT8": "B",
     "UINT16": "H",
@@ -29,7 +45,7 @@
     "FP32": "f",
     "FP64": "d",
 }
-_CONTENTS = {
+_CONTENTS_FIELDS = {
     "BOOL": "bool_contents",
     "UINT8": "uint_contents",
     "UINT16": "uint_contents",
@@ -43,24 +59,22 @@
     "FP64": "fp64_contents",
     "BYTES": "bytes_contents",
 }
-DATATYPES = frozenset({*_STRUCT, "BYTES"})
-_RANGES = {
-    name: (-(1 << bits - 1), (1 << bits - 1) - 1) if name[0] == "I" else (0, (1 << bits) - 1)
-    for name, bits in (
-        ("UINT8", 8),
-        ("UINT16", 16),
-        ("UINT32", 32),
-        ("UINT64", 64),
-        ("INT8", 8),
-        ("INT16", 16),
-        ("INT32", 32),
-        ("INT64", 64),
-    )
-}
+DATATYPES = frozenset({*_STRUCT_FORMATS, "BYTES"})
+
+
+def _integer_range(datatype: str) -> tuple[int, int]:
+    """Return the least and greatest value of an integer datatype, whose name ends in its bits."""
+    if datatype.startswith("UINT"):
+        return 0, (1 << int(datatype.removeprefix("UINT"))) - 1
+    magnitude = 1 << int(datatype.removeprefix("INT")) - 1
+    return -magnitude, magnitude - 1
+
+
+_RANGES = {name: _integer_range(name) for name in DATATYPES if name.startswith(("INT", "UINT"))}
 
 
 class TensorError(Exception):
-    """A tensor that can't be taken."""
+    """A tensor that can't be accepted: `field` says where, `reason` why."""
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"{field}: {reason}")
@@ -77,99 +91,122 @@
     values: Sequence[Any]
 
 
-def _count(name: str, datatype: str, shape: Sequence[Any]) -> int:
-    """Elements of a checked shape."""
+def _element_count(name: str, datatype: str, shape: Sequence[Any]) -> int:
+    """Check datatype and shape; return the number of elements."""
     if datatype not in DATATYPES:
-        raise TensorError(f"{name}.datatype", f"{datatype[:20]!r} is not among {sorted(DATATYPES)}")
-    if not all(isinstance(d, int) and not isinstance(d, bool) and d >= 0 for d in shape) or len(shape) > 16:
-        raise TensorError(f"{name}.shape", f"must be up to 16 sizes from 0, is {list(shape)[:17]}")
+        quoted = datatype[:MAX_QUOTED_DATATYPE]
+        raise TensorError(f"{name}.datatype", f"{quoted!r} is not among {sorted(DATATYPES)}")
+    if len(shape) > MAX_DIMENSIONS or not all(_is_integer(size) and size >= 0 for size in shape):
+        found = list(shape)[: MAX_DIMENSIONS + 1]
+        raise TensorError(f"{name}.shape", f"must be up to {MAX_DIMENSIONS} sizes from 0, is {found}")
     count: int = math.prod(shape)
-    if count > MOST_ELEMENTS:
-        raise TensorError(f"{name}.shape", f"{count} elements, {MOST_ELEMENTS} at most")
+    if count > MAX_ELEMENTS:
+        raise TensorError(f"{name}.shape", f"{count} elements, {MAX_ELEMENTS} at most")
     return count
 
 
-def _expect(name: str, count: int, found: int, shape: Sequence[int]) -> None:
+def _check_count(name: str, count: int, found: int, shape: Sequence[int]) -> None:
     if found != count:
         raise TensorError(name, f"shape {list(shape)} has {count} elements, but {found} came")
 
 
 def from_raw(name: str, datatype: str, shape: Sequence[int], data: bytes) -> Tensor:
-    """From the bytes of the binary extension, or of raw_input_contents."""
-    count = _count(name, datatype, shape)
-    if datatype != "BYTES":
-        size = struct.calcsize(_STRUCT[datatype])
-        if len(data) != count * size:
-            raise TensorError(
-                name, f"shape {list(shape)} of {datatype} takes {count * size} bytes, but {len(data)} came"
-            )
-        return Tensor(name, datatype, tuple(shape), struct.unpack(f"<{count}{_STRUCT[datatype]}", data))
-    values: list[bytes] = []
-    at = 0
-    while at < len(data):
-        end = at + 4 + int.from_bytes(data[at : at + 4], "little")
-        if at + 4 > len(data) or end > len(data):
-            raise TensorError(name, f"element {len(values)} ends past its {len(data)} bytes")
-        values.append(data[at + 4 : end])
-        at = end
-        if len(values) > count:
-            break
-    _expect(name, count, len(values), shape)
-    return Tensor(name, datatype, tuple(shape), values)
+    """Return the tensor in bytes of the binary extension, or of raw_input_contents."""
+    count = _element_count(name, datatype, shape)
+    if datatype == "BYTES":
+        elements = _split_elements(name, count, data)
+        _check_count(name, count, len(elements), shape)
+        return Tensor(name, datatype, tuple(shape), elements)
+    element_format = _STRUCT_FORMATS[datatype]
+    size = count * struct.calcsize(element_format)
+    if len(data) != size:
+        reason = f"shape {list(shape)} of {datatype} takes {size} bytes, but {len(data)} came"
+        raise TensorError(name, reason)
+    return Tensor(name, datatype, tuple(shape), struct.unpack(f"<{count}{element_format}", data))
+
+
+def _split_elements(name: str, count: int, data: bytes) -> list[bytes]:
+    """Return the elements of a BYTES tensor; at most one more than `count`, so that garbage costs little."""
+    elements: list[bytes] = []
+    offset = 0
+    while offset < len(data) and len(elements) <= count:
+        start = offset + LENGTH_BYTES
+        end = start + int.from_bytes(data[offset:start], "little")
+        if start > len(data) or end > len(data):
+            raise TensorError(name, f"element {len(elements)} ends past its {len(data)} bytes")
+        elements.append(data[start:end])
+        offset = end
+    return elements
 
 
 def from_contents(name: str, datatype: str, shape: Sequence[int], contents: Any) -> Tensor:
-    """From a typed `InferTensorContents`."""
-    count = _count(name, datatype, shape)
-    field = _CONTENTS.get(datatype)
+    """Return the tensor in a typed `InferTensorContents`."""
+    count = _element_count(name, datatype, shape)
+    field = _CONTENTS_FIELDS.get(datatype)
     if field is None:
         raise TensorError(name, f"{datatype} has no typed contents: send it raw")
-    wrong = [f.name for f, _ in contents.ListFields() if f.name != field]
-    if wrong:
-        raise TensorError(f"{name}.contents", f"{datatype} stands in {field}, but {wrong[0]} is set")
+    other_fields = [one.name for one, _ in contents.ListFields() if one.name != field]
+    if other_fields:
+        reason = f"{datatype} stands in {field}, but {other_fields[0]} is set"
+        raise TensorError(f"{name}.contents", reason)
     values = list(getattr(contents, field))
-    _expect(name, count, len(values), shape)
-    if datatype in _RANGES:
+    _check_count(name, count, len(values), shape)
+    if datatype in _RANGES and values:
         low, high = _RANGES[datatype]
-        if values and not (low <= min(values) and max(values) <= high):
+        if min(values) < low or max(values) > high:
             raise TensorError(name, f"a value lies outside {datatype}")
     return Tensor(name, datatype, tuple(shape), values)
 
 
-def _flat(name: str, data: Any, depth: int = 0) -> Iterable[Any]:
-    if depth > 16:
-        raise TensorError(f"{name}.data", "is nested more than 16 deep")
+def from_json(name: str, datatype: str, shape: Any, data: Any) -> Tensor:
+    """Return the tensor in JSON: flat or nested lists; BYTES elements as strings."""
+    if not isinstance(shape, list) or not isinstance(data, list) or not isinstance(datatype, str):
+        raise TensorError(name, "shape and data must be lists, datatype a string")
+    count = _element_count(name, datatype, shape)
+    values = list(_flatten(name, data))
+    _check_count(name, count, len(values), shape)
+    if not all(map(_json_check(datatype), values)):
+        raise TensorError(f"{name}.data", f"an element is not of {datatype}")
+    if datatype == "BYTES":
+        values = [value.encode() for value in values]
+    return Tensor(name, datatype, tuple(shape), values)
+
+
+def _flatten(name: str, data: Any, depth: int = 0) -> Iterable[Any]:
+    if depth > MAX_DIMENSIONS:
+        raise TensorError(f"{name}.data", f"is nested more than {MAX_DIMENSIONS} deep")
     for one in data:
         if isinstance(one, list):
-            yield from _flat(name, one, depth + 1)
+            yield from _flatten(name, one, depth + 1)
         else:
             yield one
 
 
-def from_json(name: str, datatype: str, shape: Any, data: Any) -> Tensor:
-    """From JSON: flat or nested lists; BYTES as strings."""
-    if not isinstance(shape, list) or not isinstance(data, list) or not isinstance(datatype, str):
-        raise TensorError(name, "shape and data must be lists, datatype a string")
-    count = _count(name, datatype, shape)
-    values = list(_flat(name, data))
-    _expect(name, count, len(values), shape)
+def _json_check(datatype: str) -> Callable[[Any], bool]:
+    """Return what decides whether a JSON value is an element of a datatype."""
     if datatype == "BYTES":
-        good = all(isinstance(v, str) for v in values)
-        values = [v.encode() for v in values] if good else values
-    elif datatype == "BOOL":
-        good = all(isinstance(v, bool) for v in values)
-    elif datatype in _RANGES:
+        return lambda value: isinstance(value, str)
+    if datatype == "BOOL":
+        return lambda value: isinstance(value, bool)
+    if datatype in _RANGES:
         low, high = _RANGES[datatype]
-        good = all(isinstance(v, int) and not isinstance(v, bool) and low <= v <= high for v in values)
-    else:
-        good = all(isinstance(v, int | float) and not isinstance(v, bool) for v in values)
-    if not good:
-        raise TensorError(f"{name}.data", f"an element is not of {datatype}")
-    return Tensor(name, datatype, tuple(shape), values)
+        return lambda value: _is_integer(value) and low <= value <= high
+    return lambda value: _is_integer(value) or isinstance(value, float)
+
+
+def _is_integer(value: Any) -> bool:
+    """Return whether a value is an integer; to Python a bool is one too."""
+    return isinstance(value, int) and not isinstance(value, bool)
+
+
+def encode_element(value: bytes) -> bytes:
+    """Return a BYTES element as bytes of the binary extension."""
+    return len(value).to_bytes(LENGTH_BYTES, "little") + value
 
 
 def to_raw(tensor: Tensor) -> bytes:
-    """The bytes of the binary extension."""
+    """Return the tensor as bytes of the binary extension."""
     if tensor.datatype == "BYTES":
-        return b"".join(len(v).to_bytes(4, "little") + v for v in tensor.values)
-    return struct.pack(f"<{len(tensor.values)}{_STRUCT[tensor.datatype]}", *tensor.values)
+        return b"".join(map(encode_element, tensor.values))
+    element_format = _STRUCT_FORMATS[tensor.datatype]
+    return struct.pack(f"<{len(tensor.values)}{element_format}", *tensor.values)
