--- a/tests/fronts/test_tensors.py
+++ b/tests/fronts/test_tensors.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from tuliptrack.fronts.kserve.grpc import parse_infer as grpc_infer
-from tuliptrack.fronts.kserve.rest import generate_of
-from tuliptrack.fronts.kserve.rest import infer_of as rest_infer
+from tuliptrack.fronts.kserve.rest_requests import parse_generate
+from tuliptrack.fronts.kserve.rest_requests import parse_infer as rest_infer
 from tuliptrack.fronts.kserve.tensors import (
     DATATYPES,
     Tensor,
@@ -122,7 +122,7 @@
     data = json.dumps(body).encode()
     for act in (
         lambda: rest_infer("m", "", data + (tail if header is not None else b""), header),
-        lambda: generate_of("m", "", data),
+        lambda: parse_generate("m", "", data),
     ):
         try:
             act()
