--- a/tests/relay/test_descriptors.py
+++ b/tests/relay/test_descriptors.py
@@ -79,7 +79,7 @@
                 lambda: others() <= before + 2
             )  # The new client, and perhaps one more call for the list.
             assert not [line for line in node.log if "Too many open files" in line or "resource" in line]
-            assert not [line for line in node.log if "ejected" in line], "no engine is ejected"
+            assert not [line for line in node.log if " ejected" in line], "no engine is ejected"
             for _, writer in (earlier, latest):
                 writer.close()
             await node.kill()
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -19,7 +19,7 @@
 from tuliptrack.config.node import EngineOptions, NodeConfig, NodeLimits
 from tuliptrack.decisions.concurrency_limit import ByteBudget, ConcurrencyLimits
 from tuliptrack.decisions.model_catalog import Model
-from tuliptrack.fronts import discovery
+from tuliptrack.fronts import health, reflection
 from tuliptrack.fronts.installed import FRONTS, LISTENERS
 from tuliptrack.fronts.port import ClientRequest
 from tuliptrack.node.billing import Billing
@@ -93,7 +93,7 @@
     def _connect_engines(self, seed: int) -> None:
         self.channels = EngineChannels(self.config.engines, self.config.limits.message_bytes)
         self.engines = GrpcEngineClient(self, self.channels)
-        self.model_routers = ModelRouters(self.config.settings, seed, self.router, self.dispatch)
+        self.model_routers = ModelRouters(self.settings, seed, self.router, self.dispatch)
         self.models = self.model_routers.catalog
 
     def _add_fronts(self) -> None:
@@ -103,7 +103,7 @@
         self.server.outlook = self.overload
         made = [make(self, self.config, self.bodies) for make in LISTENERS]
         self.listeners = [listener for listener in made if listener]
-        self.health: discovery.Health
+        self.health: health.HealthService
 
     def _add_accounts(self) -> None:
         zones = self.config.zones
@@ -138,7 +138,8 @@
         for install in FRONTS:
             install(self.server, self, self.config)
         self.gossip.install(self.server, self._handle_gossip)
-        self.health = discovery.install(self.server)
+        self.health = health.install(self.server)
+        reflection.install(self.server)
         host, _, port = self.config.listen.rpartition(":")
         address = await self.server.listen(host, int(port))
         for listener in self.listeners:
