--- a/tests/relay/test_gone.py
+++ b/tests/relay/test_gone.py
@@ -59,7 +59,7 @@
 
 async def settled(p: Platform) -> None:
     """All that the node still does for its requests has been done."""
-    await until(lambda: not p.relay.table.open and not p.relay.front.open)
+    await until(lambda: not p.relay.table.open and not p.relay.front.open_requests)
     await asyncio.sleep(3 * GONE_S)
 
 
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -374,5 +374,7 @@
         await made.relay.stop(0.0, 0.0)
         for peer in [*engines.values(), made.agent]:
             await peer.stop()
-        assert not made.relay.table.open and not made.relay.front.open, "requests left"
-        assert made.relay.front.kept.held == 0 and made.relay.front.server.bodies.held == 0, "bytes left"
+        assert not made.relay.table.open and not made.relay.front.open_requests, "requests left"
+        assert made.relay.front.body_budget.held == 0 and made.relay.front.server.bodies.held == 0, (
+            "bytes left"
+        )
--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -130,7 +130,7 @@
         )
         self._sweeper = asyncio.get_running_loop().create_task(self._sweep())
         if self.directory.addresses:
-            self.front.ready = True
+            self.front.is_ready = True
         else:
             self._getting_ready = asyncio.get_running_loop().call_later(_LIST_S, self._is_ready)
         log.info(
@@ -194,7 +194,7 @@
         """The first list has come, or been waited for."""
         if self._getting_ready:
             self._getting_ready.cancel()
-            self._getting_ready, self.front.ready = None, True
+            self._getting_ready, self.front.is_ready = None, True
 
     def _turn_down(self, reason: str) -> None:
         if reason != self._turned_down:
@@ -239,7 +239,7 @@
         began = self.now()
         log.info("stopping", open=len(self.table.open))
         self._is_ready()
-        self.front.ready = False
+        self.front.is_ready = False
         server = self.front.server
         await asyncio.sleep(max(killed - _CLOSE_S, 0.0))
         self.stopping = server.last = True
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -1,30 +1,33 @@
-"""Clients on the platform's HTTP: a request's head becomes an `ClientRequest`, its end a status; an engine's
-events pass through."""
+"""The listener for clients on the platform's HTTP: requests, their answers, and the node's own pages.
+
+A request becomes a `ClientRequest` for the core; its end becomes a status. An engine's events pass through
+unchanged. The node's own pages are `/-/ready`, `/-/healthy` and `/-/counters`.
+"""
 
 from __future__ import annotations
 
 import json
-import math
-import re
 
 from tuliptrack.decisions.concurrency_limit import ByteBudget, rejection_text
-from tuliptrack.fronts.port import (
-    ClientRequest,
-    Failure,
-    FinishReason,
-    InvalidRequestError,
-    RequestHandle,
-    Usage,
-)
+from tuliptrack.fronts.port import Failure, FinishReason, InvalidRequestError, RequestHandle, Usage
 from tuliptrack.node.core import Core
-from tuliptrack.relay.forwarded_request import ForwardedRequest
-from tuliptrack.rpc.clock import now_us
+from tuliptrack.relay.request_parser import check_body, parse_call_id, parse_request
 from tuliptrack.rpc.h1 import Fields
 from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Refusal
 
 __all__ = ["Front"]
 
-_STATUS = {
+MIN_RETRY_AFTER_S = 0.001
+BODY_BUDGET_RETRY_AFTER_S = 0.1
+"""Bodies are freed as answers start, so the next attempt may find enough of the budget soon."""
+MAX_QUOTED_METHOD_CHARACTERS = 20
+MAX_QUOTED_ID_CHARACTERS = 60
+_OK = 200
+_BAD_REQUEST = 400
+_NOT_FOUND = 404
+_METHOD_NOT_ALLOWED = 405
+_SERVICE_UNAVAILABLE = 503
+_STATUS_BY_FAILURE = {
     Failure.DEADLINE: 504,
     Failure.BROKEN: 502,
     Failure.MIGRATED: 502,
@@ -32,230 +35,151 @@
     Failure.STALLED: 502,
     Failure.INVALID: 400,
 }
-_ID = re.compile(r"[A-Za-z0-9._~-]{1,128}")
-# What a request's head says of one connection only (RFC 9110, section 7.6.1); what the node says anew, or has
-# to read itself: an engine's events are looked at, so they may not come compressed.
-_HOP_BY_HOP = frozenset(
-    {
-        "connection",
-        "keep-alive",
-        "proxy-connection",
-        "te",
-        "trailer",
-        "transfer-encoding",
-        "upgrade",
-        "proxy-authenticate",
-        "proxy-authorization",
-    }
-)
-_SAID_ANEW = frozenset({"host", "x-call-id", "x-budget", "content-length", "expect", "accept-encoding"})
-_ONCE = ("x-call-id", "x-call-class", "x-caller", "x-budget", "x-call-info")
-_LONGEST_S = 86_400.0  # a budget past a day is taken for a mistake
-_LEAST_ADVICE_S = 0.001
-_COUNTERS = "/-/counters"
-
-
-class _Stream:
-    """One request's answer, as the core's `RawAnswer`."""
-
-    __slots__ = ("call", "call_id", "front", "kept")
-
-    def __init__(self, front: Front, call: HttpCall, call_id: str, kept: int) -> None:
-        self.front, self.call, self.call_id, self.kept = front, call, call_id, kept
-
-    def let_go(self) -> None:
-        """Its body need not be kept any more."""
-        self.front.kept.give(self.kept)
-        self.kept = 0
-
-    def over(self) -> None:
-        """Safe to call more than once: its id may be another request's by then."""
-        self.let_go()
-        if self.front.open.get(self.call_id) is self:
-            del self.front.open[self.call_id]
+_READY_PATH = "/-/ready"
+_HEALTH_PATH = "/-/healthy"
+_COUNTERS_PATH = "/-/counters"
+
+
+class _ResponseWriter:
+    """One request's answer; see `fronts.port.RawResponseWriter`."""
+
+    __slots__ = ("_reserved_bytes", "call", "call_id", "front")
+
+    def __init__(self, front: Front, call: HttpCall, call_id: str, reserved_bytes: int) -> None:
+        self.front, self.call, self.call_id = front, call, call_id
+        self._reserved_bytes = reserved_bytes
+        """Of the body budget."""
+
+    def close(self) -> None:
+        """Free what the request reserves; may be called more than once."""
+        self._free_body()
+        # The id may belong to a later request by now.
+        if self.front.open_requests.get(self.call_id) is self:
+            del self.front.open_requests[self.call_id]
 
     def events(self, data: bytes) -> bool:
+        """Forward complete events; False where the client reads too slowly."""
         if not self.call.started:
-            self.let_go()
-            self.call.start(200, "text/event-stream")
+            self._free_body()
+            self.call.start(_OK, "text/event-stream")
         return self.call.send(data)
 
     def token(self, index: int, text: str, finish: FinishReason | None, usage: Usage | None) -> bool:
+        """Not used: engines of this protocol send events."""
         raise NotImplementedError("engines of this protocol send events")
 
     def served(self) -> None:
-        self.over()
+        """End the answer."""
+        self.close()
         self.call.end()
 
     def rejected(self, reason: str, retry_after: int) -> None:
-        self.over()
-        advice: Fields = []
+        """Answer that the request was not served; `retry_after` is in microseconds."""
+        self.close()
+        headers: Fields = []
         if retry_after > 0 and self.front.core.settings.may_send_retry_after:
-            advice = [("retry-after", f"{max(retry_after / 1e6, _LEAST_ADVICE_S):.3f}")]
-        self.call.error(503, rejection_text(reason), advice)
+            headers = _retry_after(max(retry_after / 1e6, MIN_RETRY_AFTER_S))
+        self.call.error(_SERVICE_UNAVAILABLE, rejection_text(reason), headers)
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
-        self.over()
+        """Answer that the request failed; an answer that has started is broken off."""
+        self.close()
         if self.call.started:
             self.call.abort()
         else:
-            self.call.error(_STATUS[how], f"failed: {reason}")
+            self.call.error(_STATUS_BY_FAILURE[how], f"failed: {reason}")
+
+    def _free_body(self) -> None:
+        self.front.body_budget.give(self._reserved_bytes)
+        self._reserved_bytes = 0
 
 
 class Front:
-    """The listener. Bounds: connections, heads and bodies by `HttpLimits`; bodies kept for engines by
-    `kept`."""
-
-    def __init__(self, core: Core, limits: HttpLimits, arriving: ByteBudget, kept: ByteBudget) -> None:
-        self.core, self.kept = core, kept
-        self.server = HttpServer(self._handle, self._early, limits, arriving)
-        self.open: dict[str, _Stream] = {}
-        """Requests by the clients' ids."""
-        self.ready = False
-
-    def _early(self, call: HttpCall) -> Refusal | None:
-        """What is known from the head alone. Not that the node ends: its refusal comes when the whole request
-        has, lest the close overtake it on its way to a client that still sends."""
-        if call.method == "POST" and not self.core.stopping:
-            reason, wait = self.core.overload()
-            if reason:
-                return Refusal(
-                    503, rejection_text(reason), (("retry-after", f"{wait / 1e6:.3f}"),) if wait else ()
-                )
-        return None
+    """The listener.
+
+    Bounds: `HttpLimits` for connections, heads and bodies that arrive; `body_budget` for the bodies of
+    requests whose answers have not started.
+    """
+
+    def __init__(
+        self, core: Core, limits: HttpLimits, arriving_budget: ByteBudget, body_budget: ByteBudget
+    ) -> None:
+        self.core, self.body_budget = core, body_budget
+        self.server = HttpServer(self._handle, self._reject_early, limits, arriving_budget)
+        self.open_requests: dict[str, _ResponseWriter] = {}
+        """By the clients' ids."""
+        self.is_ready = False
+
+    def _reject_early(self, call: HttpCall) -> Refusal | None:
+        """Return the rejection of a request under overload, which is known before its body has arrived."""
+        # Failure: a node that ends rejects a request whose client still sends. It would show as a reset
+        # connection in place of the answer, as the close overtakes it. So while the node ends, the rejection
+        # waits until the whole request has arrived.
+        if call.method != "POST" or self.core.stopping:
+            return None
+        reason, wait_us = self.core.overload()
+        if not reason:
+            return None
+        headers = tuple(_retry_after(wait_us / 1e6)) if wait_us else ()
+        return Refusal(_SERVICE_UNAVAILABLE, rejection_text(reason), headers)
 
     def _handle(self, call: HttpCall) -> None:
-        if call.target in ("/-/ready", "/-/healthy"):
-            self._state(call)
+        if call.target in (_READY_PATH, _HEALTH_PATH):
+            self._answer_state(call)
             return
-        if call.target == _COUNTERS:
-            self._counters(call)
+        if call.target == _COUNTERS_PATH:
+            self._answer_counters(call)
             return
         try:
             self._submit(call)
         except InvalidRequestError as error:
-            call.error(404 if error.is_unknown else 400, str(error), [("connection", "close")])
+            status = _NOT_FOUND if error.is_unknown else _BAD_REQUEST
+            call.error(status, str(error), [("connection", "close")])
 
-    def _state(self, call: HttpCall) -> None:
+    def _answer_state(self, call: HttpCall) -> None:
         if call.method not in ("GET", "HEAD"):
-            call.error(405, f"method: GET expected, is {call.method[:20]}", [("allow", "GET")])
-        elif call.target == "/-/ready" and not self.ready:
-            call.respond(503, b'{"ready": false}')
+            _answer_wrong_method(call)
+        elif call.target == _READY_PATH and not self.is_ready:
+            call.respond(_SERVICE_UNAVAILABLE, b'{"ready": false}')
         else:
-            call.respond(200, b'{"ready": true}')
+            call.respond(_OK, b'{"ready": true}')
 
-    def _counters(self, call: HttpCall) -> None:
-        """What the node has counted since its start, as one JSON object."""
+    def _answer_counters(self, call: HttpCall) -> None:
+        """Answer what the node has counted since its start, as one JSON object."""
         if call.method == "GET":
-            call.respond(200, json.dumps(self.core.counter_values()).encode())
+            call.respond(_OK, json.dumps(self.core.counter_values()).encode())
         else:
-            call.error(405, f"method: GET expected, is {call.method[:20]}", [("allow", "GET")])
+            _answer_wrong_method(call)
 
     def _submit(self, call: HttpCall) -> None:
-        if call.method != "POST":
-            raise InvalidRequestError("method", f"POST expected, is {call.method[:20]!r}")
-        names = [name for name, _ in call.fields]
-        for name in _ONCE:
-            if names.count(name) > 1:
-                raise InvalidRequestError(name, "stands twice")
-        head = call.headers
-        call_id = head.get("x-call-id", "")
-        if not _ID.fullmatch(call_id):
-            raise InvalidRequestError(
-                "x-call-id", "is required" if not call_id else f"{call_id[:60]!r} can't be an id"
-            )
-        if call_id in self.open:
-            raise InvalidRequestError("x-call-id", f"{call_id[:60]!r} is open")
-        _check_body(call.body)
-        ask = self._ask(call, head, call_id)
-        if not self.kept.take(len(call.body)):
-            call.error(503, rejection_text("too many bytes of requests are open"), [("retry-after", "0.100")])
+        call_id = parse_call_id(call)
+        if call_id in self.open_requests:
+            raise InvalidRequestError("x-call-id", f"{call_id[:MAX_QUOTED_ID_CHARACTERS]!r} is open")
+        check_body(call.body)
+        request = parse_request(call, call_id, self.core.limits.bytes_per_token)
+        if not self.body_budget.take(len(call.body)):
+            reason = rejection_text("too many bytes of requests are open")
+            call.error(_SERVICE_UNAVAILABLE, reason, _retry_after(BODY_BUDGET_RETRY_AFTER_S))
             return
-        stream = self.open[call_id] = _Stream(self, call, call_id, len(call.body))
+        writer = _ResponseWriter(self, call, call_id, len(call.body))
+        self.open_requests[call_id] = writer
         try:
-            ticket: RequestHandle = self.core.submit(ask, stream)
+            handle: RequestHandle = self.core.submit(request, writer)
         except InvalidRequestError:
-            stream.over()
+            writer.close()
             raise
 
-        def gone(reason: str) -> None:
-            stream.over()
-            ticket.disconnected(reason)
-
-        call.on_gone, call.on_writable = gone, ticket.writable
-
-    def _ask(self, call: HttpCall, head: dict[str, str], call_id: str) -> ClientRequest:
-        info = _info(head.get("x-call-info", ""))
-        again = head.get("x-again", "").strip().lower()
-        tokens = _count(info, "prompt_len") or max(
-            round(len(call.body) / self.core.limits.bytes_per_token), 1
-        )
-        return ClientRequest(
-            head.get("x-call-class", ""),
-            "",
-            head.get("x-caller", ""),
-            head.get("x-route-hash", "") or call_id,
-            info.get("prefix", ""),
-            tokens,
-            min(_count(info, "prefix_len"), tokens),
-            _count(info, "max_out"),
-            is_retry=again == "1",
-            connection=call.connection,
-            first_token_deadline_us=_first_by(head.get("x-budget")),
-            is_resumed=again == "again",
-            call_id=call_id,
-            is_disconnected=call.left,
-            payload=ForwardedRequest(call.method, call.target, call.body, _end_to_end(call.fields)),
-        )
-
-
-def _end_to_end(fields: Fields) -> Fields:
-    """What engines get of a head unchanged: all but what is of one connection only, also by the word of
-    `Connection`."""
-    named = {
-        name.strip().lower() for field, value in fields if field == "connection" for name in value.split(",")
-    }
-    left_out = _HOP_BY_HOP | _SAID_ANEW | named
-    return [(name, value) for name, value in fields if name not in left_out]
-
-
-def _check_body(body: bytes) -> None:
-    try:
-        found = json.loads(body)
-    except (ValueError, RecursionError) as error:
-        raise InvalidRequestError("body", f"is not JSON ({error})"[:200]) from None
-    if not isinstance(found, dict):
-        raise InvalidRequestError("body", "must be a JSON object")
-
-
-def _info(text: str) -> dict[str, str]:
-    return {
-        name.strip(): value.strip()
-        for name, sign, value in (one.partition("=") for one in text.split(","))
-        if sign
-    }
-
-
-def _count(info: dict[str, str], name: str) -> int:
-    told = info.get(name, "")
-    if not told:
-        return 0
-    try:
-        value = float(told)
-    except ValueError:
-        value = math.nan
-    if not math.isfinite(value) or value < 0:
-        raise InvalidRequestError(f"x-call-info.{name}", f"must be a number from 0, is {told[:40]!r}")
-    return int(value)
-
-
-def _first_by(told: str | None) -> int | None:
-    if told is None:
-        return None
-    try:
-        seconds = float(told)
-    except ValueError:
-        seconds = math.nan
-    if not 0 < seconds <= _LONGEST_S:
-        raise InvalidRequestError("x-budget", f"must be seconds above 0, is {told[:40]!r}")
-    return now_us() + int(seconds * 1e6)
+        def handle_disconnect(reason: str) -> None:
+            writer.close()
+            handle.disconnected(reason)
+
+        call.on_gone, call.on_writable = handle_disconnect, handle.writable
+
+
+def _answer_wrong_method(call: HttpCall) -> None:
+    method = call.method[:MAX_QUOTED_METHOD_CHARACTERS]
+    call.error(_METHOD_NOT_ALLOWED, f"method: GET expected, is {method}", [("allow", "GET")])
+
+
+def _retry_after(seconds: float) -> Fields:
+    return [("retry-after", f"{seconds:.3f}")]
--- /dev/null
+++ b/tuliptrack/relay/request_parser.py
@@ -0,0 +1,158 @@
+"""Reads a client's request: from the header fields of the platform's protocol to a `ClientRequest`.
+
+The names of the header fields appear in this module only. The body is checked to be a JSON object and
+forwarded unchanged.
+"""
+
+from __future__ import annotations
+
+import json
+import math
+import re
+from collections.abc import Mapping
+
+from tuliptrack.fronts.port import ClientRequest, InvalidRequestError
+from tuliptrack.relay.forwarded_request import ForwardedRequest
+from tuliptrack.rpc.clock import now_us
+from tuliptrack.rpc.h1 import Fields
+from tuliptrack.rpc.http1 import HttpCall
+
+__all__ = ["check_body", "parse_call_id", "parse_request"]
+
+MAX_BUDGET_S = 86_400.0
+"""A budget of more than a day is taken for a mistake."""
+MAX_QUOTED_CHARACTERS = 40
+"""Of a wrong value, in the text of an error."""
+MAX_QUOTED_ID_CHARACTERS = 60
+MAX_QUOTED_METHOD_CHARACTERS = 20
+MAX_ERROR_CHARACTERS = 200
+_CALL_ID = re.compile(r"[A-Za-z0-9._~-]{1,128}")
+_SINGLE_FIELDS = ("x-call-id", "x-call-class", "x-caller", "x-budget", "x-call-info")
+"""Fields that may appear once only."""
+_HOP_BY_HOP_FIELDS = frozenset(
+    {
+        "connection",
+        "keep-alive",
+        "proxy-connection",
+        "te",
+        "trailer",
+        "transfer-encoding",
+        "upgrade",
+        "proxy-authenticate",
+        "proxy-authorization",
+    }
+)
+"""Fields that concern one connection only (RFC 9110, section 7.6.1)."""
+_REPLACED_FIELDS = frozenset({"host", "x-call-id", "x-budget", "content-length", "expect", "accept-encoding"})
+"""Fields that the node sets anew for each attempt, or must not forward: it reads an engine's events, so they
+may not arrive compressed."""
+
+
+def parse_call_id(call: HttpCall) -> str:
+    """Return the client's id of a request, once its method and its fields are valid.
+
+    Raises:
+        InvalidRequestError: They are not.
+    """
+    if call.method != "POST":
+        method = call.method[:MAX_QUOTED_METHOD_CHARACTERS]
+        raise InvalidRequestError("method", f"POST expected, is {method!r}")
+    names = [name for name, _ in call.fields]
+    for name in _SINGLE_FIELDS:
+        if names.count(name) > 1:
+            raise InvalidRequestError(name, "stands twice")
+    call_id = call.headers.get("x-call-id", "")
+    if not call_id:
+        raise InvalidRequestError("x-call-id", "is required")
+    if not _CALL_ID.fullmatch(call_id):
+        raise InvalidRequestError("x-call-id", f"{call_id[:MAX_QUOTED_ID_CHARACTERS]!r} can't be an id")
+    return call_id
+
+
+def check_body(body: bytes) -> None:
+    """Check that a body is a JSON object.
+
+    Raises:
+        InvalidRequestError: It is not.
+    """
+    try:
+        value = json.loads(body)
+    except (ValueError, RecursionError) as error:
+        raise InvalidRequestError("body", f"is not JSON ({error})"[:MAX_ERROR_CHARACTERS]) from None
+    if not isinstance(value, dict):
+        raise InvalidRequestError("body", "must be a JSON object")
+
+
+def parse_request(call: HttpCall, call_id: str, bytes_per_token: float) -> ClientRequest:
+    """Return the request of a call; the prompt's tokens are estimated where the client does not state them.
+
+    Raises:
+        InvalidRequestError: A field has an invalid value.
+    """
+    headers = call.headers
+    info = _parse_call_info(headers.get("x-call-info", ""))
+    repeat = headers.get("x-again", "").strip().lower()
+    estimated_tokens = max(round(len(call.body) / bytes_per_token), 1)
+    prompt_tokens = _parse_count(info, "prompt_len") or estimated_tokens
+    return ClientRequest(
+        request_class=headers.get("x-call-class", ""),
+        prompt="",
+        tenant=headers.get("x-caller", ""),
+        session=headers.get("x-route-hash", "") or call_id,
+        prefix=info.get("prefix", ""),
+        prompt_tokens=prompt_tokens,
+        prefix_tokens=min(_parse_count(info, "prefix_len"), prompt_tokens),
+        max_tokens=_parse_count(info, "max_out"),
+        is_retry=repeat == "1",
+        connection=call.connection,
+        first_token_deadline_us=_parse_budget(headers.get("x-budget")),
+        is_resumed=repeat == "again",
+        call_id=call_id,
+        is_disconnected=call.left,
+        payload=ForwardedRequest(call.method, call.target, call.body, _forwarded_fields(call.fields)),
+    )
+
+
+def _forwarded_fields(fields: Fields) -> Fields:
+    """Return the fields that engines get: all but those of one connection, also as `Connection` names them."""
+    named = {
+        name.strip().lower() for field, value in fields if field == "connection" for name in value.split(",")
+    }
+    omitted = _HOP_BY_HOP_FIELDS | _REPLACED_FIELDS | named
+    return [(name, value) for name, value in fields if name not in omitted]
+
+
+def _parse_call_info(text: str) -> dict[str, str]:
+    """Return the pairs of a list such as `prefix=a,prompt_len=9`; what is no pair is ignored."""
+    pairs = (item.partition("=") for item in text.split(","))
+    return {name.strip(): value.strip() for name, sign, value in pairs if sign}
+
+
+def _parse_count(info: Mapping[str, str], name: str) -> int:
+    text = info.get(name, "")
+    if not text:
+        return 0
+    value = _parse_float(text)
+    if not math.isfinite(value) or value < 0:
+        quoted = repr(text[:MAX_QUOTED_CHARACTERS])
+        raise InvalidRequestError(f"x-call-info.{name}", f"must be a number from 0, is {quoted}")
+    return int(value)
+
+
+def _parse_budget(text: str | None) -> int | None:
+    """Return when the client's budget in seconds ends, in monotonic microseconds."""
+    if text is None:
+        return None
+    budget_s = _parse_float(text)
+    if not 0 < budget_s <= MAX_BUDGET_S:
+        quoted = repr(text[:MAX_QUOTED_CHARACTERS])
+        raise InvalidRequestError("x-budget", f"must be seconds above 0, is {quoted}")
+    return now_us() + int(budget_s * 1e6)
+
+
+def _parse_float(text: str) -> float:
+    """Return the number; NaN where it is none."""
+    try:
+        return float(text)
+    except ValueError:
+        return math.nan
