--- a/tests/relay/test_descriptors.py
+++ b/tests/relay/test_descriptors.py
@@ -61,7 +61,7 @@
             assert node.descriptors <= descriptors
             path.write_text(told(p.agent.address))
             node.process.send_signal(signal.SIGHUP)
-            await until(lambda: any("settings read anew" in line for line in node.log))
+            await until(lambda: any("settings reloaded" in line for line in node.log))
             for _, writer in flood[::4]:
                 writer.write(b"b")  # Some are slow, not silent.
             p.tell(r0="Terminating", w0="Terminating")
--- a/tests/relay/test_process_failures.py
+++ b/tests/relay/test_process_failures.py
@@ -255,7 +255,7 @@
                     path.rmdir()
                 write_whole(path, text)
                 await until(lambda: bool(other.seen), MOVED_WITHIN_S)
-                assert sum("settings not taken" in line for line in node.log) == 1, "said once"
+                assert sum("settings not reloaded" in line for line in node.log) == 1, "said once"
             finally:
                 await node.kill()
             await other.stop()
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from tuliptrack.relay.__main__ import Relay
 from tuliptrack.relay.config import RelayConfig, parse
+from tuliptrack.relay.node import RelayNode
 
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -298,7 +298,7 @@
         self.revision = 1
         self.changed = asyncio.Event()
         self.phases: dict[str, str] = {}
-        self.relay: Relay
+        self.relay: RelayNode
         self.ids = (f"c-{n}" for n in itertools.count())
 
     def members(self) -> list[dict[str, Any]]:
@@ -365,7 +365,7 @@
     made = Platform(engines, Peer(hangs))
     made.agent.script = made.answers
     await made.agent.start()
-    made.relay = Relay(config(made.members(), made.agent.address, **(changes or {})))
+    made.relay = RelayNode(config(made.members(), made.agent.address, **(changes or {})))
     await made.relay.start()
     try:
         yield made
--- a/tuliptrack/lab/hollow/node.py
+++ b/tuliptrack/lab/hollow/node.py
@@ -87,7 +87,7 @@
         return endpoint.role if endpoint else ROLES[0]
 
     def _listed(self, told: Any, first: bool) -> bool:
-        """As the platform's node takes a list: see `relay/__main__.py`."""
+        """As the platform's node takes a list: see `relay/node.py`."""
         began = time.thread_time()
         change = self.directory.apply(told, is_new_agent=first)
         if change is None:
--- /dev/null
+++ b/tuliptrack/relay/node.py
@@ -0,0 +1,284 @@
+"""One node on the platform's HTTP: its wiring, its endpoint list, its start and its graceful shutdown."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import os
+import random
+from collections.abc import Mapping
+from typing import Any
+
+import structlog
+
+from tuliptrack.decisions.concurrency_limit import ByteBudget, ConcurrencyLimits
+from tuliptrack.interface import EndpointListUpdate, UpdateKind
+from tuliptrack.node.core import Core
+from tuliptrack.node.logs import lines_lost
+from tuliptrack.node.request_reader import CoreLimits
+from tuliptrack.node.requests import RequestRecord, RequestState
+from tuliptrack.relay.config import RelayConfig
+from tuliptrack.relay.discovery import MAX_CONNECTIONS, Discovery
+from tuliptrack.relay.endpoint_directory import EndpointDirectory
+from tuliptrack.relay.endpoint_entries import InvalidEndpointListError
+from tuliptrack.relay.engine_client import HttpEngineClient
+from tuliptrack.relay.engine_pools import EnginePools
+from tuliptrack.relay.front import Front
+from tuliptrack.relay.settings_reload import SettingsReload
+from tuliptrack.rpc.http1 import HttpLimits
+from tuliptrack.rpc.http1_client import ClientOptions
+from tuliptrack.rpc.http1_pool import Connections
+from tuliptrack.rpc.listener import ACCEPTED_AT_ONCE
+from tuliptrack.rpc.retry import retry_async
+
+__all__ = ["RelayNode"]
+
+log = structlog.get_logger("relay")
+SWEEP_INTERVAL_S = 0.25
+"""Between checks of silent streams, stalled clients and idle connections."""
+LISTEN_RETRY_S = 5.0
+"""How long listening is retried, where the address is not available yet."""
+READY_WITHOUT_LIST_AFTER_S = 2.0
+"""A node without engines waits so long for a list before it reports that it is ready all the same."""
+TOKEN_SILENCE_US = 4_000_000
+"""The platform lets a client wait for 5 s on a stream that has stopped."""
+GRACE_AFTER_SIGTERM_S = 0.6
+"""The platform excuses what fails so soon after SIGTERM; later requests must be answered before SIGKILL."""
+MIGRATE_BEFORE_KILL_S = 1.1
+"""Before SIGKILL may come: when streams are migrated, and new requests rejected."""
+CONCLUDE_BEFORE_KILL_S = 0.5
+"""Before SIGKILL may come: when requests that arrived late are concluded."""
+RESERVED_DESCRIPTORS = 8 + ACCEPTED_AT_ONCE + MAX_CONNECTIONS
+"""For neither clients nor engines: log and standard streams (3), listener, selector and its wake-up (2), the
+settings file, one that an import may need; connections accepted and not handled yet; polls of the list."""
+CLIENT_DESCRIPTOR_SHARE = 0.45
+"""At most, of all descriptors."""
+ENGINE_DESCRIPTOR_SHARE = 0.4
+"""At most, of all descriptors."""
+MAX_BODY_BYTES = 262_144
+"""Of a request or an answer, by the protocol."""
+MAX_HEAD_BYTES = 16_384
+REQUEST_TIMEOUT_US = 2_500_000
+CLIENT_IDLE_TIMEOUT_US = 30_000_000
+DEFAULT_ENGINE_IDLE_TIMEOUT_US = 15_000_000
+IDLE_MARGIN_US = 2_000_000
+"""Idle connections are closed so long before their engine would do it."""
+MAX_TOKENS_AHEAD = 20_000
+"""Of an answer whose client reads slowly."""
+ARRIVING_MEMORY_DIVISOR = 8
+"""One part of so many of the memory is for bodies that arrive."""
+BODY_MEMORY_DIVISOR = 6
+"""One part of so many of the memory is for the bodies of open requests."""
+
+
+class RelayNode(Core):
+    """One node. `start`, then `stop`; between them it serves."""
+
+    def __init__(self, config: RelayConfig) -> None:
+        self.config = config
+        available = config.max_descriptors - RESERVED_DESCRIPTORS
+        max_clients = min(int(config.max_descriptors * CLIENT_DESCRIPTOR_SHARE), available // 2)
+        max_engines = min(int(config.max_descriptors * ENGINE_DESCRIPTOR_SHARE), available - max_clients)
+        super().__init__(
+            config.settings,
+            config.seed or random.getrandbits(63),
+            config.name,
+            CoreLimits(answer_ahead=MAX_TOKENS_AHEAD, token_silence=TOKEN_SILENCE_US),
+            ConcurrencyLimits(min(config.max_open_requests, max_clients), max_clients, 1),
+        )
+        self.pools = _engine_pools(config, max_engines)
+        self.channels = self.engines = HttpEngineClient(self, self.pools, config.report_names)
+        self.front = Front(
+            self,
+            _client_limits(max_clients),
+            ByteBudget(config.memory_bytes // ARRIVING_MEMORY_DIVISOR),
+            ByteBudget(config.memory_bytes // BODY_MEMORY_DIVISOR),
+        )
+        self.directory = EndpointDirectory(config.kinds, config.zones)
+        self.source = Discovery(
+            config.discovery_address,
+            lambda: max(self.directory.revision, 0),
+            lambda message, is_first: self.apply_list(message, is_new_agent=is_first),
+            config.settings.drain_grace_us,
+        )
+        self._last_rejection = ""
+        """Why the last list was rejected, so that it is logged once."""
+        self._last_update: tuple[UpdateKind, int] | None = None
+        """Kind and version of the last list applied."""
+        self._sweeper: asyncio.Task[None] | None = None
+        self._readiness_timer: asyncio.TimerHandle | None = None
+        self._settings_reload = SettingsReload(self._apply_settings)
+
+    async def start(self) -> str:
+        """Serve; return the host:port that the node listens on.
+
+        It is ready once it listens and knows engines, from its settings or from a first list, or has waited
+        for one for `READY_WITHOUT_LIST_AFTER_S`.
+        """
+        self.apply_list(self.config.cached_list, is_cached=True)
+        self.source.start()
+        host, _, port = self.config.listen.rpartition(":")
+        address = await retry_async(
+            f"listening at {self.config.listen}",
+            lambda: self.front.server.listen(host, int(port)),
+            LISTEN_RETRY_S,
+        )
+        loop = asyncio.get_running_loop()
+        self._sweeper = loop.create_task(self._sweep_regularly())
+        if self.directory.addresses:
+            self.front.is_ready = True
+        else:
+            self._readiness_timer = loop.call_later(READY_WITHOUT_LIST_AFTER_S, self._become_ready)
+        log.info(
+            "serving",
+            address=address,
+            name=self.config.name,
+            pid=os.getpid(),
+            sockets=self.config.max_descriptors,
+            memory_mb=self.config.memory_bytes >> 20,
+            servers=len(self.directory.addresses),
+        )
+        return address
+
+    def apply_list(
+        self, message: Mapping[str, Any], *, is_cached: bool = False, is_new_agent: bool = False
+    ) -> bool:
+        """Apply an endpoint list; see `EndpointDirectory.apply`.
+
+        Returns:
+            False where it is older than the known one.
+
+        Raises:
+            InvalidEndpointListError: It cannot be used; a cached list is replaced by an empty one instead.
+        """
+        try:
+            update = self.directory.apply(message, is_cached=is_cached, is_new_agent=is_new_agent)
+        except InvalidEndpointListError as error:
+            self._log_rejection(str(error))
+            if not is_cached:
+                raise
+            update = EndpointListUpdate(UpdateKind.CACHED)
+        if update is None:
+            self._log_rejection(f"older than revision {self.directory.revision}")
+            return False
+        self._last_rejection = self._last_rejection if is_cached else ""
+        self._become_ready()
+        known, self._last_update = self._last_update, (update.kind, update.version)
+        is_known = known == self._last_update and not is_new_agent
+        is_empty_delta = update.kind is UpdateKind.DELTA and not update.endpoints
+        if not is_known and not is_empty_delta:
+            self._apply_update(update)
+        return True
+
+    def request_removed(self, record: RequestRecord) -> None:
+        """Note a request that has left the table of open requests."""
+        if record.state is RequestState.SERVED:
+            self.channels.record_served(record)
+
+    def counter_values(self) -> dict[str, int]:
+        """Return what the node has counted since its start."""
+        connections = self.pools.connections
+        return {
+            **super().counter_values(),
+            "connections_made": connections.made,
+            "connections_silent": connections.silent,
+            "open_requests": len(self.table.open),
+            "log_lines_lost": lines_lost(),
+        }
+
+    def reload(self) -> None:
+        """Read the settings file again and follow the discovery agent that it names.
+
+        Other changes count from the next start on, as the requests in flight were admitted under the settings
+        of this one.
+        """
+        self._settings_reload.start()
+
+    async def stop(self, grace_s: float, kill_after_s: float) -> None:
+        """End, knowing that nothing kills the node for `kill_after_s`.
+
+        Until shortly before, everything goes on: clients keep their connections, and while nodes restart one
+        after another there may be no other node yet. Then streams are migrated while their clients can find
+        another node, since the kill would break them. Requests that arrive from then on are rejected, each
+        answer closing its connection; a connection without a request stays open until the kill is due, as one
+        may be on its way. `grace_s` bounds the end of what is open then.
+        """
+        started_at_us = self.now()
+        log.info("stopping", open=len(self.table.open))
+        self._become_ready()
+        self.front.is_ready = False
+        server = self.front.server
+        await asyncio.sleep(max(kill_after_s - MIGRATE_BEFORE_KILL_S, 0.0))
+        self.stopping = server.last = True
+        if self.settings.may_resume:
+            self.migrate_streams()
+        await asyncio.sleep(min(kill_after_s, MIGRATE_BEFORE_KILL_S - CONCLUDE_BEFORE_KILL_S))
+        self.conclude_open_requests(started_at_us + int(GRACE_AFTER_SIGTERM_S * 1e6))
+        await asyncio.sleep(min(kill_after_s, CONCLUDE_BEFORE_KILL_S))
+        await server.stop(grace_s)
+        self._settings_reload.cancel()
+        await self.source.close()
+        self.close()
+        if self._sweeper:
+            self._sweeper.cancel()
+            with contextlib.suppress(asyncio.CancelledError):
+                await self._sweeper
+        await self.channels.close()
+        log.info("counters", **self.counter_values())
+        log.info("stopped", **{state.value: n for state, n in self.table.end_counts.items()})
+
+    def _apply_update(self, update: EndpointListUpdate) -> None:
+        # The router goes first: the connections to an endpoint are closed once it sends nothing there.
+        self.dispatch(update)
+        self.pools.update(self.directory.addresses)
+        is_cached = update.kind is UpdateKind.CACHED
+        log.info(
+            "endpoint list applied",
+            kind=update.kind.value,
+            version=update.version,
+            servers=len(self.directory.addresses),
+            changed=[]
+            if is_cached
+            else [f"{one.state.value}:{one.id % 1_000_000}" for one in update.endpoints],
+        )
+
+    def _apply_settings(self, config: RelayConfig) -> None:
+        self.source.switch_to(config.discovery_address)
+
+    def _become_ready(self) -> None:
+        """End the wait for the first list."""
+        if self._readiness_timer:
+            self._readiness_timer.cancel()
+            self._readiness_timer, self.front.is_ready = None, True
+
+    def _log_rejection(self, reason: str) -> None:
+        if reason != self._last_rejection:
+            self._last_rejection = reason
+            log.warning("endpoint list rejected", reason=reason)
+
+    async def _sweep_regularly(self) -> None:
+        while True:
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            self.sweep()
+            self.pools.sweep()
+
+
+def _engine_pools(config: RelayConfig, max_connections: int) -> EnginePools:
+    idle_timeout_us = config.engine_idle_timeout_us or DEFAULT_ENGINE_IDLE_TIMEOUT_US
+    options = ClientOptions(
+        connect_timeout=config.settings.connect_timeout_us,
+        idle=max(idle_timeout_us - IDLE_MARGIN_US, idle_timeout_us // 2),
+        body_bytes=MAX_BODY_BYTES,
+    )
+    return EnginePools(options, Connections(max_connections))
+
+
+def _client_limits(max_connections: int) -> HttpLimits:
+    return HttpLimits(
+        header_bytes=MAX_HEAD_BYTES,
+        body_bytes=MAX_BODY_BYTES,
+        request_within=REQUEST_TIMEOUT_US,
+        first_within=REQUEST_TIMEOUT_US,
+        idle=CLIENT_IDLE_TIMEOUT_US,
+        connections=max_connections,
+    )
--- /dev/null
+++ b/tuliptrack/relay/settings_reload.py
@@ -0,0 +1,56 @@
+"""Reads the settings file again while the node runs, and retries where it cannot be read at once."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from collections.abc import Callable
+
+import structlog
+
+from tuliptrack.relay.config import RelayConfig, RelayConfigError, RelayConfigUnreadableError, load
+
+__all__ = ["SettingsReload"]
+
+log = structlog.get_logger("relay")
+RETRY_FOR_S = 10.0
+RETRY_PAUSE_S = 0.1
+
+
+class SettingsReload:
+    """Reads the file at `start`; `cancel` ends the retries."""
+
+    def __init__(self, apply: Callable[[RelayConfig], None]) -> None:
+        self._apply = apply
+        self._retry: asyncio.TimerHandle | None = None
+
+    def start(self) -> None:
+        """Read the file, and retry for `RETRY_FOR_S` where it cannot be read."""
+        self.cancel()
+        self._read(asyncio.get_running_loop().time() + RETRY_FOR_S, is_retry=False)
+
+    def cancel(self) -> None:
+        """Read the file no more."""
+        if self._retry:
+            self._retry.cancel()
+            self._retry = None
+
+    def _read(self, retry_until_s: float, is_retry: bool) -> None:
+        self._retry = None
+        try:
+            config = load(os.environ)
+        except RelayConfigError as error:
+            self._handle_error(error, retry_until_s, is_retry)
+            return
+        log.info("settings reloaded", discovery=config.discovery_address)
+        self._apply(config)
+
+    def _handle_error(self, error: RelayConfigError, retry_until_s: float, is_retry: bool) -> None:
+        # Failure: the file is read in the middle of being written. It would show as a new discovery address
+        # that is never used. The file is complete soon, and one that stays unreadable is reported once.
+        loop = asyncio.get_running_loop()
+        may_retry = isinstance(error, RelayConfigUnreadableError) and loop.time() < retry_until_s
+        if not (is_retry and may_retry):
+            log.error("settings not reloaded", reason=str(error), is_retried=may_retry)
+        if may_retry:
+            self._retry = loop.call_later(RETRY_PAUSE_S, self._read, retry_until_s, True)
