--- a/tests/relay/test_gone.py
+++ b/tests/relay/test_client_disconnects.py
@@ -1,5 +1,5 @@
-"""A client that has ended its sending, or reset its connection, has gone: no attempt for it begins more than
-0.1 s later, wherever its request is just then, and however late the node reads that it has. Judged by what
+"""A client that has half-closed or reset its connection has disconnected: no attempt for it starts more than
+0.1 s later, whatever state its request is in and however late the node reads its socket. Judged by what
 engines saw."""
 
 from __future__ import annotations
@@ -25,8 +25,9 @@
 )
 from world import run, until
 
-GONE_S = 0.1  # the platform's
-Leave = Callable[[socket.socket], None]
+NO_ATTEMPT_AFTER_S = 0.1
+"""The platform allows no attempt so long after a disconnect."""
+Disconnect = Callable[[socket.socket], None]
 
 
 def fin(sock: socket.socket) -> None:
@@ -42,11 +43,11 @@
     sock.close()
 
 
-LEAVES = [fin, half_close, reset]
+DISCONNECTS = [fin, half_close, reset]
 
 
 def client(p: Platform, data: bytes) -> socket.socket:
-    """A connection on which these bytes have been written."""
+    """Return a connection on which these bytes have been written."""
     host, _, port = p.relay.front.server.address.rpartition(":")
     sock = socket.create_connection((host, int(port)))
     sock.sendall(data)
@@ -57,26 +58,28 @@
     return [one for one in p.saw() if one.call_id == call_id]
 
 
-async def settled(p: Platform) -> None:
-    """All that the node still does for its requests has been done."""
+async def wait_until_idle(p: Platform) -> None:
+    """Wait until the node has nothing left to do for its requests."""
     await until(lambda: not p.relay.table.open and not p.relay.front.open_requests)
-    await asyncio.sleep(3 * GONE_S)
+    await asyncio.sleep(3 * NO_ATTEMPT_AFTER_S)
 
 
-@pytest.mark.parametrize("leave", LEAVES)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("ahead", [0, 40_000, 400_000], ids=["alone", "sent ahead", "sent much ahead"])
-def test_no_writer_is_asked_for_a_client_that_left_during_the_read(leave: Leave, ahead: int) -> None:
+def test_no_decode_attempt_follows_for_a_client_that_left_during_its_prefill(
+    disconnect: Disconnect, ahead: int
+) -> None:
     async def go() -> None:
-        go_on = asyncio.Event()
+        may_end = asyncio.Event()
 
-        async def reads_late(one: Seen, writer: asyncio.StreamWriter) -> None:
+        async def slow_prefill(one: Seen, writer: asyncio.StreamWriter) -> None:
             if one.method == "POST":
-                await go_on.wait()
+                await may_end.wait()
             await reads(one, writer)
 
-        # The node may not call off what runs: the read ends well, after its client has left.
+        # The node may not cancel attempts: the prefill ends well, after its client has left.
         limits = {**SETTINGS["limits"], "cancel": False}
-        async with platform({"settings": {"limits": limits}}, r0=reads_late, w0=writes) as p:
+        async with platform({"settings": {"limits": limits}}, r0=slow_prefill, w0=writes) as p:
             sock = client(p, request("leaves"))
             await until(lambda: bool(asked(p, "leaves")))
             if ahead:
@@ -86,16 +89,17 @@
                     while more:
                         more = more[sock.send(more) :]
                         await asyncio.sleep(0.001)
-            leave(sock)
-            await asyncio.sleep(GONE_S)
-            go_on.set()
-            await settled(p)
-            assert not p.engines["w0"].asked(), "no further attempt, and none for what was sent ahead"
+            disconnect(sock)
+            await asyncio.sleep(NO_ATTEMPT_AFTER_S)
+            may_end.set()
+            await wait_until_idle(p)
+            assert not p.engines["w0"].asked(), "no further attempt, and none for pipelined requests"
             assert any(one.target == "/bootstrap/rooms/leaves" for one in p.saw("DELETE")), (
-                "what was read is let go"
+                "the KV state is released"
             )
             assert not any(
-                seat.ejections or seat.connection_failures for seat in p.relay.router.endpoints.values()
+                endpoint.ejections or endpoint.connection_failures
+                for endpoint in p.relay.router.endpoints.values()
             )
             with contextlib.suppress(OSError):
                 sock.close()
@@ -103,10 +107,10 @@
     run(go)
 
 
-@pytest.mark.parametrize("leave", LEAVES)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_an_attempt_whose_connection_comes_up_after_its_client_left_is_not_sent(
-    leave: Leave, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
+def test_an_attempt_whose_connection_opens_after_its_client_left_is_not_sent(
+    disconnect: Disconnect, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def go() -> None:
         limits = {**SETTINGS["limits"], "cancel": may_cancel}
@@ -120,11 +124,12 @@
             delay_connections(monkeypatch, delay)
             sock = client(p, request("leaves"))
             await until(lambda: p.engines["r0"].port in connecting)
-            leave(sock)
-            await settled(p)
+            disconnect(sock)
+            await wait_until_idle(p)
             assert not asked(p, "leaves")
             assert not any(
-                seat.ejections or seat.connection_failures for seat in p.relay.router.endpoints.values()
+                endpoint.ejections or endpoint.connection_failures
+                for endpoint in p.relay.router.endpoints.values()
             )
             with contextlib.suppress(OSError):
                 sock.close()
@@ -132,9 +137,9 @@
     run(go)
 
 
-@pytest.mark.parametrize("leave", LEAVES)
-def test_many_that_left_before_a_busy_node_looked_are_sent_nowhere(leave: Leave) -> None:
-    """The node has no processor time while they connect, ask and go; others that stay are served."""
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+def test_requests_of_clients_that_left_while_the_node_was_busy_are_not_sent(disconnect: Disconnect) -> None:
+    """The node has no processor time while clients connect, send and leave; one that stays is served."""
 
     async def go() -> None:
         async with platform(r0=reads, w0=writes) as p:
@@ -142,10 +147,10 @@
             gone = [client(p, request(f"gone-{n}")) for n in range(12)]
             stays = client(p, request("stays"))
             for sock in gone:
-                leave(sock)
-            time.sleep(2 * GONE_S)  # Nothing of it has been read.
+                disconnect(sock)
+            time.sleep(2 * NO_ATTEMPT_AFTER_S)  # Nothing of it has been read.
             await until(lambda: len(asked(p, "stays")) == 2)
-            await settled(p)
+            await wait_until_idle(p)
             assert not [one.call_id for one in p.saw() if one.call_id.startswith("gone")]
             for sock in [stays, *gone]:
                 with contextlib.suppress(OSError):
@@ -154,9 +159,9 @@
     run(go)
 
 
-@pytest.mark.parametrize("leave", LEAVES)
-def test_no_further_attempt_follows_one_that_broke_after_its_client_left(leave: Leave) -> None:
-    """An engine breaks the read off while the node is busy, after the client has gone."""
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+def test_no_retry_follows_an_attempt_that_broke_after_its_client_left(disconnect: Disconnect) -> None:
+    """An engine breaks the prefill off while the node is busy, after the client has left."""
 
     async def go() -> None:
         breaks = asyncio.Event()
@@ -170,9 +175,11 @@
             await until(lambda: bool(asked(p, "leaves")))
             breaks.set()
             await asyncio.sleep(0)
-            leave(sock)
-            time.sleep(GONE_S)  # Its end and the engine's are there to be read, in whatever order.
-            await settled(p)
+            disconnect(sock)
+            time.sleep(
+                NO_ATTEMPT_AFTER_S
+            )  # Its end and the engine's are there to be read, in whatever order.
+            await wait_until_idle(p)
             assert len(asked(p, "leaves")) == 1
             with contextlib.suppress(OSError):
                 sock.close()
@@ -180,9 +187,9 @@
     run(go)
 
 
-def test_an_attempt_given_up_before_it_was_sent_never_ran() -> None:
-    """Its engine took no connection until the node's patience ended: though not to be repeated, it goes
-    elsewhere."""
+def test_an_attempt_cancelled_before_it_was_sent_is_retried() -> None:
+    """Its engine accepted no connection until the attempt's time-out. It never ran, so it is retried at another
+    engine, though its class may not be repeated."""
 
     async def go() -> None:
         keyed = {**SETTINGS["classes"][0], "effect": "guarded", "keyScope": "zone", "dedupWindow": 1}
--- a/tuliptrack/relay/__init__.py
+++ b/tuliptrack/relay/__init__.py
@@ -1,2 +1,1 @@
-"""The node on the platform's HTTP/1.1: its wiring on `node/core.py`. `python -m tuliptrack.relay` starts
-it."""
+"""The node on the platform's HTTP. It imports no gRPC, stores or protobuf, so that it starts quickly and small."""
