--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -1,6 +1,5 @@
 """A platform to test the relay against: discovery, engines and clients on raw sockets, which note what they
-saw.
-"""
+saw."""
 
 from __future__ import annotations
 
@@ -16,8 +15,8 @@
 
 import pytest
 
-from tuliptrack.relay.__main__ import Relay
 from tuliptrack.relay.config import RelayConfig, parse
+from tuliptrack.relay.node import RelayNode
 
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -299,7 +298,7 @@
         self.revision = 1
         self.changed = asyncio.Event()
         self.phases: dict[str, str] = {}
-        self.relay: Relay
+        self.relay: RelayNode
         self.ids = (f"c-{n}" for n in itertools.count())
 
     def members(self) -> list[dict[str, Any]]:
@@ -366,7 +365,7 @@
     made = Platform(engines, Peer(hangs))
     made.agent.script = made.answers
     await made.agent.start()
-    made.relay = Relay(config(made.members(), made.agent.address, **(changes or {})))
+    made.relay = RelayNode(config(made.members(), made.agent.address, **(changes or {})))
     await made.relay.start()
     try:
         yield made
@@ -375,7 +374,7 @@
         await made.relay.stop(0.0, 0.0)
         for peer in [*engines.values(), made.agent]:
             await peer.stop()
-        assert not made.relay.table.open and not made.relay.front.open, "requests left"
-        assert made.relay.front.kept.used_bytes == 0 and made.relay.front.server.bodies.used_bytes == 0, (
-            "bytes left"
-        )
+        assert not made.relay.table.open and not made.relay.front.open_requests, "requests left"
+        assert (
+            made.relay.front.body_budget.used_bytes == 0 and made.relay.front.server.bodies.used_bytes == 0
+        ), "bytes left"
