--- a/tests/decisions/test_models.py
+++ b/tests/decisions/test_model_catalog.py
@@ -1,4 +1,4 @@
-"""Which engines serve which model, where unnamed versions go, and what the routers of one node share."""
+"""Which endpoints serve which model, which version a request gets, and what routers of one node share."""
 
 from __future__ import annotations
 
@@ -38,71 +38,73 @@
 
 
 def catalog(labels: dict[int, tuple[int, Model]] = FLEET) -> ModelCatalog:
-    made = ModelCatalog(ROLES)
-    made.split(*change(labels))
-    return made
+    models = ModelCatalog(ROLES)
+    models.split_update(*change(labels))
+    return models
 
 
-def test_each_router_hears_of_its_own_engines_and_of_its_part_of_the_quotas() -> None:
-    found = ModelCatalog(ROLES).split(*change(FLEET))
-    assert {m: [s.id for s in c.endpoints] for m, c in found.items()} == {A: [1, 2], B: [3, 4], B2: [5, 6]}
-    assert all(c.quota_share == pytest.approx(1 / 3) for c in found.values())
+def test_each_router_gets_its_own_endpoints_and_its_share_of_the_quotas() -> None:
+    updates = ModelCatalog(ROLES).split_update(*change(FLEET))
+    assert {m: [s.id for s in c.endpoints] for m, c in updates.items()} == {A: [1, 2], B: [3, 4], B2: [5, 6]}
+    assert all(c.quota_share == pytest.approx(1 / 3) for c in updates.values())
     assert (
-        ModelCatalog(ROLES).split(*change({1: (READ, Model()), 2: (WRITE, Model())}))[Model()].quota_share
+        ModelCatalog(ROLES)
+        .split_update(*change({1: (READ, Model()), 2: (WRITE, Model())}))[Model()]
+        .quota_share
         == 1.0
     )
 
 
-def test_an_engine_that_changes_its_model_is_gone_for_the_old_router_first() -> None:
-    made = catalog()
-    found = made.split(*change({2: (WRITE, B)}, UpdateKind.DELTA))
-    assert [(s.id, s.state) for s in found[A].endpoints] == [(2, EndpointState.REMOVED)]
-    assert [(s.id, s.state) for s in found[B].endpoints] == [(2, EndpointState.READY)]
-    assert not made.ready("a") and made.ready("b", "1")
-    found = made.split(*change({1: (READ, A)}))  # a whole list: who isn't named has gone, at every router
-    assert {m: [s.id for s in c.endpoints] for m, c in found.items()} == {A: [1], B: [], B2: []}
+def test_an_endpoint_that_changes_its_model_is_removed_at_the_old_router() -> None:
+    models = catalog()
+    updates = models.split_update(*change({2: (WRITE, B)}, UpdateKind.DELTA))
+    assert [(s.id, s.state) for s in updates[A].endpoints] == [(2, EndpointState.REMOVED)]
+    assert [(s.id, s.state) for s in updates[B].endpoints] == [(2, EndpointState.READY)]
+    assert not models.ready("a") and models.ready("b", "1")
+    updates = models.split_update(*change({1: (READ, A)}))  # a full list: what is not named is removed
+    assert {m: [s.id for s in c.endpoints] for m, c in updates.items()} == {A: [1], B: [], B2: []}
 
 
-def test_what_cant_be_served_is_told_by_field_and_whether_it_may_come_back() -> None:
-    made = catalog()
+def test_an_error_names_the_field_and_whether_the_model_is_listed() -> None:
+    models = catalog()
     for name, version, field in (("", "", "model"), ("z", "", "model"), ("b", "9", "model_version")):
         with pytest.raises(NotServedError) as caught:
-            made.choose(name, version, "s")
-        assert (caught.value.field, caught.value.known) == (field, False)
-    made.split(*change({2: (WRITE, A)}, UpdateKind.DELTA, EndpointState.DRAINING))
+            models.choose(name, version, "s")
+        assert (caught.value.field, caught.value.is_listed) == (field, False)
+    models.split_update(*change({2: (WRITE, A)}, UpdateKind.DELTA, EndpointState.DRAINING))
     with pytest.raises(NotServedError) as caught:
-        made.choose("a", "", "s")
-    assert caught.value.known
+        models.choose("a", "", "s")
+    assert caught.value.is_listed
     assert catalog({1: (READ, A), 2: (WRITE, A)}).choose("", "", "s") == A  # the only one need not be named
     assert catalog({1: (READ, Model()), 2: (WRITE, Model())}).choose("any", "", "s") == Model()
     assert ModelCatalog(ROLES).choose("any", "", "s") == Model()  # before the first list
 
 
-def test_a_rollout_moves_as_many_sessions_as_there_are_engines_and_each_once() -> None:
+def test_a_rollout_moves_as_many_sessions_as_there_are_endpoints_and_each_once() -> None:
     sessions = [f"s{n}" for n in range(2000)]
-    went: list[list[str]] = []
+    versions: list[list[str]] = []
     for new in range(11):
         labels = {
             n: (READ if n % 2 else WRITE, Model("m", "2" if n <= 2 * new else "1")) for n in range(1, 21)
         }
-        made = catalog(labels)
-        went.append([made.choose("m", "", s).version for s in sessions])
-        assert went[-1].count("2") == pytest.approx(200 * new, abs=90)
+        models = catalog(labels)
+        versions.append([models.choose("m", "", s).version for s in sessions])
+        assert versions[-1].count("2") == pytest.approx(200 * new, abs=90)
     for s in range(len(sessions)):
-        assert sum(a[s] != b[s] for a, b in pairwise(went)) == 1
+        assert sum(a[s] != b[s] for a, b in pairwise(versions)) == 1
 
 
-def test_models_past_the_bound_are_left_out_and_told_and_come_in_when_there_is_room() -> None:
+def test_models_over_the_limit_are_not_served_until_others_are_removed() -> None:
     labels = {n: (READ, Model(f"m{n}")) for n in range(1, MAX_MODELS + 4)}
-    made = catalog(labels)
-    assert len(made.listed()) == MAX_MODELS and made.left_out == {
+    models = catalog(labels)
+    assert len(models.listed()) == MAX_MODELS and models.over_limit == {
         MAX_MODELS + 1,
         MAX_MODELS + 2,
         MAX_MODELS + 3,
     }
     del labels[1]
-    made.split(*change(labels))
-    assert len(made.listed()) == MAX_MODELS and len(made.left_out) == 2
+    models.split_update(*change(labels))
+    assert len(models.listed()) == MAX_MODELS and len(models.over_limit) == 2
 
 
 STEP = st.tuples(
@@ -122,33 +124,36 @@
 
 @examples(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(STEP, max_size=8))
-def test_over_any_changes_each_engine_is_ready_at_the_router_of_its_label_and_at_no_other(
+def test_after_any_updates_each_endpoint_is_ready_at_the_router_of_its_model_and_at_no_other(
     steps: list[tuple[UpdateKind, list[tuple[int, int, Model, EndpointState]]]],
 ) -> None:
-    made, seen = ModelCatalog(ROLES), dict[Model, dict[int, EndpointState]]()
-    wanted: dict[int, tuple[Model, EndpointState]] = {}
+    models, seen = ModelCatalog(ROLES), dict[Model, dict[int, EndpointState]]()
+    expected: dict[int, tuple[Model, EndpointState]] = {}
     for kind, entries in steps:
         servers = tuple(EndpointInfo(i, k, state) for i, k, _, state in entries)
         if kind is UpdateKind.FULL:
-            wanted.clear()
-        wanted.update({i: (m, state) for i, _, m, state in entries})
-        for model, part in made.split(
+            expected.clear()
+        expected.update({i: (m, state) for i, _, m, state in entries})
+        for model, split in models.split_update(
             EndpointListUpdate(kind, 1, servers), {i: m for i, _, m, _ in entries}
         ).items():
-            held = seen.setdefault(model, {})
-            if part.kind is UpdateKind.FULL:
-                held.clear()
-            held.update({s.id: s.state for s in part.endpoints})
+            at_router = seen.setdefault(model, {})
+            if split.kind is UpdateKind.FULL:
+                at_router.clear()
+            at_router.update({s.id: s.state for s in split.endpoints})
         ready = {
-            (m, i) for m, held in seen.items() for i, state in held.items() if state is EndpointState.READY
+            (m, i)
+            for m, at_router in seen.items()
+            for i, state in at_router.items()
+            if state is EndpointState.READY
         }
-        assert ready == {(m, i) for i, (m, state) in wanted.items() if state is EndpointState.READY}
+        assert ready == {(m, i) for i, (m, state) in expected.items() if state is EndpointState.READY}
 
 
-def test_quotas_are_one_over_all_models_of_a_node_and_cold_turns_follow_the_part() -> None:
-    kept = settings(replicas=1)
-    first = Router(kept, 1)
-    second = Router(kept, 2, first)
+def test_models_of_a_node_share_one_quota_and_slow_start_follows_the_share() -> None:
+    shared = settings(replicas=1)
+    first = Router(shared, 1)
+    second = Router(shared, 2, first)
     for router, base in ((first, 10), (second, 20)):
         router.handle(
             S, [EndpointListUpdate(UpdateKind.FULL, 1, (server(base, READ), server(base + 1, WRITE)), 0.5)]
--- a/tuliptrack/decisions/model_catalog.py
+++ b/tuliptrack/decisions/model_catalog.py
@@ -1,182 +1,219 @@
-"""Which engines serve which model, and which version a request goes to.
+"""Tracks which endpoints serve which model, and decides which model and version a request goes to.
 
-Engines of different models, or of two versions of one, share nothing that routing could use: a state read by
-one can't be written by the other, queues and failures of one say nothing of the other. So each (model,
-version) has a `Router` of its own, told of its own engines only, and this decides who they are. The routers
-of one node share the tenants' quotas and the zones' budgets; `part` tells each how much of the quotas its
-engines are built for.
+Endpoints of different models, or of two versions of one, share nothing that routing could use: KV state of
+one is of no use to the other, and queues and failures of one say nothing of the other. So each (model,
+version) has a `Router` of its own that sees only its own endpoints. The catalog divides each update of the
+endpoint list among them. The routers of one node share the tenants' quotas and the cross-zone budgets;
+`quota_share` tells each how much of the quotas its endpoints are built for.
 
-A request that names no version gets one by its session: weighted rendezvous over the versions that can serve,
-weighted by what they can do. So a rollout moves as much of the traffic as there are engines for it, each
-session moves once, and every node picks alike.
+A request that names no version gets one by its session: weighted rendezvous hashing over the versions that
+can serve, weighted by their capacity. So a rollout moves as much of the traffic as there are endpoints for
+it, each session moves once, and every node chooses alike.
 
-No I/O, no clock, no chance. Bound: `MAX_MODELS` models and versions; engines of one more are not served, and
-named."""
+The module does no I/O, reads no clock and draws no random numbers. Bound: `MAX_MODELS` models and versions;
+endpoints of any more are not served, and listed in `over_limit`.
+"""
 
 from __future__ import annotations
 
 import math
 from collections import defaultdict
 from collections.abc import Iterable
-from dataclasses import dataclass, replace
+from dataclasses import dataclass, field, replace
 
 import xxhash
 
 from tuliptrack.interface import EndpointInfo, EndpointListUpdate, EndpointState, Role, UpdateKind
 
-__all__ = ["Model", "ModelCatalog", "NotServedError"]
+__all__ = ["MAX_MODELS", "Model", "ModelCatalog", "NotServedError"]
 
 MAX_MODELS = 256
+MIN_SHARE_CHANGE = 0.01
+"""A router whose endpoints are unchanged gets an update only if its share of the quotas changes by more."""
+MAX_NAMES_SHOWN = 8
+MAX_NAME_SHOWN_CHARS = 60
+MAX_VERSION_SHOWN_CHARS = 40
+"""Bounds on the texts of errors, which repeat what clients sent."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Model:
-    """A model and one of its versions; both may be empty, where a fleet serves just one thing."""
+    """A model and one of its versions; both are empty if a fleet serves just one and gives no labels."""
 
     name: str = ""
     version: str = ""
 
 
 class NotServedError(Exception):
-    """No engines can serve what was asked for. `known` tells whether the list names it, so that it may come
-    back."""
+    """No endpoints can serve what was asked for."""
 
-    def __init__(self, field: str, reason: str, known: bool = False) -> None:
+    def __init__(self, field: str, reason: str, is_listed: bool = False) -> None:
+        """`field` names the field of the request; what is listed may become ready again."""
         super().__init__(f"{field}: {reason}")
-        self.field, self.reason, self.known = field, reason, known
+        self.field, self.reason, self.is_listed = field, reason, is_listed
+
+
+@dataclass(frozen=True, slots=True)
+class _LabelledEndpoint:
+    model: Model
+    info: EndpointInfo
+
+
+@dataclass(slots=True)
+class _SplitUpdate:
+    """An update that is being divided."""
+
+    is_full: bool
+    models: set[Model]
+    """Models that count towards the limit."""
+    endpoints: dict[Model, list[EndpointInfo]] = field(default_factory=lambda: defaultdict(list))
 
 
 class ModelCatalog:
-    """The engines by model. `split` takes changes of the server list, `choose` answers requests."""
+    """The endpoints of one node by model."""
 
     def __init__(self, roles: tuple[Role, ...]) -> None:
-        self.roles = roles
-        self.servers: dict[int, tuple[Model, EndpointInfo]] = {}
-        """Every server that is listed and not gone."""
-        self.left_out: set[int] = set()
-        """Servers of models past the bound."""
-        self._sizes: dict[Model, dict[Role, float]] = {}
-
-    # -- the list
-
-    def split(self, change: EndpointListUpdate, labels: dict[int, Model]) -> dict[Model, EndpointListUpdate]:
-        """One change for each router that has to hear of it. `labels` names the model of each server in the
-        change."""
-        before = {model for model, _ in self.servers.values()}
-        whole = change.kind is not UpdateKind.DELTA
-        told: dict[Model, list[EndpointInfo]] = defaultdict(list)
-        if whole:
-            gone = self.servers.keys() - labels.keys()
-            self.left_out &= labels.keys()
-            for model in before:  # what a whole list doesn't name has gone, at each router
-                told[model] = []
-        else:
-            gone = set()
-        taken = set() if whole else set(before)
-        for server in change.endpoints:
-            label = labels.get(server.id, Model())
-            old = self.servers.get(server.id)
-            if (
-                old and old[0] != label and not whole
-            ):  # It serves something else now: to the old router it has gone.
-                told[old[0]].append(replace(old[1], state=EndpointState.REMOVED))
-            if server.state is EndpointState.REMOVED:
-                self.servers.pop(server.id, None)
-                self.left_out.discard(server.id)
-                told[old[0] if old else label].append(server)
-                continue
-            if label not in taken and len(taken) >= MAX_MODELS:
-                self.left_out.add(server.id)
-                self.servers.pop(server.id, None)
-                continue
-            taken.add(label)
-            self.left_out.discard(server.id)
-            self.servers[server.id] = (label, server)
-            told[label].append(server)
-        for server_id in gone:
-            self.servers.pop(server_id, None)
-        parts_before = {model: self.part(model) for model in before}
-        self._count()
-        for model in before - told.keys():  # Its part has changed with the others'.
-            if abs(self.part(model) - parts_before[model]) > 0.01:
-                told[model] = []
+        """`roles` gives the role of each kind of endpoint."""
+        self._roles = roles
+        self._endpoints: dict[int, _LabelledEndpoint] = {}
+        """Every endpoint that is listed and not removed."""
+        self.over_limit: set[int] = set()
+        """Endpoints that are not served, as there are too many models."""
+        self._weights: dict[Model, dict[Role, float]] = {}
+        """Sum of the ready endpoints' weights."""
+
+    def split_update(
+        self, update: EndpointListUpdate, labels: dict[int, Model]
+    ) -> dict[Model, EndpointListUpdate]:
+        """Apply an update of the endpoint list, and return one for each router that is concerned.
+
+        `labels` gives the model of each endpoint in the update.
+        """
+        before = {endpoint.model for endpoint in self._endpoints.values()}
+        shares_before = {model: self.quota_share(model) for model in before}
+        is_full = update.kind is not UpdateKind.DELTA
+        split = _SplitUpdate(is_full, set() if is_full else set(before))
+        missing = self._endpoints.keys() - labels.keys() if is_full else set()
+        if is_full:
+            self.over_limit &= labels.keys()
+            for model in before:
+                split.endpoints[model] = []  # What a full list does not name is removed, at each router.
+        for endpoint in update.endpoints:
+            self._apply(endpoint, labels.get(endpoint.id, Model()), split)
+        for endpoint_id in missing:
+            self._endpoints.pop(endpoint_id, None)
+        self._sum_weights()
+        for model in before - split.endpoints.keys():
+            if abs(self.quota_share(model) - shares_before[model]) > MIN_SHARE_CHANGE:
+                split.endpoints[model] = []
         return {
             model: EndpointListUpdate(
-                change.kind if model in before or not whole else UpdateKind.FULL,
-                change.version,
-                tuple(servers),
-                self.part(model),
+                update.kind if model in before or not is_full else UpdateKind.FULL,
+                update.version,
+                tuple(endpoints),
+                self.quota_share(model),
             )
-            for model, servers in told.items()
+            for model, endpoints in split.endpoints.items()
         }
 
-    def _count(self) -> None:
-        sizes: dict[Model, dict[Role, float]] = {}
-        for model, server in self.servers.values():
-            role = self.roles[server.kind] if server.kind < len(self.roles) else Role.DECODE
-            if server.state is EndpointState.READY:
-                by_role = sizes.setdefault(model, {})
-                by_role[role] = by_role.get(role, 0.0) + server.weight
-        self._sizes = sizes
-
-    def _can(self, model: Model) -> float:
-        """What it can do: the lesser of its reading and its writing size; 0 where one is missing."""
-        sizes = self._sizes.get(model, {})
-        both = sizes.get(Role.PREFILL_AND_DECODE, 0.0)
-        return min(sizes.get(Role.PREFILL, 0.0) + both, sizes.get(Role.DECODE, 0.0) + both)
-
-    def part(self, model: Model) -> float:
-        """The part of the fleet, and so of the quotas, that its engines are; 1 where nothing else is
-        listed."""
-        whole = sum(self._can(one) for one in self._sizes)
-        return self._can(model) / whole if whole and self._can(model) else 1.0
-
-    # -- questions
+    def _apply(self, endpoint: EndpointInfo, model: Model, split: _SplitUpdate) -> None:
+        known = self._endpoints.get(endpoint.id)
+        if known and known.model != model and not split.is_full:
+            # It serves another model now: to the router of the old one it is removed.
+            split.endpoints[known.model].append(replace(known.info, state=EndpointState.REMOVED))
+        if endpoint.state is EndpointState.REMOVED:
+            self._endpoints.pop(endpoint.id, None)
+            self.over_limit.discard(endpoint.id)
+            split.endpoints[known.model if known else model].append(endpoint)
+            return
+        if model not in split.models and len(split.models) >= MAX_MODELS:
+            self.over_limit.add(endpoint.id)
+            self._endpoints.pop(endpoint.id, None)
+            return
+        split.models.add(model)
+        self.over_limit.discard(endpoint.id)
+        self._endpoints[endpoint.id] = _LabelledEndpoint(model, endpoint)
+        split.endpoints[model].append(endpoint)
+
+    def _sum_weights(self) -> None:
+        weights: dict[Model, dict[Role, float]] = {}
+        for endpoint in self._endpoints.values():
+            info = endpoint.info
+            role = self._roles[info.kind] if info.kind < len(self._roles) else Role.DECODE
+            if info.state is EndpointState.READY:
+                by_role = weights.setdefault(endpoint.model, {})
+                by_role[role] = by_role.get(role, 0.0) + info.weight
+        self._weights = weights
+
+    def _capacity(self, model: Model) -> float:
+        """Return the weight that can serve both stages; 0 if one of them has no ready endpoint."""
+        weights = self._weights.get(model, {})
+        both = weights.get(Role.PREFILL_AND_DECODE, 0.0)
+        return min(weights.get(Role.PREFILL, 0.0) + both, weights.get(Role.DECODE, 0.0) + both)
+
+    def quota_share(self, model: Model) -> float:
+        """Return the model's part of the fleet's capacity, and so of the quotas; 1 if nothing else serves."""
+        total = sum(self._capacity(one) for one in self._weights)
+        return self._capacity(model) / total if total and self._capacity(model) else 1.0
 
     def listed(self) -> list[Model]:
-        """Every model and version that the list names, ready or not."""
-        return sorted({model for model, _ in self.servers.values()})
+        """Return every model and version that the endpoint list names, ready or not."""
+        return sorted({endpoint.model for endpoint in self._endpoints.values()})
 
     def serving(self, name: str = "") -> list[Model]:
-        """Those of a name (all, where it is empty) that have ready readers and writers."""
-        return sorted(m for m in self._sizes if (not name or m.name == name) and self._can(m) > 0)
+        """Return the versions of a model (of all, if empty) that have ready endpoints for both stages."""
+        return sorted(m for m in self._weights if (not name or m.name == name) and self._capacity(m) > 0)
 
     def ready(self, name: str, version: str = "") -> bool:
-        """Whether a request for it would find engines."""
+        """Whether a request for a model would find endpoints."""
         return any(not version or m.version == version for m in self.serving(name))
 
     def choose(self, name: str, version: str, session: str) -> Model:
-        """Where a request goes; NotServed names the field that can't be met."""
+        """Return the model and version that serve a request; NotServedError if none can."""
         listed = self.listed()
-        names = {m.name for m in listed}
+        names = {model.name for model in listed}
         if not listed:
-            return Model()  # Nothing is known yet: its router refuses.
+            return Model()  # Before the first list: the router without endpoints rejects the request.
         if not name and len(names) > 1:
-            raise NotServedError("model", f"is required, as more than one is served: {_some(names)}")
+            raise NotServedError("model", f"is required, as more than one is served: {_shown(names)}")
         name = name or next(iter(names))
-        if name not in names:
-            if names == {""} and not version:
-                return Model()  # The engines carry no labels: they serve whatever is asked for.
-            raise NotServedError("model", f"{name[:60]!r} is not served here; {_some(names)}")
-        versions = [m for m in listed if m.name == name and version in ("", m.version)]
-        if not versions:
-            raise NotServedError(
-                "model_version",
-                f"{version[:40]!r} of {name[:60]!r} is not served here; "
-                + _some({m.version for m in listed if m.name == name}),
-            )
-        able = [m for m in versions if self._can(m) > 0]
+        if name in names:
+            versions = _matching_versions(listed, name, version)
+            return self._choose_version(name, versions, session)
+        if names == {""} and not version:
+            return Model()  # The endpoints carry no labels: they serve whatever is asked for.
+        shown = f"{name[:MAX_NAME_SHOWN_CHARS]!r} is not served here; {_shown(names)}"
+        raise NotServedError("model", shown)
+
+    def _choose_version(self, name: str, versions: list[Model], session: str) -> Model:
+        able = [model for model in versions if self._capacity(model) > 0]
         if not able:
-            raise NotServedError("model", f"no engines of {name[:60]!r} are ready", known=True)
-        return able[0] if len(able) == 1 else max(able, key=lambda m: self._rank(m, session))
+            reason = f"no engines of {name[:MAX_NAME_SHOWN_CHARS]!r} are ready"
+            raise NotServedError("model", reason, is_listed=True)
+        return able[0] if len(able) == 1 else max(able, key=lambda model: self._rank(model, session))
 
     def _rank(self, model: Model, session: str) -> float:
-        draw = (xxhash.xxh3_64_intdigest(f"{model.name}\0{model.version}\0{session}".encode()) + 1) / (
-            2**64 + 1
-        )
-        return self._can(model) / -math.log(draw)
-
-
-def _some(names: Iterable[str]) -> str:
-    shown = sorted(names)
-    return ", ".join(repr(n[:60]) for n in shown[:8]) + (" ..." if len(shown) > 8 else "") or "none is listed"
+        key = f"{model.name}\0{model.version}\0{session}".encode()
+        position = (xxhash.xxh3_64_intdigest(key) + 1) / (2**64 + 1)
+        return self._capacity(model) / -math.log(position)
+
+
+def _matching_versions(listed: list[Model], name: str, version: str) -> list[Model]:
+    versions = [model for model in listed if model.name == name]
+    matching = [model for model in versions if version in ("", model.version)]
+    if matching:
+        return matching
+    shown_version, shown_name = version[:MAX_VERSION_SHOWN_CHARS], name[:MAX_NAME_SHOWN_CHARS]
+    raise NotServedError(
+        "model_version",
+        f"{shown_version!r} of {shown_name!r} is not served here; {_shown({m.version for m in versions})}",
+    )
+
+
+def _shown(names: Iterable[str]) -> str:
+    """Return names for the text of an error."""
+    ordered = sorted(names)
+    if not ordered:
+        return "none is listed"
+    shown = ", ".join(repr(name[:MAX_NAME_SHOWN_CHARS]) for name in ordered[:MAX_NAMES_SHOWN])
+    return shown + (" ..." if len(ordered) > MAX_NAMES_SHOWN else "")
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -197,7 +197,7 @@
         if change.kind is io.UpdateKind.FAILED:
             self.dispatch(change)
             return
-        changes = self.models.split(change, labels)
+        changes = self.models.split_update(change, labels)
         if change.kind is io.UpdateKind.CACHED:
             changes.setdefault(Model(), io.EndpointListUpdate(change.kind, change.version))
         listed = set(self.models.listed())
@@ -209,8 +209,8 @@
         for model in self.routers.keys() - listed - {Model()}:
             if not self.routers[model].in_flight:  # Else it is looked at again with the next list.
                 del self.routers[model]
-        if self.models.left_out:
-            log.warning("engines of too many models", left_out=len(self.models.left_out), most=MAX_MODELS)
+        if self.models.over_limit:
+            log.warning("engines of too many models", left_out=len(self.models.over_limit), most=MAX_MODELS)
 
     def _look_at_zones(self) -> None:
         """Tell the operators of zones that lack readers or writers: each request there must cross."""
@@ -252,7 +252,7 @@
                 ask.model, ask.model_version, f"{ask.tenant}\0{ask.session or ask.prompt}"
             )
         except NotServedError as error:
-            if not error.known:
+            if not error.is_listed:
                 raise InvalidRequestError(error.field, error.reason, is_unknown=True) from None
             reason = error.reason
         return model, self.routers.get(model, self.router), reason or self.bills.refusal()
