--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -16,7 +16,7 @@
 
 import click
 
-from tuliptrack.decisions.billing import SERVED, TokenPrice, UsageRecord, fold
+from tuliptrack.decisions.billing import TokenPrice, UsageOutcome, UsageRecord, compute_bills
 from tuliptrack.store.ledger import Ledger
 from tuliptrack.store.ledger_reading import read_parts, verify
 from tuliptrack.structures.sketch import Sketch
@@ -50,7 +50,7 @@
                         2000,
                         0,
                         120,
-                        SERVED,
+                        UsageOutcome.SERVED,
                         price=TokenPrice(2, 1, 10),
                         request_class="question",
                     )
@@ -65,7 +65,7 @@
         ledger.close()
         click.echo(
             f"opened again in {timed(lambda: Ledger(path, 1 << 34).close()) * 1e3:.0f} ms, verified in "
-            f"{timed(lambda: verify(path)):.1f} s, billed in {timed(lambda: fold(read_parts(path))):.1f} s"
+            f"{timed(lambda: verify(path)):.1f} s, billed in {timed(lambda: compute_bills(read_parts(path))):.1f} s"
         )
     count = 1_000_000
     whens = [chance.randrange(60_000_000) for _ in range(count)]
--- a/tests/store/test_billing_machine.py
+++ b/tests/store/test_billing_machine.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tuliptrack.decisions.billing import CUT, NOTHING, OPEN, SERVED, TokenPrice, UsageRecord, fold
+from tuliptrack.decisions.billing import TokenPrice, UsageOutcome, UsageRecord, compute_bills
 from tuliptrack.store.ledger import Ledger
 from tuliptrack.store.ledger_reading import read_parts, verify
 
@@ -56,7 +56,7 @@
             0,
             first,
             first,
-            OPEN,
+            UsageOutcome.OPEN,
             price=TokenPrice(0, 0, 1),
         )
 
@@ -88,7 +88,13 @@
             if breaks or part.next == LENGTH:
                 whole = part.next == LENGTH
                 self.change(
-                    node, part, outcome=SERVED if whole else CUT if part.next > part.first else NOTHING
+                    node,
+                    part,
+                    outcome=UsageOutcome.SERVED
+                    if whole
+                    else UsageOutcome.CUT
+                    if part.next > part.first
+                    else UsageOutcome.NOTHING,
                 )
                 del self.running[node][part.number]
 
@@ -119,7 +125,7 @@
             self.ledgers[node].env.copy(str(copy))
             assert verify(str(copy))[1] == []
             parts += list(read_parts(str(copy))) * (1 + twice)
-        bills = {bill.work: bill for bill in fold(parts)}
+        bills = {bill.work: bill for bill in compute_bills(parts)}
         for work, told in self.told.items():
             billed = bills[work].written if work in bills else 0
             assert len(told) <= billed <= len(self.got[work]), (work, told, billed, self.got[work])
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -19,7 +19,7 @@
 import lmdb
 import pytest
 
-from tuliptrack.decisions.billing import CUT, OPEN, SERVED, TokenPrice, UsageRecord, fold, totals
+from tuliptrack.decisions.billing import TokenPrice, UsageOutcome, UsageRecord, compute_bills, daily_totals
 from tuliptrack.store.ledger import Ledger, LedgerError, LedgerFull
 from tuliptrack.store.ledger_format import digest_of
 from tuliptrack.store.ledger_reading import read_parts, read_sums, verify
@@ -28,7 +28,7 @@
 WRITER = """
 import sys
 import threading
-from tuliptrack.decisions.billing import OPEN, SERVED, TokenPrice, UsageRecord
+from tuliptrack.decisions.billing import TokenPrice, UsageOutcome, UsageRecord
 from tuliptrack.store.ledger import Ledger
 ledger, life, number = Ledger(sys.argv[1]), sys.argv[2], 0
 print(ledger.recovery.cut, flush=True)
@@ -36,7 +36,7 @@
     for step in range(4):  # four works, written token by token, the last state at a later commit
         for k in range(4):
             ledger.add(UsageRecord(life, number + k, "a", f"{life}-{number + k}", 0, 100, 0, 0, 5 * step + 1,
-                            SERVED if step == 3 else OPEN, price=TokenPrice(2, 1, 10)))
+                            UsageOutcome.SERVED if step == 3 else UsageOutcome.OPEN, price=TokenPrice(2, 1, 10)))
         ledger.commit()
         print(number, step, flush=True)
     number += 4
@@ -44,7 +44,12 @@
 
 
 def part(
-    number: int, next_: int = 5, outcome: int = SERVED, at: int = 0, tenant: str = "a", work: str = ""
+    number: int,
+    next_: int = 5,
+    outcome: int = UsageOutcome.SERVED,
+    at: int = 0,
+    tenant: str = "a",
+    work: str = "",
 ) -> UsageRecord:
     return UsageRecord("n", number, tenant, work or f"w{number}", at, 100, 0, 0, next_, outcome, price=PRICE)
 
@@ -77,7 +82,7 @@
             if line.endswith("\n"):
                 number, step = map(int, line.split())
                 promised.update({f"life{life}-{number + k}": 5 * step + 1 for k in range(4)})
-        bills = {bill.work: bill.written for bill in fold(read_parts(str(path)))}
+        bills = {bill.work: bill.written for bill in compute_bills(read_parts(str(path)))}
         assert all(bills[work] >= tokens for work, tokens in promised.items())
         # No more than the one commit that it had not told of: at most four works a step further.
         more = {
@@ -88,15 +93,18 @@
         assert verify(str(path))[1] == []
     ledger = Ledger(str(path))
     ledger.close()
-    assert all(p.outcome in (SERVED, CUT) for p in {p.name: p for p in read_parts(str(path))}.values())
+    assert all(
+        p.outcome in (UsageOutcome.SERVED, UsageOutcome.CUT)
+        for p in {p.key: p for p in read_parts(str(path))}.values()
+    )
 
 
 def test_what_a_crash_left_open_ends_as_cut_with_what_was_committed(tmp_path: Path) -> None:
     ledger = Ledger(str(tmp_path))
-    ledger.add(part(1, 7, OPEN))
-    ledger.add(part(2, 9, SERVED))
+    ledger.add(part(1, 7, UsageOutcome.OPEN))
+    ledger.add(part(2, 9, UsageOutcome.SERVED))
     ledger.commit()
-    ledger.add(part(1, 8, OPEN))  # never committed
+    ledger.add(part(1, 8, UsageOutcome.OPEN))  # never committed
     ledger.close()
     again = Ledger(str(tmp_path))
     assert again.recovery.cut == 1
@@ -104,7 +112,7 @@
         subprocess_open(tmp_path)
     again.close()
     last = {p.number: p for p in read_parts(str(tmp_path))}
-    assert (last[1].next, last[1].outcome) == (7, CUT) and last[2].outcome == SERVED
+    assert (last[1].next, last[1].outcome) == (7, UsageOutcome.CUT) and last[2].outcome == UsageOutcome.SERVED
     assert Ledger(str(tmp_path)).recovery.cut == 0
 
 
@@ -189,16 +197,16 @@
 def test_compaction_keeps_every_sum_and_touches_no_work_that_goes_on(tmp_path: Path) -> None:
     ledger = filled(tmp_path, 6, 5)
     ledger.add(
-        replace(part(100, 3, CUT, at=0, work="w12"), node="other", first=5)
+        replace(part(100, 3, UsageOutcome.CUT, at=0, work="w12"), node="other", first=5)
     )  # a work of the third batch goes on
     ledger.commit()
     ledger.close()
-    before = totals(fold(read_parts(str(tmp_path))))[("a", 0)]
+    before = daily_totals(compute_bills(read_parts(str(tmp_path))))[("a", 0)]
     ledger = Ledger(str(tmp_path))
     assert ledger.compact(5_000) == 2  # the third batch holds the work that goes on
     assert ledger.compact(5_000) == 0
     ledger.close()
-    rest = totals(fold(read_parts(str(tmp_path))))[("a", 0)]
+    rest = daily_totals(compute_bills(read_parts(str(tmp_path))))[("a", 0)]
     folded = read_sums(str(tmp_path))[0]
     for name in ("works", "read", "written", "amount"):
         assert getattr(rest, name) + getattr(folded, name) == getattr(before, name)
@@ -238,7 +246,7 @@
 
 FULL_FOR_A_WHILE = """
 import os, resource, sys
-from tuliptrack.decisions.billing import SERVED, TokenPrice, UsageRecord
+from tuliptrack.decisions.billing import TokenPrice, UsageOutcome, UsageRecord
 from tuliptrack.store.ledger import Ledger, LedgerError
 
 def limit(size):  # a write past it fails with EFBIG, which the interpreter does not die of
@@ -246,7 +254,7 @@
 
 def add(numbers):
     for n in numbers:
-        ledger.add(UsageRecord("n", n, "a", f"w{n}" + "x" * 300, 0, 100, 0, 0, 5, SERVED, price=TokenPrice(2, 1, 10)))
+        ledger.add(UsageRecord("n", n, "a", f"w{n}" + "x" * 300, 0, 100, 0, 0, 5, UsageOutcome.SERVED, price=TokenPrice(2, 1, 10)))
 
 def commit():
     try:
@@ -309,11 +317,11 @@
 ) -> None:
     ledger = filled(tmp_path, batches=1, size=2)
     ledger.env = cast(Any, FailingRoot(ledger.env, written))
-    ledger.add(part(10, 3, OPEN))
+    ledger.add(part(10, 3, UsageOutcome.OPEN))
     ledger.add(part(11))
     with pytest.raises(LedgerError, match="Input/output error"):
         ledger.commit()
-    ledger.add(part(10, 8, SERVED))
+    ledger.add(part(10, 8, UsageOutcome.SERVED))
     ledger.add(part(12))
     assert ledger.commit() == (2 if written else 3)
     ledger.close()
@@ -346,7 +354,7 @@
 
 def test_a_ledger_opens_on_a_full_disk_and_closes_what_was_open_later(tmp_path: Path) -> None:
     ledger = Ledger(str(tmp_path))
-    ledger.add(part(1, 7, OPEN))
+    ledger.add(part(1, 7, UsageOutcome.OPEN))
     ledger.commit()
     ledger.close()
     code = f"""
@@ -360,7 +368,7 @@
 """
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.split() == ["1", "True", "1"]
-    assert [p.outcome for p in read_parts(str(tmp_path))] == [OPEN, CUT]
+    assert [p.outcome for p in read_parts(str(tmp_path))] == [UsageOutcome.OPEN, UsageOutcome.CUT]
 
 
 def test_a_folder_that_can_not_be_made_is_one_error_that_names_it(tmp_path: Path) -> None:
--- a/tuliptrack/cli/bills.py
+++ b/tuliptrack/cli/bills.py
@@ -9,7 +9,15 @@
 
 import click
 
-from tuliptrack.decisions.billing import Bill, DailyTotal, UsageRecord, fold, later, latest, totals
+from tuliptrack.decisions.billing import (
+    Bill,
+    DailyTotal,
+    UsageRecord,
+    compute_bills,
+    daily_totals,
+    newer_state,
+    newest_states,
+)
 from tuliptrack.store.ledger import Ledger, LedgerError
 from tuliptrack.store.ledger_reading import read_parts, read_sums, verify
 
@@ -38,7 +46,7 @@
     """Sums by tenant and day (UTC), those of compacted works included. Amounts in millionths of the
     currency."""
     rows: dict[tuple[str, int], dict[str, int]] = {
-        key: asdict(t) for key, t in totals(fold(_parts(ledgers))).items()
+        key: asdict(t) for key, t in daily_totals(compute_bills(_parts(ledgers))).items()
     }
     for path in ledgers:
         for old in read_sums(path):
@@ -60,7 +68,7 @@
 @click.option("--format", "kind", type=click.Choice(["csv", "json"]), default="csv")
 def export(ledgers: tuple[str, ...], kind: str) -> None:
     """One row for each piece of work."""
-    rows = [asdict(bill) for bill in fold(_parts(ledgers))]
+    rows = [asdict(bill) for bill in compute_bills(_parts(ledgers))]
     if kind == "json":
         click.echo(json.dumps(rows))
         return
@@ -97,11 +105,11 @@
     try:
         into = Ledger(target)
         into.close()
-        held = {part.name: part for part in read_parts(target)}
-        best = latest(new)
+        held = {part.key: part for part in read_parts(target)}
+        best = newest_states(new)
         into = Ledger(target)
         for name, part in sorted(best.items()):
-            if name not in held or (later(held[name], part) == part and held[name] != part):
+            if name not in held or (newer_state(held[name], part) == part and held[name] != part):
                 while not into.add(part):
                     into.commit()
         count = into.commit()
--- a/tuliptrack/decisions/billing.py
+++ b/tuliptrack/decisions/billing.py
@@ -1,35 +1,58 @@
-"""What a tenant owes, from the parts that any nodes have written down, in any order, any number of times.
-
-A part says which tokens of one piece of work have reached the client through one node. The bill of a work is
-a function of the set of its parts alone: merging files is a union, so it is idempotent, and neither order nor
-doubling changes it.
-
-- Of two states of one part (same node and number) the later one counts: an end over OPEN, else more tokens.
-- Tokens of the answer are billed once each, whichever parts cover them, at the price of the earliest part
-  that does.
-- The prompt is billed once a work, by the earliest part through which the client got any token: reading
-  again, after a failure or to resume, is the installation's loss. A work of which the client got nothing is
-  free.
-- Whole numbers only: tokens, and millionths of the currency.
-
-No I/O, no clock.
+"""Computes bills from the usage records of any nodes, in any order, each given any number of times.
+
+A usage record says which tokens of one piece of work reached the client through one node. The bill of a work
+is a function of the set of its records alone: merging ledgers is a union, so it is idempotent, and neither
+order nor duplicates change it.
+
+- Of two states of one record (same node and number) the newer one counts: an end over OPEN, else more tokens.
+- Output tokens are billed once each, whichever records cover them, at the price of the earliest that does.
+- The prompt is billed once for each work, by the earliest record through which the client got any token: a
+  repeated prefill, after a failure or to resume, is at the operator's cost. A work of which the client got
+  nothing is free.
+- All numbers are whole: tokens, and millionths of the currency. Times are microseconds since 1970.
+
+Fields are named as in `billing.proto`, in which they are stored, and as the columns of `tuliptrack bills`.
+There `read` are prompt tokens that were not cached, `kept` cached ones, `written` output tokens, and `lost_`
+those at the operator's cost. The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from enum import IntEnum
 
 from tuliptrack.structures.spans import Spans
 
-__all__ = ["Bill", "DailyTotal", "TokenPrice", "UsageRecord", "fold", "later", "latest", "totals"]
+__all__ = [
+    "Bill",
+    "DailyTotal",
+    "TokenPrice",
+    "UsageOutcome",
+    "UsageRecord",
+    "compute_bills",
+    "daily_totals",
+    "newer_state",
+    "newest_states",
+]
+
+DAY_US = 86_400_000_000
+
 
-OPEN, SERVED, CUT, NOTHING = range(4)
+class UsageOutcome(IntEnum):
+    """How a record's part of a work ended; the values are stored."""
+
+    OPEN = 0
+    """It streams, or its node was killed."""
+    SERVED = 1
+    CUT = 2
+    """The client got a part of the output."""
+    NOTHING = 3
 
 
 @dataclass(frozen=True, slots=True)
 class TokenPrice:
-    """Millionths of the currency for a token read, kept, written."""
+    """Millionths of the currency for each token."""
 
     read: int = 0
     kept: int = 0
@@ -38,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageRecord:
-    """One node's part of one piece of work; see `billing.proto`."""
+    """One node's part of one piece of work."""
 
     node: str
     number: int
@@ -49,7 +72,9 @@
     kept_tokens: int = 0
     first: int = 0
     next: int = 0
-    outcome: int = OPEN
+    """The client got the output tokens from `first` up to, but without, `next`."""
+    outcome: int = UsageOutcome.OPEN
+    """A `UsageOutcome`, or a number from a ledger of a later version."""
     lost_read: int = 0
     lost_written: int = 0
     price: TokenPrice = field(default_factory=TokenPrice)
@@ -58,18 +83,19 @@
     model_version: str = ""
 
     @property
-    def name(self) -> tuple[str, int]:
+    def key(self) -> tuple[str, int]:
+        """What identifies the record over all its states."""
         return self.node, self.number
 
     @property
-    def order(self) -> tuple[int, str, int]:
-        """The earliest first, the same at every merge."""
+    def sort_key(self) -> tuple[int, str, int]:
+        """Puts the earliest first, in the same order at every merge."""
         return self.at_us, self.node, self.number
 
 
 @dataclass(slots=True)
 class Bill:
-    """What one work comes to."""
+    """The bill of one work."""
 
     tenant: str
     work: str
@@ -81,13 +107,14 @@
     lost_read: int = 0
     lost_written: int = 0
     parts: int = 0
+    """Number of usage records."""
     whole: bool = False
-    """Its last token was served."""
+    """Whether the last token was served."""
 
 
 @dataclass(slots=True)
 class DailyTotal:
-    """What a tenant's works of one day come to."""
+    """The sum of a tenant's bills of one day."""
 
     works: int = 0
     read: int = 0
@@ -98,85 +125,96 @@
     lost_written: int = 0
 
 
-def later(a: UsageRecord, b: UsageRecord) -> UsageRecord:
-    """Of two states of one part, the one that counts."""
-    return max(a, b, key=_late)
+def newer_state(a: UsageRecord, b: UsageRecord) -> UsageRecord:
+    """Return which of two states of one record counts."""
+    return max(a, b, key=_age_key)
+
 
+def _age_key(record: UsageRecord) -> tuple[object, ...]:
+    """Order states by age.
 
-def _late(p: UsageRecord) -> tuple[object, ...]:
-    """All fields stand in it, so that two states which a sane node can't have written still have an order."""
+    All fields are in it: two states that no correct node can have written still need an order, or the bill
+    would depend on the order of merging.
+    """
     return (
-        p.outcome != OPEN,
-        p.next,
-        p.lost_read + p.lost_written,
-        p.kept_tokens,
-        p.outcome,
-        p.first,
-        p.lost_read,
-        p.prompt_tokens,
-        p.at_us,
-        p.tenant,
-        p.work,
-        p.price.read,
-        p.price.kept,
-        p.price.written,
-        p.request_class,
-        p.model,
-        p.model_version,
+        record.outcome != UsageOutcome.OPEN,
+        record.next,
+        record.lost_read + record.lost_written,
+        record.kept_tokens,
+        record.outcome,
+        record.first,
+        record.lost_read,
+        record.prompt_tokens,
+        record.at_us,
+        record.tenant,
+        record.work,
+        record.price.read,
+        record.price.kept,
+        record.price.written,
+        record.request_class,
+        record.model,
+        record.model_version,
     )
 
 
-def latest(
-    parts: Iterable[UsageRecord], known: dict[tuple[str, int], UsageRecord] | None = None
+def newest_states(
+    records: Iterable[UsageRecord], known: dict[tuple[str, int], UsageRecord] | None = None
 ) -> dict[tuple[str, int], UsageRecord]:
-    """The state of each part that counts, by its name; added to what is `known` already, where that is
-    given."""
-    found = {} if known is None else known
-    for part in parts:
-        held = found.get(part.name)
-        found[part.name] = part if held is None else later(held, part)
-    return found
+    """Return the state that counts of each record, by its key; added to `known`, if that is given."""
+    newest = {} if known is None else known
+    for record in records:
+        other = newest.get(record.key)
+        newest[record.key] = record if other is None else newer_state(other, record)
+    return newest
 
 
-def fold(parts: Iterable[UsageRecord]) -> list[Bill]:
-    """The bills of all works, by tenant and work."""
+def compute_bills(records: Iterable[UsageRecord]) -> list[Bill]:
+    """Return the bills of all works, ordered by tenant and work."""
     works: dict[tuple[str, str], list[UsageRecord]] = {}
-    for part in latest(parts).values():
-        works.setdefault((part.tenant, part.work), []).append(part)
-    return [_bill(sorted(found, key=lambda p: p.order)) for _, found in sorted(works.items())]
-
-
-def _bill(parts: list[UsageRecord]) -> Bill:
-    """One work, its parts from the earliest to the latest."""
-    first = parts[0]
-    bill = Bill(first.tenant, first.work, first.at_us, parts=len(parts))
-    covered, prompt = Spans(), False
-    for part in parts:
-        bill.lost_read += part.lost_read
-        bill.lost_written += part.lost_written
-        bill.whole = bill.whole or part.outcome == SERVED
-        if part.next <= part.first:
-            continue
-        fresh = covered.add(part.first, part.next)
-        bill.written += fresh
-        bill.amount += fresh * part.price.written
-        if prompt:
-            bill.lost_read += part.prompt_tokens - part.kept_tokens
-            bill.lost_written += part.next - part.first - fresh
+    for record in newest_states(records).values():
+        works.setdefault((record.tenant, record.work), []).append(record)
+    return [_bill(sorted(of_work, key=lambda r: r.sort_key)) for _, of_work in sorted(works.items())]
+
+
+def _bill(records: list[UsageRecord]) -> Bill:
+    """Return the bill of one work, whose records are given from the earliest to the latest."""
+    first = records[0]
+    bill = Bill(first.tenant, first.work, first.at_us, parts=len(records))
+    billed_tokens, is_prompt_billed = Spans(), False
+    for record in records:
+        bill.lost_read += record.lost_read
+        bill.lost_written += record.lost_written
+        bill.whole = bill.whole or record.outcome == UsageOutcome.SERVED
+        if record.next <= record.first:
             continue
-        prompt = True
-        bill.kept = min(part.kept_tokens, part.prompt_tokens)
-        bill.read = part.prompt_tokens - bill.kept
-        bill.amount += bill.read * part.price.read + bill.kept * part.price.kept
+        new_tokens = billed_tokens.add(record.first, record.next)
+        bill.written += new_tokens
+        bill.amount += new_tokens * record.price.written
+        if is_prompt_billed:
+            bill.lost_read += record.prompt_tokens - record.kept_tokens
+            bill.lost_written += record.next - record.first - new_tokens
+        else:
+            _bill_prompt(bill, record)
+            is_prompt_billed = True
     return bill
 
 
-def totals(bills: Iterable[Bill], day_us: int = 86_400_000_000) -> dict[tuple[str, int], DailyTotal]:
-    """By tenant and day (of the work's earliest part), counted from 1970."""
-    found: dict[tuple[str, int], DailyTotal] = {}
+def _bill_prompt(bill: Bill, record: UsageRecord) -> None:
+    bill.kept = min(record.kept_tokens, record.prompt_tokens)
+    bill.read = record.prompt_tokens - bill.kept
+    bill.amount += bill.read * record.price.read + bill.kept * record.price.kept
+
+
+def daily_totals(bills: Iterable[Bill]) -> dict[tuple[str, int], DailyTotal]:
+    """Return the totals by tenant and day, counted from 1970, on which a work's earliest record began."""
+    totals: dict[tuple[str, int], DailyTotal] = {}
     for bill in bills:
-        total = found.setdefault((bill.tenant, bill.at_us // day_us), DailyTotal())
+        total = totals.setdefault((bill.tenant, bill.at_us // DAY_US), DailyTotal())
         total.works += bill.written > 0
-        for name in ("read", "kept", "written", "amount", "lost_read", "lost_written"):
-            setattr(total, name, getattr(total, name) + getattr(bill, name))
-    return found
+        total.read += bill.read
+        total.kept += bill.kept
+        total.written += bill.written
+        total.amount += bill.amount
+        total.lost_read += bill.lost_read
+        total.lost_written += bill.lost_written
+    return totals
--- a/tuliptrack/node/billing.py
+++ b/tuliptrack/node/billing.py
@@ -14,7 +14,7 @@
 import structlog
 
 from tuliptrack.config.node import BillingOptions
-from tuliptrack.decisions.billing import CUT, NOTHING, OPEN, SERVED, TokenPrice, UsageRecord, fold
+from tuliptrack.decisions.billing import TokenPrice, UsageOutcome, UsageRecord, compute_bills
 from tuliptrack.decisions.token_budget import (
     MAX_GRANTED_WINDOW_US,
     BudgetRequest,
@@ -95,7 +95,7 @@
         )
         if self.budgets and longest:
             wall = now + self.wall
-            for bill in fold(await asyncio.to_thread(self.ledger.used_since, wall - wall % longest)):
+            for bill in compute_bills(await asyncio.to_thread(self.ledger.used_since, wall - wall % longest)):
                 self.budgets.restore_usage(
                     now, bill.tenant, self.budgets.units(bill.read, bill.kept, bill.written)
                 )
@@ -151,7 +151,12 @@
             served = ServedTokens(record.cached_tokens, got) if got else None
             self.budgets.settle(now, record.id, served, whole)
         if self.ledger:
-            self._add(self._part(record, SERVED if whole else CUT if got else NOTHING))
+            self._add(
+                self._part(
+                    record,
+                    UsageOutcome.SERVED if whole else UsageOutcome.CUT if got else UsageOutcome.NOTHING,
+                )
+            )
 
     def _part(self, record: RequestRecord, outcome: int) -> UsageRecord:
         ask, got = record.client_request, record.next_index > record.client_request.resume_index
@@ -196,7 +201,7 @@
             for number, (record, known) in list(self.streaming.items()):
                 if record.next_index > known:
                     self.streaming[number] = (record, record.next_index)
-                    self._add(self._part(record, OPEN))
+                    self._add(self._part(record, UsageOutcome.OPEN))
             await self._commit()
             if time.monotonic() - self._compacted > _COMPACT_S or self.failing:
                 self._compacted = time.monotonic()
--- a/tuliptrack/store/ledger.py
+++ b/tuliptrack/store/ledger.py
@@ -22,7 +22,14 @@
 
 import lmdb
 
-from tuliptrack.decisions.billing import CUT, OPEN, DailyTotal, UsageRecord, fold, latest, totals
+from tuliptrack.decisions.billing import (
+    DailyTotal,
+    UsageOutcome,
+    UsageRecord,
+    compute_bills,
+    daily_totals,
+    newest_states,
+)
 from tuliptrack.proto import billing_pb2 as pb
 from tuliptrack.store.ledger_format import (
     DIGEST_BYTES,
@@ -104,7 +111,7 @@
             raise LedgerError(f"{path}: {error}") from None
         # What was open belongs to lives that have ended: the client got what was committed, or more.
         for part in left:
-            self.waiting[part.name] = replace(part, outcome=CUT)
+            self.waiting[part.key] = replace(part, outcome=UsageOutcome.CUT)
         trouble = ""
         try:
             self.commit()
@@ -139,10 +146,10 @@
     def add(self, part: UsageRecord) -> bool:
         """Put a part, or its newer state, up for the next commit; False where no more may wait."""
         with self._guard:
-            if part.name not in self.waiting and len(self.waiting) >= MOST_WAITING:
+            if part.key not in self.waiting and len(self.waiting) >= MOST_WAITING:
                 self.refused += 1
                 return False
-            latest([part], self.waiting)
+            newest_states([part], self.waiting)
         return True
 
     def commit(self) -> int:
@@ -191,7 +198,7 @@
                 )
                 for part, message in zip(taken.values(), batch.part, strict=True):
                     name = f"{part.node}\0{part.number}".encode()
-                    if part.outcome == OPEN:
+                    if part.outcome == UsageOutcome.OPEN:
                         txn.put(name, message.SerializeToString(), db=self.open_parts)
                     else:
                         txn.delete(name, db=self.open_parts)
@@ -209,7 +216,7 @@
     def _back(self, taken: dict[tuple[str, int], UsageRecord]) -> None:
         """A commit has failed: its parts wait again, under what has come meanwhile."""
         with self._guard:
-            latest(taken.values(), self.waiting)
+            newest_states(taken.values(), self.waiting)
 
     def compact(self, before_us: int, at_most: int = 1_000) -> int:
         """Fold whole batches of works that came before this wall time into sums, oldest first, as far as none
@@ -238,7 +245,7 @@
             ) is not None:
                 later_works |= {(p.tenant, p.work) for _, parts in old[cut:] for p in parts}
                 del old[cut:]
-            folded = totals(fold(part for _, parts in old for part in parts))
+            folded = daily_totals(compute_bills(part for _, parts in old for part in parts))
             for (tenant, day), total in folded.items():
                 key = f"{day:010d}\0{tenant}".encode()
                 held = pb.BillSum.FromString(txn.get(key, default=b"", db=self.sums))
@@ -261,7 +268,7 @@
             for key, value in cursor.iterprev():
                 parts = [from_message(m) for m in parse_batch(key, value)[0].part]
                 fresh = [p for p in parts if p.at_us >= wall_us]
-                latest(fresh, last)
+                newest_states(fresh, last)
                 if parts and not fresh:
                     break
         return list(last.values())
--- a/tuliptrack/store/ledger_reading.py
+++ b/tuliptrack/store/ledger_reading.py
@@ -10,7 +10,7 @@
 
 import lmdb
 
-from tuliptrack.decisions.billing import OPEN, UsageRecord
+from tuliptrack.decisions.billing import UsageOutcome, UsageRecord
 from tuliptrack.proto import billing_pb2 as pb
 from tuliptrack.store.ledger_format import LedgerError, digest_of, from_message, parse_batch
 
@@ -85,12 +85,16 @@
                     problems.append(Problem(sequence, f"stands twice: as {digests[content]} too"))
                 digests[content] = sequence
                 for part in map(from_message, batch.part):
-                    known = states.get(part.name)
-                    if known and (known.outcome != OPEN or part.next < known.next or part.work != known.work):
+                    known = states.get(part.key)
+                    if known and (
+                        known.outcome != UsageOutcome.OPEN
+                        or part.next < known.next
+                        or part.work != known.work
+                    ):
                         problems.append(
                             Problem(sequence, f"part {part.node}/{part.number} goes back or stands twice")
                         )
-                    states[part.name] = part
+                    states[part.key] = part
                 expected, before = sequence + 1, digest
     finally:
         env.close()
