--- a/tuliptrack/decisions/calendar_window.py
+++ b/tuliptrack/decisions/calendar_window.py
@@ -11,7 +11,7 @@
 
 
 class CalendarClock:
-    """Turns a node's time into the time since 1970, which never steps back: that would start a window anew."""
+    """Turns a node's time into the time since 1970, which never steps back: a window would start anew."""
 
     def __init__(self, epoch_offset_us: int) -> None:
         """`epoch_offset_us` is added to the node's time."""
--- a/tuliptrack/decisions/concurrency_limit.py
+++ b/tuliptrack/decisions/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Limits the requests in flight at a node, for a tenant and on a connection, and the bytes of arriving bodies.
+"""Limits requests in flight at a node, for a tenant and on a connection, and the bytes of arriving bodies.
 
 These limits hold before the router sees a request, whichever front it comes from. A rejection has had no
 effect, so a retry is harmless; its reason names the limit. When to retry follows from how fast requests have
--- a/tuliptrack/decisions/rollout.py
+++ b/tuliptrack/decisions/rollout.py
@@ -21,7 +21,7 @@
 from math import log
 from typing import Any
 
-from tuliptrack.decisions.sequential_test import Baseline, Row, Wager
+from tuliptrack.decisions.sequential_test import Baseline, NodeWindow, SequentialTest, Stratum
 
 __all__ = [
     "MEASURES",
@@ -242,7 +242,7 @@
     def __init__(self, record: Record | None = None) -> None:
         self.record = record or Record()
         self.usual = {measure: Baseline() for measure in MEASURES}
-        self.wagers: dict[str, Wager] = {}
+        self.wagers: dict[str, SequentialTest] = {}
         self.learnt = 0
         """Windows from which the usual is known."""
         self.bad_windows = 0
@@ -343,15 +343,16 @@
         excess, among = 0.0, 0.0
         for measure in MEASURES:
             rows = _rows(steady, measure, new)
-            self.wagers.setdefault(measure, Wager()).add(rows, self.usual[measure])
+            self.wagers.setdefault(measure, SequentialTest()).add(rows, self.usual[measure])
             if measure in ("refused", "failed", "broken"):
-                more, count = self.usual[measure].excess([r for r in rows if not r.new] or rows)
+                more, count = self.usual[measure].excess([r for r in rows if not r.is_new] or rows)
                 excess, among = excess + more, max(among, count)
         worst = max(self.wagers, key=lambda m: self.wagers[m].evidence)
         if self.wagers[worst].evidence >= log(len(MEASURES) / FALSE_STOPS):
             wager = self.wagers[worst]
             return self._back(
-                f"new nodes do worse in {worst!r}: {wager.excess:.0f} of {wager.count:.0f} more than expected, "
+                f"new nodes do worse in {worst!r}: {wager.excess_bad:.0f} of {wager.compared_requests:.0f} "
+                f"more than expected, "
                 f"evidence {wager.evidence:.1f}"
             )
         self.bad_windows = self.bad_windows + 1 if among and excess / among > GUARD else 0
@@ -368,7 +369,7 @@
 
     def _compared(self) -> float:
         """Requests of new nodes that were compared, in the measure that has the fewest."""
-        return min((w.count for m, w in self.wagers.items() if m in _SHOWN), default=0.0)
+        return min((w.compared_requests for m, w in self.wagers.items() if m in _SHOWN), default=0.0)
 
     def _shown(self, plan: Plan) -> bool:
         """Whether new nodes are shown to be no worse: enough of their requests compared in this stage, each
@@ -376,7 +377,7 @@
         stage = plan.stages[self.record.stage]
         return (
             self._compared() - self.counted >= stage.least_requests
-            and all(w.worst() <= plan.margin for m, w in self.wagers.items() if m in _SHOWN)
+            and all(w.max_excess_share() <= plan.margin for m, w in self.wagers.items() if m in _SHOWN)
             and all(w.evidence <= LEANS for w in self.wagers.values())
         )
 
@@ -443,12 +444,12 @@
         return frozenset(chosen)
 
 
-def _rows(reports: Iterable[Report], measure: str, new: frozenset[str]) -> list[Row]:
+def _rows(reports: Iterable[Report], measure: str, new: frozenset[str]) -> list[NodeWindow]:
     rows = []
     for r in reports:
         if measure == "died":
-            rows.append(Row(r.host, (r.zone, ""), 1.0, float(min(r.died, 1)), r.host in new))
+            rows.append(NodeWindow(r.host, Stratum(r.zone, ""), 1.0, float(min(r.died, 1)), r.host in new))
         for name, counts in r.classes.items():
             if measure in counts:
-                rows.append(Row(r.host, (r.zone, name), *counts[measure], r.host in new))
+                rows.append(NodeWindow(r.host, Stratum(r.zone, name), *counts[measure], r.host in new))
     return rows
