--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -14,7 +14,7 @@
 import pytest
 from world import run, until
 
-from tuliptrack.decisions.rollout import Release
+from tuliptrack.decisions.rollout_plan import Release
 from tuliptrack.fleet.agent import Agent
 from tuliptrack.fleet.unary_call import CallError, call_unary
 from tuliptrack.proto import rollout_pb2 as pb
--- a/tuliptrack/fleet/agent.py
+++ b/tuliptrack/fleet/agent.py
@@ -16,7 +16,7 @@
 import structlog
 
 from tuliptrack.decisions.consensus import FIRST_BALLOT, Acceptor, Ballot
-from tuliptrack.decisions.rollout import Release
+from tuliptrack.decisions.rollout_plan import Release
 from tuliptrack.fleet.agent_state import AgentState, load_state, save_state
 from tuliptrack.fleet.host_folder import HostFolder
 from tuliptrack.fleet.log_metrics import ALL_REQUESTS, MEASURES, LogMetrics
--- a/tuliptrack/fleet/agent_state.py
+++ b/tuliptrack/fleet/agent_state.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from tuliptrack.decisions.consensus import Acceptor, Ballot
-from tuliptrack.decisions.rollout import Release
+from tuliptrack.decisions.rollout_plan import Release
 from tuliptrack.store import sealed
 
 __all__ = ["FORMAT_VERSION", "AgentState", "load_state", "save_state"]
--- a/tuliptrack/fleet/controller.py
+++ b/tuliptrack/fleet/controller.py
@@ -13,7 +13,9 @@
 
 import structlog
 
-from tuliptrack.decisions.rollout import PlanError, Record, Rollout
+from tuliptrack.decisions.rollout import Rollout
+from tuliptrack.decisions.rollout_plan import PlanError
+from tuliptrack.decisions.rollout_record import Record
 from tuliptrack.fleet.agent_calls import AgentCalls
 from tuliptrack.fleet.host import Host
 from tuliptrack.fleet.operator_service import OperatorService
@@ -129,9 +131,9 @@
         if not self._may_end_window():
             return
         reports = self._collector.end_window()
-        is_complete = len(reports) == len(self._hosts) and all(report.ready for report in reports)
+        is_complete = len(reports) == len(self._hosts) and all(report.is_ready for report in reports)
         if is_complete and len({report.release for report in reports}) == 1:
-            self._rollout.learn(reports)
+            self._rollout.evidence.learn(reports)
 
     def _may_end_window(self) -> bool:
         """Return whether the window has lasted long enough; then the next one begins."""
@@ -158,7 +160,7 @@
     async def _lead(self) -> None:
         record = self._operators.decided_record
         if record is None and self._may_end_window():
-            record = self._rollout.window(self._window_began_at_us, self._collector.end_window())
+            record = self._rollout.handle_window(self._window_began_at_us, self._collector.end_window())
         if record is not None:
             self._consensus.write(json.dumps(record.as_dict()).encode())
             await self._settle()
@@ -179,7 +181,7 @@
             log.error("record rejected", reason=str(error))
             self._consensus.resign()
             return
-        self._rollout.settled(record)
+        self._rollout.handle_chosen(record)
         if (record.phase, record.stage, record.reason) != (before.phase, before.stage, before.reason):
             log.info(
                 "decided",
--- a/tuliptrack/fleet/host_folder.py
+++ b/tuliptrack/fleet/host_folder.py
@@ -11,7 +11,7 @@
 import re
 from pathlib import Path
 
-from tuliptrack.decisions.rollout import Release
+from tuliptrack.decisions.rollout_plan import Release
 from tuliptrack.store.sealed import SealedError
 
 __all__ = ["HostFolder"]
--- a/tuliptrack/fleet/node_process.py
+++ b/tuliptrack/fleet/node_process.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from tuliptrack.decisions.rollout import Release
+from tuliptrack.decisions.rollout_plan import Release
 from tuliptrack.fleet.host_folder import HostFolder
 
 __all__ = ["NodeProcess", "find_node", "start_node"]
--- a/tuliptrack/fleet/node_supervisor.py
+++ b/tuliptrack/fleet/node_supervisor.py
@@ -15,7 +15,7 @@
 
 import structlog
 
-from tuliptrack.decisions.rollout import Release
+from tuliptrack.decisions.rollout_plan import Release
 from tuliptrack.fleet.host_folder import HostFolder
 from tuliptrack.fleet.node_process import NodeProcess, find_node, start_node
 from tuliptrack.rpc.clock import now_us
--- a/tuliptrack/fleet/operator_service.py
+++ b/tuliptrack/fleet/operator_service.py
@@ -10,7 +10,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tuliptrack.decisions.rollout import Command, Phase, Plan, PlanError, Record, Release, Rollout
+from tuliptrack.decisions.rollout import Command, Rollout
+from tuliptrack.decisions.rollout_plan import Plan, PlanError, Release
+from tuliptrack.decisions.rollout_record import Phase, Record
 from tuliptrack.fleet.host import Host
 from tuliptrack.fleet.plan_parsing import parse_plan
 from tuliptrack.fleet.record_consensus import RecordConsensus
@@ -79,7 +81,7 @@
                 self._send_state(call)  # A retry: the answer to the operator's first call was lost.
                 return
             self._check_zones(plan)
-            self._decide(call, self._rollout.begin(plan))
+            self._decide(call, self._rollout.start(plan))
         except PlanError as error:
             call.end(Status(Code.INVALID_ARGUMENT, str(error)))
 
@@ -97,7 +99,7 @@
         if not self._require_leader(call):
             return
         try:
-            self._decide(call, self._rollout.command(Command(request.command)))
+            self._decide(call, self._rollout.handle_command(Command(request.command)))
         except ValueError as error:
             call.end(Status(Code.INVALID_ARGUMENT, str(error)))
 
@@ -122,7 +124,7 @@
             epoch=self._consensus.epoch,
             record=json.dumps(self._rollout.record.as_dict()) if is_leader else "",
             hosts=json.dumps(hosts),
-            learnt=self._rollout.learnt,
+            learnt=self._rollout.evidence.learnt_windows,
         )
         call.send(state.SerializeToString())
         call.end(Status(Code.OK))
--- a/tuliptrack/fleet/plan_parsing.py
+++ b/tuliptrack/fleet/plan_parsing.py
@@ -6,7 +6,7 @@
 from dataclasses import fields
 from typing import Any
 
-from tuliptrack.decisions.rollout import Plan, PlanError, Release, Stage
+from tuliptrack.decisions.rollout_plan import Plan, PlanError, Release, Stage
 
 __all__ = ["parse_plan"]
 
--- a/tuliptrack/fleet/report_collector.py
+++ b/tuliptrack/fleet/report_collector.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Mapping
 
-from tuliptrack.decisions.rollout import Release, Report
+from tuliptrack.decisions.rollout_evidence import NodeReport, RequestCounts
+from tuliptrack.decisions.rollout_plan import Release
 from tuliptrack.proto import rollout_pb2 as pb
 
 __all__ = ["ReportCollector"]
@@ -20,37 +21,35 @@
         self._zones = zones
         self._at_last_window: dict[str, pb.HostReport] = {}
 
-    def end_window(self) -> list[Report]:
+    def end_window(self) -> list[NodeReport]:
         """Return what each host did since the last window, and begin the next."""
         reports = [self._difference(host, report) for host, report in self.latest.items()]
         self._at_last_window = dict(self.latest)
         return reports
 
-    def _difference(self, host: str, report: pb.HostReport) -> Report:
+    def _difference(self, host: str, report: pb.HostReport) -> NodeReport:
         earlier = self._at_last_window.get(host)
         if earlier is None or earlier.life != report.life:
             # The counts of another incarnation of the agent began elsewhere: this window shows no requests.
             earlier = report
         running = report.release
-        return Report(
+        return NodeReport(
             host=host,
             zone=self._zones[host],
             release=Release(running.program, running.settings) if running.program else None,
-            ready=report.ready,
-            since=report.ready_for,
-            classes=_count_differences(earlier, report),
-            died=report.died - earlier.died,
+            is_ready=report.ready,
+            ready_for_us=report.ready_for,
+            counts=_count_differences(earlier, report),
+            unexpected_exits=report.died - earlier.died,
         )
 
 
-def _count_differences(
-    earlier: pb.HostReport, later: pb.HostReport
-) -> dict[str, dict[str, tuple[float, float]]]:
+def _count_differences(earlier: pb.HostReport, later: pb.HostReport) -> dict[str, dict[str, RequestCounts]]:
     """Return by class and measure how many requests ended between two reports, and how many of them badly."""
     earlier_counts = {(counts.request_class, counts.measure): counts for counts in earlier.counts}
-    by_class: dict[str, dict[str, tuple[float, float]]] = {}
+    by_class: dict[str, dict[str, RequestCounts]] = {}
     for counts in later.counts:
         before = earlier_counts.get((counts.request_class, counts.measure), pb.Counts())
-        difference = (float(counts.count - before.count), float(counts.bad - before.bad))
+        difference = RequestCounts(float(counts.count - before.count), float(counts.bad - before.bad))
         by_class.setdefault(counts.request_class, {})[counts.measure] = difference
     return by_class
--- a/tuliptrack/lab/capacity/control.py
+++ b/tuliptrack/lab/capacity/control.py
@@ -13,7 +13,8 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from tuliptrack.decisions.rollout import Phase, Plan, Record, Release, Stage
+from tuliptrack.decisions.rollout_plan import Plan, Release, Stage
+from tuliptrack.decisions.rollout_record import Phase, Record
 from tuliptrack.fleet.unary_call import CallError, call_unary
 from tuliptrack.lab.capacity.node import NodeCosts
 from tuliptrack.lab.hollow.agents import HollowAgent
--- a/tuliptrack/node/model_routers.py
+++ b/tuliptrack/node/model_routers.py
@@ -49,15 +49,15 @@
         if update.kind is UpdateKind.FAILED:
             self.dispatch(update, None)
             return
-        updates = self.catalog.split(update, dict(labels))
+        updates = self.catalog.split_update(update, dict(labels))
         if update.kind is UpdateKind.CACHED:  # The default router waits for it, even if it has no endpoints.
             updates.setdefault(Model(), EndpointListUpdate(update.kind, update.version))
         listed = set(self.catalog.listed())
         for model, part in updates.items():
             self.dispatch(part, self._router_for(model))
         self._remove_unused(listed)
-        if self.catalog.left_out:
-            log.warning("engines of too many models", left_out=len(self.catalog.left_out), max=MAX_MODELS)
+        if self.catalog.over_limit:
+            log.warning("engines of too many models", left_out=len(self.catalog.over_limit), max=MAX_MODELS)
 
     def _router_for(self, model: Model) -> Router:
         if model not in self.routers:
@@ -85,7 +85,7 @@
         try:
             model = self.catalog.choose(request.model, request.model_version, session)
         except NotServedError as error:
-            if not error.known:
+            if not error.is_listed:
                 raise InvalidRequestError(error.field, error.reason, is_unknown=True) from None
             return Model(), self.default, error.reason
         return model, self.routers.get(model, self.default), ""
--- a/tuliptrack/node/usage_recorder.py
+++ b/tuliptrack/node/usage_recorder.py
@@ -14,7 +14,7 @@
 import structlog
 
 from tuliptrack.config.node import BillingOptions
-from tuliptrack.decisions.billing import CUT, NOTHING, OPEN, SERVED, Bill, UsageRecord, fold
+from tuliptrack.decisions.billing import Bill, UsageOutcome, UsageRecord, compute_bills
 from tuliptrack.node.request_state import RequestState
 from tuliptrack.node.requests import RequestRecord
 from tuliptrack.rpc.clock import wall_us
@@ -79,7 +79,7 @@
         """Return what was used since a time, microseconds since 1970; nothing where there is no ledger."""
         if self.ledger is None:
             return []
-        return list(fold(await asyncio.to_thread(self.ledger.used_since, wall_time_us)))
+        return list(compute_bills(await asyncio.to_thread(self.ledger.used_since, wall_time_us)))
 
     async def close(self) -> None:
         """Commit what is left and close the ledger."""
@@ -101,9 +101,13 @@
         if self.ledger is None:
             return
         if record.state is RequestState.SERVED:
-            outcome = SERVED
+            outcome = UsageOutcome.SERVED
         else:
-            outcome = CUT if record.next_index != record.client_request.resume_index else NOTHING
+            outcome = (
+                UsageOutcome.CUT
+                if record.next_index != record.client_request.resume_index
+                else UsageOutcome.NOTHING
+            )
         self._add(self.ledger, self._usage_record(record, outcome))
 
     async def commit_interval(self) -> None:
@@ -121,7 +125,7 @@
         for stream in list(self._streams.values()):
             if stream.record.next_index > stream.recorded_index:
                 stream.recorded_index = stream.record.next_index
-                self._add(ledger, self._usage_record(stream.record, OPEN))
+                self._add(ledger, self._usage_record(stream.record, UsageOutcome.OPEN))
 
     def _usage_record(self, record: RequestRecord, outcome: int) -> UsageRecord:
         request = record.client_request
