--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,6 +1,8 @@
-"""Rolling changes by real processes: three controllers, three agents and their nodes, engines, clients that
-go on asking, and controllers that are killed, paused or cut short in between. Judged by what clients and
-processes show."""
+"""Rollouts by real processes: three controllers, three agents with their nodes, engines and clients.
+
+Clients send requests all the time, while controllers are killed, paused or cut off. The tests judge by what
+clients and processes show.
+"""
 
 from __future__ import annotations
 
@@ -19,6 +21,7 @@
 import pytest
 from world import KINDS, SETTINGS, World, run, until
 
+from tuliptrack.decisions.consensus import MAX_CONTROLLERS
 from tuliptrack.decisions.rollout import Plan, Release, Stage
 from tuliptrack.fleet.unary_call import CallError, call_unary
 from tuliptrack.lab.engine import Engine
@@ -29,10 +32,15 @@
 from tuliptrack.rpc.status import Code
 
 GOOD, BAD, DEAD, CONF = "good-1", "bad-2", "dead-3", "conf-1"
+LEADER_CALL_TIMEOUT_US = 700_000
+AGENT_CALL_TIMEOUT_US = 2_000_000
+REQUEST_TIMEOUT_US = 5_000_000
+CONNECT_TIMEOUT_US = 500_000
+SCENARIO_TIMEOUT_S = 120
 HOSTS = ("h0", "h1", "h2")
 PROGRAMS = {
     GOOD: "from tuliptrack.cli.main import main\nmain(['serve', '--ready', sys.argv[1]])\n",
-    # A copy with a defect: half of the requests are refused.
+    # A release with a defect: it rejects half of the requests.
     BAD: """from tuliptrack.interface import Reject
 from tuliptrack.routing.router import Router
 handle = Router._handle_request
@@ -47,7 +55,7 @@
 
 
 class Process:
-    """One process of the program, which tells its address on its first line."""
+    """One process of the program, which prints its address on its first line."""
 
     def __init__(self, *command: str, log: Path) -> None:
         self.command, self.log = command, log
@@ -78,7 +86,7 @@
 
 
 class Fleet:
-    """Everything of one test."""
+    """All processes and clients of one test."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.engines = folder, World()
@@ -86,33 +94,35 @@
         self.controllers: list[Process] = []
         self.wires: dict[str, Wire] = {}
         """Between controllers and each host's agent."""
-        self.answers: Counter[str] = Counter()
-        self.double = 0
-        self.most_out = 0
+        self.ends: Counter[str] = Counter()
+        self.ended_twice = 0
+        self.max_unready = 0
         self.tasks: list[asyncio.Task[None]] = []
         self._channels: dict[str, Channel] = {}
         self.hosts: dict[str, Any] = {}
 
-    async def call_leader(self, method: str, question: Any) -> pb.FleetState:
-        """The answer of whichever controller acts."""
-        last: CallError | None = None
+    async def call_leader(self, method: str, request: Any) -> pb.FleetState:
+        """Return the answer of the controller that leads."""
+        last_error: CallError | None = None
         for _ in range(400):
             for one in self.controllers:
-                channel = self._channel(one.address)
+                channel = self.channel(one.address)
                 try:
-                    state = await call_unary(channel, f"Fleet/{method}", question, pb.FleetState, 700_000)
+                    state = await call_unary(
+                        channel, f"Fleet/{method}", request, pb.FleetState, LEADER_CALL_TIMEOUT_US
+                    )
                     if state.leads:
                         return state
                 except CallError as error:
-                    last = error
+                    last_error = error
                     if error.code is Code.INVALID_ARGUMENT:
                         raise
             await asyncio.sleep(0.05)
-        raise AssertionError(f"no controller acts: {last}")
+        raise AssertionError(f"no controller leads: {last_error}")
 
-    def _channel(self, address: str) -> Channel:
+    def channel(self, address: str) -> Channel:
         if address not in self._channels:
-            self._channels[address] = Channel(address, Options(connect_timeout=500_000))
+            self._channels[address] = Channel(address, Options(connect_timeout=CONNECT_TIMEOUT_US))
         return self._channels[address]
 
     async def record(self) -> dict[str, Any]:
@@ -128,40 +138,40 @@
             await asyncio.sleep(0.1)
         raise AssertionError(record)
 
-    async def acting(self) -> int:
-        """Which controller acts, by the epoch."""
-        return int((await self.call_leader("State", pb.StateRequest())).epoch % 64)
+    async def leader(self) -> int:
+        """Return the number of the controller that leads, by the epoch."""
+        return int((await self.call_leader("State", pb.StateRequest())).epoch % MAX_CONTROLLERS)
 
-    async def look(self) -> dict[str, pb.HostReport]:
-        """What agents say themselves, with no controller between."""
+    async def reports(self) -> dict[str, pb.HostReport]:
+        """Return the reports of all agents, from them directly."""
         return {
             h: await call_unary(
-                self._channel(a.address), "Agent/Look", pb.LookRequest(), pb.HostReport, 2_000_000
+                self.channel(a.address), "Agent/Look", pb.LookRequest(), pb.HostReport, AGENT_CALL_TIMEOUT_US
             )
             for h, a in self.agents.items()
         }
 
-    async def clients(self) -> None:
-        """Ask every node that is up, all the time; each call gets one end."""
+    async def run_clients(self) -> None:
+        """Send requests to every ready node, all the time; each call has to end once."""
         while True:
-            reports = await self.look()
-            self.most_out = max(self.most_out, sum(not r.ready for r in reports.values()))
+            reports = await self.reports()
+            self.max_unready = max(self.max_unready, sum(not r.ready for r in reports.values()))
             for r in reports.values():
                 for _ in range(3 if r.address and r.ready else 0):
-                    self._one(r.address)
+                    self.send_request(r.address)
             await asyncio.sleep(0.1)
 
-    def _one(self, address: str) -> None:
+    def send_request(self, address: str) -> None:
         ends: list[End] = []
 
         def ended(end: End) -> None:
             ends.append(end)
-            self.double += len(ends) > 1
-            self.answers[end.status.code.name] += 1
+            self.ended_twice += len(ends) > 1
+            self.ends[end.status.code.name] += 1
 
-        self._channel(address).call(
+        self.channel(address).call(
             "/tuliptrack.v1.Generation/Generate",
-            timeout=5_000_000,
+            timeout=REQUEST_TIMEOUT_US,
             on_end=ended,
             message=(
                 generation_pb2.GenerateRequest(
@@ -183,8 +193,8 @@
         )
         return pb.BeginRequest(plan=json.dumps(asdict(plan) | changes))
 
-    def pids(self) -> set[int]:
-        """Nodes that run, by the mark that their agent gave them."""
+    def node_pids(self) -> set[int]:
+        """Return the processes of nodes that run, by the mark in their environment."""
         found = set()
         for entry in Path("/proc").iterdir():
             try:
@@ -200,14 +210,14 @@
 
 @asynccontextmanager
 async def fleet(folder: Path) -> AsyncIterator[Fleet]:
-    """Three hosts and three controllers; afterwards no process of it is left."""
-    made = Fleet(folder)
+    """Run three hosts and three controllers; afterwards none of their processes is left."""
+    test_fleet = Fleet(folder)
     for name in ("r0", "w0", "w1"):
         model = lab_pb2.EngineModel(answer_least=2, answer_most=4, role=KINDS[name[0]][1])
-        made.engines.engines[name] = Engine(name, model)
-        await made.engines.engines[name].start()
-    feed = await made.engines.feed.start()
-    made.engines.feed.change(*(made.engines.entry(name) for name in made.engines.engines))
+        test_fleet.engines.engines[name] = Engine(name, model)
+        await test_fleet.engines.engines[name].start()
+    feed = await test_fleet.engines.feed.start()
+    test_fleet.engines.feed.change(*(test_fleet.engines.entry(name) for name in test_fleet.engines.engines))
     try:
         for host in HOSTS:
             root = folder / host
@@ -219,17 +229,19 @@
                 (root / "programs" / program).mkdir(parents=True)
                 (root / "programs" / program / "run").write_text(f"#!{sys.executable}\nimport sys\n{text}")
                 (root / "programs" / program / "run").chmod(0o755)
-            made.agents[host] = await Process(
+            test_fleet.agents[host] = await Process(
                 "agent", host, str(root), "--program", GOOD, "--settings", CONF, log=folder / f"{host}.log"
             ).start()
-        for host, one in made.agents.items():
-            made.wires[host] = Wire(one.address)
-            await made.wires[host].start()
+        for host, one in test_fleet.agents.items():
+            test_fleet.wires[host] = Wire(one.address)
+            await test_fleet.wires[host].start()
         (folder / "hosts").write_text(
-            json.dumps([{"name": h, "zone": "z", "agent": wire.address} for h, wire in made.wires.items()])
+            json.dumps(
+                [{"name": h, "zone": "z", "agent": wire.address} for h, wire in test_fleet.wires.items()]
+            )
         )
         for number in range(3):
-            made.controllers.append(
+            test_fleet.controllers.append(
                 await Process(
                     "fleet",
                     "serve",
@@ -243,34 +255,39 @@
                 ).start()
             )
         for _ in range(300):
-            if all(r.ready for r in (await made.look()).values()):
+            if all(r.ready for r in (await test_fleet.reports()).values()):
                 break
             await asyncio.sleep(0.1)
-        made.tasks.append(asyncio.get_running_loop().create_task(made.clients()))
-        await until(lambda: made.answers["OK"] > 200)
-        while (await made.call_leader("State", pb.StateRequest())).learnt < 2:
+        test_fleet.tasks.append(asyncio.get_running_loop().create_task(test_fleet.run_clients()))
+        await until(lambda: test_fleet.ends["OK"] > 200)
+        while (await test_fleet.call_leader("State", pb.StateRequest())).learnt < 2:
             await asyncio.sleep(0.1)
-        yield made
-        assert not made.double, "calls with two ends"
+        yield test_fleet
+        assert not test_fleet.ended_twice, "calls that ended twice"
     finally:
-        for task in made.tasks:
+        for task in test_fleet.tasks:
             task.cancel()
-        await asyncio.gather(*made.tasks, return_exceptions=True)
-        for one in [*made.controllers, *made.agents.values()]:
+        await asyncio.gather(*test_fleet.tasks, return_exceptions=True)
+        for one in [*test_fleet.controllers, *test_fleet.agents.values()]:
             await one.end()
-        for pid in made.pids():
+        for pid in test_fleet.node_pids():
             os.kill(pid, signal.SIGKILL)
-        for channel in made._channels.values():
+        for channel in test_fleet._channels.values():
             await channel.close()
-        for wire in made.wires.values():
+        for wire in test_fleet.wires.values():
             await wire.stop()
-        for engine in made.engines.engines.values():
+        for engine in test_fleet.engines.engines.values():
             await engine.stop()
-        await made.engines.feed.stop()
+        await test_fleet.engines.feed.stop()
+
+
+def test_a_defect_is_found_and_rolled_back_by_real_processes(tmp_path: Path) -> None:
+    """Story: a release rejects half of its requests, which only its own log shows.
 
+    Without a comparison by host the rollout would go on to the whole fleet.
+    """
 
-def test_a_defect_is_found_and_taken_back_by_real_processes(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with fleet(tmp_path) as f:
             with pytest.raises(CallError, match="no host of the fleet"):
                 await f.call_leader("Begin", f.plan(BAD, stages=[{"hosts": ["h9"]}]))
@@ -279,80 +296,98 @@
             assert (
                 record["phase"] == "taken back" and "'refused'" in record["reason"] and record["stage"] == 0
             )
-            reports = await f.look()
+            reports = await f.reports()
             assert {r.release.program for r in reports.values()} == {GOOD} and all(
                 r.ready for r in reports.values()
             )
             assert [reports[h].changes for h in HOSTS] == [2, 0, 0], (
-                "there and back, each once; nobody else touched"
+                "changed and rolled back once each; no other host was changed"
             )
-            assert f.most_out <= 1
+            assert f.max_unready <= 1
 
-    run(go, 120)
+    run(scenario, SCENARIO_TIMEOUT_S)
 
 
-def test_a_rollout_goes_on_when_the_controller_that_acts_is_paused_and_comes_back(tmp_path: Path) -> None:
-    async def go() -> None:
+def test_a_rollout_goes_on_when_the_leader_is_paused_and_comes_back(tmp_path: Path) -> None:
+    """Story: the leader is stopped in mid-rollout, another takes over, and the first one wakes up.
+
+    It still believes that it leads; were its orders obeyed, two controllers would change hosts at once.
+    """
+
+    async def scenario() -> None:
         async with fleet(tmp_path) as f:
             await f.call_leader(
                 "Begin", f.plan(GOOD + "b")
-            )  # Not at hand anywhere: begun, and not carried out.
-            first = await f.acting()
-            f.controllers[first].send(signal.SIGSTOP)
-            while await f.acting() == first:
+            )  # No host has it: the rollout begins and is not carried out.
+            first_leader = await f.leader()
+            f.controllers[first_leader].send(signal.SIGSTOP)
+            while await f.leader() == first_leader:
                 await asyncio.sleep(0.05)
-            f.controllers[first].send(signal.SIGCONT)
+            f.controllers[first_leader].send(signal.SIGCONT)
             await f.call_leader("Say", pb.SayRequest(command="abort"))
             record = await f.until_phase("taken back")
             assert record["number"] == 1 and "aborted" in record["reason"]
-            assert all(r.changes == 0 and r.ready for r in (await f.look()).values()) and f.most_out == 0
+            assert (
+                all(r.changes == 0 and r.ready for r in (await f.reports()).values()) and f.max_unready == 0
+            )
+
+    run(scenario, SCENARIO_TIMEOUT_S)
 
-    run(go, 120)
 
+def test_nodes_serve_without_agents_and_the_next_agent_finds_its_node(tmp_path: Path) -> None:
+    """Story: all controllers and agents are killed, and the agents are started again later.
 
-def test_nodes_serve_on_with_all_others_gone_and_the_next_agent_finds_its_node(tmp_path: Path) -> None:
-    async def go() -> None:
+    Nodes must not depend on them. An agent that did not find its node would start a second one.
+    """
+
+    async def scenario() -> None:
         async with fleet(tmp_path) as f:
-            before, nodes = await f.look(), f.pids()
+            before, nodes = await f.reports(), f.node_pids()
             for one in [*f.controllers, *f.agents.values()]:
                 await one.end()
-            served = f.answers["OK"]
+            served = f.ends["OK"]
             for _ in range(20):
                 for r in before.values():
-                    f._one(r.address)
+                    f.send_request(r.address)
                 await asyncio.sleep(0.02)
-            await until(lambda: f.answers["OK"] >= served + 60)
-            assert f.pids() == nodes
+            await until(lambda: f.ends["OK"] >= served + 60)
+            assert f.node_pids() == nodes
             for host, old in list(f.agents.items()):
                 f.agents[host] = await Process(*old.command, log=old.log).start()
             for _ in range(100):
-                after = await f.look()
+                after = await f.reports()
                 if all(r.ready for r in after.values()):
                     break
                 await asyncio.sleep(0.05)
-            assert f.pids() == nodes and {h: r.address for h, r in after.items()} == {
+            assert f.node_pids() == nodes and {h: r.address for h, r in after.items()} == {
                 h: r.address for h, r in before.items()
             }
             assert not any(r.died for r in after.values())
 
-    run(go, 120)
+    run(scenario, SCENARIO_TIMEOUT_S)
+
 
+def test_a_release_that_does_not_start_is_rolled_back(tmp_path: Path) -> None:
+    """Story: the program of a release exits at once, so its host has no node until it is rolled back."""
 
-def test_a_release_that_does_not_start_is_taken_back(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with fleet(tmp_path) as f:
             await f.call_leader("Begin", f.plan(DEAD, ready_within=3_000_000))
             record = await f.until_phase("taken back", "done", "held")
             assert record["phase"] == "taken back" and "h0 was not ready" in record["reason"]
-            assert f.most_out <= 1 and (await f.look())["h0"].release.program == GOOD
+            assert f.max_unready <= 1 and (await f.reports())["h0"].release.program == GOOD
 
-    run(go, 120)
+    run(scenario, SCENARIO_TIMEOUT_S)
 
 
-def test_an_agent_that_is_cut_off_one_way_counts_as_out_and_obeys_once_it_is_back(tmp_path: Path) -> None:
-    """Orders reach it, its answers don't come back. No other host is changed meanwhile."""
+def test_an_agent_cut_off_one_way_counts_as_unready_and_obeys_once_it_is_back(tmp_path: Path) -> None:
+    """Story: orders reach an agent, but its answers are lost.
 
-    async def go() -> None:
+    The leader can't know what the host runs. If it did not count as unready, another host could be changed at
+    the same time, and more hosts than allowed would be unready.
+    """
+
+    async def scenario() -> None:
         async with fleet(tmp_path) as f:
             f.wires["h0"].set(Cut.BACK)
             while not f.hosts or f.hosts["h0"]["heard"]:
@@ -362,32 +397,37 @@
                 f.plan(GOOD + "b", stages=[{"hosts": ["h1"], "shortest": 0}, {"hosts": ["h0", "h2"]}]),
             )
             for _ in range(40):
-                reports = await f.look()
-                assert reports["h1"].changes == reports["h2"].changes == 0 and f.most_out <= 1
+                reports = await f.reports()
+                assert reports["h1"].changes == reports["h2"].changes == 0 and f.max_unready <= 1
                 await asyncio.sleep(0.05)
             assert (await f.record())["wanted"] == [] and not f.hosts["h0"]["heard"]
             await f.call_leader("Say", pb.SayRequest(command="abort"))
             f.wires["h0"].set(Cut.NOTHING)
             record = await f.until_phase("taken back")
-            assert "aborted" in record["reason"] and f.most_out == 0
+            assert "aborted" in record["reason"] and f.max_unready == 0
 
-    run(go, 120)
+    run(scenario, SCENARIO_TIMEOUT_S)
 
 
-def test_the_acting_controller_dies_while_a_host_changes_and_the_defect_is_still_found(
+def test_the_leader_is_killed_while_a_host_changes_and_the_defect_is_still_found(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    """Story: the leader is killed just after its first order.
+
+    What it observed is lost with it; the next leader has to find the defect with its own observations.
+    """
+
+    async def scenario() -> None:
         async with fleet(tmp_path) as f:
             await f.call_leader("Begin", f.plan(BAD))
-            while (await f.look())["h0"].changes == 0:
+            while (await f.reports())["h0"].changes == 0:
                 await asyncio.sleep(0.02)
-            first = await f.acting()
-            f.controllers[first].send(signal.SIGKILL)
+            first_leader = await f.leader()
+            f.controllers[first_leader].send(signal.SIGKILL)
             record = await f.until_phase("taken back", "done", "held")
-            assert record["phase"] == "taken back" and await f.acting() != first, record
-            reports = await f.look()
-            assert [reports[h].changes for h in HOSTS] == [2, 0, 0] and f.most_out <= 1
+            assert record["phase"] == "taken back" and await f.leader() != first_leader, record
+            reports = await f.reports()
+            assert [reports[h].changes for h in HOSTS] == [2, 0, 0] and f.max_unready <= 1
             assert {r.release.program for r in reports.values()} == {GOOD}
 
-    run(go, 120)
+    run(scenario, SCENARIO_TIMEOUT_S)
