--- a/tuliptrack/structures/grouped_values.py
+++ b/tuliptrack/structures/grouped_values.py
@@ -94,8 +94,12 @@
 
     def _sorted_values(self, keys: Collection[int], groups: Collection[G]) -> list[tuple[float, int]]:
         """Return values and keys of those of some members that are in some groups, in rising order."""
-        members = ((key, *self._members[key]) for key in keys)
-        return sorted((value, key) for key, group, value in members if group in groups)
+        pairs = []
+        for key in keys:
+            group, value = self._members[key]
+            if group in groups:
+                pairs.append((value, key))
+        return sorted(pairs)
 
 
 def _value(pair: tuple[float, int]) -> float:
