--- a/tests/node/test_kv_state_leases.py
+++ b/tests/node/test_kv_state_leases.py
@@ -64,7 +64,8 @@
     """The arrival of an attempt stops the lease of the state. The attempt then ends without using the state,
     and nobody else knows of it: the engine's memory would stay reserved for good. So the lease has to begin
     anew, for a prefill (a state that an earlier one may have left) as for a decode (the state that the
-    prefill left)."""
+    prefill left).
+    """
 
     async def scenario() -> None:
         engines = RecordingEngines()
--- a/tests/relay/test_counters.py
+++ b/tests/relay/test_counters.py
@@ -32,7 +32,15 @@
     run(go, virtual=True)
     told = capsys.readouterr()
     [line] = [line for line in (told.out + told.err).splitlines() if "call_id=counted" in line]
-    for step in ("read 0 at", "held at", "write 1 at", "lease expired", "release", "first token", "ok 1"):
+    for step in (
+        "prefill 0 at",
+        "KV state at",
+        "decode 1 at",
+        "lease expired",
+        "release",
+        "first token",
+        "ok 1",
+    ):
         assert step in line, step
 
 
--- a/tests/relay/test_view.py
+++ b/tests/relay/test_view.py
@@ -72,7 +72,7 @@
                 looked, most = looked + 1, max(most, len(calls))
 
             def tell(event: io.Event, router: Router | None = None) -> None:
-                outermost = not core._running
+                outermost = not core.dispatcher.is_running
                 handle(event, router)
                 if outermost:
                     same()
--- a/tests/test_actions.py
+++ b/tests/test_actions.py
@@ -29,7 +29,7 @@
 
 
 def act(w: World, action: io.Action) -> None:
-    w.node._acts[type(action)](action)
+    w.node.action_handlers[type(action)](action)
 
 
 def of(heard: list[Any], kind: type) -> list[Any]:
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -97,11 +97,11 @@
 
 
 def no_timeouts(w: World, patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(w.node, "_attempt_late", lambda record, attempt: None)
+    patch.setattr(w.node.attempt_starter, "expire", lambda record, attempt: None)
 
 
 def answers_dropped(w: World, patch: pytest.MonkeyPatch) -> None:
-    patch.setitem(w.node._acts, io.Fail, lambda action: None)
+    patch.setitem(w.node.action_handlers, io.Fail, lambda action: None)
 
 
 def timed_out_calls_go_on(w: World, patch: pytest.MonkeyPatch) -> None:
--- /dev/null
+++ b/tuliptrack/node/attempt_end.py
@@ -0,0 +1,143 @@
+"""Handles the end of an attempt: the next state of its request, its lease, and what the router hears of it.
+
+The status that an engine client reports is that of one call. The router needs that of the stage: a prefill
+that ended well without a KV state is an error, and so is a decode that ended well without its last token.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from tuliptrack import interface as io
+from tuliptrack.fronts.port import Failure
+from tuliptrack.node.core_state import CoreState
+from tuliptrack.node.final_answers import FinalAnswers
+from tuliptrack.node.port import AttemptResult
+from tuliptrack.node.request_state import RequestState
+from tuliptrack.node.requests import Attempt, RequestRecord
+
+__all__ = ["AttemptEndHandler"]
+
+MAY_HAVE_PREFILLED = (io.Status.CANCELLED, io.Status.TIMEOUT, io.Status.RESET)
+"""Ends of a prefill that tell nothing of whether it has left a KV state."""
+
+
+@dataclass(frozen=True, slots=True)
+class StageResult:
+    """How a stage of a request ended, as the router hears it."""
+
+    status: io.Status
+    is_state_lost: bool
+
+
+class AttemptEndHandler:
+    """Handles the ends of all attempts of a node."""
+
+    def __init__(self, core: CoreState, answers: FinalAnswers) -> None:
+        self._core = core
+        self._answers = answers
+
+    def handle(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> None:
+        """Handle the end of an attempt; one that is no longer the request's attempt is ignored."""
+        if record.attempt is not attempt:
+            return
+        core = self._core
+        core.timers.cancel(attempt.timer)
+        record.attempt = None
+        record.pending_events += 1
+        latency_us = core.now() - attempt.sent_at_us
+        core.leases.handle_attempt_ended(record, attempt, ended)
+        result = self._conclude_stage(record, attempt, ended)
+        reason = f" ({ended.reason})" if ended.reason else ""
+        record.trace.add(core.now(), f"{result.status.value} {attempt.number}{reason}")
+        if not record.executed_at_us and result.status.may_have_executed(attempt.is_prefill):
+            record.executed_at_us = attempt.sent_at_us
+        cross_zone_bytes = core.cross_zone_bytes(record, attempt, ended)
+        if attempt.is_prefill and record.kv_state is None and result.status in MAY_HAVE_PREFILLED:
+            core.leases.handle_broken_prefill(record, attempt)
+        core.dispatch(self._event(record, attempt, ended, result, latency_us, cross_zone_bytes))
+        core.settle(record)
+
+    @staticmethod
+    def _event(
+        record: RequestRecord,
+        attempt: Attempt,
+        ended: AttemptResult,
+        result: StageResult,
+        latency_us: int,
+        cross_zone_bytes: float,
+    ) -> io.AttemptEnded:
+        has_succeeded = result.status in (io.Status.OK, io.Status.PREFILLED)
+        return io.AttemptEnded(
+            record.id,
+            attempt.number,
+            attempt.endpoint_id,
+            result.status,
+            latency_us,
+            is_final=record.is_concluded,
+            cached_tokens=record.cached_tokens if has_succeeded else 0,
+            is_state_lost=result.is_state_lost,
+            load_report=ended.load_report,
+            cross_zone_bytes=cross_zone_bytes,
+            is_connection_only=ended.is_connection_only,
+        )
+
+    def _conclude_stage(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> StageResult:
+        """Bring the state of the request up to the end of its attempt."""
+        if ended.is_invalid_request:
+            self._answers.fail(record, Failure.INVALID, ended.reason)
+            return StageResult(ended.status, ended.is_state_lost)
+        if record.is_concluded:
+            return self._conclude_after_final_answer(record, attempt, ended)
+        if attempt.is_prefill:
+            return self._conclude_prefill(record, ended)
+        if record.state is RequestState.DECODING:
+            return self._conclude_decode_without_token(record, attempt, ended)
+        return self._conclude_stream(record, ended)
+
+    @staticmethod
+    def _conclude_after_final_answer(
+        record: RequestRecord, attempt: Attempt, ended: AttemptResult
+    ) -> StageResult:
+        """The request had its final answer first. A prefill that ended well has left a state to release."""
+        has_left_state = (
+            record.kv_state is not None
+            and record.kv_state.endpoint_id == attempt.endpoint_id
+            and ended.status is io.Status.OK
+        )
+        return StageResult(io.Status.PREFILLED if has_left_state else ended.status, ended.is_state_lost)
+
+    @staticmethod
+    def _conclude_prefill(record: RequestRecord, ended: AttemptResult) -> StageResult:
+        status = ended.status
+        if status is io.Status.OK:
+            status = io.Status.PREFILLED if record.kv_state else io.Status.ERROR
+        if status is io.Status.PREFILLED:
+            record.prefills += 1
+            record.enter(RequestState.PREFILLED)
+        else:
+            record.enter(RequestState.ACCEPTED)
+        return StageResult(status, ended.is_state_lost)
+
+    def _conclude_decode_without_token(
+        self, record: RequestRecord, attempt: Attempt, ended: AttemptResult
+    ) -> StageResult:
+        """No token has come: the state stays reserved, or the prompt has to be prefilled again."""
+        is_state_lost = self._core.leases.handle_decode_without_token(record, attempt, ended)
+        record.enter(RequestState.PREFILLED if record.kv_state else RequestState.ACCEPTED)
+        return StageResult(_unless_complete(ended.status), is_state_lost)
+
+    def _conclude_stream(self, record: RequestRecord, ended: AttemptResult) -> StageResult:
+        if record.finish_reason:
+            if record.conclude(RequestState.SERVED, record.finish_reason.value):
+                record.response.served()
+            return StageResult(io.Status.OK, ended.is_state_lost)
+        status = _unless_complete(ended.status)
+        reason = f"the stream broke: {ended.reason or status.value}"
+        self._answers.fail(record, Failure.BROKEN, reason)
+        return StageResult(status, ended.is_state_lost)
+
+
+def _unless_complete(status: io.Status) -> io.Status:
+    """Return the status of a stage that is not complete: `OK` of its call is an error of the stage."""
+    return io.Status.ERROR if status is io.Status.OK else status
--- /dev/null
+++ b/tuliptrack/node/core_state.py
@@ -0,0 +1,132 @@
+"""What the parts of a core share: settings, tables, clock and timers, and the hooks of a node.
+
+`Core` (in `core.py`) assembles the parts. Each part takes a `CoreState` and asks it for everything at the
+moment of use, so that a node can set `engines` and `source` after the core is made.
+"""
+
+from __future__ import annotations
+
+from abc import ABC, abstractmethod
+from typing import Any
+
+from tuliptrack import interface as io
+from tuliptrack.decisions.concurrency_limit import ConcurrencyLimiter, ConcurrencyLimits
+from tuliptrack.decisions.model_catalog import Model
+from tuliptrack.fronts.port import ClientRequest
+from tuliptrack.node.counters import Counters
+from tuliptrack.node.kv_state_leases import KvStateLeases
+from tuliptrack.node.port import AttemptResult, EngineClient
+from tuliptrack.node.request_reader import CoreLimits, RequestReader
+from tuliptrack.node.requests import Attempt, RequestRecord, RequestTable
+from tuliptrack.node.timers import NodeClock, TimerSet
+from tuliptrack.routing.router import Router
+
+__all__ = ["CoreState"]
+
+
+class CoreState(ABC):
+    """The state of a core, and the steps that its parts ask of each other."""
+
+    engines: EngineClient
+    """What carries out attempts; set by the node."""
+    source: Any
+    """Where the endpoint list comes from; set by the node."""
+
+    def __init__(
+        self,
+        settings: io.Settings,
+        seed: int,
+        instance: str,
+        limits: CoreLimits,
+        admission: ConcurrencyLimits,
+    ) -> None:
+        """Start without requests.
+
+        Args:
+            settings: the settings of the routers.
+            seed: the seed of their random choices.
+            instance: a name unique to this incarnation of the node.
+            limits: bounds and times of the node.
+            admission: how many requests may be open.
+        """
+        self.settings = settings
+        self.limits = limits
+        self.instance = instance
+        self.router = Router(settings, seed)
+        """The router of endpoints without a model label; it also keeps the subscription to the endpoint list,
+        and what the routers of all models share."""
+        self.table = RequestTable(instance)
+        self.admission = ConcurrencyLimiter(admission)
+        self.counters = Counters()
+        self.requests = RequestReader(settings, limits)
+        self.clock = NodeClock()
+        self.timers = TimerSet()
+        self.leases = KvStateLeases(settings.release_within_us, lambda: self.engines, self.now, self.counters)
+        self.stopping = False
+        """New requests are rejected."""
+        self.decisions = 0
+        """Events that routers have handled."""
+
+    def now(self) -> int:
+        """Return the monotonic time in microseconds."""
+        return self.clock.now_us()
+
+    def class_of(self, record: RequestRecord) -> io.RequestClass:
+        """Return the class of a request."""
+        return self.requests.class_of(record.client_request)
+
+    def advised_retry_after(self, retry_after_us: int) -> int:
+        """Cut advice that is an estimate to what the settings allow."""
+        return min(retry_after_us, self.settings.max_retry_after_us)
+
+    # What parts ask of the core.
+
+    @abstractmethod
+    def dispatch(self, event: io.Event, router: Router | None = None) -> None:
+        """Hand an event to its router and carry out the actions that follow."""
+
+    @abstractmethod
+    def defer(self, event: io.Event, router: Router | None = None) -> None:
+        """Queue an event behind the one that is being handled."""
+
+    @abstractmethod
+    def client_disconnected(self, record: RequestRecord, reason: str) -> None:
+        """The client of a request has left, or its connection has."""
+
+    @abstractmethod
+    def settle(self, record: RequestRecord) -> None:
+        """Remove a request if it has its final state and no attempt out."""
+
+    # What a node may add.
+
+    def choose(self, client_request: ClientRequest) -> tuple[Model, Router, str]:
+        """Return the model and router of a request, and why it is rejected (empty: it is not).
+
+        Raises:
+            InvalidRequestError: the request names no model that is served.
+        """
+        return Model(), self.router, ""
+
+    def admit(self, now_us: int, record: RequestRecord, class_index: int) -> tuple[str, int, bool]:
+        """Decide whether a request is admitted.
+
+        Returns:
+            Why it is rejected (empty: it is not), after how many microseconds to retry, and whether its
+            tenant is over the token budget.
+        """
+        return "", 0, False
+
+    def stream_began(self, record: RequestRecord) -> None:  # noqa: B027  # Overriding is optional.
+        """The first token of a request has come."""
+
+    def attempt_sent(  # noqa: B027  # Overriding is optional.
+        self, record: RequestRecord, attempt: Attempt, action: io.SendAttempt
+    ) -> None:
+        """An attempt has started."""
+
+    def cross_zone_bytes(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> float:
+        """Return the bytes that an attempt has moved between zones."""
+        return 0.0
+
+    def request_removed(self, record: RequestRecord) -> None:  # noqa: B027  # Overriding is optional.
+        """A request has left the table."""
--- /dev/null
+++ b/tuliptrack/node/final_answers.py
@@ -0,0 +1,97 @@
+"""Gives requests their final answers: rejected, failed, broken off, or migrated.
+
+A request is rejected only where a retry by the client is harmless (`attempt_state.may_reject`); everything
+else fails. `RequestRecord.conclude` sees to it that each request gets one final answer.
+"""
+
+from __future__ import annotations
+
+from tuliptrack import interface as io
+from tuliptrack.fronts.port import Failure
+from tuliptrack.node.attempt_state import may_have_executed, may_reject
+from tuliptrack.node.core_state import CoreState
+from tuliptrack.node.request_state import RequestState
+from tuliptrack.node.requests import Attempt, RequestRecord
+
+__all__ = ["FinalAnswers"]
+
+
+class FinalAnswers:
+    """The final answers of one node. It carries out `Reject`, `Fail` and `MigrateStream`."""
+
+    def __init__(self, core: CoreState) -> None:
+        self._core = core
+
+    def reject(self, record: RequestRecord, reason: str, retry_after_us: int) -> None:
+        """Answer that a retry is harmless, unless the request has its final answer."""
+        if record.conclude(RequestState.REJECTED, reason):
+            record.response.rejected(reason, retry_after_us)
+
+    def fail(self, record: RequestRecord, failure: Failure, reason: str) -> None:
+        """Answer that the request failed, unless it has its final answer."""
+        if record.conclude(RequestState.FAILED, reason):
+            record.response.failed(failure, reason, record.next_index)
+
+    def break_stream(self, record: RequestRecord, failure: Failure, reason: str, status: io.Status) -> None:
+        """End a stream that has begun, from this side; its attempt ends with `status`."""
+        attempt = record.attempt
+        self.fail(record, failure, reason)
+        if attempt and attempt.call:
+            attempt.call.cancel(status)
+
+    def handle_reject(self, action: io.Reject) -> None:
+        """Carry out a `Reject` of a router."""
+        if record := self._core.table.open.get(action.request_id):
+            reason = "no attempt was possible in time" if record.attempt_count else "overload"
+            self.reject(record, reason, self._core.advised_retry_after(action.retry_after_us))
+
+    def handle_fail(self, action: io.Fail) -> None:
+        """Carry out a `Fail` of a router."""
+        if record := self._core.table.open.get(action.request_id):
+            is_late = self._core.now() >= record.deadline_us
+            reason = "no answer came by the deadline" if is_late else "attempts ended without an answer"
+            self.fail(record, Failure.DEADLINE if is_late else Failure.LOST, reason)
+
+    def handle_migrate(self, action: io.MigrateStream) -> None:
+        """Carry out a `MigrateStream`: the client resumes the stream at another node."""
+        record = self._core.table.open.get(action.request_id)
+        if record and record.state is RequestState.STREAMING:
+            reason = "the stream is handed back to be resumed"
+            self.break_stream(record, Failure.MIGRATED, reason, io.Status.CANCELLED)
+
+    def fail_after_internal_error(self, request_id: int) -> None:
+        """Fail a request on which its router has raised: nothing more is known of it."""
+        record = self._core.table.open.get(request_id)
+        if record is None or not record.conclude(RequestState.FAILED, "internal"):
+            return
+        record.response.failed(Failure.LOST, "internal", record.next_index)
+        self._core.leases.release(record)
+        # The router forgets the request, if it still can.
+        self._core.dispatch(io.ClientDisconnected(request_id), record.router)
+        if record.attempt and record.attempt.call:
+            record.attempt.call.cancel(io.Status.CANCELLED)
+        self._core.settle(record)
+
+    def conclude_at_shutdown(self, record: RequestRecord) -> None:
+        """Give an open request its final answer, as the node ends.
+
+        It is rejected only where nothing of it can have executed.
+        """
+        reason = "this node has shut down"
+        if record.state is RequestState.STREAMING:
+            self.break_stream(record, Failure.BROKEN, reason, io.Status.CANCELLED)
+            return
+        has_executed = self._may_have_executed(record.attempt) or record.executed_at_us > 0
+        if may_reject(self._core.class_of(record).idempotency, has_executed):
+            self.reject(record, reason, 0)
+        else:
+            self.fail(record, Failure.LOST, reason)
+        # The router owes the request nothing more; it cancels the attempt that is out.
+        self._core.dispatch(io.ClientDisconnected(record.id))
+        self._core.settle(record)
+
+    def _may_have_executed(self, attempt: Attempt | None) -> bool:
+        """Whether an attempt that is cancelled now may have had an effect, or may still have one."""
+        if attempt is None or (attempt.is_prefill and self._core.engines.prefills_have_no_effect):
+            return False
+        return attempt.call is None or may_have_executed(attempt.call.delivery())
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -108,7 +108,7 @@
         )
         self._booked_at = 0
         self._lacking: set[tuple[str, str]] = set()
-        self._acts[io.SendGossip] = self._tell_peers
+        self.action_handlers[io.SendGossip] = self._tell_peers
 
     def _source(self) -> EndpointListSource:
         options = self.config.source
--- a/tuliptrack/node/requests.py
+++ b/tuliptrack/node/requests.py
@@ -106,6 +106,8 @@
     """The earliest time at which an attempt may have had an effect; 0: none can have."""
     lease_timer: asyncio.TimerHandle | None = None
     """The timer of the lease, while it runs."""
+    deadline_timer: asyncio.TimerHandle | None = None
+    """The timer of the client's deadline for the whole call."""
     reserved_endpoint_id: int | None = None
     """The endpoint at which capacity was asked for."""
     pending_events: int = 0
