--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -31,7 +31,7 @@
 from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
 from tuliptrack.routing.router import Router
 
-__all__ = ["Core"]
+__all__ = ["Core", "RequestHandle"]
 
 log = structlog.get_logger("node")
 
@@ -310,21 +310,21 @@
             if record.state is not RequestState.STREAMING:
                 continue
             if record.paused_at_us:
-                if now_us - record.paused_at_us > self.limits.client_stall:
+                if now_us - record.paused_at_us > self.limits.max_client_stall_us:
                     reason = "the client leaves its answer unread"
                     self.answers.break_stream(record, Failure.STALLED, reason, io.Status.CANCELLED)
-            elif now_us - record.last_output_at_us > self.limits.token_silence:
+            elif now_us - record.last_output_at_us > self.limits.max_token_silence_us:
                 reason = "the engine has gone silent in mid-stream"
                 self.answers.break_stream(record, Failure.BROKEN, reason, io.Status.RESET)
 
-    def conclude_open_requests(self, since: int = 0) -> None:
-        """The drain grace is over: give requests accepted since then their final answers.
+    def conclude_open_requests(self, accepted_since_us: int = 0) -> None:
+        """The drain grace is over: give open requests their final answers.
 
         Args:
-            since: in monotonic microseconds.
+            accepted_since_us: a monotonic time.
         """
         for record in list(self.table.open.values()):
-            if record.accepted_at_us >= since:
+            if record.accepted_at_us >= accepted_since_us:
                 self.answers.conclude_at_shutdown(record)
 
     def migrate_streams(self) -> None:
--- a/tuliptrack/relay/node.py
+++ b/tuliptrack/relay/node.py
@@ -84,7 +84,7 @@
             config.settings,
             config.seed or random.getrandbits(63),
             config.name,
-            CoreLimits(answer_ahead=MAX_TOKENS_AHEAD, token_silence=TOKEN_SILENCE_US),
+            CoreLimits(answer_lead_us=MAX_TOKENS_AHEAD, max_token_silence_us=TOKEN_SILENCE_US),
             ConcurrencyLimits(min(config.max_open_requests, max_clients), max_clients, 1),
         )
         self.pools = _engine_pools(config, max_engines)
