--- a/tests/node/test_attempt_state.py
+++ b/tests/node/test_attempt_state.py
@@ -1,4 +1,4 @@
-"""What the state of an attempt allows, question by question; what a node counts of itself."""
+"""What the state of an attempt allows, question by question."""
 
 from __future__ import annotations
 
@@ -18,7 +18,6 @@
     may_send,
     retry_by_us,
 )
-from tuliptrack.node.counters import Counters, InvariantError, RequestTrace
 
 WINDOW_US = 2_000_000
 
@@ -82,25 +81,3 @@
 def test_only_what_had_no_effect_is_rejected() -> None:
     assert may_reject(Idempotency.IDEMPOTENT, True) and may_reject(Idempotency.NOT_IDEMPOTENT, False)
     assert not may_reject(Idempotency.NOT_IDEMPOTENT, True) and not may_reject(Idempotency.WITH_KEY, True)
-
-
-def test_violated_invariant_is_counted_with_the_trace_and_raised_in_strict_mode(
-    no_invariant_is_violated: list[str], monkeypatch: pytest.MonkeyPatch
-) -> None:
-    counters, trace = Counters(), RequestTrace(1_000)
-    trace.add(3_500, "read 0 at 7")
-    counters.violated("in_flight", trace, request=5)
-    assert counters.as_dict() == {"violations_in_flight": 1}
-    assert "2.5 read 0 at 7" in counters.broken[0] and "5" in counters.broken[0]
-    monkeypatch.setattr(Counters, "strict", True)
-    with pytest.raises(InvariantError):
-        counters.violated("in_flight")
-    assert len(no_invariant_is_violated) == 2
-    no_invariant_is_violated.clear()
-
-
-def test_trace_is_bounded() -> None:
-    trace = RequestTrace(0)
-    for step in range(1_000):
-        trace.add(step, f"step {step}")
-    assert len(str(trace).split(" | ")) == 48 and str(trace).endswith("step 999")
--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -1,8 +1,9 @@
-"""Every order of endings against the core: clients that leave, attempts that end in all ways, drains,
-releases, cancels and the node's end, each also twice. Hypothesis plays them on a clock of its own; a model of
-the engines knows what is really held and what has really run, and checks the five rules. Machines without one
-of the core's guards have to be found out.
-"""
+"""Every order of ends against the core: clients that leave, attempts that end in all ways, draining
+endpoints, releases, cancellations and the shutdown of the node, each also twice.
+
+Hypothesis plays them on a clock of its own. A model of the engines knows which KV states are really reserved
+and which attempts have really executed, and checks the five rules. A core without one of its guards must
+break a rule."""
 
 from __future__ import annotations
 
@@ -27,28 +28,28 @@
 
 from tuliptrack import interface as io
 from tuliptrack.decisions.concurrency_limit import ConcurrencyLimits
-from tuliptrack.fronts.port import ClientRequest, Failure, FinishReason
+from tuliptrack.fronts.port import ClientRequest, Failure, FinishReason, ResponseWriter
 from tuliptrack.node import timers
 from tuliptrack.node.attempt_state import Delivery, may_have_executed
-from tuliptrack.node.core import Core
+from tuliptrack.node.core import Core, RequestHandle
 from tuliptrack.node.port import AttemptResult
 from tuliptrack.node.request_reader import CoreLimits
 from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
 
-US = 1_000_000
-SLACK_US = 300_000  # what the platform allows past the settings' time for a held state
-SERVERS = (
+US_PER_S = 1_000_000
+RELEASE_SLACK_US = 300_000  # what the platform allows past the settings' time for a reserved state
+ENDPOINTS = (
     io.EndpointInfo(1, READ),
     io.EndpointInfo(2, READ),
     io.EndpointInfo(3, WRITE),
     io.EndpointInfo(4, WRITE),
     io.EndpointInfo(5, BOTH),
 )
-BUDGETS_US = (300_000, 1_500_000, 4_000_000)
+DEADLINES_US = (300_000, 1_500_000, 4_000_000)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time goes on only when it is told to."""
+    """An event loop whose time only passes in `advance`."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -78,20 +79,20 @@
 
 @dataclass(eq=False)
 class Call:
-    """An attempt that is out, as the core's `Call`."""
+    """An attempt that is out, as `AttemptCall`."""
 
     engines: Engines
     record: RequestRecord
     attempt: Attempt
-    sent_at: int = 0
+    sent_at_us: int = 0
     """When its last byte was written; 0: it was not."""
-    reached: bool = False
+    has_arrived: bool = False
     """Its engine has it."""
     streams: bool = False
     over: bool = False
 
     def cancel(self, status: io.Status) -> None:
-        if self.sent_at:
+        if self.sent_at_us:
             self.end(AttemptResult(status, "given up"))
         else:
             late = status is io.Status.TIMEOUT
@@ -104,8 +105,8 @@
             )
 
     def delivery(self) -> Delivery:
-        """What a node can know: `reached` is the engines' own knowledge until the first token."""
-        if not self.sent_at:
+        """What a node can know: `has_arrived` is the engines' own knowledge until the first token."""
+        if not self.sent_at_us:
             return Delivery.NOT_SENT
         return Delivery.CONFIRMED if self.streams else Delivery.POSSIBLE
 
@@ -118,7 +119,7 @@
     def resume(self) -> None: ...
 
     def end(self, ended: AttemptResult) -> None:
-        """Once; the engines' truth first."""
+        """End once; the model of the engines is updated first."""
         if not self.over:
             self.over = True
             self.engines.ended(self, ended)
@@ -126,23 +127,23 @@
 
 
 @dataclass(eq=False)
-class Life:
-    """One request, as its client and the engines know it."""
+class ObservedRequest:
+    """One request, as its client and the engines see it."""
 
     answer: Answer
     effect: io.Idempotency
-    due: int
-    left_at: int = 0
-    held_since: int = 0
-    """A state is held and no attempt waits for it since then; 0: none is held, or one does."""
-    holds: bool = False
-    ran_at: int = 0
-    """When the first attempt was sent that may have run; 0: none."""
+    deadline_us: int
+    left_at_us: int = 0
+    reserved_since_us: int = 0
+    """Since when a KV state is reserved and no attempt waits for it; 0: none is reserved, or an attempt waits."""
+    is_reserved: bool = False
+    executed_at_us: int = 0
+    """When the first attempt was sent that may have executed; 0: none."""
 
 
 @dataclass(eq=False)
 class Answer:
-    """The client's side: what it was told."""
+    """The response that the client gets."""
 
     ends: list[str] = field(default_factory=list)
     begun: bool = False
@@ -158,14 +159,14 @@
         self.ends.append("served")
 
     def rejected(self, reason: str, retry_after: int) -> None:
-        self.ends.append("refused")
+        self.ends.append("rejected")
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
         self.ends.append("failed")
 
 
 class Engines:
-    """The core's `Engines`, and what is true of them."""
+    """An `EngineClient`, and the model of what its engines really have."""
 
     prefills_have_no_effect = False
     releases_are_global = True
@@ -174,14 +175,14 @@
     def __init__(self, core: Core) -> None:
         self.core = core
         self.calls: list[Call] = []
-        self.lives: dict[int, Life] = {}
-        self.draining_since: dict[int, int] = {}
+        self.observed: dict[int, ObservedRequest] = {}
+        self.draining_since_us: dict[int, int] = {}
 
     @property
     def now(self) -> int:
         return self.core.now()
 
-    def is_reachable(self, server: int) -> bool:
+    def is_reachable(self, endpoint_id: int) -> bool:
         return True
 
     def start(self, record: RequestRecord, attempt: Attempt, timeout: int) -> Call:
@@ -194,75 +195,75 @@
         left = self.core.settings.connect_timeout_us
         if attempt.connect_by_us:
             left = min(left, max(attempt.connect_by_us - self.now, 0))
-        asyncio.get_running_loop().call_later(left / US, self.never_connected, call)
+        asyncio.get_running_loop().call_later(left / US_PER_S, self.time_out_connection, call)
         return call
 
-    def never_connected(self, call: Call) -> None:
-        if not call.sent_at:
+    def time_out_connection(self, call: Call) -> None:
+        if not call.sent_at_us:
             call.end(AttemptResult(io.Status.CONNECT_FAILED, "connect", is_connection_only=True))
 
-    def send(self, call: Call, reached: bool) -> None:
+    def send(self, call: Call, has_arrived: bool) -> None:
         """Its connection is up: it is written, unless it isn't wanted any more."""
-        if call.over or call.sent_at:
+        if call.over or call.sent_at_us:
             return
         if not self.core.may_still_begin(call.record, call.attempt.endpoint_id):
             call.end(AttemptResult(io.Status.CONNECT_FAILED, "not wanted", is_connection_only=True))
             return
-        life = self.lives[call.record.id]
-        assert not life.left_at, "sent for a client that has gone"
-        assert not life.answer.ends, "rule 1: sent after the end"
-        assert call.attempt.endpoint_id not in self.draining_since, "rule 3: sent to a server that drains"
-        if life.ran_at and life.effect is not io.Idempotency.IDEMPOTENT:
-            assert life.effect is io.Idempotency.WITH_KEY, "rule 2: sent again though it may have run"
+        observed = self.observed[call.record.id]
+        assert not observed.left_at_us, "sent for a client that has left"
+        assert not observed.answer.ends, "rule 1: sent after the end"
+        assert call.attempt.endpoint_id not in self.draining_since_us, "rule 3: sent to a draining endpoint"
+        if observed.executed_at_us and observed.effect is not io.Idempotency.IDEMPOTENT:
+            assert observed.effect is io.Idempotency.WITH_KEY, "rule 2: sent again though it may have run"
             window = self.core.settings.classes[0].deduplication_window_us
-            assert self.now - life.ran_at <= window + 1_000, "rule 2: sent again after its window"
-        call.sent_at, call.reached = self.now, reached
-        if reached:
-            life.held_since = 0
+            assert self.now - observed.executed_at_us <= window + 1_000, "rule 2: sent again after its window"
+        call.sent_at_us, call.has_arrived = self.now, has_arrived
+        if has_arrived:
+            observed.reserved_since_us = 0
 
     def ended(self, call: Call, ended: AttemptResult) -> None:
-        """The truth after an attempt."""
-        life = self.lives[call.record.id]
-        if life.holds and call.reached and not call.streams:
-            life.held_since = self.now
+        """Update the model at the end of an attempt."""
+        observed = self.observed[call.record.id]
+        if observed.is_reserved and call.has_arrived and not call.streams:
+            observed.reserved_since_us = self.now
         proven = ended.status in (io.Status.CONNECT_FAILED, io.Status.ABANDONED, io.Status.AT_CAPACITY)
         may_run = ended.status is io.Status.TIMEOUT if call.attempt.is_prefill else not proven
-        if call.sent_at and may_run and not life.ran_at:
-            life.ran_at = call.sent_at
+        if call.sent_at_us and may_run and not observed.executed_at_us:
+            observed.executed_at_us = call.sent_at_us
 
-    def hold_state(self, call: Call) -> None:
-        """A read has ended well at its engine."""
-        life = self.lives[call.record.id]
-        life.holds, life.held_since = True, self.now
+    def leave_state(self, call: Call) -> None:
+        """A prefill has ended well at its engine."""
+        observed = self.observed[call.record.id]
+        observed.is_reserved, observed.reserved_since_us = True, self.now
 
-    def waits(self, request: int) -> bool:
-        """Whether an attempt at a writer waits for the request's state."""
+    def is_awaited(self, request: int) -> bool:
+        """Whether a decode attempt waits for the KV state of the request."""
         return any(
-            not call.over and call.reached and not call.attempt.is_prefill
+            not call.over and call.has_arrived and not call.attempt.is_prefill
             for call in self.calls
             if call.record.id == request
         )
 
-    def let_go(self, request: int) -> None:
-        life = self.lives[request]
-        if not self.waits(request):
-            life.holds, life.held_since = False, 0
+    def free(self, request: int) -> None:
+        observed = self.observed[request]
+        if not self.is_awaited(request):
+            observed.is_reserved, observed.reserved_since_us = False, 0
 
-    def release(self, server: int, record: RequestRecord, unsure: bool = False) -> None:
-        self.let_go(record.id)
+    def release(self, endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
+        self.free(record.id)
         if unsure:
-            after = self.core.settings.release_within_us / 2 / US
-            asyncio.get_running_loop().call_later(after, self.let_go, record.id)
+            after = self.core.settings.release_within_us / 2 / US_PER_S
+            asyncio.get_running_loop().call_later(after, self.free, record.id)
 
-    def release_later(self, server: int, record: RequestRecord) -> None: ...
+    def release_later(self, endpoint_id: int, record: RequestRecord) -> None: ...
 
     def cancel_release(self, record: RequestRecord) -> None: ...
 
-    def reserve(self, server: int, record: RequestRecord, attempt: Attempt) -> None: ...
+    def reserve(self, endpoint_id: int, record: RequestRecord, attempt: Attempt) -> None: ...
 
-    def check_health(self, server: int, done: Callable[[io.HealthCheckResult], None]) -> None: ...
+    def check_health(self, endpoint_id: int, done: Callable[[io.HealthCheckResult], None]) -> None: ...
 
-    def close_idle_connections(self, server: int) -> None: ...
+    def close_idle_connections(self, endpoint_id: int) -> None: ...
 
 
 class Source:
@@ -273,7 +274,7 @@
     def fetch(self) -> None: ...
 
 
-class Orders(RuleBasedStateMachine):
+class CoreMachine(RuleBasedStateMachine):
     """The core between clients and engines that do what they like."""
 
     def __init__(self) -> None:
@@ -284,10 +285,10 @@
             lambda loop, context: self.errors.append(context.get("exception") or context)
         )
         self.patch = pytest.MonkeyPatch()
-        self.patch.setattr(timers, "now_us", lambda: round(self.loop.moment * US))
+        self.patch.setattr(timers, "now_us", lambda: round(self.loop.moment * US_PER_S))
 
-    def guard(self, core: Core) -> None:
-        """A machine without one of the core's guards takes it out here."""
+    def remove_guard(self, core: Core) -> None:
+        """Overridden where the core is to lack one of its guards."""
 
     @initialize(
         effect=st.sampled_from(list(io.Idempotency)),
@@ -307,14 +308,14 @@
             replace(base, classes=classes),
             7,
             "n",
-            CoreLimits(answer_ahead=20_000),
+            CoreLimits(answer_lead_us=20_000),
             ConcurrencyLimits(64, 64, 64),
         )
         self.engines = Engines(self.core)
         self.core.engines, self.core.source = self.engines, Source()
-        self.tickets: dict[int, Any] = {}
-        self.guard(self.core)
-        self.do(self.core.dispatch, io.EndpointListUpdate(io.UpdateKind.FULL, 1, SERVERS))
+        self.handles: dict[int, RequestHandle] = {}
+        self.remove_guard(self.core)
+        self.do(self.core.dispatch, io.EndpointListUpdate(io.UpdateKind.FULL, 1, ENDPOINTS))
 
     def do(self, what: Callable[..., Any], *arguments: Any) -> None:
         self.loop.call_soon(what, *arguments)
@@ -329,31 +330,35 @@
                 else AssertionError(self.errors[0])
             )
 
-    def one(self, number: int, among: list[Any]) -> Any:
+    def pick(self, number: int, among: list[Any]) -> Any:
         return among[number % len(among)]
 
-    def out(self, **wanted: bool) -> list[Call]:
+    def calls_out(self, **wanted: bool) -> list[Call]:
         """Attempts that are out, with these properties."""
         calls = [call for call in self.engines.calls if not call.over]
-        if "sent" in wanted:
-            calls = [call for call in calls if bool(call.sent_at) is wanted["sent"]]
-        if "reached" in wanted:
-            calls = [call for call in calls if call.reached is wanted["reached"]]
-        if "reading" in wanted:
-            calls = [call for call in calls if call.attempt.is_prefill is wanted["reading"]]
+        if "is_sent" in wanted:
+            calls = [call for call in calls if bool(call.sent_at_us) is wanted["is_sent"]]
+        if "has_arrived" in wanted:
+            calls = [call for call in calls if call.has_arrived is wanted["has_arrived"]]
+        if "is_prefill" in wanted:
+            calls = [call for call in calls if call.attempt.is_prefill is wanted["is_prefill"]]
         return calls
 
-    def waiting(self) -> list[int]:
+    def awaited_requests(self) -> list[int]:
         """Requests whose clients still wait, or read."""
-        return [n for n, life in self.engines.lives.items() if not life.left_at and not life.answer.ends]
-
-    @rule(budget=st.sampled_from(BUDGETS_US), prefix=st.integers(1, 3))
-    def ask(self, budget: int, prefix: int) -> None:
+        return [
+            n
+            for n, observed in self.engines.observed.items()
+            if not observed.left_at_us and not observed.answer.ends
+        ]
+
+    @rule(deadline_us=st.sampled_from(DEADLINES_US), prefix=st.integers(1, 3))
+    def submit_request(self, deadline_us: int, prefix: int) -> None:
         def submit() -> None:
             answer, now = Answer(), self.core.now()
             number = self.core.table._next_id
-            life = Life(answer, self.core.settings.classes[0].idempotency, now + budget)
-            self.engines.lives[number] = life
+            observed = ObservedRequest(answer, self.core.settings.classes[0].idempotency, now + deadline_us)
+            self.engines.observed[number] = observed
             ask = ClientRequest(
                 "plain",
                 "prompt",
@@ -363,39 +368,44 @@
                 1_000,
                 800,
                 200,
-                first_token_deadline_us=now + budget,
+                first_token_deadline_us=now + deadline_us,
                 payload=object(),
-                is_disconnected=lambda: bool(life.left_at),
+                is_disconnected=lambda: bool(observed.left_at_us),
             )
-            self.tickets[number] = self.core.submit(ask, answer)
+            self.handles[number] = self.core.submit(ask, answer)
 
         self.do(submit)
 
-    @rule(budget=st.sampled_from(BUDGETS_US[1:]), prefix=st.integers(1, 3))
-    def ask_and_read(self, budget: int, prefix: int) -> None:
-        """A request whose prompt is read at once, so that many get as far as a writer."""
-        self.ask(budget, prefix)
+    @rule(deadline_us=st.sampled_from(DEADLINES_US[1:]), prefix=st.integers(1, 3))
+    def submit_and_prefill(self, deadline_us: int, prefix: int) -> None:
+        """A request whose prompt is prefilled at once, so that many get as far as decoding."""
+        self.submit_request(deadline_us, prefix)
         call = next(
             (
                 call
-                for call in self.out(sent=False, reading=True)
-                if call.record.id == max(self.engines.lives)
+                for call in self.calls_out(is_sent=False, is_prefill=True)
+                if call.record.id == max(self.engines.observed)
             ),
             None,
         )
         if call:
             self.do(self.engines.send, call, True)
-            self.read_ends(call, False)
+            self.end_prefill(call, False)
 
     @rule(prefix=st.integers(1, 3))
-    def a_read_breaks_and_the_next_connection_comes_up_late(self, prefix: int) -> None:
+    def prefill_breaks_and_the_next_connection_is_late(self, prefix: int) -> None:
         """What may have run is tried anew, on a connection that comes up when the window for repeats is
         over.
         """
-        self.ask(BUDGETS_US[-1], prefix)
+        self.submit_request(DEADLINES_US[-1], prefix)
         for breaks in (True, False):
             call = next(
-                (call for call in self.out(sent=False) if call.record.id == max(self.engines.lives)), None
+                (
+                    call
+                    for call in self.calls_out(is_sent=False)
+                    if call.record.id == max(self.engines.observed)
+                ),
+                None,
             )
             if call is None:
                 return
@@ -405,23 +415,23 @@
             if breaks:
                 self.do(call.end, AttemptResult(io.Status.RESET, "failed"))
 
-    @precondition(lambda self: self.waiting())
+    @precondition(lambda self: self.awaited_requests())
     @rule(number=st.integers(0, 9), unread=st.booleans())
     def client_leaves(self, number: int, unread: bool) -> None:
         """Its end is read at once, or only found when the next attempt would begin."""
-        request = self.one(number, self.waiting())
-        self.engines.lives[request].left_at = self.core.now()
+        request = self.pick(number, self.awaited_requests())
+        self.engines.observed[request].left_at_us = self.core.now()
         if not unread:
-            self.do(self.tickets[request].disconnected, "left")
+            self.do(self.handles[request].disconnected, "left")
 
-    @precondition(lambda self: self.engines.lives)
+    @precondition(lambda self: self.engines.observed)
     @rule(number=st.integers(0, 9))
-    def an_end_is_told_again(self, number: int) -> None:
+    def ends_are_reported_again(self, number: int) -> None:
         """Releases, cancels and ends that come twice, in any order."""
-        request = self.one(number, list(self.engines.lives))
-        life = self.engines.lives[request]
-        if life.left_at:
-            self.do(self.tickets[request].disconnected, "left once more")
+        request = self.pick(number, list(self.engines.observed))
+        observed = self.engines.observed[request]
+        if observed.left_at_us:
+            self.do(self.handles[request].disconnected, "left once more")
         for call in self.engines.calls:
             if call.over and call.record.id == request:
                 self.do(call.cancel, io.Status.CANCELLED)
@@ -431,37 +441,38 @@
                     call.attempt,
                     AttemptResult(io.Status.RESET, "once more"),
                 )
-        if life.answer.ends or life.left_at:
+        if observed.answer.ends or observed.left_at_us:
             self.do(self.core.release, io.Release(request))
 
-    @precondition(lambda self: self.out(sent=False))
-    @rule(number=st.integers(0, 9), reached=st.sampled_from([True, True, False]))
-    def a_connection_comes_up(self, number: int, reached: bool) -> None:
-        self.do(self.engines.send, self.one(number, self.out(sent=False)), reached)
+    @precondition(lambda self: self.calls_out(is_sent=False))
+    @rule(number=st.integers(0, 9), has_arrived=st.sampled_from([True, True, False]))
+    def connection_comes_up(self, number: int, has_arrived: bool) -> None:
+        self.do(self.engines.send, self.pick(number, self.calls_out(is_sent=False)), has_arrived)
 
-    @precondition(lambda self: self.out(sent=False))
+    @precondition(lambda self: self.calls_out(is_sent=False))
     @rule(number=st.integers(0, 9))
-    def a_connection_comes_up_late(self, number: int) -> None:
-        call = self.one(number, self.out(sent=False))
+    def connection_comes_up_late(self, number: int) -> None:
+        call = self.pick(number, self.calls_out(is_sent=False))
         self.time_passes(0.21)
         self.do(self.engines.send, call, True)
 
-    @precondition(lambda self: self.out(sent=False))
+    @precondition(lambda self: self.calls_out(is_sent=False))
     @rule(number=st.integers(0, 9))
-    def a_connection_is_refused(self, number: int) -> None:
+    def connection_is_refused(self, number: int) -> None:
         self.do(
-            self.one(number, self.out(sent=False)).end, AttemptResult(io.Status.CONNECT_FAILED, "refused")
+            self.pick(number, self.calls_out(is_sent=False)).end,
+            AttemptResult(io.Status.CONNECT_FAILED, "refused"),
         )
 
-    @precondition(lambda self: self.out(reached=True, reading=True))
+    @precondition(lambda self: self.calls_out(has_arrived=True, is_prefill=True))
     @rule(number=st.integers(0, 9), broke=st.booleans())
-    def a_read_ends(self, number: int, broke: bool) -> None:
-        """Well, and told; or well, just as its connection broke."""
-        self.read_ends(self.one(number, self.out(reached=True, reading=True)), broke)
+    def prefill_ends(self, number: int, broke: bool) -> None:
+        """Well, and reported; or well, just as its connection breaks."""
+        self.end_prefill(self.pick(number, self.calls_out(has_arrived=True, is_prefill=True)), broke)
 
-    def read_ends(self, call: Call, broke: bool) -> None:
+    def end_prefill(self, call: Call, broke: bool) -> None:
         def end() -> None:
-            self.engines.hold_state(call)
+            self.engines.leave_state(call)
             if broke:
                 call.end(AttemptResult(io.Status.RESET, "broke as it ended"))
             else:
@@ -472,34 +483,34 @@
 
         self.do(end)
 
-    @precondition(lambda self: self.out(sent=True))
+    @precondition(lambda self: self.calls_out(is_sent=True))
     @rule(
         number=st.integers(0, 9),
         status=st.sampled_from([io.Status.RESET, io.Status.ERROR, io.Status.AT_CAPACITY]),
-        gone=st.booleans(),
+        is_state_lost=st.booleans(),
     )
-    def an_attempt_fails(self, number: int, status: io.Status, gone: bool) -> None:
-        call = self.one(number, self.out(sent=True))
+    def attempt_fails(self, number: int, status: io.Status, is_state_lost: bool) -> None:
+        call = self.pick(number, self.calls_out(is_sent=True))
         if call.streams and status is io.Status.AT_CAPACITY:
             return
-        if status is not io.Status.RESET and not call.reached:
+        if status is not io.Status.RESET and not call.has_arrived:
             return
-        lost = gone and status is io.Status.AT_CAPACITY and not call.attempt.is_prefill
+        lost = is_state_lost and status is io.Status.AT_CAPACITY and not call.attempt.is_prefill
         if lost:
-            self.engines.lives[call.record.id].holds = False  # Its word is right.
+            self.engines.observed[call.record.id].is_reserved = False  # The engine reports the truth.
         self.do(call.end, AttemptResult(status, "failed", lost, is_confirmed=status is not io.Status.RESET))
 
-    @precondition(lambda self: self.out(reached=True, reading=False))
+    @precondition(lambda self: self.calls_out(has_arrived=True, is_prefill=False))
     @rule(number=st.integers(0, 9), last=st.booleans())
-    def a_stream_goes_on(self, number: int, last: bool) -> None:
-        call = self.one(number, self.out(reached=True, reading=False))
-        life = self.engines.lives[call.record.id]
+    def stream_continues(self, number: int, last: bool) -> None:
+        call = self.pick(number, self.calls_out(has_arrived=True, is_prefill=False))
+        observed = self.engines.observed[call.record.id]
 
         def go() -> None:
             call.streams = True
-            life.holds, life.held_since = False, 0
+            observed.is_reserved, observed.reserved_since_us = False, 0
             if self.core.output_arrived(call.record, call.attempt):
-                life.answer.events()
+                observed.answer.events()
             if last and not call.over:
                 call.record.finish_reason = FinishReason.STOP
                 call.end(AttemptResult(io.Status.OK, is_confirmed=True))
@@ -508,65 +519,73 @@
 
     @rule(seconds=st.sampled_from([0.01, 0.15, 0.3, 0.3, 0.7, 2.5]))
     def time_passes(self, seconds: float) -> None:
-        self.loop.advance(seconds, self.nothing_is_held_too_long)
+        self.loop.advance(seconds, self.check_no_state_is_reserved_too_long)
         self.raise_errors()
 
-    @rule(server=st.integers(1, 15), ready=st.booleans())
-    def the_list_changes(self, server: int, ready: bool) -> None:
-        if server > len(SERVERS):  # Rarely, lest no request come far.
+    @rule(endpoint_id=st.integers(1, 15), ready=st.booleans())
+    def endpoint_list_changes(self, endpoint_id: int, ready: bool) -> None:
+        if endpoint_id > len(ENDPOINTS):  # Rarely, lest no request come far.
             return
-        info = SERVERS[server - 1]
+        info = ENDPOINTS[endpoint_id - 1]
         if ready:
-            self.engines.draining_since.pop(server, None)
+            self.engines.draining_since_us.pop(endpoint_id, None)
         else:
-            self.engines.draining_since.setdefault(server, self.core.now())
+            self.engines.draining_since_us.setdefault(endpoint_id, self.core.now())
         state = io.EndpointState.READY if ready else io.EndpointState.DRAINING
         self.do(
             self.core.dispatch, io.EndpointListUpdate(io.UpdateKind.DELTA, 2, (replace(info, state=state),))
         )
 
     @rule(chance=st.integers(0, 9))
-    def the_node_ends(self, chance: int) -> None:
+    def node_shuts_down(self, chance: int) -> None:
         """Rarely: its streams are handed back, or its grace is over."""
         if chance < 2:
             self.do((self.core.migrate_streams, self.core.conclude_open_requests)[chance])
 
     @invariant()
     def each_request_has_one_end(self) -> None:
-        for number, life in getattr(self, "engines", Engines).__dict__.get("lives", {}).items():
-            assert len(life.answer.ends) <= 1, f"rule 1: {number} was answered {life.answer.ends}"
-            if "refused" in life.answer.ends and life.ran_at:
+        for number, observed in getattr(self, "engines", Engines).__dict__.get("observed", {}).items():
+            assert len(observed.answer.ends) <= 1, f"rule 1: {number} was answered {observed.answer.ends}"
+            if "rejected" in observed.answer.ends and observed.executed_at_us:
                 scope = self.core.settings.classes[0].idempotency_scope
-                harmless = life.effect is io.Idempotency.IDEMPOTENT or (
-                    life.effect is io.Idempotency.WITH_KEY and scope is io.IdempotencyScope.ALL
+                harmless = observed.effect is io.Idempotency.IDEMPOTENT or (
+                    observed.effect is io.Idempotency.WITH_KEY and scope is io.IdempotencyScope.ALL
                 )
-                assert harmless, f"rule 2: {number} was refused though it may have run"
-
-    def nothing_is_held_too_long(self) -> None:
-        allowed = self.core.settings.release_within_us + SLACK_US
-        for number, life in self.engines.lives.items():
-            held = life.holds and life.held_since and self.core.now() - life.held_since
-            assert not held or held <= allowed, f"rule 5: {number} has been held for {held} us"
+                assert harmless, f"rule 2: {number} was rejected though it may have executed"
+
+    def check_no_state_is_reserved_too_long(self) -> None:
+        allowed_us = self.core.settings.release_within_us + RELEASE_SLACK_US
+        for number, observed in self.engines.observed.items():
+            reserved_us = (
+                observed.is_reserved
+                and observed.reserved_since_us
+                and self.core.now() - observed.reserved_since_us
+            )
+            assert not reserved_us or reserved_us <= allowed_us, (
+                f"rule 5: {number} has been reserved for {reserved_us} us"
+            )
 
     def teardown(self) -> None:
         try:
             if hasattr(self, "core") and not self.errors:
-                self.loop.advance(10.0, self.nothing_is_held_too_long)
+                self.loop.advance(10.0, self.check_no_state_is_reserved_too_long)
                 self.raise_errors()
-                for number, life in self.engines.lives.items():
-                    assert life.answer.ends or life.left_at or life.answer.begun, (
+                for number, observed in self.engines.observed.items():
+                    assert observed.answer.ends or observed.left_at_us or observed.answer.begun, (
                         f"rule 1: {number} has no answer"
                     )
                 self.do(self.core.close)
                 self.do(self.core.close)
-                self.loop.advance(1.0, self.nothing_is_held_too_long)
+                self.loop.advance(1.0, self.check_no_state_is_reserved_too_long)
                 self.raise_errors()
                 assert not self.core.table.open and not self.core.router.in_flight, "requests left"
                 assert len(self.core.timers) == 0, "timers left"
                 assert not any(
                     seat.waiting or seat.streams for seat in self.core.router.endpoints.values()
                 ), "books left open"
-                assert not any(life.holds for life in self.engines.lives.values()), "states left"
+                assert not any(observed.is_reserved for observed in self.engines.observed.values()), (
+                    "states left"
+                )
         finally:
             self.patch.undo()
             self.loop.close()
@@ -582,20 +601,20 @@
 )
 
 
-def test_every_order_of_endings_keeps_the_rules() -> None:
-    run_state_machine_as_test(Orders, settings=FAST)
+def test_every_order_of_ends_keeps_the_rules() -> None:
+    run_state_machine_as_test(CoreMachine, settings=FAST)
 
 
-def leases_never_expire(core: Core) -> None:
+def without_lease_expiry(core: Core) -> None:
     core.leases.expire = lambda record: None  # type: ignore[method-assign]
 
 
-def leases_never_start(core: Core) -> None:
+def without_lease_start(core: Core) -> None:
     core.leases.restart = lambda record: None  # type: ignore[method-assign]
 
 
-def write_counts_as_arrival(core: Core) -> None:
-    """The fault of the incident: bytes that were written stop the lease."""
+def with_write_as_arrival(core: Core) -> None:
+    """Bytes that were written stop the lease, though nobody may ever read them."""
     expire = core.leases.expire
 
     def unless_written(record: RequestRecord) -> None:
@@ -605,59 +624,66 @@
     core.leases.expire = unless_written  # type: ignore[method-assign]
 
 
-def always_wanted(core: Core) -> None:
-    core.may_still_begin = lambda record, server: True  # type: ignore[method-assign]
+def without_check_on_connection(core: Core) -> None:
+    core.may_still_begin = lambda record, endpoint_id: True  # type: ignore[method-assign]
 
 
-def windows_forgotten(core: Core) -> None:
+def without_deduplication_window(core: Core) -> None:
     class_of = core.class_of
     core.class_of = lambda record: replace(class_of(record), idempotency=io.Idempotency.IDEMPOTENT)  # type: ignore[method-assign]
 
 
-def reads_break_unseen(core: Core) -> None:
+def without_release_of_broken_prefills(core: Core) -> None:
     release = core.engines.release
 
-    def sure_only(server: int, record: RequestRecord, unsure: bool = False) -> None:
+    def release_if_sure(endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
         if not unsure:
-            release(server, record)
+            release(endpoint_id, record)
 
-    core.engines.release = sure_only  # type: ignore[method-assign]
+    core.engines.release = release_if_sure  # type: ignore[method-assign]
 
 
-def leavers_untold(core: Core) -> None:
+def without_disconnections(core: Core) -> None:
     core.client_disconnected = lambda record, reason: None  # type: ignore[method-assign]
     submit = core.submit
-    core.submit = lambda ask, answer: submit(replace(ask, is_disconnected=lambda: False), answer)  # type: ignore[method-assign]
+
+    def submit_as_connected(client_request: ClientRequest, response: ResponseWriter) -> RequestHandle:
+        return submit(replace(client_request, is_disconnected=lambda: False), response)
+
+    core.submit = submit_as_connected  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize(
-    "removed",
+    "removal",
     [
-        leases_never_expire,
-        leases_never_start,
-        write_counts_as_arrival,
-        always_wanted,
-        windows_forgotten,
-        reads_break_unseen,
-        leavers_untold,
+        without_lease_expiry,
+        without_lease_start,
+        with_write_as_arrival,
+        without_check_on_connection,
+        without_deduplication_window,
+        without_release_of_broken_prefills,
+        without_disconnections,
     ],
 )
-def test_a_core_without_a_guard_is_found_out(removed: Callable[[Core], None]) -> None:
-    class Unguarded(Orders):
-        def guard(self, core: Core) -> None:
-            removed(core)
+def test_core_without_a_guard_breaks_a_rule(removal: Callable[[Core], None]) -> None:
+    class Unguarded(CoreMachine):
+        def remove_guard(self, core: Core) -> None:
+            removal(core)
 
     thorough = examples(FAST, max_examples=1_000, phases=[Phase.generate])
     with pytest.raises((AssertionError, RuntimeError)):
         run_state_machine_as_test(Unguarded, settings=thorough)
 
 
-def test_a_release_while_an_attempt_waits_for_the_state_is_made_again_when_that_ends() -> None:
-    """Found by a longer run of the machine: what the release spared was then held by nobody's account."""
-    orders = Orders()
-    orders.start(io.Idempotency.IDEMPOTENT, may_cancel=False, connect_timeout=250_000)
-    orders.ask_and_read(1_500_000, 1)
-    orders.a_connection_comes_up(0, reached=True)
-    orders.client_leaves(0, unread=False)
-    orders.an_end_is_told_again(0)
-    orders.teardown()
+def test_release_is_repeated_when_the_attempt_that_the_state_was_spared_for_ends() -> None:
+    """A client leaves while a decode attempt waits for the KV state of its request. The release that follows
+    spares the state, since an attempt waits for it. When that attempt ended too, nobody knew of the state any
+    more, and the memory of the engine stayed reserved for good. So the core must release once more when the
+    attempt ends."""
+    machine = CoreMachine()
+    machine.start(io.Idempotency.IDEMPOTENT, may_cancel=False, connect_timeout=250_000)
+    machine.submit_and_prefill(1_500_000, 1)
+    machine.connection_comes_up(0, has_arrived=True)
+    machine.client_leaves(0, unread=False)
+    machine.ends_are_reported_again(0)
+    machine.teardown()
--- a/tests/node/test_line_file.py
+++ b/tests/node/test_line_file.py
@@ -1,6 +1,5 @@
-"""A file of whole lines: no half line stays, whatever failed or was killed, and what was told to be there
-is.
-"""
+"""A file of complete lines: no incomplete line stays, whatever fails or is killed, and what was reported is
+there."""
 
 from __future__ import annotations
 
@@ -28,7 +27,7 @@
 """
 
 
-def test_lines_are_appended_and_a_half_line_is_cut_off(tmp_path: Path) -> None:
+def test_append_cuts_off_an_incomplete_line(tmp_path: Path) -> None:
     path = tmp_path / "report"
     line_file.append(path, "one\ntwo\n")
     with path.open("a") as file:
@@ -37,7 +36,7 @@
     assert path.read_text() == "one\ntwo\nfour\n"
 
 
-def test_a_long_half_line_is_cut_off_too(tmp_path: Path) -> None:
+def test_append_cuts_off_an_incomplete_line_longer_than_a_block(tmp_path: Path) -> None:
     path = tmp_path / "report"
     path.write_text("one\n" + "x" * 200_000)
     line_file.append(path, "two\n")
@@ -48,21 +47,21 @@
 
 
 @pytest.mark.parametrize("call", ["pwrite", "fsync"])
-@pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
-def test_an_append_that_fails_leaves_the_file_without_it(
-    call: str, number: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
+def test_failed_append_leaves_the_file_as_it_was(
+    call: str, error: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "report"
     line_file.append(path, "one\n")
-    whole = getattr(os, call)
+    original = getattr(os, call)
 
-    def fails(descriptor: int, *arguments: object) -> None:
+    def fail(descriptor: int, *arguments: object) -> None:
         if call == "pwrite":
-            whole(descriptor, b"half a li", path.stat().st_size)
-        raise OSError(number, os.strerror(number))
+            original(descriptor, b"half a li", path.stat().st_size)
+        raise OSError(error, os.strerror(error))
 
-    monkeypatch.setattr(os, call, fails)
-    with pytest.raises(OSError, match=os.strerror(number)):
+    monkeypatch.setattr(os, call, fail)
+    with pytest.raises(OSError, match=os.strerror(error)):
         line_file.append(path, "two\n")
     monkeypatch.undo()
     assert path.read_text() == "one\n"
@@ -70,14 +69,16 @@
     assert path.read_text() == "one\ntwo\n"
 
 
-def test_writes_may_be_short(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    whole = os.pwrite
-    monkeypatch.setattr(os, "pwrite", lambda descriptor, data, at: whole(descriptor, data[:3], at))
+def test_append_completes_short_writes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    original = os.pwrite
+    monkeypatch.setattr(os, "pwrite", lambda descriptor, data, at: original(descriptor, data[:3], at))
     line_file.append(tmp_path / "report", "a longer line\n")
     assert (tmp_path / "report").read_text() == "a longer line\n"
 
 
-def test_a_writer_killed_at_any_moment_has_left_what_it_had_told_of(tmp_path: Path) -> None:
+def test_killed_writer_has_left_every_line_that_it_reported(tmp_path: Path) -> None:
+    """The node is killed while it appends to a report. Lines that it had reported as written must be
+    complete, and an incomplete last line must not spoil what the next node appends."""
     random, path = Random(3), tmp_path / "report"
     for _ in range(8):
         child = subprocess.Popen(
@@ -88,11 +89,11 @@
         for _ in range(random.randrange(1, 30)):
             child.stdout.readline()
         os.kill(child.pid, signal.SIGKILL)
-        told = child.stdout.read().split()
+        reported = child.stdout.read().split()
         child.wait()
         line_file.append(path, "again\n")
         found = path.read_text().splitlines()
         assert found[-1] == "again"
         assert all(line == "again" or line.endswith("x" * 3000) for line in found)
-        if told:
-            assert len(found) - 1 >= before + int(told[-1]) + 1
+        if reported:
+            assert len(found) - 1 >= before + int(reported[-1]) + 1
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -31,7 +31,7 @@
 from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
 from tuliptrack.routing.router import Router
 
-__all__ = ["Core"]
+__all__ = ["Core", "RequestHandle"]
 
 log = structlog.get_logger("node")
 
@@ -310,10 +310,10 @@
             if record.state is not RequestState.STREAMING:
                 continue
             if record.paused_at_us:
-                if now_us - record.paused_at_us > self.limits.client_stall:
+                if now_us - record.paused_at_us > self.limits.max_client_stall_us:
                     reason = "the client leaves its answer unread"
                     self.answers.break_stream(record, Failure.STALLED, reason, io.Status.CANCELLED)
-            elif now_us - record.last_output_at_us > self.limits.token_silence:
+            elif now_us - record.last_output_at_us > self.limits.max_token_silence_us:
                 reason = "the engine has gone silent in mid-stream"
                 self.answers.break_stream(record, Failure.BROKEN, reason, io.Status.RESET)
 
--- a/tuliptrack/node/counters.py
+++ b/tuliptrack/node/counters.py
@@ -1,6 +1,4 @@
-"""What a node counts of itself, for operators: events by name, and broken invariants with the request's own
-history.
-"""
+"""What a node counts of itself: events by name, and violated invariants with the request's steps."""
 
 from __future__ import annotations
 
@@ -13,58 +11,76 @@
 __all__ = ["Counters", "InvariantError", "RequestTrace"]
 
 log = structlog.get_logger("invariants")
-_MOST_STEPS = 48  # of one request's history; then the oldest are left out
-_MOST_KEPT = 64  # broken invariants that are kept for a look
+
+MAX_TRACE_STEPS = 48
+"""Steps of one request that are recorded; beyond it the oldest are left out."""
+
+MAX_RECORDED_VIOLATIONS = 64
+"""Violated invariants that are recorded; beyond it the oldest are left out."""
+
+US_PER_MS = 1000
 
 
 class InvariantError(AssertionError):
-    """An invariant was broken; raised only where `Counters.strict` asks for it, as tests do."""
+    """An invariant was violated; raised only where `Counters.strict` asks for it, as tests do."""
 
 
 class RequestTrace:
-    """The history of one request: what happened, with milliseconds since it came. Bound: `_MOST_STEPS`."""
+    """The steps of one request, each with the milliseconds since it came. Bound: `MAX_TRACE_STEPS`."""
 
-    __slots__ = ("_began", "_steps")
+    __slots__ = ("_began_at_us", "_steps")
 
-    def __init__(self, began: int) -> None:
-        self._began = began
-        self._steps: deque[tuple[int, str]] = deque(maxlen=_MOST_STEPS)
+    def __init__(self, began_at_us: int) -> None:
+        """Start without steps; times are monotonic microseconds."""
+        self._began_at_us = began_at_us
+        self._steps: deque[tuple[int, str]] = deque(maxlen=MAX_TRACE_STEPS)
 
-    def add(self, now: int, step: str) -> None:
-        """Note a step; `now` in monotonic microseconds."""
-        self._steps.append((now - self._began, step))
+    def add(self, now_us: int, step: str) -> None:
+        """Record a step."""
+        self._steps.append((now_us - self._began_at_us, step))
 
     def __str__(self) -> str:
-        return " | ".join(f"{at / 1000:.1f} {step}" for at, step in self._steps)
+        return " | ".join(f"{elapsed_us / US_PER_MS:.1f} {step}" for elapsed_us, step in self._steps)
 
 
 class Counters:
     """Counts by name. Names are few and fixed in the code, so they need no bound."""
 
     strict: bool = False
-    """Raise where an invariant is broken."""
+    """Raise where an invariant is violated."""
     watchers: list[Callable[[str], None]] = []  # noqa: RUF012  # Shared by design: tests look at every node of a process.
-    """Called with each broken invariant."""
+    """Called with each violated invariant."""
 
     def __init__(self) -> None:
-        self.values: Counter[str] = Counter()
-        self.broken: deque[str] = deque(maxlen=_MOST_KEPT)
+        """Start at zero."""
+        self.violations: deque[str] = deque(maxlen=MAX_RECORDED_VIOLATIONS)
+        """The latest violated invariants, each with its facts."""
+        self._values: Counter[str] = Counter()
 
     def add(self, name: str, count: int = 1) -> None:
         """Count an event."""
-        self.values[name] += count
+        self._values[name] += count
 
     def violated(self, invariant: str, trace: RequestTrace | None = None, **facts: Any) -> None:
-        """An invariant does not hold: it is counted and logged, with the request's history."""
+        """Count and log that an invariant does not hold.
+
+        Args:
+            invariant: its name.
+            trace: the steps of the request concerned.
+            **facts: what else is known, for the log.
+
+        Raises:
+            InvariantError: where `strict` is set.
+        """
         self.add(f"violations_{invariant}")
         log.error("invariant violated", invariant=invariant, steps=str(trace or ""), **facts)
         text = f"{invariant}: {facts} {trace or ''}"
-        self.broken.append(text)
+        self.violations.append(text)
         for watcher in self.watchers:
             watcher(text)
         if self.strict:
             raise InvariantError(text)
 
     def as_dict(self) -> dict[str, int]:
-        """All counts by name, in order."""
-        return dict(sorted(self.values.items()))
+        """Return all counts, ordered by name."""
+        return dict(sorted(self._values.items()))
--- a/tuliptrack/node/logs.py
+++ b/tuliptrack/node/logs.py
@@ -1,4 +1,4 @@
-"""Structured logging on standard error, as JSON lines or for people."""
+"""Structured logging on standard error, as JSON lines or as text for people."""
 
 from __future__ import annotations
 
@@ -8,53 +8,58 @@
 
 import structlog
 
-from tuliptrack.node.log_output import LogOutput
+from tuliptrack.node.log_output import CLOSED, LogOutput
 
 __all__ = ["lines_lost", "set_up"]
 
-_STANDARD_ERROR = 2
+STANDARD_ERROR = 2
+
 _outputs: list[LogOutput] = []
-"""The one that `set_up` made last, if it made any."""
+"""The output that `set_up` made last, if it made one."""
 
 
 def set_up(json_lines: bool, quiet: bool = False, colours: bool | None = None) -> None:
-    """Configure structlog for the process; `quiet` keeps warnings and worse; `colours` None: on a
-    terminal.
+    """Configure structlog for the process.
+
+    Args:
+        json_lines: log JSON, one object a line; else text.
+        quiet: log warnings and errors only.
+        colours: of text; None: on a terminal.
     """
-    renderer: structlog.typing.Processor = (
-        structlog.processors.JSONRenderer()
-        if json_lines
-        else structlog.dev.ConsoleRenderer(
-            colors=_on_a_terminal() if colours is None else colours,
-            exception_formatter=structlog.dev.plain_traceback,
-        )
-    )
-    chain: list[structlog.typing.Processor] = [
+    processors: list[structlog.typing.Processor] = [
         structlog.processors.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
     ]
     if json_lines:
-        chain.append(structlog.processors.format_exc_info)
+        processors += [structlog.processors.format_exc_info, structlog.processors.JSONRenderer()]
+    else:
+        processors.append(_text_renderer(_is_on_terminal() if colours is None else colours))
     structlog.configure(
-        processors=[*chain, renderer],
+        processors=processors,
         cache_logger_on_first_use=True,
         wrapper_class=structlog.make_filtering_bound_logger(logging.WARNING if quiet else logging.INFO),
         logger_factory=structlog.WriteLoggerFactory(file=_output()),
     )
 
 
+def lines_lost() -> int:
+    """Return how many lines could not be written since `set_up`."""
+    return sum(output.lost for output in _outputs)
+
+
+def _text_renderer(colours: bool) -> structlog.typing.Processor:
+    formatter = structlog.dev.plain_traceback
+    return structlog.dev.ConsoleRenderer(colors=colours, exception_formatter=formatter)
+
+
 def _output() -> TextIO:
-    """Standard error, by its descriptor; what took its place in this process, if anything has."""
+    """Standard error by its descriptor, or what has replaced it in this process."""
     if sys.stderr is not None and sys.stderr is not sys.__stderr__:
         return sys.stderr
-    _outputs[:] = [LogOutput(_STANDARD_ERROR if sys.stderr else -1)]
-    return cast(TextIO, _outputs[0])
-
-
-def lines_lost() -> int:
-    """Lines that could not be written since `set_up`."""
-    return sum(output.lost for output in _outputs)
+    output = LogOutput(STANDARD_ERROR if sys.stderr else CLOSED)
+    _outputs[:] = [output]
+    return cast(TextIO, output)
 
 
-def _on_a_terminal() -> bool:
+def _is_on_terminal() -> bool:
     return sys.stderr is not None and sys.stderr.isatty()
--- a/tuliptrack/node/request_reader.py
+++ b/tuliptrack/node/request_reader.py
@@ -1,5 +1,6 @@
-"""The router's view of what a client asks; what can't be a request is turned down by the field that is at
-fault.
+"""Turns what a client asks into a request of the router, and names the field of what can't be one.
+
+What the client left open is filled in: the tokens of its prompt, the maximum of its answer, its deadline.
 """
 
 from __future__ import annotations
@@ -13,124 +14,135 @@
 
 __all__ = ["CoreLimits", "RequestReader", "key"]
 
-_COUNTS = {
+TOKEN_COUNT_FIELDS = {
     "prompt_tokens": "prompt_tokens",
     "prefix_tokens": "prefix_tokens",
     "max_tokens": "max_tokens",
     "resume_index": "resume.next_index",
 }
-"""Fields of an `ClientRequest` that count tokens, and the names that clients know them by."""
-_NAME_SHOWN = 60  # characters of a name that an error repeats
+"""The token counts of a `ClientRequest`, and the names by which clients know them."""
+
+MAX_QUOTED_CHARACTERS = 60
+"""How much of a client's own text an error quotes."""
 
 
 def key(text: str) -> int:
-    """A 64-bit key that is the same at every node; 0 for no text."""
+    """Return a 64-bit key that is the same at every node; 0 for no text."""
     return (xxhash.xxh3_64_intdigest(text.encode()) or 1) if text else 0
 
 
 @dataclass(frozen=True, slots=True)
 class CoreLimits:
-    """Bounds and times of a node, whatever it speaks. Times in microseconds."""
+    """Bounds and times of a node, for all protocols."""
 
-    tokens: int = 1_048_576
+    max_tokens: int = 1_048_576
     """Of one prompt or answer."""
     bytes_per_token: float = 4.0
-    """To guess a prompt's tokens where they aren't told."""
-    answer_ahead: int = 50_000
-    """How long before the client's deadline the last answer leaves."""
-    client_stall: int = 30_000_000
+    """To estimate the tokens of a prompt where they are not given."""
+    answer_lead_us: int = 50_000
+    """How long before the deadline of its client the last answer leaves."""
+    max_client_stall_us: int = 30_000_000
     """How long a client may leave its answer unread."""
-    token_silence: int = 15_000_000
-    """How long a begun stream may bring nothing."""
+    max_token_silence_us: int = 15_000_000
+    """How long a stream that has begun may bring nothing."""
 
 
 class RequestReader:
-    """Turns what fronts have read into the router's requests."""
+    """Turns requests of clients into those of the router."""
 
     def __init__(self, settings: io.Settings, limits: CoreLimits) -> None:
-        self.settings, self.limits = settings, limits
-        self.classes = {one.name: number for number, one in enumerate(settings.classes)}
-        self.tenants = {one.name: number for number, one in enumerate(settings.tenants)}
+        """Index the classes and tenants of the settings by name."""
+        self._settings = settings
+        self._limits = limits
+        self._class_indices = {one.name: index for index, one in enumerate(settings.classes)}
+        self._tenant_indices = {one.name: index for index, one in enumerate(settings.tenants)}
 
-    def class_of(self, ask: ClientRequest) -> io.RequestClass:
-        """The class of something that was read."""
-        return self.settings.classes[self.classes[ask.request_class]]
+    def class_of(self, client_request: ClientRequest) -> io.RequestClass:
+        """Return the class of a request that was read."""
+        return self._settings.classes[self._class_indices[client_request.request_class]]
 
-    def read(self, ask: ClientRequest, now: int) -> io.Request:
-        """The request, without its number; AskError names the field that can't be taken. Fills in what the
-        client left open: the prompt's tokens and the most that an answer may have.
+    def read(self, client_request: ClientRequest, now_us: int) -> io.Request:
+        """Return the request of the router, still with the id 0; fill in `client_request`.
+
+        Raises:
+            InvalidRequestError: a field can't be accepted.
         """
-        number, tenant = self._class(ask), self._tenant(ask)
-        if not ask.prompt and ask.payload is None:
+        class_index = self._class_index(client_request)
+        tenant_index = self._tenant_index(client_request)
+        if not client_request.prompt and client_request.payload is None:
             raise InvalidRequestError("prompt", "is required")
-        self._check_counts(ask)
-        self._fill_in(ask)
-        self._check_resume(ask)
+        self._check_token_counts(client_request)
+        self._fill_in_token_counts(client_request)
+        self._check_resume(client_request)
+        resume_index = client_request.resume_index
+        session = client_request.session or client_request.prompt
         return io.Request(
-            0,
-            number,
-            self._time_left(ask, now),
-            float(ask.prompt_tokens + ask.resume_index),
-            float(ask.prefix_tokens),
-            float(ask.max_tokens - ask.resume_index),
-            key(f"{ask.tenant}\0{ask.session or ask.prompt}"),
-            key(ask.prefix),
-            tenant,
-            None,
-            ask.is_retry,
-            ask.is_resumed or ask.resume_index > 0,
+            request_id=0,
+            class_index=class_index,
+            time_left_us=self._time_left_us(client_request, now_us),
+            prompt_tokens=float(client_request.prompt_tokens + resume_index),
+            prefix_tokens=float(client_request.prefix_tokens),
+            max_tokens=float(client_request.max_tokens - resume_index),
+            session=key(f"{client_request.tenant}\0{session}"),
+            prefix=key(client_request.prefix),
+            tenant=tenant_index,
+            is_retry=client_request.is_retry,
+            is_resumed=client_request.is_resumed or resume_index > 0,
         )
 
-    def _class(self, ask: ClientRequest) -> int:
-        number = self.classes.get(ask.request_class)
-        if number is None:
-            raise InvalidRequestError(
-                "request_class", f"{ask.request_class[:_NAME_SHOWN]!r} is not among {sorted(self.classes)}"
-            )
-        return number
-
-    def _tenant(self, ask: ClientRequest) -> int:
-        tenant = self.tenants.get(ask.tenant)
-        if tenant is None and (self.tenants or ask.tenant):
-            raise InvalidRequestError("tenant", f"{ask.tenant[:_NAME_SHOWN]!r} is not known")
-        return tenant or 0
-
-    def _check_counts(self, ask: ClientRequest) -> None:
-        for name, field in _COUNTS.items():
-            count = getattr(ask, name)
-            if not 0 <= count <= self.limits.tokens:
-                raise InvalidRequestError(field, f"must be from 0 to {self.limits.tokens}, is {count}")
-
-    def _fill_in(self, ask: ClientRequest) -> None:
-        limits = self.limits
-        if not ask.prompt_tokens:
-            guess = round(len(ask.prompt.encode()) / limits.bytes_per_token)
-            ask.prompt_tokens = max(1, min(guess, limits.tokens))
-        if ask.prefix_tokens > ask.prompt_tokens:
-            raise InvalidRequestError(
-                "prefix_tokens", f"{ask.prefix_tokens} are more than the prompt's {ask.prompt_tokens}"
-            )
-        ask.max_tokens = ask.max_tokens or limits.tokens
-
-    def _check_resume(self, ask: ClientRequest) -> None:
-        if ask.resume_index and not self.settings.may_resume:
+    def answer_by_us(self, client_request: ClientRequest) -> int | None:
+        """Return by when an answer has to leave for the client's own deadline; None: it has none."""
+        deadline_us = client_request.first_token_deadline_us
+        if deadline_us is None:
+            deadline_us = client_request.deadline_us
+        return None if deadline_us is None else deadline_us - self._limits.answer_lead_us
+
+    def _class_index(self, client_request: ClientRequest) -> int:
+        name = client_request.request_class
+        index = self._class_indices.get(name)
+        if index is None:
+            quoted = name[:MAX_QUOTED_CHARACTERS]
+            known = sorted(self._class_indices)
+            raise InvalidRequestError("request_class", f"{quoted!r} is not among {known}")
+        return index
+
+    def _tenant_index(self, client_request: ClientRequest) -> int:
+        name = client_request.tenant
+        index = self._tenant_indices.get(name)
+        if index is None and (self._tenant_indices or name):
+            raise InvalidRequestError("tenant", f"{name[:MAX_QUOTED_CHARACTERS]!r} is not known")
+        return index or 0
+
+    def _check_token_counts(self, client_request: ClientRequest) -> None:
+        max_tokens = self._limits.max_tokens
+        for name, client_name in TOKEN_COUNT_FIELDS.items():
+            count = getattr(client_request, name)
+            if not 0 <= count <= max_tokens:
+                raise InvalidRequestError(client_name, f"must be from 0 to {max_tokens}, is {count}")
+
+    def _fill_in_token_counts(self, client_request: ClientRequest) -> None:
+        limits = self._limits
+        if not client_request.prompt_tokens:
+            estimate = round(len(client_request.prompt.encode()) / limits.bytes_per_token)
+            client_request.prompt_tokens = max(1, min(estimate, limits.max_tokens))
+        prefix_tokens, prompt_tokens = client_request.prefix_tokens, client_request.prompt_tokens
+        if prefix_tokens > prompt_tokens:
+            reason = f"{prefix_tokens} are more than the prompt's {prompt_tokens}"
+            raise InvalidRequestError("prefix_tokens", reason)
+        client_request.max_tokens = client_request.max_tokens or limits.max_tokens
+
+    def _check_resume(self, client_request: ClientRequest) -> None:
+        resume_index, max_tokens = client_request.resume_index, client_request.max_tokens
+        if resume_index and not self._settings.may_resume:
             raise InvalidRequestError("resume", "streams can't be resumed here")
-        if ask.resume_index >= ask.max_tokens:
-            raise InvalidRequestError(
-                "resume.next_index", f"{ask.resume_index} is past max_tokens {ask.max_tokens}"
-            )
-
-    def answer_by_us(self, ask: ClientRequest) -> int | None:
-        """By when an answer has to leave to arrive by the client's own deadline; None where it has none."""
-        by = ask.deadline_us if ask.first_token_deadline_us is None else ask.first_token_deadline_us
-        return None if by is None else by - self.limits.answer_ahead
-
-    def _time_left(self, ask: ClientRequest, now: int) -> int:
-        """Microseconds for the first token: by the client's own deadline, else by its class and the prompt's
-        length.
-        """
-        by = self.answer_by_us(ask)
-        if by is not None:
-            return max(by - now, 1)
-        cls = self.class_of(ask)
-        return cls.deadline_us + int(2 * cls.objective_us_per_1000_tokens * ask.prompt_tokens / 1000)
+        if resume_index >= max_tokens:
+            raise InvalidRequestError("resume.next_index", f"{resume_index} is past max_tokens {max_tokens}")
+
+    def _time_left_us(self, client_request: ClientRequest, now_us: int) -> int:
+        """The time for a first token, by the client's deadline, else by class and length of prompt."""
+        answer_by_us = self.answer_by_us(client_request)
+        if answer_by_us is not None:
+            return max(answer_by_us - now_us, 1)
+        request_class = self.class_of(client_request)
+        objective_us = request_class.objective_us_per_1000_tokens * client_request.prompt_tokens / 1000
+        return request_class.deadline_us + int(2 * objective_us)
--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -77,7 +77,7 @@
             config.settings,
             config.seed or random.getrandbits(63),
             config.name,
-            CoreLimits(answer_ahead=20_000, token_silence=_SILENCE),
+            CoreLimits(answer_lead_us=20_000, max_token_silence_us=_SILENCE),
             ConcurrencyLimits(min(config.open_requests, clients), clients, 1),
         )
         idle = config.idle or 15_000_000
