--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -317,14 +317,14 @@
                 reason = "the engine has gone silent in mid-stream"
                 self.answers.break_stream(record, Failure.BROKEN, reason, io.Status.RESET)
 
-    def conclude_open_requests(self, since: int = 0) -> None:
-        """The drain grace is over: give requests accepted since then their final answers.
+    def conclude_open_requests(self, accepted_since_us: int = 0) -> None:
+        """The drain grace is over: give open requests their final answers.
 
         Args:
-            since: in monotonic microseconds.
+            accepted_since_us: a monotonic time.
         """
         for record in list(self.table.open.values()):
-            if record.accepted_at_us >= since:
+            if record.accepted_at_us >= accepted_since_us:
                 self.answers.conclude_at_shutdown(record)
 
     def migrate_streams(self) -> None:
--- a/tuliptrack/node/counters.py
+++ b/tuliptrack/node/counters.py
@@ -8,6 +8,8 @@
 
 import structlog
 
+from tuliptrack.node.timers import US_PER_MS
+
 __all__ = ["Counters", "InvariantError", "RequestTrace"]
 
 log = structlog.get_logger("invariants")
@@ -18,8 +20,6 @@
 MAX_RECORDED_VIOLATIONS = 64
 """Violated invariants that are recorded; beyond it the oldest are left out."""
 
-US_PER_MS = 1000
-
 
 class InvariantError(AssertionError):
     """An invariant was violated; raised only where `Counters.strict` asks for it, as tests do."""
--- a/tuliptrack/node/kv_state_leases.py
+++ b/tuliptrack/node/kv_state_leases.py
@@ -9,7 +9,7 @@
 
 Nothing is released beside a prefill that has not been answered: engines do not spare a state whose prefill is
 still running (see `docs/incidents/silent-connections.md`). What that prefill may leave is released when the
-prefill is given up.
+prefill is cancelled.
 
 Inputs: the ends of attempts, with what is known of their delivery. All times are monotonic microseconds.
 """
@@ -24,14 +24,13 @@
 from tuliptrack.node.attempt_state import has_arrived
 from tuliptrack.node.port import AttemptResult, EngineClient
 from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
+from tuliptrack.node.timers import US_PER_S
 
 if TYPE_CHECKING:
     from tuliptrack.node.counters import Counters
 
 __all__ = ["KvStateLeases"]
 
-US_PER_S = 1_000_000
-
 TIMER_TOLERANCE_US = 1_000
 """The event loop may fire a timer this much early."""
 
--- a/tuliptrack/node/port.py
+++ b/tuliptrack/node/port.py
@@ -58,22 +58,22 @@
     """How long a release may take to its engine, where the time for which a state may stay reserved has no
     margin for that."""
 
-    def is_reachable(self, server: int) -> bool:
+    def is_reachable(self, endpoint_id: int) -> bool:
         """Return whether a list has named an address of this endpoint."""
 
-    def start(self, record: RequestRecord, attempt: Attempt, timeout: int) -> AttemptCall:
-        """Make an attempt, for which the node will wait `timeout` microseconds."""
+    def start(self, record: RequestRecord, attempt: Attempt, timeout_us: int) -> AttemptCall:
+        """Make an attempt, for which the node will wait `timeout_us`."""
 
-    def release(self, server: int, record: RequestRecord, unsure: bool = False) -> None:
+    def release(self, endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
         """Release what is reserved for a request and no attempt waits for.
 
         Args:
-            server: the endpoint that is asked; again until the engine was reached.
+            endpoint_id: the endpoint that is asked; again until the engine was reached.
             record: the request.
             unsure: a prefill was broken off and may still end well, so that one release may be too early.
         """
 
-    def release_later(self, server: int, record: RequestRecord) -> None:
+    def release_later(self, endpoint_id: int, record: RequestRecord) -> None:
         """Release what an engine may still come to reserve for a request that is over.
 
         An attempt there ended unconfirmed. The engine is asked until it answers.
@@ -82,11 +82,11 @@
     def cancel_release(self, record: RequestRecord) -> None:
         """Send no more releases: what is reserved now is newer, or an answer has used it up."""
 
-    def reserve(self, server: int, record: RequestRecord, attempt: Attempt) -> None:
+    def reserve(self, endpoint_id: int, record: RequestRecord, attempt: Attempt) -> None:
         """Ask for capacity; the answer goes to `Core.reservation_answered`."""
 
-    def check_health(self, server: int, done: Callable[[HealthCheckResult], None]) -> None:
+    def check_health(self, endpoint_id: int, done: Callable[[HealthCheckResult], None]) -> None:
         """Check an endpoint and call `done` with the result."""
 
-    def close_idle_connections(self, server: int) -> None:
+    def close_idle_connections(self, endpoint_id: int) -> None:
         """Close idle connections to an endpoint."""
--- a/tuliptrack/node/request_log.py
+++ b/tuliptrack/node/request_log.py
@@ -5,13 +5,12 @@
 import structlog
 
 from tuliptrack.node.requests import RequestRecord
+from tuliptrack.node.timers import US_PER_MS
 
 __all__ = ["log_request"]
 
 log = structlog.get_logger("node")
 
-US_PER_MS = 1000
-
 
 def log_request(record: RequestRecord, now_us: int) -> None:
     """Log how a request ended, with its steps and its times in milliseconds."""
--- a/tuliptrack/node/timers.py
+++ b/tuliptrack/node/timers.py
@@ -8,8 +8,9 @@
 
 from tuliptrack.rpc.clock import now_us
 
-__all__ = ["US_PER_S", "NodeClock", "TimerSet"]
+__all__ = ["US_PER_MS", "US_PER_S", "NodeClock", "TimerSet"]
 
+US_PER_MS = 1_000
 US_PER_S = 1_000_000
 
 Arguments = TypeVarTuple("Arguments")
