--- a/tests/fronts/test_kserve.py
+++ b/tests/fronts/test_kserve.py
@@ -78,7 +78,7 @@
             stream.ask("1")
             stream.ask("2")
             await until(lambda: len(stream.text) == 2)
-            w.node.admission.limits = type(w.node.admission.limits)(2, 20, 20)  # no room for the third
+            w.node.concurrency.limits = type(w.node.concurrency.limits)(2, 20, 20)  # no room for the third
             stream.ask("3")
             await until(lambda: "3" in stream.errors)
             assert (
@@ -86,7 +86,7 @@
                 and "harmless" in stream.errors["3"]
             )
             assert stream.facts["3"]["error"] == "REFUSED" and stream.facts["3"]["retry_after_ms"] > 0
-            w.node.admission.limits = type(w.node.admission.limits)(1000, 1000, 1000)
+            w.node.concurrency.limits = type(w.node.concurrency.limits)(1000, 1000, 1000)
             stream.ask("4")
             await until(lambda: all(stream.finals.get(n) for n in "124"))
             for name in ("w0", "w1"):
@@ -110,9 +110,9 @@
             gone = {row["request"] for row in w.seen("gone", kind="write")}
             assert len(gone) >= 5  # the fifth, and those that the client left
             assert (
-                w.node.admission.in_flight == 0
-                and not w.node.admission.by_tenant
-                and not w.node.admission.by_connection
+                w.node.concurrency.in_flight == 0
+                and not w.node.concurrency.by_tenant
+                and not w.node.concurrency.by_connection
             )
 
     run(go, virtual=True)
@@ -450,7 +450,9 @@
             one.generate("q1 what?")
             status, got = await one.answer()
             assert status == 502 and got["kind"] == "BROKEN"
-            w.node.admission.limits = type(w.node.admission.limits)(0, 1, 1)  # full: known from the headers
+            w.node.concurrency.limits = type(w.node.concurrency.limits)(
+                0, 1, 1
+            )  # full: known from the headers
             one.send("POST", "/v2/models/m/generate", b"", "expect: 100-continue", "x: y")
             status, headers = await one.head()
             assert status == 503 and headers["retry-after"] == "1" and headers["connection"] == "close"
@@ -547,11 +549,11 @@
 def test_a_large_body_is_refused_before_it_is_read_where_the_node_is_full() -> None:
     async def go() -> None:
         async with world(settings=KSERVE + "limits { body_bytes: 100000 }") as w:
-            w.node.admission.limits = type(w.node.admission.limits)(0, 1, 1)
+            w.node.concurrency.limits = type(w.node.concurrency.limits)(0, 1, 1)
             end = await w.ask("q" * 3_000_000).wait()
             assert end.status.code is Code.UNAVAILABLE and "harmless" in end.status.message
             assert w.node.bodies.peak_bytes == 0 and w.node.server.refused_early == 1
-            w.node.admission.limits = type(w.node.admission.limits)(9, 9, 9)
+            w.node.concurrency.limits = type(w.node.concurrency.limits)(9, 9, 9)
             one = w.ask("q" * 3_000_000)  # there is a place, but no room for such a body
             end = await one.wait()
             assert end.status.code is Code.UNAVAILABLE and "too many bytes" in end.status.message
--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -182,7 +182,7 @@
     def now(self) -> int:
         return self.core.now()
 
-    def is_reachable(self, endpoint_id: int) -> bool:
+    def has_address(self, endpoint_id: int) -> bool:
         return True
 
     def start(self, record: RequestRecord, attempt: Attempt, timeout: int) -> Call:
--- a/tests/node/test_kv_state_leases.py
+++ b/tests/node/test_kv_state_leases.py
@@ -72,7 +72,7 @@
         leases = KvStateLeases(RELEASE_WITHIN_US, lambda: cast(EngineClient, engines), now_us, Counters())
         record = make_record()
         if is_prefill:
-            record.possible_kv_state_at = 1
+            record.possible_kv_state_endpoint_id = 1
             leases.restart(record)
         else:
             leases.start(record, KvStateLocation(1, "", ""))
--- a/tests/routing/test_many_nodes.py
+++ b/tests/routing/test_many_nodes.py
@@ -186,7 +186,7 @@
         sent = only(SendAttempt, said)
     while sent.timeout_us:
         sent = only(SendAttempt, w.end(number, sent.endpoint_id, Status.TIMEOUT, after=sent.timeout_us))
-    assert w.router.state.statistics[Role.PREFILL, False].timeout_share > 0.5
+    assert w.router.state.statistics[Role.PREFILL, False].timeout_or_error_share > 0.5
 
 
 def test_a_node_that_refuses_gives_up_no_attempt_since_its_retry_would_feed_the_jam() -> None:
--- a/tests/routing/test_same_decisions.py
+++ b/tests/routing/test_same_decisions.py
@@ -410,7 +410,7 @@
 
 PLANTED: dict[str, tuple[type, str, Callable[..., object]]] = {
     "memory is not indexed": (EndpointTable, "record_report", _no_median_left_out),
-    "idle servers are counted wrongly": (ProjectedLoads, "idle_count_at", lambda self, load: 0),
+    "idle servers are counted wrongly": (ProjectedLoads, "unloaded_count_at", lambda self, load: 0),
     "blame is not indexed": (EndpointTable, "ejected", lambda self, role: []),
     "cold servers are not indexed": (EndpointTable, "started_since", lambda self, role, since: []),
     "waiting attempts are not indexed": (EndpointTable, "oldest_waiting", lambda self, role: ()),
--- a/tuliptrack/decisions/concurrency_limit.py
+++ b/tuliptrack/decisions/concurrency_limit.py
@@ -26,7 +26,7 @@
 
 SMOOTHING = 0.05
 """Weight of the newest interval between two ends in their mean."""
-RETRY_AFTER_SHARE = 10
+RETRY_AFTER_DIVISOR = 10
 """A client is told to retry when one in so many of the requests in flight will have ended."""
 MIN_RETRY_AFTER_US = 10_000
 MAX_RETRY_AFTER_US = 2_000_000
@@ -134,8 +134,8 @@
 
     def retry_after_us(self, tenant: str) -> int:
         """Return the time after which a rejected request of the tenant may be admitted."""
-        waiting = self.limits.max_per_tenant if self._is_tenant_full(tenant) else self.in_flight
-        expected_us = self._end_interval_us * waiting / RETRY_AFTER_SHARE
+        in_flight = self.limits.max_per_tenant if self._is_tenant_full(tenant) else self.in_flight
+        expected_us = self._end_interval_us * in_flight / RETRY_AFTER_DIVISOR
         return int(min(max(expected_us, MIN_RETRY_AFTER_US), MAX_RETRY_AFTER_US))
 
 
--- a/tuliptrack/interface/actions.py
+++ b/tuliptrack/interface/actions.py
@@ -1,4 +1,8 @@
-"""What a router wants done. Times are microseconds."""
+"""What a router wants done. Times are microseconds.
+
+`routing.Router` does not use `CheckHealth`, `ReserveCapacity`, `CloseIdleConnections`, `FetchEndpointList`
+and `SendGossip`, and ignores the events that answer them. Hosts carry them out, for routers that do.
+"""
 
 from __future__ import annotations
 
--- a/tuliptrack/interface/events.py
+++ b/tuliptrack/interface/events.py
@@ -63,7 +63,7 @@
     def may_have_executed(self, is_prefill: bool) -> bool:
         """Whether an attempt that ended so may have had an effect.
 
-        A prefill has none, unless it was given up: an engine that hangs may execute it later.
+        A prefill has none, unless it timed out: an engine that hangs may execute it later.
         """
         if is_prefill:
             return self is Status.TIMEOUT
@@ -149,7 +149,8 @@
     cached_tokens: int = 0
     """Prompt tokens that needed no prefill."""
     is_state_lost: bool = False
-    """With `AT_CAPACITY`: the KV state that the attempt came for is gone."""
+    """The KV state that the attempt came for is gone, or most likely so: the prompt is prefilled again.
+    With any status that is a failure."""
     load_report: tuple[float, ...] = ()
     """The values named by `Settings.report_fields`, or nothing."""
     cross_zone_bytes: float = 0.0
--- a/tuliptrack/node/attempt_call.py
+++ b/tuliptrack/node/attempt_call.py
@@ -1,4 +1,4 @@
-"""The handle of an attempt that is out, as the protocol that carries it gives it to the core."""
+"""The handle of an attempt in flight, as the protocol that carries it gives it to the core."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class AttemptCall(Protocol):
-    """An attempt that is out at an engine."""
+    """An attempt in flight at an engine."""
 
     def cancel(self, status: Status) -> None:
         """Give the attempt up: the engine sees its connection or stream end.
--- a/tuliptrack/node/attempt_start.py
+++ b/tuliptrack/node/attempt_start.py
@@ -33,14 +33,14 @@
         attempt = Attempt(record.attempt_count, action.endpoint_id, now_us)
         record.attempt_count += 1
         endpoint = record.router.endpoints.get(action.endpoint_id)
-        is_reachable = self._core.engines.is_reachable(action.endpoint_id)
+        has_address = self._core.engines.has_address(action.endpoint_id)
         record.pending_events += 1  # Keeps the record while the disconnection of its client is handled.
         verdict = self.check(record, action.endpoint_id, is_in_flight=record.attempt is not None)
         record.pending_events -= 1
-        if verdict and is_reachable and endpoint:
+        if verdict and has_address and endpoint:
             self._start(record, attempt, endpoint, action)
         else:
-            self._report_not_sent(record, attempt, is_reachable)
+            self._report_not_sent(record, attempt, has_address)
 
     def check(self, record: RequestRecord, endpoint_id: int, is_in_flight: bool) -> Verdict:
         """Decide whether an attempt may begin at an endpoint now.
@@ -86,9 +86,9 @@
             call_id = record.client_request.call_id
             core.counters.violated(name, record.trace, request=record.id, call_id=call_id)
 
-    def _report_not_sent(self, record: RequestRecord, attempt: Attempt, is_reachable: bool) -> None:
-        has_no_address = not is_reachable and not record.is_concluded
-        status = io.Status.CONNECT_FAILED if has_no_address else io.Status.ABANDONED
+    def _report_not_sent(self, record: RequestRecord, attempt: Attempt, has_address: bool) -> None:
+        is_address_missing = not has_address and not record.is_concluded
+        status = io.Status.CONNECT_FAILED if is_address_missing else io.Status.ABANDONED
         record.pending_events += 1
         ended = io.AttemptEnded(
             record.id, attempt.number, attempt.endpoint_id, status, 0, record.is_concluded
--- a/tuliptrack/node/attempt_state.py
+++ b/tuliptrack/node/attempt_state.py
@@ -1,6 +1,7 @@
 """Decides what the state of an attempt allows now: to send, to retry, to release, to reject.
 
-This is the one place that is asked before any of these steps.
+It is asked after the router has decided: before each attempt is written, before each release, and for the
+requests that are concluded at shutdown.
 
     NOT_SENT ──▶ POSSIBLE ──▶ (CORROBORATED ──▶) CONFIRMED ──▶ ended
 
@@ -88,7 +89,7 @@
     Args:
         is_concluded: the request has its final answer.
         is_client_disconnected: its client has closed the connection.
-        is_in_flight: another attempt of the request is out.
+        is_in_flight: whether another attempt of the request is in flight.
         endpoint_state: the state of the endpoint; None where it is not on the list.
     """
     if is_concluded:
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -18,6 +18,7 @@
 from tuliptrack import interface as io
 from tuliptrack.decisions.concurrency_limit import ConcurrencyLimits, ExceededLimit
 from tuliptrack.fronts.port import ClientRequest, Failure, ResponseWriter
+from tuliptrack.node.admission import AdmissionDecision
 from tuliptrack.node.attempt_end import AttemptEndHandler
 from tuliptrack.node.attempt_start import AttemptStarter
 from tuliptrack.node.attempt_state import may_have_executed
@@ -57,15 +58,6 @@
         self.core.client_can_receive(self.record)
 
 
-@dataclass(frozen=True, slots=True)
-class Admission:
-    """Whether a request is admitted; `reason` is empty if it is."""
-
-    reason: str = ""
-    retry_after_us: int = 0
-    is_over_budget: bool = False
-
-
 class Core(CoreState):
     """What a node does with requests, between its fronts and its engines."""
 
@@ -75,10 +67,10 @@
         seed: int,
         instance: str,
         limits: CoreLimits,
-        admission: ConcurrencyLimits,
+        concurrency_limits: ConcurrencyLimits,
     ) -> None:
         """Assemble the parts; the arguments are those of `CoreState`."""
-        super().__init__(settings, seed, instance, limits, admission)
+        super().__init__(settings, seed, instance, limits, concurrency_limits)
         self.answers = FinalAnswers(self)
         self.attempt_starter = AttemptStarter(self)
         self.attempt_ends = AttemptEndHandler(self, self.answers)
@@ -117,7 +109,7 @@
         self.dispatcher.defer(event, router)
 
     def settle(self, record: RequestRecord) -> None:
-        """Remove a request if it has its final state and no attempt out, and log it."""
+        """Remove a request if it has its final state and no attempt in flight, and log it."""
         if not self.table.remove_if_finished(record):
             return
         self.timers.cancel(record.deadline_timer)
@@ -131,7 +123,7 @@
         if record.has_concurrency_slot:
             record.has_concurrency_slot = False
             client_request = record.client_request
-            self.admission.release(now_us, client_request.tenant, client_request.connection)
+            self.concurrency.release(now_us, client_request.tenant, client_request.connection)
         log_request(record, now_us)
 
     # -- what fronts report
@@ -144,12 +136,12 @@
         """
         now_us = self.now()
         request = self.requests.read(client_request, now_us)
-        model, router, reason = self.choose(client_request)
+        choice = self.choose(client_request)
         deadline_us = now_us + request.time_left_us
-        record = self.table.add(client_request, response, deadline_us, now_us, router, model)
-        admission = self._decide_admission(record, request.class_index, reason)
-        if admission.reason:
-            self.answers.reject(record, admission.reason, admission.retry_after_us)
+        record = self.table.add(client_request, response, deadline_us, now_us, choice.router, choice.model)
+        admission = self._decide_admission(record, request.class_index, choice.rejection_reason)
+        if admission.rejection_reason:
+            self.answers.reject(record, admission.rejection_reason, admission.retry_after_us)
             self.settle(record)
             return RequestHandle(self, record)
         answer_by_us = self.requests.answer_by_us(client_request)
@@ -161,25 +153,25 @@
         self.dispatch(replace(request, request_id=record.id, is_over_token_budget=is_over_budget))
         return RequestHandle(self, record)
 
-    def _decide_admission(self, record: RequestRecord, class_index: int, reason: str) -> Admission:
+    def _decide_admission(self, record: RequestRecord, class_index: int, reason: str) -> AdmissionDecision:
         """Decide whether a request is admitted; `reason` is why its model can't be served, if so."""
         if self.stopping:
-            return Admission(SHUTTING_DOWN)
+            return AdmissionDecision(SHUTTING_DOWN)
         if reason:
-            return Admission(reason)
+            return AdmissionDecision(reason)
         client_request = record.client_request
-        if limit := self.admission.acquire(client_request.tenant, client_request.connection):
-            retry_after_us = self.admission.retry_after_us(client_request.tenant)
-            return Admission(limit.value, self.advised_retry_after(retry_after_us))
+        if limit := self.concurrency.acquire(client_request.tenant, client_request.connection):
+            retry_after_us = self.concurrency.retry_after_us(client_request.tenant)
+            return AdmissionDecision(limit.value, self.advised_retry_after(retry_after_us))
         record.has_concurrency_slot = True
-        return Admission(*self.admit(record.accepted_at_us, record, class_index))
+        return self.admit(record.accepted_at_us, record, class_index)
 
     def overload(self) -> tuple[str, int]:
         """Return why requests are rejected unseen (empty: they are not), and when to retry."""
         if self.stopping:
             return SHUTTING_DOWN, 0
-        if self.admission.is_full():
-            retry_after_us = self.advised_retry_after(self.admission.retry_after_us(""))
+        if self.concurrency.is_full():
+            retry_after_us = self.advised_retry_after(self.concurrency.retry_after_us(""))
             return ExceededLimit.NODE.value, retry_after_us
         return "", 0
 
@@ -293,7 +285,7 @@
 
     def _reserve_capacity(self, action: io.ReserveCapacity) -> None:
         record = self.table.open.get(action.request_id)
-        if record and record.attempt and self.engines.is_reachable(action.endpoint_id):
+        if record and record.attempt and self.engines.has_address(action.endpoint_id):
             record.reserved_endpoint_id = action.endpoint_id
             self.engines.reserve(action.endpoint_id, record, record.attempt)
 
@@ -304,7 +296,7 @@
         return self.counters.as_dict()
 
     def sweep(self) -> None:
-        """End streams that stand still; to be called every second or so."""
+        """End streams that stand still; to be called several times a second."""
         now_us = self.now()
         for record in list(self.table.open.values()):
             if record.state is not RequestState.STREAMING:
--- a/tuliptrack/node/core_state.py
+++ b/tuliptrack/node/core_state.py
@@ -13,6 +13,7 @@
 from tuliptrack.decisions.concurrency_limit import ConcurrencyLimiter, ConcurrencyLimits
 from tuliptrack.decisions.model_catalog import Model
 from tuliptrack.fronts.port import ClientRequest
+from tuliptrack.node.admission import AdmissionDecision, RouterChoice
 from tuliptrack.node.counters import Counters
 from tuliptrack.node.kv_state_leases import KvStateLeases
 from tuliptrack.node.port import AttemptResult, EngineClient
@@ -38,7 +39,7 @@
         seed: int,
         instance: str,
         limits: CoreLimits,
-        admission: ConcurrencyLimits,
+        concurrency_limits: ConcurrencyLimits,
     ) -> None:
         """Start without requests.
 
@@ -47,7 +48,7 @@
             seed: the seed of their random choices.
             instance: a name unique to this incarnation of the node.
             limits: bounds and times of the node.
-            admission: how many requests may be open.
+            concurrency_limits: how many requests may be in flight.
         """
         self.settings = settings
         self.limits = limits
@@ -56,7 +57,7 @@
         """The router of endpoints without a model label; it also keeps the subscription to the endpoint list,
         and what the routers of all models share."""
         self.table = RequestTable(instance)
-        self.admission = ConcurrencyLimiter(admission)
+        self.concurrency = ConcurrencyLimiter(concurrency_limits)
         self.counters = Counters()
         self.requests = RequestReader(settings, limits)
         self.clock = NodeClock()
@@ -95,26 +96,21 @@
 
     @abstractmethod
     def settle(self, record: RequestRecord) -> None:
-        """Remove a request if it has its final state and no attempt out."""
+        """Remove a request if it has its final state and no attempt in flight."""
 
     # What a node may add.
 
-    def choose(self, client_request: ClientRequest) -> tuple[Model, Router, str]:
-        """Return the model and router of a request, and why it is rejected (empty: it is not).
+    def choose(self, client_request: ClientRequest) -> RouterChoice:
+        """Return the model and router of a request, and why it is rejected if it is.
 
         Raises:
             InvalidRequestError: the request names no model that is served.
         """
-        return Model(), self.router, ""
+        return RouterChoice(Model(), self.router)
 
-    def admit(self, now_us: int, record: RequestRecord, class_index: int) -> tuple[str, int, bool]:
-        """Decide whether a request is admitted.
-
-        Returns:
-            Why it is rejected (empty: it is not), after how many microseconds to retry, and whether its
-            tenant is over the token budget.
-        """
-        return "", 0, False
+    def admit(self, now_us: int, record: RequestRecord, class_index: int) -> AdmissionDecision:
+        """Decide whether a request is admitted."""
+        return AdmissionDecision()
 
     def stream_began(self, record: RequestRecord) -> None:  # noqa: B027  # Overriding is optional.
         """The first token of a request has come."""
--- a/tuliptrack/node/endpoint_list_cache.py
+++ b/tuliptrack/node/endpoint_list_cache.py
@@ -47,7 +47,7 @@
             try:
                 await asyncio.to_thread(save_cache, self.path, self.current_list())
             except OSError as error:
-                log.warning("server list not kept", reason=str(error))
+                log.warning("endpoint list not cached", reason=str(error))
 
     async def close(self) -> None:
         """Wait for the last save: its thread can't be interrupted, and half a file would be of no use."""
--- a/tuliptrack/node/event_dispatch.py
+++ b/tuliptrack/node/event_dispatch.py
@@ -99,7 +99,7 @@
         """Check an endpoint for the router whose actions are being carried out."""
         router = self.active_router
         engines = self._core.engines
-        if not engines.is_reachable(action.endpoint_id):
+        if not engines.has_address(action.endpoint_id):
             unreachable = io.HealthCheckResult(action.endpoint_id, io.Status.CONNECT_FAILED, 0)
             self.defer(unreachable, router)
             return
--- a/tuliptrack/node/final_answers.py
+++ b/tuliptrack/node/final_answers.py
@@ -1,7 +1,8 @@
 """Gives requests their final answers: rejected, failed, broken off, or migrated.
 
-A request is rejected only where a retry by the client is harmless (`attempt_state.may_reject`); everything
-else fails. `RequestRecord.conclude` sees to it that each request gets one final answer.
+A request is rejected only where a retry by the client is harmless; everything else fails. The router decides
+it for its own `Reject` (`routing/idempotency.py`), at shutdown `attempt_state.may_reject` does.
+`RequestRecord.conclude` sees to it that each request gets one final answer.
 """
 
 from __future__ import annotations
@@ -86,7 +87,7 @@
             self.reject(record, reason, 0)
         else:
             self.fail(record, Failure.LOST, reason)
-        # The router owes the request nothing more; it cancels the attempt that is out.
+        # The router owes the request nothing more; it cancels the attempt in flight.
         self._core.dispatch(io.ClientDisconnected(record.id))
         self._core.settle(record)
 
--- a/tuliptrack/node/grpc_engine_client.py
+++ b/tuliptrack/node/grpc_engine_client.py
@@ -84,12 +84,12 @@
     def __init__(self, core: Core, channels: EngineChannels) -> None:
         self.core, self.channels = core, channels
 
-    def is_reachable(self, server: int) -> bool:
+    def has_address(self, endpoint_id: int) -> bool:
         """Return whether the endpoint is listed, with an address."""
-        return self.channels.channel(server) is not None
+        return self.channels.channel(endpoint_id) is not None
 
-    def start(self, record: RequestRecord, attempt: Attempt, timeout: int) -> GrpcCall:
-        """Start an attempt; the core itself ends it after `timeout`."""
+    def start(self, record: RequestRecord, attempt: Attempt, timeout_us: int) -> GrpcCall:
+        """Start an attempt; the core itself ends it after `timeout_us`."""
         if attempt.is_prefill:
             prefill = engine_pb2.ReadRequest(work=_work(record, attempt))
             return self._call("Read", prefill.SerializeToString(), record, attempt, self._handle_prefilled)
@@ -107,7 +107,7 @@
         on_message: Callable[[RequestRecord, Attempt, bytes], None],
     ) -> GrpcCall:
         channel = self.channels.channel(attempt.endpoint_id)
-        assert channel  # The core has asked `is_reachable`.
+        assert channel  # The core has asked `has_address`.
         connect_within = attempt.connect_by_us - self.core.now() if attempt.connect_by_us else None
         return GrpcCall(
             channel.call(
@@ -178,9 +178,9 @@
         may_send_more = record.response.token(message.index, message.text, record.finish_reason, usage)
         self.core.output_forwarded(record, attempt, may_send_more)
 
-    def release(self, server: int, record: RequestRecord, unsure: bool = False) -> None:
+    def release(self, endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
         """Release what an engine reserves for a request; once more where there was no answer."""
-        self._release(server, record, RELEASE_TIMEOUTS_US)
+        self._release(endpoint_id, record, RELEASE_TIMEOUTS_US)
 
     def _release(self, endpoint_id: int, record: RequestRecord, timeouts_us: tuple[int, ...]) -> None:
         """Send a release with the first of these time-outs; the others are for the attempts that follow."""
@@ -201,15 +201,15 @@
             on_end=handle_end,
         )
 
-    def release_later(self, server: int, record: RequestRecord) -> None:
+    def release_later(self, endpoint_id: int, record: RequestRecord) -> None:
         """Do nothing: what the engine may come to reserve ends by its own lease."""
 
     def cancel_release(self, record: RequestRecord) -> None:
         """Do nothing: a release in flight names the request, not a state, and is left to its end."""
 
-    def reserve(self, server: int, record: RequestRecord, attempt: Attempt) -> None:
+    def reserve(self, endpoint_id: int, record: RequestRecord, attempt: Attempt) -> None:
         """Ask an engine to reserve a place; its answer goes to `Core.reservation_answered`."""
-        channel = self.channels.channel(server)
+        channel = self.channels.channel(endpoint_id)
         if channel is None:
             return
         responses: list[bytes] = []
@@ -220,7 +220,7 @@
                 and bool(responses)
                 and engine_pb2.HoldResponse.FromString(responses[0]).held
             )
-            self.core.reservation_answered(record, attempt, server, is_reserved)
+            self.core.reservation_answered(record, attempt, endpoint_id, is_reserved)
 
         request = engine_pb2.HoldRequest(work=_work(record, attempt))
         channel.call(
@@ -231,15 +231,19 @@
             on_end=handle_end,
         )
 
-    def check_health(self, server: int, done: Callable[[io.HealthCheckResult], None]) -> None:
+    def check_health(self, endpoint_id: int, done: Callable[[io.HealthCheckResult], None]) -> None:
         """Check the health of an engine; `done` is called with the result."""
-        channel, sent_at_us = self.channels.channel(server), now_us()
+        channel, sent_at_us = self.channels.channel(endpoint_id), now_us()
         if channel is None:
             return
 
         def handle_end(end: End) -> None:
             latency_us = now_us() - sent_at_us
-            done(io.HealthCheckResult(server, status_of(end), latency_us, load_report_of(end, server)))
+            done(
+                io.HealthCheckResult(
+                    endpoint_id, status_of(end), latency_us, load_report_of(end, endpoint_id)
+                )
+            )
 
         channel.call(
             ENGINE_SERVICE_PATH + "Probe",
@@ -248,9 +252,9 @@
             on_end=handle_end,
         )
 
-    def close_idle_connections(self, server: int) -> None:
+    def close_idle_connections(self, endpoint_id: int) -> None:
         """Close idle connections to an endpoint."""
-        if channel := self.channels.channels.get(server):
+        if channel := self.channels.channels.get(endpoint_id):
             channel.close_idle()
 
 
--- a/tuliptrack/node/kv_state_leases.py
+++ b/tuliptrack/node/kv_state_leases.py
@@ -111,8 +111,8 @@
     def release(self, record: RequestRecord) -> None:
         """Release what is or may be reserved.
 
-        While an attempt is out the state stays on record: the engine spares what that attempt waits for, and
-        it is released when the attempt ends.
+        While an attempt is in flight the state stays on record: the engine spares what that attempt waits
+        for, and it is released when the attempt ends.
         """
         self._send_release(record)
         if record.attempt is None:
@@ -136,7 +136,7 @@
         an answer makes it needless.
         """
         if self._engines().releases_are_global:
-            record.possible_kv_state_at = attempt.endpoint_id
+            record.possible_kv_state_endpoint_id = attempt.endpoint_id
             self.restart(record)
         else:
             self._engines().release(attempt.endpoint_id, record)
@@ -190,7 +190,7 @@
         return ended.is_state_lost or had_no_connection_in_time or was_released_unconfirmed
 
     def _confirm_arrival(self, record: RequestRecord) -> None:
-        """The lease expires soon: find out whether the attempt that is out has arrived."""
+        """The lease expires soon: find out whether the attempt in flight has arrived."""
         if record.attempt and record.attempt.call:
             record.attempt.call.confirm_arrival()
         left_us = record.lease_began_at_us + self.lease_us - self._now_us()
@@ -203,18 +203,18 @@
         record.lease_timer = loop.call_later(delay_us / US_PER_S, callback, record)
 
     def _send_release(self, record: RequestRecord) -> None:
-        endpoint_id = record.kv_state.endpoint_id if record.kv_state else record.possible_kv_state_at
+        endpoint_id = record.kv_state.endpoint_id if record.kv_state else record.possible_kv_state_endpoint_id
         if endpoint_id is None:
             return
         record.trace.add(self._now_us(), "release")
-        is_unsure = record.possible_kv_state_at is not None or record.needs_second_release
+        is_unsure = record.possible_kv_state_endpoint_id is not None or record.needs_second_release
         self._engines().release(endpoint_id, record, unsure=is_unsure)
 
     def _forget(self, record: RequestRecord) -> None:
         """Nothing is reserved for the request any more, as far as this node has to do with it."""
         self.stop(record)
         record.kv_state = None
-        record.possible_kv_state_at = None
+        record.possible_kv_state_endpoint_id = None
 
     def _was_lease_stopped(self, record: RequestRecord) -> bool:
         """Whether a state is or may be reserved whose lease the arrival of an attempt has stopped."""
--- a/tuliptrack/node/model_routers.py
+++ b/tuliptrack/node/model_routers.py
@@ -13,6 +13,7 @@
 from tuliptrack.decisions.model_catalog import MAX_MODELS, Model, ModelCatalog, NotServedError
 from tuliptrack.fronts.port import ClientRequest, InvalidRequestError
 from tuliptrack.interface import EndpointListUpdate, Event, Settings, UpdateKind
+from tuliptrack.node.admission import RouterChoice
 from tuliptrack.routing.router import Router
 
 __all__ = ["ModelRouters"]
@@ -74,8 +75,8 @@
             if not self.routers[model].in_flight:
                 del self.routers[model]
 
-    def choose(self, request: ClientRequest) -> tuple[Model, Router, str]:
-        """Return the model and router of a request, and why it is rejected (empty: it isn't).
+    def choose(self, request: ClientRequest) -> RouterChoice:
+        """Return the model and router of a request, and why it is rejected if it is.
 
         Raises:
             InvalidRequestError: The request names a model that isn't known here.
@@ -87,5 +88,5 @@
         except NotServedError as error:
             if not error.is_listed:
                 raise InvalidRequestError(error.field, error.reason, is_unknown=True) from None
-            return Model(), self.default, error.reason
-        return model, self.routers.get(model, self.default), ""
+            return RouterChoice(Model(), self.default, error.reason)
+        return RouterChoice(model, self.routers.get(model, self.default))
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -22,6 +22,7 @@
 from tuliptrack.fronts import health, reflection
 from tuliptrack.fronts.installed import FRONTS, LISTENERS
 from tuliptrack.fronts.port import ClientRequest
+from tuliptrack.node.admission import AdmissionDecision, RouterChoice
 from tuliptrack.node.billing import Billing
 from tuliptrack.node.core import Core
 from tuliptrack.node.cross_zone_account import CrossZoneAccount
@@ -36,7 +37,6 @@
 from tuliptrack.node.transfer_accounting import TransferAccounting
 from tuliptrack.node.zone_coverage import ZoneCoverage
 from tuliptrack.proto import fleet_pb2
-from tuliptrack.routing.router import Router
 from tuliptrack.rpc.clock import now_us, wall_us
 from tuliptrack.rpc.core import Limits
 from tuliptrack.rpc.server import Server
@@ -153,7 +153,7 @@
         try:
             return load_cache(self.config.source.cache)
         except InvalidListError as error:
-            log.warning("kept server list not taken", reason=str(error))
+            log.warning("cached endpoint list rejected", reason=str(error))
             return fleet_pb2.ServerList()
 
     async def stop(self, grace: float | None = None) -> None:
@@ -211,7 +211,7 @@
         try:
             listing: ListedUpdate = self.endpoint_list.apply(message, self.now(), kind)
         except InvalidListError as error:
-            log.warning("server list not taken", reason=str(error))
+            log.warning("endpoint list rejected", reason=str(error))
             return
         # First the routers stop sending to an endpoint, then its channel may be retired.
         labels = {entry.id: Model(entry.model, entry.model_version) for entry in message.servers}
@@ -222,10 +222,10 @@
 
     def _handle_applied(self, update: io.EndpointListUpdate) -> None:
         log.info(
-            "server list",
+            "endpoint list applied",
             kind=update.kind.value,
             version=update.version,
-            servers=len(self.endpoint_list.entries),
+            endpoints=len(self.endpoint_list.entries),
         )
         self.list_cache.save()
         if self.settings.zone_budgets:
@@ -238,30 +238,26 @@
 
     # -- What the core asks of a node
 
-    def choose(self, ask: ClientRequest) -> tuple[Model, Router, str]:
-        """Return the model and router of a request, and why it is rejected (empty: it isn't).
+    def choose(self, client_request: ClientRequest) -> RouterChoice:
+        """Return the model and router of a request, and why it is rejected if it is.
 
         Raises:
             InvalidRequestError: The request names a model that isn't known here.
         """
-        model, router, reason = self.model_routers.choose(ask)
-        return model, router, reason or self.billing.rejection_reason()
+        choice = self.model_routers.choose(client_request)
+        reason = choice.rejection_reason or self.billing.rejection_reason()
+        return replace(choice, rejection_reason=reason)
 
-    def admit(self, now: int, record: RequestRecord, cls: int) -> tuple[str, int, bool]:
-        """Check a request against its tenant's budgets.
-
-        Returns:
-            Why it is rejected (empty: it isn't), after how many microseconds to retry, and whether it is
-            admitted over its budget.
-        """
-        verdict = self.billing.check_budget(now, record, cls)
+    def admit(self, now_us: int, record: RequestRecord, class_index: int) -> AdmissionDecision:
+        """Check a request against its tenant's budgets."""
+        verdict = self.billing.check_budget(now_us, record, class_index)
         if verdict.is_over and record.client_request.request_class in self.config.billing.refuse_over:
             reason = f"the tenant's token budget of {verdict.window_us / 1e6:g} s is used up"
             # Unlike other waits it is not limited: a retry before the window's end would be rejected too.
-            return reason, verdict.retry_after_us or 0, True
+            return AdmissionDecision(reason, verdict.retry_after_us or 0, is_over_budget=True)
         record.is_billed = True
-        self.billing.request_admitted(now, record, cls, verdict)
-        return "", 0, verdict.is_over
+        self.billing.request_admitted(now_us, record, class_index, verdict)
+        return AdmissionDecision(is_over_budget=verdict.is_over)
 
     def stream_began(self, record: RequestRecord) -> None:
         """Begin to bill a stream."""
--- a/tuliptrack/node/port.py
+++ b/tuliptrack/node/port.py
@@ -58,7 +58,7 @@
     """How long a release may take to its engine, where the time for which a state may stay reserved has no
     margin for that."""
 
-    def is_reachable(self, endpoint_id: int) -> bool:
+    def has_address(self, endpoint_id: int) -> bool:
         """Return whether a list has named an address of this endpoint."""
 
     def start(self, record: RequestRecord, attempt: Attempt, timeout_us: int) -> AttemptCall:
@@ -70,7 +70,8 @@
         Args:
             endpoint_id: the endpoint that is asked; again until the engine was reached.
             record: the request.
-            unsure: a prefill was broken off and may still end well, so that one release may be too early.
+            unsure: an attempt ended unconfirmed and may still have the engine reserve a state, so that one
+                release may come too early.
         """
 
     def release_later(self, endpoint_id: int, record: RequestRecord) -> None:
--- a/tuliptrack/node/request_reader.py
+++ b/tuliptrack/node/request_reader.py
@@ -22,6 +22,8 @@
 }
 """The token counts of a `ClientRequest`, and the names by which clients know them."""
 
+DEADLINE_OBJECTIVE_FACTOR = 2
+"""A client is taken to wait for a long prompt by so many times what its latency objective grows with it."""
 MAX_QUOTED_CHARACTERS = 60
 """How much of a client's own text an error quotes."""
 
@@ -145,4 +147,4 @@
             return max(answer_by_us - now_us, 1)
         request_class = self.class_of(client_request)
         objective_us = request_class.objective_us_per_1000_tokens * client_request.prompt_tokens / 1000
-        return request_class.deadline_us + int(2 * objective_us)
+        return request_class.deadline_us + int(DEADLINE_OBJECTIVE_FACTOR * objective_us)
--- a/tuliptrack/node/requests.py
+++ b/tuliptrack/node/requests.py
@@ -27,14 +27,14 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt that is out at an engine."""
+    """One attempt in flight at an engine."""
 
     number: int
     endpoint_id: int
     sent_at_us: int
     call: AttemptCall | None = None
     is_prefill: bool = False
-    """It is out at a prefill endpoint."""
+    """It was sent to a prefill endpoint."""
     ends_at_deadline: bool = False
     """Its time-out is the deadline of the client, not one that the router chose."""
     timer: asyncio.TimerHandle | None = None
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request, from its arrival until it has its final state and no attempt is out."""
+    """One request, from its arrival until it has its final state and no attempt in flight."""
 
     id: int
     name: str
@@ -89,13 +89,13 @@
     attempt_count: int = 0
     attempt: Attempt | None = None
     kv_state: KvStateLocation | None = None
-    possible_kv_state_at: int | None = None
+    possible_kv_state_endpoint_id: int | None = None
     """The endpoint at which a prefill broke off: it may have reserved a state all the same."""
     lease_began_at_us: int = 0
     """Since when the state may have been reserved with no attempt at an engine: the end of its prefill, or of
     the last attempt that had surely arrived."""
     was_release_sent: bool = False
-    """A release was sent since, in case the attempt that is out never reaches its engine."""
+    """A release was sent since, in case the attempt in flight never reaches its engine."""
     needs_second_release: bool = False
     """A decode attempt ended unconfirmed: a release may reach the engine before that end does, so one release
     is not enough."""
@@ -141,7 +141,7 @@
     @property
     def has_reserved_state(self) -> bool:
         """Whether a KV state is reserved for it, or may be."""
-        return self.kv_state is not None or self.possible_kv_state_at is not None
+        return self.kv_state is not None or self.possible_kv_state_endpoint_id is not None
 
     def enter(self, state: RequestState) -> None:
         """Enter a state; `IllegalTransitionError` where it may not follow the present one."""
--- a/tuliptrack/relay/engine_client.py
+++ b/tuliptrack/relay/engine_client.py
@@ -51,18 +51,18 @@
         """Note that a request has been served and is over."""
         self._served_id = record.client_request.call_id
 
-    def is_reachable(self, server: int) -> bool:
+    def has_address(self, endpoint_id: int) -> bool:
         """Return whether the endpoint list states an address."""
-        return server in self.pools
+        return endpoint_id in self.pools
 
-    def start(self, record: RequestRecord, attempt: Attempt, timeout: int) -> HttpAttempt:
+    def start(self, record: RequestRecord, attempt: Attempt, timeout_us: int) -> HttpAttempt:
         """Start an attempt, for which the node waits `timeout` microseconds."""
         forwarded = cast(ForwardedRequest, record.client_request.payload)
         pool = self.pools.get_or_create(attempt.endpoint_id)
         assert pool
         exchange = Exchange(forwarded.method, forwarded.target, [], forwarded.body)
         exchange.validated, exchange.connect_by = True, attempt.connect_by_us
-        deadline_us, address = self.core.now() + timeout, pool.address
+        deadline_us, address = self.core.now() + timeout_us, pool.address
 
         def set_fields() -> None:
             # Made as late as possible: the budget is the time that is left when the request is sent.
@@ -81,7 +81,7 @@
         pool.send(exchange)
         return call
 
-    def release(self, server: int, record: RequestRecord, unsure: bool = False) -> None:
+    def release(self, endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
         """Release all that is reserved for a request, at whichever engine."""
         self.releases.start(record.client_request.call_id, UNCONFIRMED_END_ROUNDS if unsure else 1)
 
@@ -91,21 +91,21 @@
         self.releases.cancel(call_id)
         self.late_releases.cancel(call_id)
 
-    def release_later(self, server: int, record: RequestRecord) -> None:
+    def release_later(self, endpoint_id: int, record: RequestRecord) -> None:
         """Have an engine that gave no sign on an attempt release what it may reserve later."""
-        self.late_releases.start(server, record.client_request.call_id)
+        self.late_releases.start(endpoint_id, record.client_request.call_id)
 
-    def reserve(self, server: int, record: RequestRecord, attempt: Attempt) -> None:
+    def reserve(self, endpoint_id: int, record: RequestRecord, attempt: Attempt) -> None:
         """Report that no reservation was made."""
-        self.core.reservation_answered(record, attempt, server, False)
+        self.core.reservation_answered(record, attempt, endpoint_id, False)
 
-    def check_health(self, server: int, done: Callable[[HealthCheckResult], None]) -> None:
+    def check_health(self, endpoint_id: int, done: Callable[[HealthCheckResult], None]) -> None:
         """Report that the check failed, once this call has returned."""
-        asyncio.get_running_loop().call_soon(done, HealthCheckResult(server, Status.ERROR, 0))
+        asyncio.get_running_loop().call_soon(done, HealthCheckResult(endpoint_id, Status.ERROR, 0))
 
-    def close_idle_connections(self, server: int) -> None:
+    def close_idle_connections(self, endpoint_id: int) -> None:
         """Close the idle connections to an endpoint."""
-        if pool := self.pools.get(server):
+        if pool := self.pools.get(endpoint_id):
             pool.close_idle()
 
     async def close(self) -> None:
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -73,12 +73,12 @@
         self.close()
         self.call.end()
 
-    def rejected(self, reason: str, retry_after: int) -> None:
-        """Answer that the request was not served; `retry_after` is in microseconds."""
+    def rejected(self, reason: str, retry_after_us: int) -> None:
+        """Answer that the request was not served."""
         self.close()
         headers: Fields = []
-        if retry_after > 0 and self.front.core.settings.may_send_retry_after:
-            headers = _retry_after(max(retry_after / 1e6, MIN_RETRY_AFTER_S))
+        if retry_after_us > 0 and self.front.core.settings.may_send_retry_after:
+            headers = _retry_after(max(retry_after_us / 1e6, MIN_RETRY_AFTER_S))
         self.call.error(_SERVICE_UNAVAILABLE, rejection_text(reason), headers)
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
--- a/tuliptrack/relay/node.py
+++ b/tuliptrack/relay/node.py
@@ -64,8 +64,8 @@
 DEFAULT_ENGINE_IDLE_TIMEOUT_US = 15_000_000
 IDLE_MARGIN_US = 2_000_000
 """Idle connections are closed so long before their engine would do it."""
-MAX_TOKENS_AHEAD = 20_000
-"""Of an answer whose client reads slowly."""
+ANSWER_LEAD_US = 20_000
+"""How long before the client's deadline its answer leaves at the latest."""
 ARRIVING_MEMORY_DIVISOR = 8
 """One part of so many of the memory is for bodies that arrive."""
 BODY_MEMORY_DIVISOR = 6
@@ -84,7 +84,7 @@
             config.settings,
             config.seed or random.getrandbits(63),
             config.name,
-            CoreLimits(answer_lead_us=MAX_TOKENS_AHEAD, max_token_silence_us=TOKEN_SILENCE_US),
+            CoreLimits(answer_lead_us=ANSWER_LEAD_US, max_token_silence_us=TOKEN_SILENCE_US),
             ConcurrencyLimits(min(config.max_open_requests, max_clients), max_clients, 1),
         )
         self.pools = _engine_pools(config, max_engines)
--- a/tuliptrack/routing/admission.py
+++ b/tuliptrack/routing/admission.py
@@ -3,8 +3,8 @@
 A request is shed if its estimated time to first token exceeds a share of its latency objective, or if it
 could not be in time for its client. The share depends on its priority weight: requests of the lowest priority
 are shed first, those of the highest last. Before a request is shed, other places are considered: another
-zone, a zone whose traffic is still ramped up, an endpoint in slow start with an open slot, and any idle
-endpoint. Times are microseconds.
+zone, a zone whose traffic is still ramped up, an endpoint in slow start with an open slot, and any endpoint
+with a short queue. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
         self._inputs.locality.record_arrival()
         limit_us = priority_factor * MAX_QUEUE_SHARE * request.latency_objective_us
         placement = self._best_placement(request, priority_factor, limit_us)
-        is_shed = placement.wait_us > limit_us or self._is_hopeless(request, placement)
+        is_shed = placement.wait_us > limit_us or self._cannot_be_in_time(request, placement)
         if is_shed:
             state.shed_at_us = state.now_us
         # Until what waits may be down to the limit.
@@ -104,17 +104,19 @@
             request.ignores_recovery_ramp = True
             placement = self._estimated(request, prefill.choose(request))
         if placement.wait_us > limit_us / 2:
-            placement = self._relieved(request, placement, limit_us)
+            placement = self._alternative_near_limit(request, placement, limit_us)
         return placement
 
     def _estimated(self, request: InFlightRequest, endpoint: Endpoint | None) -> _Placement:
         return _Placement(endpoint, self._inputs.queue.time_to_first_token_us(request, endpoint))
 
-    def _relieved(self, request: InFlightRequest, placement: _Placement, limit_us: float) -> _Placement:
+    def _alternative_near_limit(
+        self, request: InFlightRequest, placement: _Placement, limit_us: float
+    ) -> _Placement:
         """Return an alternative to a placement that is near the limit, or the placement itself.
 
-        Near the limit an endpoint with an open slot is capacity, as slots expire; above it any idle endpoint
-        is.
+        Near the limit an endpoint with an open slot is capacity, as slots expire; above it any
+        endpoint with a short queue is.
         """
         inputs, is_over_limit = self._inputs, placement.wait_us > limit_us
         candidates = inputs.eligibility.candidates(Role.PREFILL, request)
@@ -127,12 +129,12 @@
         if endpoint is None:
             return placement
         alternative = self._estimated(request, endpoint)
-        is_idle = 2 * alternative.wait_us <= limit_us
-        if is_idle or inputs.slow_start.has_open_slot(endpoint, request):
+        has_short_queue = 2 * alternative.wait_us <= limit_us
+        if has_short_queue or inputs.slow_start.has_open_slot(endpoint, request):
             return alternative
         return placement
 
-    def _is_hopeless(self, request: InFlightRequest, placement: _Placement) -> bool:
+    def _cannot_be_in_time(self, request: InFlightRequest, placement: _Placement) -> bool:
         """Whether the client leaves before a first token usually comes."""
         fastest_us = self._inputs.queue.fastest_time_to_first_token_us(request, placement.endpoint)
         return max(placement.wait_us, fastest_us) > request.request.time_left_us
--- a/tuliptrack/routing/attempt_timeout.py
+++ b/tuliptrack/routing/attempt_timeout.py
@@ -2,7 +2,7 @@
 
 The limit is a multiple of what the slowest answers of the role take. There is none where a retry would do
 harm or could not help: no attempt is left, the request may not be repeated, or all endpoints are slow, in
-which case retries would feed the jam. Times are microseconds.
+which case retries would add to the overload. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 TIMEOUT_GROWTH = 1.5
 """Factor for each further time-out of one request, so that a slowness causes no retry storm."""
 MAX_TIMEOUT_SHARE = 0.7
-"""Share of attempts that time out from which on there is a jam; then all attempts are waited for."""
+"""Share of attempts that time out or fail from which on there is an overload; then all are waited for."""
 MIN_HIDDEN_SHARE = 0.5
 HIDDEN_SHARE_EXPONENT = 0.75
 """With few nodes, what is queued explains a wait, and the limit is longer."""
@@ -42,7 +42,7 @@
         retry_window_us = _retry_window_us(request.request_class)
         if not self._has_attempts_left(request, endpoint) or not retry_window_us:
             return NO_TIMEOUT
-        if self._is_jammed(request, endpoint):
+        if self._is_overload_likely(request, endpoint):
             return NO_TIMEOUT
         timeout_us = self._computed_timeout_us(request, endpoint)
         has_time_for_retry = self._state.now_us + 2 * timeout_us < request.deadline_us
@@ -53,14 +53,16 @@
         needed = 1 if endpoint.role is Role.PREFILL else 0
         return self._state.settings.max_attempts - request.attempts - needed > 0
 
-    def _is_jammed(self, request: InFlightRequest, endpoint: Endpoint) -> bool:
-        """Whether silence may come from a jam, by time-outs, shedding, or prefills with no recent answer."""
+    def _is_overload_likely(self, request: InFlightRequest, endpoint: Endpoint) -> bool:
+        """Whether silence may come from an overload: time-outs, shedding, or no recent answer to prefills."""
         statistics, now_us = endpoint.statistics, self._state.now_us
         answered_before_us = now_us - MIN_TIMEOUT_SHARE * request.latency_objective_us
         is_unanswered = (
             endpoint.role is not Role.DECODE and 0 < statistics.answered_at_us < answered_before_us
         )
-        return is_unanswered or statistics.timeout_share >= MAX_TIMEOUT_SHARE or self._state.is_shedding
+        return (
+            is_unanswered or statistics.timeout_or_error_share >= MAX_TIMEOUT_SHARE or self._state.is_shedding
+        )
 
     def _computed_timeout_us(self, request: InFlightRequest, endpoint: Endpoint) -> float:
         statistics, state = endpoint.statistics, self._state
@@ -69,14 +71,15 @@
             (state.now_us - attempt.sent_at_us) / attempt.latency_objective_us
             for _, attempt in state.table.oldest_waiting(endpoint.role)
         )
+        # Never empty: the attempt itself waits already.
         latencies = sorted([*statistics.relative_latencies, *ages])
         slowest_fifth = latencies[-len(latencies) // 5]
         min_share = MIN_TIMEOUT_SHARE / max(state.hidden_share, MIN_HIDDEN_SHARE) ** HIDDEN_SHARE_EXPONENT
         timeout_us: float = max(min_share, TIMEOUT_RATIO * slowest_fifth) * request.latency_objective_us
-        timeout_us *= TIMEOUT_GROWTH**request.timeouts
+        timeout_us *= TIMEOUT_GROWTH**request.unanswered_attempts
         # Where reports tell of a queue, silence means waiting, and a retry would only lengthen the queue.
         queue_factor = 1 + statistics.waiting_tokens / max(statistics.attempt_tokens, 1.0)
-        timeout_us *= queue_factor / max(1 - statistics.timeout_share, 1 - MAX_TIMEOUT_SHARE)
+        timeout_us *= queue_factor / max(1 - statistics.timeout_or_error_share, 1 - MAX_TIMEOUT_SHARE)
         return timeout_us
 
 
--- a/tuliptrack/routing/decode_placement.py
+++ b/tuliptrack/routing/decode_placement.py
@@ -142,8 +142,8 @@
 
     def _least_loaded(self, choice: _Choice, least: float) -> Endpoint | None:
         """Return any of the least loaded endpoints, with equal chances."""
-        idle_count, loaded = choice.loads.idle_count_at(least), choice.loads.loaded_at(least)
-        if not idle_count:
+        unloaded_count, loaded = choice.loads.unloaded_count_at(least), choice.loads.loaded_at(least)
+        if not unloaded_count:
             return random_member(loaded, self._state.random)
-        count = idle_count + len(loaded)
+        count = unloaded_count + len(loaded)
         return choice.candidates.draw(lambda one: choice.load_of(one) == least, count, self._state.random)
--- a/tuliptrack/routing/eligibility.py
+++ b/tuliptrack/routing/eligibility.py
@@ -50,7 +50,7 @@
                 if one.no_slot_before_us > state.now_us or self._slow_start.slot_for(one, request) is None
             ]
         )
-        if self._may_have_effect(request):
+        if self._is_restricted_by_execution(request):
             excluded.update([one.info.id for one in ready if not may_send_to(request, one, state.now_us)])
         examined = ready if self._locality.is_recovering else state.table.ejected(role)
         unusable = {one.info.id for one in examined if not self.is_usable(one, request)} | excluded
@@ -80,7 +80,7 @@
         )
 
     @staticmethod
-    def _may_have_effect(request: InFlightRequest) -> bool:
+    def _is_restricted_by_execution(request: InFlightRequest) -> bool:
         """Whether an earlier attempt restricts where the next one may go."""
         if request.first_execution is None:
             return False
--- a/tuliptrack/routing/outlier_detection.py
+++ b/tuliptrack/routing/outlier_detection.py
@@ -8,8 +8,10 @@
 - A rejection counts against the whole endpoint if it comes at once, which shows a lack of capacity, and
   against its service of that tenant if it comes late, which shows throttling.
 
-An ejected endpoint is used only if no other is left, or for one attempt when a health check is due. The
-interval of the checks doubles with each failure. An answer restores the endpoint for requests of that kind.
+An ejected endpoint is used only if no other is left, or for one attempt when a health check is due. That
+attempt is a request of a client (the half-open state of a circuit breaker), not a `CheckHealth`. The interval
+of the checks doubles with each failure. An answer restores the endpoint for requests of that kind; a new
+start time, that is another process, restores it for all.
 Times are microseconds.
 """
 
@@ -28,9 +30,9 @@
 CHECK_INTERVAL_US = 700_000
 """Before the first health-check attempt; doubled at each failure, and jittered."""
 CHECK_INTERVAL_REQUESTS = 20
-"""The interval lasts at least as many requests of this node, since each check delays one of them."""
+"""Before jitter, the interval lasts at least as many requests of this node: each check delays one of them."""
 MAX_CHECK_INTERVAL_US = 15_000_000
-"""Faults last some tens of seconds, and the capacity is missed after them."""
+"""Before jitter. Longer intervals would leave a recovered endpoint unused."""
 EARLY_REJECTION_SHARE = 0.08
 """A rejection within this share of the latency objective shows a lack of capacity; a later one throttling."""
 MAX_CONNECTION_FAILURES = 4
@@ -83,8 +85,8 @@
         elif ended.status is Status.ERROR or (
             ended.status is Status.TIMEOUT and now_us < request.deadline_us
         ):
-            request.timeouts += 1
-            statistics.record_end(now_us, timeout=1.0)
+            request.unanswered_attempts += 1
+            statistics.record_end(now_us, timeout_or_error=1.0)
             self._record_ejection(endpoint, request_class, request.sent_at_us)
         elif ended.status is Status.AT_CAPACITY and not ended.is_state_lost:
             is_early = ended.latency_us < EARLY_REJECTION_SHARE * request.latency_objective_us
--- a/tuliptrack/routing/prefill_placement.py
+++ b/tuliptrack/routing/prefill_placement.py
@@ -48,9 +48,12 @@
         eligible = self._eligibility.first_eligible(ranking, request, count + SPILL_ENDPOINTS - 1)
         if not eligible:
             return None
-        affine = self._session_endpoint(request, eligible[:count])
-        if endpoint_queue_us(self._state, affine) <= MAX_QUEUE_SHARE * request.latency_objective_us:
-            return affine
+        affinity_endpoint = self._session_endpoint(request, eligible[:count])
+        if (
+            endpoint_queue_us(self._state, affinity_endpoint)
+            <= MAX_QUEUE_SHARE * request.latency_objective_us
+        ):
+            return affinity_endpoint
         remote: list[Endpoint] = []
         if self._locality.is_budgeted:
             remote = [one for one in self._remote_endpoints(request) if one not in eligible]
@@ -99,8 +102,10 @@
         if self._locality.is_budgeted:
             local_count = sum(not self._locality.is_remote(one) for one in ranking)
         local_count = local_count or len(ranking)
-        granted_us = cls.objective_us_per_1000_tokens * request.request.prefix_tokens / 1000
-        fits = SPILL_ENDPOINTS * granted_us <= MAX_QUEUE_SHARE * (cls.latency_objective_us + granted_us)
+        prefix_objective_us = cls.objective_us_per_1000_tokens * request.request.prefix_tokens / 1000
+        fits = SPILL_ENDPOINTS * prefix_objective_us <= MAX_QUEUE_SHARE * (
+            cls.latency_objective_us + prefix_objective_us
+        )
         desired = max(
             SPILL_ENDPOINTS if fits else 1,
             AFFINITY_HEADROOM * state.demand.prefix_share(prefix) * local_count,
--- a/tuliptrack/routing/queue_estimate.py
+++ b/tuliptrack/routing/queue_estimate.py
@@ -60,8 +60,8 @@
     def time_to_first_token_us(self, request: InFlightRequest, endpoint: Endpoint | None) -> float:
         """Estimate the time to first token if the request starts at an endpoint (None: there is none).
 
-        The queue of the endpoint does not lower what the role shows: one idle endpoint would hide a jam at
-        all others. At an endpoint in slow start an open slot counts as capacity.
+        The queue of the endpoint does not lower what the role shows: one idle endpoint would hide an overload
+        of all others. At an endpoint in slow start an open slot counts as capacity.
         """
         queue_us = self._queue_us(request, endpoint)
         is_remote = endpoint is not None and self._locality.is_remote(endpoint)
@@ -114,7 +114,7 @@
     def _ages_us(self, statistics: RoleStatistics, role: Role) -> float:
         """Return the weighted median age of the oldest waiting attempts.
 
-        In a jam no answers come, but attempts grow old. The median is not moved by one silent endpoint.
+        In an overload no answers come, but attempts grow old. The median is not moved by one silent endpoint.
         """
         state = self._state
         ages_us = [
--- a/tuliptrack/routing/router.py
+++ b/tuliptrack/routing/router.py
@@ -64,27 +64,29 @@
 __all__ = ["Router"]
 
 RESUBSCRIBE_US = 500_000
-"""Before a failed subscription to the endpoint list is repeated, jittered up to twice this."""
+"""Until a failed subscription to the endpoint list is repeated; jittered to between once and twice this."""
+RESUBSCRIBE_TOKEN = 0
+"""Of the only timer that a router sets."""
 
 
 class Router:
     """The decisions of one node. `handle` takes what has happened and returns what to do."""
 
-    def __init__(self, settings: Settings, seed: int, peer_router: Router | None = None) -> None:
+    def __init__(self, settings: Settings, seed: int, sibling_router: Router | None = None) -> None:
         """Create a router that knows no endpoints.
 
         Args:
             settings: of the node.
             seed: of its random numbers.
-            peer_router: this node's router of another model, with which quotas and zone budgets are shared.
+            sibling_router: this node's router of another model; they share quotas and zone budgets.
         """
         self.settings = settings
         self.state = state = NodeState(settings, seed)
         self.in_flight: dict[int, InFlightRequest] = {}
-        """Requests that are not concluded, or have an attempt out, by id."""
+        """Requests that are not concluded, or have an attempt in flight, by id."""
         self.outbox = outbox = Outbox()
-        self.quotas: TenantQuotas = peer_router.quotas if peer_router else TenantQuotas(settings)
-        self.locality = Locality(state, outbox, _zone_budgets(settings, peer_router))
+        self.quotas: TenantQuotas = sibling_router.quotas if sibling_router else TenantQuotas(settings)
+        self.locality = Locality(state, outbox, _zone_budgets(settings, sibling_router))
         self.slow_start = SlowStart(state)
         self.outliers = OutlierDetection(state, outbox, self.locality)
         self.slow_streams = SlowStreamDetection(state, outbox, self.outliers)
@@ -136,7 +138,7 @@
     def _handle_list_update(self, update: EndpointListUpdate) -> None:
         if update.kind is UpdateKind.FAILED:
             delay_us = int(RESUBSCRIBE_US * (1 + self.state.random.random()))
-            self.outbox.add(SetTimer(delay_us, 0))
+            self.outbox.add(SetTimer(delay_us, RESUBSCRIBE_TOKEN))
             return
         if update.kind is UpdateKind.CACHED and self.settings.must_subscribe:
             self.outbox.add(Subscribe(True))
@@ -184,7 +186,7 @@
     def _send(self, request: InFlightRequest, endpoint: Endpoint | None) -> None:
         """Send an attempt, or conclude the request if there is no endpoint, no attempt or no time left.
 
-        Only called while no attempt of the request is out, so that there are never two at once.
+        Only called while no attempt of the request is in flight, so that there are never two at once.
         """
         state = self.state
         is_exhausted = request.attempts >= self.settings.max_attempts
@@ -247,7 +249,7 @@
         self._remove_attempt(request, endpoint, event)
         if event.status is Status.PREFILLED:
             self._record_answer(request, endpoint, event.latency_us)
-            request.kv_holder, request.timeouts = endpoint, 0
+            request.kv_holder, request.unanswered_attempts = endpoint, 0
         if event.is_state_lost:
             request.kv_holder = None
         if event.is_final or request.is_concluded:
@@ -320,7 +322,7 @@
     return arrived.stream_time_hint_us / inter_token_objective_us
 
 
-def _zone_budgets(settings: Settings, peer_router: Router | None) -> CrossZoneBudgets | None:
-    if peer_router:
-        return peer_router.locality.budgets
+def _zone_budgets(settings: Settings, sibling_router: Router | None) -> CrossZoneBudgets | None:
+    if sibling_router:
+        return sibling_router.locality.budgets
     return CrossZoneBudgets(settings) if settings.zone_budgets else None
--- a/tuliptrack/simulator_adapter/events.py
+++ b/tuliptrack/simulator_adapter/events.py
@@ -109,18 +109,18 @@
     request_id, hint_us, time_left_us, prefix_tokens, max_tokens = reader.read("QIIff")
     session, prefix, prompt_tokens, tenant, class_index, flags = reader.read("QQfIBB")
     return io.Request(
-        request_id,
-        class_index,
-        time_left_us,
-        prompt_tokens,
-        prefix_tokens,
-        max_tokens,
-        session,
-        prefix,
-        tenant,
-        hint_us if flags & HAS_HINT else None,
-        bool(flags & IS_RETRY),
-        bool(flags & IS_RESUMED),
+        request_id=request_id,
+        class_index=class_index,
+        time_left_us=time_left_us,
+        prompt_tokens=prompt_tokens,
+        prefix_tokens=prefix_tokens,
+        max_tokens=max_tokens,
+        session=session,
+        prefix=prefix,
+        tenant=tenant,
+        stream_time_hint_us=hint_us if flags & HAS_HINT else None,
+        is_retry=bool(flags & IS_RETRY),
+        is_resumed=bool(flags & IS_RESUMED),
     )
 
 
@@ -138,15 +138,15 @@
     request_id, is_final, note, endpoint_id, attempt, code, latency_us = reader.read("QBIIBBI")
     status = lookup(STATUSES, code, f"{reader.record}: disposition")
     return io.AttemptEnded(
-        request_id,
-        attempt,
-        endpoint_id,
-        status,
-        latency_us,
-        bool(is_final),
-        note if status in (io.Status.OK, io.Status.PREFILLED) else 0,
-        status is io.Status.AT_CAPACITY and note == STATE_LOST,
-        reader.read_floats(),
+        request_id=request_id,
+        attempt=attempt,
+        endpoint_id=endpoint_id,
+        status=status,
+        latency_us=latency_us,
+        is_final=bool(is_final),
+        cached_tokens=note if status in (io.Status.OK, io.Status.PREFILLED) else 0,
+        is_state_lost=status is io.Status.AT_CAPACITY and note == STATE_LOST,
+        load_report=reader.read_floats(),
     )
 
 
--- a/tuliptrack/state/endpoint.py
+++ b/tuliptrack/state/endpoint.py
@@ -134,7 +134,7 @@
         return max(self.prefill_latency_us or self.statistics.prefill_latency_us, age_us, 1)
 
     def record_report(self, report: Mapping[str, float], now_us: int) -> None:
-        """Take a load report over; fields may be missing."""
+        """Take a load report over; a value that is not among `Settings.report_fields` stays as it was."""
         self.reported_at_us = now_us
         self.reported_in_flight = report.get("in_flight", self.reported_in_flight)
         self.reported_memory_share = report.get("memory_share", self.reported_memory_share)
--- a/tuliptrack/state/in_flight.py
+++ b/tuliptrack/state/in_flight.py
@@ -34,7 +34,7 @@
     attempts: int = 0
     """Attempts that were sent."""
     endpoint: Endpoint | None = None
-    """Where the newest attempt is out."""
+    """Where the newest attempt was sent."""
     sent_at_us: int = 0
     """When the newest attempt was sent."""
     attempt_tokens: float = 1.0
@@ -47,7 +47,7 @@
     """The final answer was given or the client has disconnected; only ends of attempts are awaited."""
     first_execution: Execution | None = None
     """The first attempt that may have had its effect."""
-    timeouts: int = 0
+    unanswered_attempts: int = 0
     """Attempts of the present stage that ended by this node's time-out or with an error."""
     connection_failures: int = 0
     """Attempts that failed with their own connection only."""
@@ -78,7 +78,8 @@
         """Update the excluded endpoints after an attempt has ended.
 
         A finished prefill opens all decode endpoints again except those that were unresponsive, unless there
-        are no others. `may_return`: the next attempt may go to the same endpoint.
+        are no others. `may_return`: the next attempt may go to the same
+        endpoint, unless that was unresponsive.
         """
         is_unresponsive = endpoint.role is not Role.PREFILL and status in (
             Status.TIMEOUT,
--- a/tuliptrack/state/projected_loads.py
+++ b/tuliptrack/state/projected_loads.py
@@ -39,12 +39,12 @@
         """
         self.count = sum(counts.values())
         self.base_loads = base_loads
-        self.idle_counts = dict(counts)
+        self.unloaded_counts = dict(counts)
         """Endpoints of each group without projected tokens of this node."""
         self._loaded = loaded
         self._own_loads = {one.info.id: one.projected_load + base_loads[one.group] for one in loaded}
         for endpoint in loaded:
-            self.idle_counts[endpoint.group] -= 1
+            self.unloaded_counts[endpoint.group] -= 1
 
     def load_of(self, endpoint: Endpoint) -> float:
         """Return the load of one of the endpoints."""
@@ -59,18 +59,18 @@
     @property
     def mean(self) -> float:
         """The mean load."""
-        idle = math.fsum(self.base_loads[group] * count for group, count in self.idle_counts.items())
-        return (math.fsum(self._own_loads.values()) + idle) / self.count
+        unloaded = math.fsum(self.base_loads[group] * count for group, count in self.unloaded_counts.items())
+        return (math.fsum(self._own_loads.values()) + unloaded) / self.count
 
     @property
     def least(self) -> float:
         """The lowest load."""
-        idle = (self.base_loads[group] for group, count in self.idle_counts.items() if count)
-        return min([*self._own_loads.values(), *idle])
+        unloaded = (self.base_loads[group] for group, count in self.unloaded_counts.items() if count)
+        return min([*self._own_loads.values(), *unloaded])
 
-    def idle_count_at(self, load: float) -> int:
+    def unloaded_count_at(self, load: float) -> int:
         """Count the endpoints without projected tokens of this node that have exactly this load."""
-        return sum(count for group, count in self.idle_counts.items() if self.base_loads[group] == load)
+        return sum(count for group, count in self.unloaded_counts.items() if self.base_loads[group] == load)
 
     def loaded_at(self, load: float) -> list[Endpoint]:
         """Return the endpoints with projected tokens of this node that have exactly this load, by id."""
--- a/tuliptrack/state/role_statistics.py
+++ b/tuliptrack/state/role_statistics.py
@@ -47,7 +47,7 @@
     """Ratio of the two above."""
     prefill_latency_us: float = 0.0
     """Latency of a prefill; 0 before the first."""
-    timeout_share: float = 0.0
+    timeout_or_error_share: float = 0.0
     """Share of attempts that ended by this node's own time-out or with an error."""
     rejection_share: float = 0.0
     """Share of attempts that an endpoint rejected at once for lack of capacity."""
@@ -81,9 +81,13 @@
             weight = SAMPLE_WEIGHT if self.prefill_latency_us else 1.0
             self.prefill_latency_us = smoothed(self.prefill_latency_us, sample.latency_us, weight)
 
-    def record_end(self, now_us: int, timeout: float = 0.0, rejection: float = 0.0) -> None:
-        """Record how an attempt ended; `timeout` and `rejection` are 1 if it ended that way, else 0."""
-        self.timeout_share = smoothed(self.timeout_share, timeout)
+    def record_end(self, now_us: int, timeout_or_error: float = 0.0, rejection: float = 0.0) -> None:
+        """Record that an attempt ended by an answer, a time-out, an error or a rejection.
+
+        `timeout_or_error` and `rejection` are 1 if it ended that way, else 0. Failures of connections are not
+        recorded: they tell nothing of the load.
+        """
+        self.timeout_or_error_share = smoothed(self.timeout_or_error_share, timeout_or_error)
         self.rejection_share = smoothed(self.rejection_share, rejection)
         self.observed_at_us = now_us
 
