--- a/tuliptrack/structures/__init__.py
+++ b/tuliptrack/structures/__init__.py
@@ -1,4 +1,4 @@
-"""Data structures of the routing decisions and budgets; the standard library alone.
+"""Data structures for routing decisions and budgets, built on the standard library only.
 
-`bench/structures.py` and `bench/ledger.py` compare them with plain ones.
+`bench/structures.py` and `bench/ledger.py` benchmark them against simpler implementations.
 """
--- a/tuliptrack/structures/grouped_values.py
+++ b/tuliptrack/structures/grouped_values.py
@@ -1,7 +1,7 @@
-"""Members with a value each, in groups: counts up to a bound, and low medians, without examining all members.
+"""Values of members by group, indexed so that counts up to a bound and low medians need no full scan.
 
-Each group is a sorted list with bisection. Queries may exclude some members: their cost grows with the number
-of excluded ones.
+Each group is a sorted list that is searched by bisection. Queries may exclude some members; the cost of a
+query grows with the number of excluded members.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 class GroupedValues(Generic[G]):
-    """Values by whole-number key. Bound: the members that were put and not removed."""
+    """Maps integer keys to a group and a value. It holds the members that were put and not removed."""
 
     __slots__ = ("_groups", "_members")
 
     def __init__(self) -> None:
         self._groups: dict[G, list[tuple[float, int]]] = {}
-        """Values and keys of each group's members, in rising order."""
+        """`(value, key)` pairs of each group's members, in ascending order."""
         self._members: dict[int, tuple[G, float]] = {}
         """Group and value of each member."""
 
@@ -54,9 +54,9 @@
         return key in self._members
 
     def counts_up_to(self, bound: float, excluded: Collection[int]) -> dict[G, int]:
-        """Return how many members of each group have a value up to the bound.
+        """Return how many members of each group have a value of at most the bound.
 
-        Every key in `excluded` has to be a member's.
+        Every key in `excluded` must be the key of a member.
         """
         counts = {group: bisect_right(values, bound, key=_value) for group, values in self._groups.items()}
         for key in excluded:
@@ -65,24 +65,24 @@
         return counts
 
     def ascending(self, group: G, above: float = -math.inf) -> Iterator[tuple[float, int]]:
-        """Iterate over values and keys of a group's members, in rising order, from above a bound."""
+        """Iterate over the `(value, key)` pairs of a group with values above a bound, in ascending order."""
         values = self._groups.get(group, [])
         return islice(values, bisect_right(values, above, key=_value), None)
 
     def low_median(self, excluded: Collection[int], groups: Iterable[G] | None = None) -> float:
-        """Return the median of all members' values, or of those in some groups; of two the lower.
+        """Return the median value of all members or of some groups; of two middle values the lower one.
 
         Raises:
-            ValueError: There is no member that is not excluded.
+            ValueError: all members are excluded, or there are none.
         """
-        wanted = self._groups.keys() if groups is None else set(groups)
-        values = self._merged(wanted)
-        skipped = self._sorted_values(excluded, wanted)
+        selected = self._groups.keys() if groups is None else set(groups)
+        values = self._merged(selected)
+        skipped = self._sorted_values(excluded, selected)
         count = len(values) - len(skipped)
         if not count:
-            raise ValueError("no median of nothing")
+            raise ValueError("no median: no members are left after exclusions")
         index = (count - 1) // 2
-        for pair in skipped:  # In rising order: each one up to the index shifts the median by one.
+        for pair in skipped:  # Ascending: each excluded pair at or below the index shifts the median by one.
             if pair > values[index]:
                 break
             index += 1
@@ -93,7 +93,7 @@
         return lists[0] if len(lists) == 1 else sorted(pair for values in lists for pair in values)
 
     def _sorted_values(self, keys: Collection[int], groups: Collection[G]) -> list[tuple[float, int]]:
-        """Return values and keys of those of some members that are in some groups, in rising order."""
+        """Return the `(value, key)` pairs of the given keys in the given groups, in ascending order."""
         pairs = []
         for key in keys:
             group, value = self._members[key]
--- a/tuliptrack/structures/heavy_hitters.py
+++ b/tuliptrack/structures/heavy_hitters.py
@@ -1,13 +1,13 @@
 """Heavy hitters in bounded memory: the names with the largest sums, out of more names than can be stored.
 
-The space-saving algorithm: there is a fixed number of counters. A new name takes over the smallest counter
-with its amount, which is the most that the new name can have had before. So an amount is never too low, and
-too high by at most the total / number of counters; any name that has more than that has a counter. Source:
+This is the space-saving algorithm with a fixed number of counters. A new name takes over the smallest counter
+and its amount, which is the most that the new name can have had before. So an amount is never too low, and
+too high by at most total / number of counters; any name with a larger sum than that has a counter. Source:
 Metwally, Agrawal, El Abbadi, "Efficient computation of frequent and top-k elements in data streams", 2005.
 
 The paper keeps counters in linked buckets by value, for counts that grow by one. Here amounts differ, so the
-smallest counter is found with a heap that is corrected late: an entry whose counter has grown is pushed back
-when it reaches the top.
+smallest counter is found with a lazily updated heap: an entry whose counter has grown is pushed back when it
+reaches the top.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 
 
 class HeavyHitterSketch:
-    """Sums of whole amounts for the heaviest names. Bound: `max_names` counters."""
+    """Sums of integer amounts for the heaviest names. It holds at most `max_names` counters."""
 
     def __init__(self, max_names: int) -> None:
-        """Begin with no names; at most `max_names` have a counter at any time."""
+        """Create an empty sketch in which at most `max_names` names have a counter at any time."""
         self.max_names = max_names
         self.total = 0
         """Sum of the amounts of all names."""
         self.counters: dict[str, tuple[int, int]] = {}
         """Amount and error by name."""
         self._heap: list[tuple[int, str]] = []
-        """An entry for each counter, with its amount of now or of an earlier time."""
+        """One entry for each counter, with its current amount or an earlier one."""
 
     def add(self, name: str, amount: int) -> None:
         """Add an amount to the sum of a name."""
@@ -50,21 +50,21 @@
             self.counters[name] = (amount, 0)
             heapq.heappush(self._heap, (amount, name))
         else:
-            smallest, loser = self._smallest()
-            del self.counters[loser]
+            smallest, evicted = self._smallest()
+            del self.counters[evicted]
             self.counters[name] = (smallest + amount, smallest)
             heapq.heapreplace(self._heap, (smallest + amount, name))
 
     def _smallest(self) -> tuple[int, str]:
-        """Return amount and name of the smallest counter, and leave its entry at the top of the heap."""
+        """Return the amount and name of the smallest counter; its entry is then at the top of the heap."""
         while True:
-            known, name = self._heap[0]
+            recorded, name = self._heap[0]
             current = self.counters[name][0]
-            if current == known:
-                return known, name
+            if current == recorded:
+                return recorded, name
             heapq.heapreplace(self._heap, (current, name))
 
     def top(self, count: int) -> list[HeavyHitter]:
-        """Return the heaviest names, the largest sum first; those with equal sums in the order of names."""
+        """Return the heaviest names, the largest sum first; names with equal sums are sorted by name."""
         heaviest = heapq.nsmallest(count, self.counters.items(), key=lambda item: (-item[1][0], item[0]))
         return [HeavyHitter(name, amount, error) for name, (amount, error) in heaviest]
--- a/tuliptrack/structures/interval_set.py
+++ b/tuliptrack/structures/interval_set.py
@@ -1,4 +1,4 @@
-"""A set of whole numbers, stored as disjoint intervals in order."""
+"""A set of integers, stored as sorted, disjoint intervals."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class IntervalSet:
-    """Half-open intervals [start, end), neither overlapping nor adjacent. Bound: as many as were added."""
+    """Half-open intervals [start, end), neither overlapping nor adjacent; at most one per call of `add`."""
 
     def __init__(self) -> None:
         self.starts: list[int] = []
@@ -26,7 +26,7 @@
         return added
 
     def _overlap(self, start: int, end: int, low: int, high: int) -> int:
-        """Return how many numbers of [start, end) are in the intervals from index `low` to before `high`."""
+        """Return how many numbers of [start, end) are in the intervals with indexes in [low, high)."""
         return sum(
             max(min(own_end, end) - max(own_start, start), 0)
             for own_start, own_end in zip(self.starts[low:high], self.ends[low:high], strict=True)
--- a/tuliptrack/structures/rendezvous.py
+++ b/tuliptrack/structures/rendezvous.py
@@ -1,10 +1,10 @@
 """Weighted rendezvous hashing: all processes rank members alike, and a change of members moves few keys.
 
 A member's score for a key is `weight / -ln(u)`, where u is the hash of the key and the member as a number
-between 0 and 1. Ranking needs the hashes of all members, so they are computed at once: the members' own
-hashes are laid out in one large integer, in lanes of 128 bits, and the mixing steps are applied to that
-integer. A product of 64 by 64 bits fits into a lane, so no lane carries into the next. That is much faster
-than hashing one member after another, with the standard library alone (`bench/structures.py`).
+between 0 and 1. Ranking needs the hashes of all members, so they are computed together: the hashes of the
+members' ids are packed into one large integer, in lanes of 128 bits, and each mixing step is applied to that
+integer. A product of 64 by 64 bits fits into a lane, so no lane carries into the next. This is much faster
+than hashing the members one by one, and needs only the standard library (`bench/structures.py`).
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 MIX_SHIFTS = FIRST_SHIFT, SECOND_SHIFT, LAST_SHIFT = 30, 27, 31
 LANE_BYTES = 16
 LANE_WORDS = 2
-"""Words of 64 bits in a lane; the lower one holds the hash."""
+"""64-bit words in a lane; the lower one holds the hash."""
 HEAD_COUNT = 24
-"""Members that are ranked first, as most callers use a few only."""
+"""Members ranked in the first step; most callers use only a few."""
 LIKELY_EXCESS = 3
-"""Members expected above a bound on hashes, for each one wanted above it."""
+"""Expected number of members above the hash bound of `likely_top`, for each requested one."""
 MAX_CACHED_RANKINGS = 1_000
 
 
@@ -45,25 +45,25 @@
     return _score(mix(key ^ mix(member_id)), weight)
 
 
-def _score(hashed: int, weight: float) -> float:
-    return weight / -math.log((hashed + 1) / (2**HASH_BITS + 1))
+def _score(hash_value: int, weight: float) -> float:
+    return weight / -math.log((hash_value + 1) / (2**HASH_BITS + 1))
 
 
 class RendezvousHasher(Generic[T]):
-    """Ranks a fixed set of members for any key. Bound: `MAX_CACHED_RANKINGS` rankings of the members."""
+    """Ranks a fixed set of members for any key. It caches at most `MAX_CACHED_RANKINGS` rankings."""
 
     def __init__(self, members: Sequence[T], ids: Sequence[int], weights: Sequence[float]) -> None:
-        """Prepare to rank `members`, which have the ids and weights at the same positions."""
+        """Prepare to rank `members`; `ids` and `weights` are in the same order."""
         self.members = members
         self._weights = weights
         self._has_equal_weights = len(set(weights)) <= 1
-        """If so, the order of the scores is that of the hashes."""
-        self._ones = _in_lanes([1] * len(members))
-        self._hashed_ids = _in_lanes([mix(member_id) for member_id in ids])
+        """With equal weights, scores have the same order as hashes, so hashes are ranked directly."""
+        self._ones = _pack_lanes([1] * len(members))
+        self._hashed_ids = _pack_lanes([mix(member_id) for member_id in ids])
         self._increments = MIX_INCREMENT * self._ones
         self._mask = HASH_MASK * self._ones
         self._shift_masks = [(HASH_MASK >> shift) * self._ones for shift in MIX_SHIFTS]
-        """For each shift, the bits that did not come from the next lane."""
+        """For each shift, a mask that clears the bits shifted in from the next lane."""
         self._rankings: dict[int, Ranking[T]] = {}
 
     def hashes(self, key: int) -> list[int]:
@@ -79,28 +79,29 @@
         return words[::LANE_WORDS]
 
     def scores(self, key: int) -> Sequence[float]:
-        """Return numbers by which members are ranked for a key, the highest first: scores or just hashes."""
+        """Return the values by which members are ranked for a key, highest first: scores or hashes."""
         hashes = self.hashes(key)
         if self._has_equal_weights:
             return hashes
-        return [_score(hashed, weight) for hashed, weight in zip(hashes, self._weights, strict=True)]
+        return [_score(hash_value, weight) for hash_value, weight in zip(hashes, self._weights, strict=True)]
 
     def likely_top(self, scores: Sequence[float], count: int) -> list[int]:
-        """Return positions that are sure to include those of the `count` highest scores.
+        """Return positions that are guaranteed to include those of the `count` highest scores.
 
-        Hashes are spread evenly, so a fixed bound separates a few of the highest from the rest.
+        Hashes are uniformly distributed, so a fixed bound selects about `LIKELY_EXCESS` * `count` of the
+        highest.
 
         Returns:
-            The positions, or none if the bound does not separate enough of them.
+            The positions, or an empty list if weights differ or fewer than `count` hashes exceed the bound.
         """
         if not self._has_equal_weights:
             return []
         bound = HASH_MASK - HASH_MASK * LIKELY_EXCESS * count // len(self.members)
-        found = [position for position, hashed in enumerate(scores) if hashed > bound]
+        found = [position for position, hash_value in enumerate(scores) if hash_value > bound]
         return found if len(found) >= count else []
 
     def ranking(self, key: int) -> Ranking[T]:
-        """Return the members in the order for a key, ranked as far as is needed; cached."""
+        """Return the members in the order for a key. Rankings are cached and computed lazily."""
         cached = self._rankings.get(key)
         if cached is None:
             if len(self._rankings) >= MAX_CACHED_RANKINGS:
@@ -110,12 +111,12 @@
 
 
 class Ranking(Generic[T]):
-    """Members by falling score for one key; of members with equal scores the earlier first."""
+    """Members by descending score for one key; members with equal scores keep their order."""
 
     __slots__ = ("_hasher", "_key", "_ranked")
 
     def __init__(self, hasher: RendezvousHasher[T], key: int) -> None:
-        """Prepare to rank; nothing is computed before the first iteration."""
+        """Prepare to rank; nothing is computed until the first iteration."""
         self._hasher, self._key = hasher, key
         self._ranked: list[T] = []
 
@@ -144,5 +145,5 @@
         return member in self._hasher.members
 
 
-def _in_lanes(values: Sequence[int]) -> int:
+def _pack_lanes(values: Sequence[int]) -> int:
     return int.from_bytes(b"".join(value.to_bytes(LANE_BYTES, "little") for value in values), "little")
--- a/tuliptrack/structures/sorted_members.py
+++ b/tuliptrack/structures/sorted_members.py
@@ -1,8 +1,8 @@
-"""Members in the order of their whole-number keys: found by key, by position, and iterated in order.
+"""Members sorted by integer key, with access by key, by position and in order.
 
-It is a sorted list of keys with bisection. A change moves all that follows in one block, which is fast for
-thousands of members; `bench/structures.py` compares it with a list that is rebuilt and with a sorted
-container of another library.
+The keys are in a sorted list that is searched by bisection. An insertion or removal moves all later keys as
+one block, which is fast for thousands of members; `bench/structures.py` compares it with rebuilding the list
+and with a sorted container of another library.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 
 class SortedMembers(Generic[T]):
-    """A mapping in the order of its keys. Bound: the members that were put and not removed."""
+    """A mapping in the order of its keys. It holds the members that were put and not removed."""
 
     __slots__ = ("_keys", "_members")
 
     def __init__(self) -> None:
         self._keys: list[int] = []
-        """In rising order."""
+        """All keys, in ascending order."""
         self._members: dict[int, T] = {}
 
     def put(self, key: int, member: T) -> None:
@@ -38,7 +38,7 @@
             del self._keys[bisect_left(self._keys, key)]
 
     def keys(self) -> KeysView[int]:
-        """Return the keys, in no particular order, for many membership tests."""
+        """Return the keys, in no particular order, for repeated membership tests."""
         return self._members.keys()
 
     def __contains__(self, key: object) -> bool:
--- a/tuliptrack/structures/timing_wheel.py
+++ b/tuliptrack/structures/timing_wheel.py
@@ -1,12 +1,12 @@
-"""A hierarchical timing wheel: many keys, each with one time at which it is due.
+"""A hierarchical timing wheel: schedules many keys, each due at one time.
 
 Scheduling, rescheduling and cancelling a key takes constant time, and so does advancing by a tick; a heap
 would take logarithmic time, and could not reschedule a key without leaving the old entry behind. Source:
 Varghese and Lauck, "Hashed and hierarchical timing wheels", 1987.
 
 Each level has 64 slots; a slot of level n spans 64^n ticks. A key due far ahead is in a coarse slot and moves
-to finer levels when the time of that slot comes. Keys come due in the order of their ticks, those of one tick
-in the order in which they were scheduled.
+to finer levels when the time of that slot begins. Keys come due in the order of their ticks, and keys of the
+same tick in the order in which they were scheduled.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 SLOT_BITS = 6
 SLOTS = 1 << SLOT_BITS
 LEVELS = 7
-"""64^7 ticks of a millisecond are 139 years."""
+"""Seven levels cover 64^7 ticks: 139 years with ticks of one millisecond."""
 TOP_LEVEL = LEVELS - 1
 COARSE_LEVELS = (1, *range(TOP_LEVEL, 1, -1))
 DEFAULT_TICK_US = 1_000
@@ -30,26 +30,26 @@
 class TimingWheel(Generic[K]):
     """Keys by the time at which they are due.
 
-    Times are whole microseconds, rounded up to ticks. Bound: one entry for each scheduled key.
+    Times are integer microseconds, rounded up to ticks. It holds one entry for each scheduled key.
     """
 
     def __init__(self, now_us: int, tick_us: int = DEFAULT_TICK_US) -> None:
-        """Begin with no keys at the time `now_us`."""
+        """Create an empty wheel whose current time is `now_us`."""
         self.tick_us = tick_us
         self.current_tick = now_us // tick_us
         """All keys due up to this tick have been yielded."""
         self.due_ticks: dict[K, int] = {}
         """The tick of each scheduled key."""
         self._levels: list[list[dict[K, None]]] = [[{} for _ in range(SLOTS)] for _ in range(LEVELS)]
-        """For each level its slots; a slot is an ordered set of keys."""
+        """The slots of each level; a slot is an insertion-ordered set of keys."""
         self._level_counts = [0] * LEVELS
-        """Keys at each level."""
+        """Number of keys at each level."""
 
     def __len__(self) -> int:
         return len(self.due_ticks)
 
     def schedule(self, key: K, due_us: int) -> None:
-        """Make a key due at a time, scheduled before or not; the next tick is the earliest."""
+        """Schedule or reschedule a key; it comes due at the next tick at the earliest."""
         self.cancel(key)
         due_tick = max(-(-due_us // self.tick_us), self.current_tick + 1)
         self.due_ticks[key] = due_tick
@@ -64,7 +64,7 @@
             self._level_counts[level] -= 1
 
     def _level(self, due_tick: int) -> int:
-        """Return the level at which a key of this tick is.
+        """Return the level that holds a key of this tick.
 
         That is the highest group of bits in which the tick differs from the current one. It only falls when
         the current tick reaches the key's slot, and that is when the slot is spread over the finer levels; so
@@ -79,10 +79,10 @@
         self._level_counts[level] += 1
 
     def advance(self, now_us: int) -> Iterator[K]:
-        """Yield the keys that have come due, each once; they may be scheduled again at once.
+        """Yield the keys that have come due, each once; the caller may reschedule them during the iteration.
 
-        All keys of a tick are removed before the first of them is yielded: one that is cancelled in between
-        is still yielded.
+        All keys of a tick are removed before the first of them is yielded, so a key of that tick that is
+        cancelled during the iteration is still yielded.
         """
         target_tick = now_us // self.tick_us
         while self.current_tick < target_tick:
@@ -99,14 +99,14 @@
                 yield from due_keys
 
     def _next_tick(self, finest_used: int, target_tick: int) -> int:
-        """Return the next tick at which a key may come due or move; empty fine levels are skipped."""
+        """Return the next tick at which a key may come due or change levels, skipping empty fine levels."""
         if finest_used == 0:
             return self.current_tick + 1
         span = 1 << finest_used * SLOT_BITS
         return min((self.current_tick // span + 1) * span, target_tick)
 
     def _spread_current_slot(self, level: int) -> None:
-        """Move the keys of a coarse slot to finer levels, if its time begins with the current tick."""
+        """Move the keys of a coarse slot to finer levels if the slot begins at the current tick."""
         if self.current_tick & (1 << level * SLOT_BITS) - 1:
             return
         for key in self._remove_slot(level):
@@ -127,7 +127,7 @@
 
 
 def _levels_to_spread(finest_used: int) -> Iterable[int]:
-    """Return the levels whose slots may begin after a step over the slots of the finest level in use."""
+    """Return the levels at which a slot may begin after a step of one slot of the finest level in use."""
     if finest_used == 0:
         return COARSE_LEVELS
     return range(min(finest_used + 1, TOP_LEVEL), 0, -1)
