--- a/tuliptrack/state/__init__.py
+++ b/tuliptrack/state/__init__.py
@@ -1,1 +1,1 @@
-"""Records that the routing decisions keep, and indexes over them; nothing is decided here."""
+"""Records that the routing decisions are based on, and indexes over them; no decisions are made here."""
--- a/tuliptrack/state/candidates.py
+++ b/tuliptrack/state/candidates.py
@@ -1,4 +1,4 @@
-"""The endpoints that a request may go to."""
+"""The endpoints that a request may be sent to."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 __all__ = ["Candidates"]
 
 MAX_DRAWS = 64
-"""Random draws for a fitting endpoint before all are examined."""
+"""Random draws for a suitable endpoint before all candidates are examined."""
 MAX_MEAN_DRAWS = 8
-"""Draws are only tried where this many find a fitting endpoint on average."""
+"""Random draws are used only if at most this many are needed on average to find a suitable endpoint."""
 
 
 @dataclass(slots=True)
 class Candidates:
-    """The ready endpoints of a role to which a request may go: all except the excluded ones."""
+    """The ready endpoints of a role that a request may be sent to: all except the excluded ones."""
 
     ready: SortedMembers[Endpoint]
     excluded: set[int]
-    """Ids of ready endpoints that are no candidates."""
+    """Ids of ready endpoints that are not candidates."""
     with_slot: list[Endpoint]
-    """The candidates in slow start that have a slot open for the request."""
+    """The candidates in slow start that have an open slot for the request."""
 
     def __len__(self) -> int:
         return len(self.ready) - len(self.excluded)
@@ -36,17 +36,21 @@
         return endpoint_id not in self.excluded and endpoint_id in self.ready
 
     def among(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        """Return those of some endpoints that are candidates."""
+        """Return those of the given endpoints that are candidates."""
         ready, excluded = self.ready.keys(), self.excluded
-        return [one for one in endpoints if one.info.id in ready and one.info.id not in excluded]
+        return [
+            endpoint
+            for endpoint in endpoints
+            if endpoint.info.id in ready and endpoint.info.id not in excluded
+        ]
 
     def __iter__(self) -> Iterator[Endpoint]:
         return (endpoint for endpoint in self.ready if endpoint.info.id not in self.excluded)
 
     def draw(self, fits: Callable[[Endpoint], bool], count: int, random: Random) -> Endpoint | None:
-        """Return any of the `count` candidates that fit, with equal chances.
+        """Return a uniformly random one of the `count` candidates for which `fits` is true.
 
-        Where many fit, random endpoints are tried, so that the cost does not grow with the fleet.
+        If many of them fit, random endpoints are tried first, so that the cost does not grow with the fleet.
         """
         for _ in range(MAX_DRAWS if MAX_MEAN_DRAWS * count >= len(self.ready) else 0):
             endpoint = self.ready[int(random.random() * len(self.ready))]
--- a/tuliptrack/state/capacity_index.py
+++ b/tuliptrack/state/capacity_index.py
@@ -1,4 +1,4 @@
-"""How much capacity is listed, by role and cell, kept up to date with each change of the endpoint list."""
+"""Listed capacity by role and cell, updated with each change of the endpoint list."""
 
 from __future__ import annotations
 
@@ -7,22 +7,24 @@
 __all__ = ["CapacityIndex"]
 
 WEIGHT_UNITS = 2**30
-"""Weights are summed as whole multiples of the inverse, so that no sum depends on the order of changes."""
+"""Weights are summed as integer multiples of 1 / `WEIGHT_UNITS`, so sums do not depend on the order of
+changes."""
 MIN_CAPACITY = 1e-6
 
 
 class CapacityIndex:
-    """Sums of listed weights. Bound: one entry for each role and cell of the list."""
+    """Sums of listed weights. It holds one entry for each role and cell of the list."""
 
     def __init__(self) -> None:
         self._ready: dict[tuple[Role, int | None], int] = {}
-        """Weights of the ready endpoints by role, in all (None) and by cell."""
+        """Summed weights of the ready endpoints by role and cell; None stands for all cells."""
         self._known: dict[Role, tuple[int, int]] = {}
-        """Weights and number of all known endpoints by role, ready or not."""
+        """Summed weight and number of all known endpoints by role, ready or not."""
         self._most_ready = {Role.PREFILL: 0, Role.DECODE: 0}
+        """The highest number of ready endpoints so far that serve each stage."""
 
     def add_ready(self, role: Role, info: EndpointInfo) -> None:
-        """Count an endpoint that is ready now."""
+        """Count an endpoint as ready."""
         self._change_ready(role, info.cell, _units(info.weight))
 
     def remove_ready(self, role: Role, info: EndpointInfo) -> None:
@@ -46,7 +48,7 @@
         self._change_known(role, -_units(weight), -1)
 
     def change_weight(self, role: Role, old: float, new: float) -> None:
-        """Count a known endpoint with another weight."""
+        """Replace the counted weight of a known endpoint."""
         self._change_known(role, _units(new) - _units(old), 0)
 
     def _change_known(self, role: Role, units: int, number: int) -> None:
@@ -58,18 +60,19 @@
         self._most_ready[role] = max(self._most_ready[role], count)
 
     def capacity(self, role: Role, cell: int | None = None) -> float:
-        """Return the summed weights of the ready endpoints of exactly this role, in all or in one cell."""
+        """Return the summed weights of the ready endpoints of exactly this role, in all cells or in one."""
         return max(self._ready.get((role, cell), 0) / WEIGHT_UNITS, MIN_CAPACITY)
 
     def cell_share(self, role: Role, cell: int) -> float:
-        """Return the share of a role's capacity that one cell has."""
+        """Return the share of a role's capacity that is in one cell."""
         return self.capacity(role, cell) / self.capacity(role)
 
     def endpoint_share(self, role: Role, weight: float) -> float:
         """Return the share of its stage that a ready endpoint contributes.
 
-        It is taken from the mean weight of its role and the most endpoints ever ready, so it does not grow
-        when others are removed. An endpoint of both roles contributes to both stages.
+        It is computed from the mean weight of its role and the highest number of endpoints that were ever
+        ready, so it does not grow when others are removed. An endpoint of both roles contributes to both
+        stages.
         """
         units, count = self._known[role]
         mean_weight = (units / WEIGHT_UNITS or 1.0) / count
--- a/tuliptrack/state/ejection.py
+++ b/tuliptrack/state/ejection.py
@@ -1,4 +1,4 @@
-"""Ejections: which requests an endpoint does not get for now, because attempts of that kind failed there."""
+"""Ejections: which requests are kept away from an endpoint because similar attempts failed there."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class ScopeKind(IntEnum):
-    """What the requests of an ejection have in common.
+    """What the requests affected by an ejection have in common.
 
-    An `IntEnum`, since the hash of its members is computed natively.
+    It is an `IntEnum` because the hash of its members is computed natively, which is faster.
     """
 
     ALL_REQUESTS = 0
@@ -39,14 +39,14 @@
 
 @dataclass(slots=True)
 class Ejection:
-    """Failures of one scope at one endpoint."""
+    """Consecutive failures of one scope at one endpoint, and when the next health check is due."""
 
     failures: int
-    """Consecutive failures."""
+    """Number of consecutive failures."""
     failed_at_us: int
-    """When the last one was seen; attempts that were sent before it belong to the same failure."""
+    """When the last failure was seen; attempts sent before it count as part of the same failure."""
     next_check_at_us: int
-    """When the next attempt may be made there, as a health check."""
+    """When the next attempt may be sent to the endpoint, as a health check."""
 
 
 def scopes_of(request: Request) -> tuple[EjectionScope, EjectionScope, EjectionScope]:
--- a/tuliptrack/state/endpoint.py
+++ b/tuliptrack/state/endpoint.py
@@ -1,4 +1,4 @@
-"""What a node knows of one endpoint: its list entry, its last load report, the node's own traffic there."""
+"""What a node knows of one endpoint: its list entry, its last load report, and the node's traffic there."""
 
 from __future__ import annotations
 
@@ -14,64 +14,65 @@
 __all__ = ["REPORT_MAX_AGE_US", "Endpoint", "WaitingAttempt"]
 
 REPORT_MAX_AGE_US = 2_000_000
-"""Microseconds in which a load report loses its weight: about two of the slowest report intervals."""
+"""Microseconds after which a load report no longer counts: about two of the slowest report intervals."""
 
 
 @dataclass(slots=True)
 class WaitingAttempt:
-    """An attempt of this node that has neither ended nor been answered."""
+    """An attempt of this node that has neither ended nor been answered yet."""
 
     request_id: int
     sent_at_us: int
     tokens: float
-    """Tokens that it has to prefill or to fetch."""
+    """Tokens that it has to prefill or fetch."""
     latency_objective_us: int
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """One endpoint as this node sees it. Times are microseconds of the host's clock."""
+    """This node's view of one endpoint. Times are microseconds of the host's clock."""
 
     info: EndpointInfo
     role: Role
     statistics: RoleStatistics = field(init=False)
-    """Of its role, here or in remote zones; the router sets it with each change of the endpoint list."""
+    """Statistics of its role, in this zone or in remote ones. The router sets it with each change of the
+    endpoint list."""
     reported_in_flight: float = 0.0
-    """Requests in flight there, by its last load report; 0 before the first."""
+    """Requests in flight at the endpoint by its last load report; 0 before the first."""
     reported_at_us: int = 0
-    """When the last load report came."""
+    """When the last load report was received."""
     reported_waiting_tokens: float = 0.0
-    """Tokens that wait there, by the last report."""
+    """Tokens that wait at the endpoint, by the last report."""
     reported_memory_share: float = 0.0
-    """Share of its memory in use, by the last report."""
+    """Share of the endpoint's memory in use, by the last report."""
     prefill_latency_us: float = 0.0
     """Smoothed latency of a prefill; 0 before the first."""
     waiting_tokens: float = 0.0
-    """Tokens of this node's waiting attempts there."""
+    """Tokens of this node's waiting attempts."""
     service_us: float = 0.0
-    """Smoothed time between two answers while attempts wait."""
+    """Smoothed time between two answers while attempts are waiting."""
     service_tokens: float = 0.0
-    """Smoothed tokens that were processed in such a time."""
+    """Smoothed number of tokens processed between two such answers."""
     busy_since_us: int = 0
-    """Since when the endpoint works on the oldest waiting attempt."""
+    """Since when the endpoint has been working on the oldest waiting attempt."""
     projected_tokens: float = 0.0
-    """Of this node's requests in flight there, prompt and expected output."""
+    """Tokens of the prompts and expected outputs of this node's requests in flight at the endpoint."""
     projected_load: float = 0.0
-    """The projected tokens, divided by the endpoint's weight."""
+    """`projected_tokens` divided by the endpoint's weight."""
     group: int = 0
     """Index of its group in `EndpointTable.groups`."""
     streams: dict[int, int] = field(default_factory=dict)
-    """This node's streams that run there, by request, and when each began."""
+    """When each of this node's running streams began, by request id."""
     stream_rate: StreamRate = field(default_factory=StreamRate)
     ejections: dict[EjectionScope, Ejection] = field(default_factory=dict)
     waiting: dict[int, WaitingAttempt] = field(default_factory=dict)
-    """This node's waiting attempts by request, the oldest first."""
+    """This node's waiting attempts by request id, the oldest first."""
     connection_failures: int = 0
-    """Consecutive attempts that failed with their own connection only."""
+    """Consecutive attempts that failed because only their own connection failed."""
     last_slot: int = 0
     """The last slow-start slot that this node has used."""
     no_slot_before_us: int = 0
-    """In slow start, no slot of this node is due before, as long as the endpoint list does not change."""
+    """In slow start, no slot of this node becomes due before this time unless the endpoint list changes."""
 
     @property
     def id(self) -> int:
@@ -99,17 +100,17 @@
         return True
 
     def report_weight(self, now_us: int) -> float:
-        """Return how much the last load report still counts, from 1 down to 0.
+        """Return the weight of the last load report, which falls from 1 to 0 with its age.
 
-        An endpoint that gets no requests sends no reports, so an old one is not evidence of load.
+        An endpoint that gets no requests sends no reports, so an old report is not evidence of load.
         """
         return max(0.0, 1 - (now_us - self.reported_at_us) / REPORT_MAX_AGE_US)
 
     def in_flight(self, now_us: int, are_streams_reported: bool) -> float:
-        """Estimate the requests in flight there, from the last load report and this node's own attempts.
+        """Estimate the requests in flight at the endpoint from its last load report and this node's attempts.
 
-        At an endpoint of both roles each prefill slows all streams down, so its streams count. Where its
-        reports include them (`are_streams_reported`), they are not added again.
+        At an endpoint of both roles, each prefill slows all streams down, so its streams count as well. If
+        its reports include them (`are_streams_reported`), they are not added again.
         """
         own_streams = (
             len(self.streams) if self.role is Role.PREFILL_AND_DECODE and not are_streams_reported else 0
@@ -117,7 +118,7 @@
         return self.reported_in_flight * self.report_weight(now_us) + len(self.waiting) + own_streams
 
     def us_per_token(self, now_us: int) -> float:
-        """Return the service time per token, at least what the oldest waiting attempt has shown."""
+        """Return the service time per token, at least the lower bound given by the oldest waiting attempt."""
         known = self.service_us / self.service_tokens if self.service_tokens else self.statistics.us_per_token
         oldest = self.oldest_waiting
         if oldest is None:
@@ -127,14 +128,14 @@
     def expected_prefill_latency_us(self, now_us: int) -> float:
         """Return the smoothed prefill latency, at least the age of the oldest waiting attempt.
 
-        An endpoint that hangs completes no prefill, so its average alone would not change.
+        An endpoint that hangs completes no prefills, so its average alone would not change.
         """
         oldest = self.oldest_waiting
         age_us = now_us - oldest.sent_at_us if oldest else 0
         return max(self.prefill_latency_us or self.statistics.prefill_latency_us, age_us, 1)
 
     def record_report(self, report: Mapping[str, float], now_us: int) -> None:
-        """Take a load report over; a value that is not among `Settings.report_fields` stays as it was."""
+        """Apply a load report; values that are not in `Settings.report_fields` stay unchanged."""
         self.reported_at_us = now_us
         self.reported_in_flight = report.get("in_flight", self.reported_in_flight)
         self.reported_memory_share = report.get("memory_share", self.reported_memory_share)
--- a/tuliptrack/state/endpoint_table.py
+++ b/tuliptrack/state/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoint list as this node last received it, with indexes for the questions of the decisions."""
+"""The endpoint list as this node last received it, with indexes for the queries of routing decisions."""
 
 from __future__ import annotations
 
@@ -23,69 +23,69 @@
 __all__ = ["MAX_REMOVED", "AppliedUpdate", "EndpointTable"]
 
 MAX_REMOVED = 128
-"""Removed endpoints that stay known, so that one which comes and goes keeps its ejections and slots."""
+"""Removed endpoints that are remembered, so one that is listed again keeps its ejections and slots."""
 MIN_WEIGHT = 1e-6
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedUpdate:
-    """What an update of the list has changed."""
+    """What an update of the endpoint list has changed."""
 
     changed: list[Endpoint]
-    """New endpoints, and those whose entry differs now."""
+    """New endpoints, and those whose entry has changed."""
     forgotten: list[int]
-    """Ids of endpoints of which nothing is known any more."""
+    """Ids of endpoints that were dropped from the table."""
 
 
 class EndpointTable:
-    """All known endpoints. Each update maintains the indexes, so no question examines every endpoint.
+    """All known endpoints. Each update maintains the indexes, so queries do not examine every endpoint.
 
-    Bound: the endpoints of the list and `MAX_REMOVED` removed ones, besides those that are still in use.
+    It holds the listed endpoints, up to `MAX_REMOVED` removed ones, and removed ones that are still in use.
     """
 
     def __init__(self, roles: tuple[Role, ...], groups_by_zone: bool = False) -> None:
         """Create an empty table.
 
         Args:
-            roles: the role of each kind of endpoint, by the kind's index.
-            groups_by_zone: endpoints are grouped by zone too, since cross-zone traffic is budgeted.
+            roles: the role of each endpoint kind, by the index of the kind.
+            groups_by_zone: whether to group endpoints by zone too, because cross-zone traffic is budgeted.
         """
         self.roles, self.groups_by_zone = roles, groups_by_zone
         self.endpoints: dict[int, Endpoint] = {}
         self.waiting: dict[int, Endpoint] = {}
-        """Endpoints at which attempts of this node wait."""
+        """Endpoints with waiting attempts of this node."""
         self.streaming: dict[int, Endpoint] = {}
-        """Endpoints at which streams of this node run."""
+        """Endpoints with running streams of this node."""
         self.loaded: dict[int, Endpoint] = {}
         """Endpoints with projected tokens of this node."""
         self.stream_rate = StreamRate()
-        """Of all endpoints together."""
+        """Streams at all endpoints together."""
         self.groups: list[EndpointGroup] = []
-        """Every group that was ever listed."""
+        """Every group that has had a listed endpoint; indexes do not change."""
         self.memory: GroupedValues[int] = GroupedValues()
         """Reported memory shares of the ready endpoints that decode."""
         self.prefill_latency: GroupedValues[int] = GroupedValues()
-        """Smoothed prefill latencies of the ready endpoints that prefill; 0 before the first."""
+        """Smoothed prefill latencies of the ready endpoints that prefill; 0 before the first prefill."""
         self.capacity = CapacityIndex()
         self._group_indexes: dict[EndpointGroup, int] = {}
         self._reported: dict[int, Endpoint] = {}
-        """Endpoints with recent load reports, the last one at the end."""
+        """Endpoints with recent load reports, the most recently reported last."""
         self._ejected: dict[int, Endpoint] = {}
         self._removed: dict[int, Endpoint] = {}
-        """The last one that was removed stands at the end."""
+        """Removed endpoints that are still known, the most recently removed last."""
         self._ready: dict[Role, SortedMembers[Endpoint]] = {role: SortedMembers() for role in Role}
         self._started_lately: dict[Role, SortedMembers[Endpoint]] = {role: SortedMembers() for role in Role}
-        """Ready endpoints that were listed with a start time and are not known to be warm yet."""
+        """Ready endpoints that were listed with a start time and are not yet known to be warm."""
         self._earliest_start_us: float = math.inf
-        """At most the earliest start time among them."""
+        """A lower bound on the start times in `_started_lately`."""
         self._by_cell: dict[int, SortedMembers[Endpoint]] = {}
-        """Ready endpoints that decode."""
+        """Ready endpoints that decode, by cell."""
         self._prefill_hasher: RendezvousHasher[Endpoint] | None = None
 
-    # -- updates of the list
+    # Endpoint list updates
 
     def apply(self, update: EndpointListUpdate, now_us: int) -> AppliedUpdate:
-        """Take an update over. In a full list, endpoints that are not named have been removed."""
+        """Apply an update. Endpoints that are missing from a full list have been removed."""
         changed: dict[int, Endpoint] = {}
         for info in self._entries_of(update):
             endpoint = self._apply_entry(info, now_us)
@@ -93,7 +93,7 @@
                 changed[info.id] = endpoint
         for stage in (Role.PREFILL, Role.DECODE):
             self.capacity.note_ready_count(stage, len(self._ready[stage]))
-        for members in self._started_lately.values():  # Each endpoint's share of the fleet may have changed.
+        for members in self._started_lately.values():  # The endpoints' capacity shares may have changed.
             for endpoint in members:
                 endpoint.no_slot_before_us = 0
         return AppliedUpdate(list(changed.values()), self._forget_removed(now_us))
@@ -111,7 +111,7 @@
         return [*(replace(info, state=EndpointState.REMOVED) for info in absent), *update.endpoints]
 
     def _apply_entry(self, info: EndpointInfo, now_us: int) -> Endpoint | None:
-        """Take one entry over; None if it is the one that is known already."""
+        """Apply one entry; return its endpoint, or None if the entry is unchanged and not a removal."""
         endpoint = self.endpoints.get(info.id)
         if endpoint is None:
             endpoint = self.endpoints[info.id] = Endpoint(info, self._role_of(info.kind))
@@ -127,7 +127,7 @@
         return endpoint
 
     def _replace_entry(self, endpoint: Endpoint, info: EndpointInfo, now_us: int) -> None:
-        """Give a known endpoint a new entry. With a later start it is another process, and starts afresh."""
+        """Replace the entry of a known endpoint. A later start time means a new process."""
         self._remove_from_indexes(endpoint)
         self.capacity.change_weight(endpoint.role, endpoint.info.weight, info.weight)
         if info.started_at_us > endpoint.info.started_at_us:
@@ -185,8 +185,8 @@
         return index
 
     def _forget_removed(self, now_us: int) -> list[int]:
-        """Forget endpoints that were removed the longest time ago and have nothing of this node in flight."""
-        idle = [one for one in self._removed.values() if not (one.waiting or one.streams)]
+        """Drop the endpoints removed longest ago, unless this node has attempts there; return their ids."""
+        idle = [endpoint for endpoint in self._removed.values() if not (endpoint.waiting or endpoint.streams)]
         forgotten = idle[:-MAX_REMOVED]
         for endpoint in forgotten:
             del self.endpoints[endpoint.id], self._removed[endpoint.id]
@@ -200,7 +200,7 @@
     def _role_of(self, kind: int) -> Role:
         return self.roles[kind] if kind < len(self.roles) else Role.DECODE
 
-    # -- this node's own traffic
+    # This node's own traffic
 
     def add_waiting(self, endpoint: Endpoint, attempt: WaitingAttempt) -> None:
         """Record an attempt that was just sent."""
@@ -215,14 +215,14 @@
         return was_waiting
 
     def begin_stream(self, endpoint: Endpoint, request_id: int, now_us: int) -> None:
-        """Record that a stream runs."""
+        """Record that a stream has begun."""
         endpoint.stream_rate.begin_stream(now_us)
         self.stream_rate.begin_stream(now_us)
         endpoint.streams[request_id] = now_us
         self.streaming[endpoint.info.id] = endpoint
 
     def end_stream(self, endpoint: Endpoint, request_id: int, now_us: int, is_completed: bool) -> int:
-        """Record that a stream has ended; return for how many microseconds it ran."""
+        """Record that a stream has ended; return its duration in microseconds."""
         endpoint.stream_rate.end_stream(now_us, is_completed)
         self.stream_rate.end_stream(now_us, is_completed)
         began_at_us = endpoint.streams.pop(request_id)
@@ -241,7 +241,7 @@
             self.loaded.pop(endpoint.info.id, None)
 
     def record_report(self, endpoint: Endpoint, report: Mapping[str, float], now_us: int) -> None:
-        """Take a load report over."""
+        """Apply a load report."""
         endpoint.record_report(report, now_us)
         self._reported.pop(endpoint.info.id, None)
         self._reported[endpoint.info.id] = endpoint
@@ -260,18 +260,18 @@
         self._ejected[endpoint.info.id] = endpoint
 
     def reset_stream_rate(self, endpoint: Endpoint, now_us: int) -> None:
-        """Start afresh with how fast streams end at an endpoint."""
+        """Reset an endpoint's streaming time and completed streams; its running streams still count."""
         self.stream_rate.subtract(endpoint.stream_rate, now_us)
         endpoint.stream_rate = StreamRate(endpoint.stream_rate.streams, as_of_us=now_us)
 
-    # -- questions
+    # Queries
 
     def ready(self, role: Role) -> SortedMembers[Endpoint]:
-        """Return the ready endpoints that serve a stage, those of both roles included, by id."""
+        """Return the ready endpoints that serve a stage, including those of both roles, sorted by id."""
         return self._ready[role]
 
     def in_cell(self, cell: int) -> Collection[Endpoint]:
-        """Return the ready endpoints of a cell that decode, by id."""
+        """Return the ready endpoints of a cell that decode, sorted by id."""
         return self._by_cell.get(cell, ())
 
     def ejected(self, role: Role) -> list[Endpoint]:
@@ -281,9 +281,9 @@
         return [endpoint for key, endpoint in self._ejected.items() if key in self._ready[role]]
 
     def started_since(self, role: Role, since_us: int) -> Collection[Endpoint]:
-        """Return the ready endpoints of a role that started after a moment, by id.
+        """Return the ready endpoints of a role that started after `since_us`, sorted by id.
 
-        All others count as warm from now on, so `since_us` may not decrease from call to call.
+        All others count as warm from then on, so `since_us` must not decrease from call to call.
         """
         if self._earliest_start_us <= since_us:
             self._drop_started_by(since_us)
@@ -291,13 +291,15 @@
 
     def _drop_started_by(self, since_us: int) -> None:
         for members in self._started_lately.values():
-            for endpoint in [one for one in members if one.info.started_at_us <= since_us]:
+            for endpoint in [endpoint for endpoint in members if endpoint.info.started_at_us <= since_us]:
                 members.remove(endpoint.id)
-        starts = (one.info.started_at_us for members in self._started_lately.values() for one in members)
+        starts = (
+            endpoint.info.started_at_us for members in self._started_lately.values() for endpoint in members
+        )
         self._earliest_start_us = min(starts, default=math.inf)
 
     def _observed_since(self, since_us: int) -> dict[int, Endpoint]:
-        """Return the endpoints with attempts or streams of this node, or with a report after a moment."""
+        """Return the endpoints with attempts or streams of this node, or with a report after `since_us`."""
         for endpoint_id, endpoint in list(self._reported.items()):
             if endpoint.reported_at_us > since_us:
                 break
@@ -307,10 +309,10 @@
     def choose_lowest_score(
         self, candidates: Candidates, score: Callable[[Endpoint], float], since_us: int, random: Random
     ) -> Endpoint | None:
-        """Return any of the prefill candidates with the lowest score, with equal chances.
+        """Return a uniformly random one of the prefill candidates with the lowest score.
 
-        Only endpoints that were observed since a moment are examined one by one. For all others the score has
-        to increase with the prefill latency alone, and to be equal within a group where that is unknown.
+        Only endpoints that were observed after `since_us` are examined individually. The score of all others
+        must depend on the group and the prefill latency only, and increase with that latency.
         """
         observed = self._observed_since(since_us)
         examined = candidates.among(observed.values())
@@ -324,22 +326,29 @@
             rising = self.prefill_latency.ascending(group, 0.0)
             examined += _first_tied((self.endpoints[key] for _, key in rising if key not in left_out), score)
         lowest_examined = lowest_ranked(examined, score)
-        scores = [*(own for own, _ in scores_and_counts), *(score(one) for one in lowest_examined[:1])]
+        scores = [
+            *(group_score for group_score, _ in scores_and_counts),
+            *(score(endpoint) for endpoint in lowest_examined[:1]),
+        ]
         lowest = min(scores, default=math.inf)
         tied = [endpoint for endpoint in lowest_examined if score(endpoint) == lowest]
-        unexamined_tied = sum(count for own, count in scores_and_counts if own == lowest)
+        unexamined_tied = sum(count for group_score, count in scores_and_counts if group_score == lowest)
         if not unexamined_tied:
-            return random_member(sorted(tied, key=lambda one: one.id), random)
+            return random_member(sorted(tied, key=lambda endpoint: endpoint.id), random)
         return candidates.draw(
-            lambda one: one in candidates and score(one) == lowest, unexamined_tied + len(tied), random
+            lambda endpoint: endpoint in candidates and score(endpoint) == lowest,
+            unexamined_tied + len(tied),
+            random,
         )
 
     def prefill_ranking(self) -> RendezvousHasher[Endpoint]:
-        """Return the ready endpoints that prefill, to be ranked for a prefix."""
+        """Return a hasher that ranks the ready endpoints that prefill."""
         if self._prefill_hasher is None:
             endpoints = list(self._ready[Role.PREFILL])
             self._prefill_hasher = RendezvousHasher(
-                endpoints, [one.id for one in endpoints], [one.info.weight for one in endpoints]
+                endpoints,
+                [endpoint.id for endpoint in endpoints],
+                [endpoint.info.weight for endpoint in endpoints],
             )
         return self._prefill_hasher
 
@@ -358,7 +367,7 @@
 
 
 def _first_tied(endpoints: Iterable[Endpoint], score: Callable[[Endpoint], float]) -> list[Endpoint]:
-    """Return the first of some endpoints, and those after it with the same score."""
+    """Return the first endpoint, and those directly after it with the same score."""
     found: list[Endpoint] = []
     for endpoint in endpoints:
         if found and score(endpoint) != score(found[0]):
--- a/tuliptrack/state/in_flight.py
+++ b/tuliptrack/state/in_flight.py
@@ -1,4 +1,4 @@
-"""One request in flight: what the router knows of it from its arrival to the end of its last attempt."""
+"""State of a request in flight, from its arrival to the end of its last attempt."""
 
 from __future__ import annotations
 
@@ -13,62 +13,63 @@
 
 @dataclass(frozen=True, slots=True)
 class Execution:
-    """An attempt that may have had its effect."""
+    """An attempt that may have been executed by the engine."""
 
     sent_at_us: int
     endpoint: EndpointInfo
-    """Where it was sent, as listed then."""
+    """The endpoint that it was sent to, as listed at that time."""
 
 
 @dataclass(slots=True, eq=False)
 class InFlightRequest:
-    """One request in flight. Times are microseconds of the host's clock."""
+    """State of one request in flight. Times are microseconds of the host's clock."""
 
     request: Request
     request_class: RequestClass
     deadline_us: int
     latency_objective_us: int
-    """For the first token of this request."""
+    """Latency objective for the first token, including the allowance for the prompt's length."""
     projected_tokens: float
-    """The prompt and the output that is expected."""
+    """Tokens of the prompt and of the expected output."""
     attempts: int = 0
-    """Attempts that were sent."""
+    """Number of attempts that were sent."""
     endpoint: Endpoint | None = None
-    """Where the newest attempt was sent."""
+    """The endpoint of the attempt in flight; None if there is none."""
     sent_at_us: int = 0
-    """When the newest attempt was sent."""
+    """When the latest attempt was sent."""
     attempt_tokens: float = 1.0
-    """Tokens that the newest attempt has to prefill or to fetch."""
+    """Tokens that the latest attempt has to prefill or fetch."""
     kv_holder: Endpoint | None = None
     """The prefill endpoint that holds this request's KV state."""
     is_streaming: bool = False
-    """The first token has been forwarded."""
+    """Whether the first token has been forwarded."""
     is_concluded: bool = False
-    """The final answer was given or the client has disconnected; only ends of attempts are awaited."""
+    """Whether the final answer was given or the client has disconnected; then only the end of an
+    attempt is awaited."""
     first_execution: Execution | None = None
-    """The first attempt that may have had its effect."""
+    """The first attempt that may have been executed."""
     unanswered_attempts: int = 0
-    """Attempts of the present stage that ended by this node's time-out or with an error."""
+    """Attempts of the current stage that ended with this node's time-out or with an error."""
     connection_failures: int = 0
-    """Attempts that failed with their own connection only."""
+    """Attempts that failed because only their own connection failed."""
     ignores_recovery_ramp: bool = False
-    """It may go to a zone whose traffic is still ramped up, since there is no capacity elsewhere."""
+    """Whether it may go to a recovering zone ahead of its ramp, because there is no capacity elsewhere."""
     retry_after_us: int = 0
-    """If it is shed for lack of capacity: until when there may be some."""
+    """If it is shed: estimated microseconds until the queue is within the limit again."""
     unresponsive: list[int] = field(default_factory=list)
-    """Decode endpoints that could not be reached, or did not answer in time."""
+    """Ids of decode endpoints that could not be reached or did not answer in time."""
     excluded: list[int] = field(default_factory=list)
-    """Endpoints that rejected or failed it; no further attempt goes there."""
+    """Ids of endpoints that rejected or failed it; no further attempt is sent there."""
     ejection_scopes: tuple[EjectionScope, EjectionScope, EjectionScope] = field(init=False)
-    """What its failures can count for."""
+    """The ejection scopes that its failures can count for."""
 
     def __post_init__(self) -> None:
-        """Derive the ejection scopes, which every choice of an endpoint asks for."""
+        """Compute the ejection scopes once, because every choice of an endpoint uses them."""
         self.ejection_scopes = scopes_of(self.request)
 
     @property
     def uncached_tokens(self) -> float:
-        """Prompt tokens that a prefill endpoint is not likely to have cached."""
+        """Prompt tokens that a prefill endpoint probably does not have in its cache."""
         shared = self.request.prefix_tokens if self.request.prefix else 0.0
         return max(self.request.prompt_tokens - shared, 1.0)
 
@@ -77,9 +78,14 @@
     ) -> None:
         """Update the excluded endpoints after an attempt has ended.
 
-        A finished prefill opens all decode endpoints again except those that were unresponsive, unless there
-        are no others. `may_return`: the next attempt may go to the same
-        endpoint, unless that was unresponsive.
+        After a finished prefill, only unresponsive decode endpoints stay excluded, or none if all of them are
+        unresponsive.
+
+        Args:
+            endpoint: the endpoint of the attempt.
+            status: how the attempt ended.
+            may_return: whether the next attempt may go to the same endpoint, unless it is unresponsive.
+            decode_endpoints: number of ready decode endpoints.
         """
         is_unresponsive = endpoint.role is not Role.PREFILL and status in (
             Status.TIMEOUT,
--- a/tuliptrack/state/projected_loads.py
+++ b/tuliptrack/state/projected_loads.py
@@ -1,4 +1,4 @@
-"""Projected loads of decode endpoints, most of which are counted by groups and not examined one by one."""
+"""Projected loads of decode endpoints, most of which are counted by group and not examined individually."""
 
 from __future__ import annotations
 
@@ -21,28 +21,30 @@
 
 
 class ProjectedLoads:
-    """Projected loads of some endpoints, in tokens for each unit of weight.
+    """Projected loads of some endpoints, in tokens per unit of weight.
 
-    Endpoints with requests of this node have a load of their own; all others have the base load of their
-    group and are only counted. Sums are rounded once, so they do not depend on an order.
+    Endpoints with requests of this node have an individual load; all others have the base load of their
+    group and are only counted. Sums are rounded once, so they do not depend on the order of the terms.
     """
 
     def __init__(
         self, counts: Mapping[int, int], base_loads: dict[int, float], loaded: Collection[Endpoint]
     ) -> None:
-        """Combine the endpoints' own loads with those of their groups.
+        """Combine the individual loads of endpoints with those of their groups.
 
         Args:
-            counts: endpoints in each group.
-            base_loads: load that each endpoint of a group has from its role.
+            counts: number of endpoints in each group.
+            base_loads: load of each endpoint of a group that comes from its role.
             loaded: the endpoints with projected tokens of this node.
         """
         self.count = sum(counts.values())
         self.base_loads = base_loads
         self.unloaded_counts = dict(counts)
-        """Endpoints of each group without projected tokens of this node."""
+        """Number of endpoints without projected tokens of this node, by group."""
         self._loaded = loaded
-        self._own_loads = {one.info.id: one.projected_load + base_loads[one.group] for one in loaded}
+        self._own_loads = {
+            endpoint.info.id: endpoint.projected_load + base_loads[endpoint.group] for endpoint in loaded
+        }
         for endpoint in loaded:
             self.unloaded_counts[endpoint.group] -= 1
 
@@ -51,7 +53,7 @@
         return self._own_loads.get(endpoint.info.id, self.base_loads[endpoint.group])
 
     def add_prices(self, unit: float, prices: Mapping[int, float]) -> None:
-        """Raise each load by the price of the endpoint's group, in multiples of `unit`."""
+        """Raise each load by `unit` times the price of the endpoint's group."""
         self.base_loads = {group: base + unit * prices[group] for group, base in self.base_loads.items()}
         for endpoint in self._loaded:
             self._own_loads[endpoint.info.id] += unit * prices[endpoint.group]
@@ -74,5 +76,5 @@
 
     def loaded_at(self, load: float) -> list[Endpoint]:
         """Return the endpoints with projected tokens of this node that have exactly this load, by id."""
-        found = (one for one in self._loaded if self._own_loads[one.info.id] == load)
-        return sorted(found, key=lambda one: one.info.id)
+        found = (endpoint for endpoint in self._loaded if self._own_loads[endpoint.info.id] == load)
+        return sorted(found, key=lambda endpoint: endpoint.info.id)
--- a/tuliptrack/state/role_statistics.py
+++ b/tuliptrack/state/role_statistics.py
@@ -1,4 +1,4 @@
-"""What attempts at all endpoints of one role have shown."""
+"""Statistics of the attempts at all endpoints of one role."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 __all__ = ["MAX_LATENCIES", "AnswerSample", "RoleStatistics"]
 
 MAX_LATENCIES = 15
-"""Latencies that are kept: their slowest fifth is three answers."""
+"""Number of stored latencies; their slowest fifth is three answers."""
 ASSIGNED_MEMORY_US = 20_000_000
-"""Microseconds in which assigned tokens decay by a factor of e: the time of some tens of requests."""
+"""Time constant, in microseconds, of the decay of assigned tokens: the duration of some tens of requests."""
 
 
 @dataclass(slots=True)
@@ -22,9 +22,9 @@
 
     latency_us: int
     latency_objective_us: int
-    """Of the request."""
+    """The latency objective of the request."""
     tokens: float
-    """Tokens that the attempt had to prefill or to fetch."""
+    """Tokens that the attempt had to prefill or fetch."""
     is_prefill: bool
     """Whether the prompt was prefilled in this attempt."""
 
@@ -36,40 +36,40 @@
     relative_latencies: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_LATENCIES))
     """Latencies of the last answers, as shares of the latency objective."""
     waiting_tokens: float = 0.0
-    """Tokens that wait at an endpoint, by load reports."""
+    """Average tokens waiting at an endpoint, by load reports."""
     attempt_tokens: float = 0.0
-    """Tokens of an attempt."""
+    """Average tokens of an attempt."""
     attempt_us: float = 0.0
-    """Latency of an attempt."""
+    """Average latency of an attempt."""
     queued_tokens: float = 0.0
-    """Tokens of an attempt and of what waited before it."""
+    """Average tokens of an attempt and of those queued ahead of it."""
     us_per_token: float = 0.0
-    """Ratio of the two above."""
+    """`attempt_us` / `queued_tokens`."""
     prefill_latency_us: float = 0.0
-    """Latency of a prefill; 0 before the first."""
+    """Average latency of a prefill; 0 before the first."""
     timeout_or_error_share: float = 0.0
-    """Share of attempts that ended by this node's own time-out or with an error."""
+    """Share of attempts that ended with this node's own time-out or with an error."""
     rejection_share: float = 0.0
-    """Share of attempts that an endpoint rejected at once for lack of capacity."""
+    """Share of attempts that an endpoint rejected early, which shows a lack of capacity."""
     observed_at_us: int = 0
     """When an attempt was last answered or ended."""
     answered_at_us: int = 0
     """When an attempt was last answered."""
     assigned_tokens: float = 0.0
-    """Projected tokens of requests that were sent to these endpoints, decaying from `assigned_at_us` on."""
+    """Projected tokens of requests that were sent to these endpoints, decayed up to `assigned_at_us`."""
     assigned_at_us: int = 0
 
     @property
     def fast_relative_latency(self) -> float:
-        """The first quartile of the last relative latencies; 0 before the first answer."""
+        """The first quartile of the stored relative latencies; 0 before the first answer."""
         ordered = sorted(self.relative_latencies)
         return ordered[len(ordered) // 4] if ordered else 0.0
 
     def record_answer(self, sample: AnswerSample, waiting_tokens: float, now_us: int) -> None:
-        """Update the averages; `waiting_tokens` waited at the endpoint by its last report.
+        """Update the averages; `waiting_tokens` is the endpoint's reported number of waiting tokens.
 
         The time per token is a ratio of averages. An average of ratios would be dominated by prompts that
-        are nearly all cached, as these have hardly any tokens of their own.
+        are almost entirely cached, as these have hardly any tokens to process.
         """
         self.attempt_tokens = smoothed(self.attempt_tokens, sample.tokens)
         self.attempt_us = smoothed(self.attempt_us, sample.latency_us)
@@ -82,17 +82,17 @@
             self.prefill_latency_us = smoothed(self.prefill_latency_us, sample.latency_us, weight)
 
     def record_end(self, now_us: int, timeout_or_error: float = 0.0, rejection: float = 0.0) -> None:
-        """Record that an attempt ended by an answer, a time-out, an error or a rejection.
+        """Record that an attempt ended with an answer, a time-out, an error or a rejection.
 
-        `timeout_or_error` and `rejection` are 1 if it ended that way, else 0. Failures of connections are not
-        recorded: they tell nothing of the load.
+        `timeout_or_error` and `rejection` are 1 if it ended that way, else 0. Connection failures are not
+        recorded, because they say nothing about load.
         """
         self.timeout_or_error_share = smoothed(self.timeout_or_error_share, timeout_or_error)
         self.rejection_share = smoothed(self.rejection_share, rejection)
         self.observed_at_us = now_us
 
     def assign(self, tokens: float, now_us: int) -> float:
-        """Add projected tokens of a request, and return the decayed sum."""
+        """Add the projected tokens of a request, and return the decayed sum."""
         decay = math.exp((self.assigned_at_us - now_us) / ASSIGNED_MEMORY_US)
         self.assigned_tokens = self.assigned_tokens * decay + tokens
         self.assigned_at_us = now_us
--- a/tuliptrack/state/selection.py
+++ b/tuliptrack/state/selection.py
@@ -1,4 +1,4 @@
-"""Selection among a few members: a random one, those of the lowest rank, the median."""
+"""Selection from a few members: a random member, the members of the lowest rank, the median."""
 
 from __future__ import annotations
 
@@ -14,8 +14,7 @@
 def median_low(values: Iterable[float]) -> float:
     """Return the lower of the two middle values.
 
-    The function of the same name in the standard library imports modules that double the start-up time
-    of a process.
+    `statistics.median_low` is not used, because importing that module doubles the start-up time of a process.
 
     Raises:
         ValueError: there are no values.
@@ -29,8 +28,8 @@
 def random_member(members: Sequence[T], random: Random) -> T | None:
     """Return one of the members with equal chances, or None if there are none.
 
-    One member is returned without a draw, so that the sequence of random numbers depends on real choices
-    only.
+    A single member is returned without drawing a random number, so the sequence of random numbers depends
+    only on real choices.
     """
     if len(members) > 1:
         return members[int(random.random() * len(members))]
@@ -38,7 +37,7 @@
 
 
 def lowest_ranked(members: Sequence[T], rank: Callable[[T], Any]) -> list[T]:
-    """Return the members that share the lowest rank, in their order."""
+    """Return the members that share the lowest rank, in their original order."""
     ranks = [rank(member) for member in members]
     lowest = min(ranks, default=None)
-    return [member for member, own in zip(members, ranks, strict=True) if own == lowest]
+    return [member for member, member_rank in zip(members, ranks, strict=True) if member_rank == lowest]
--- a/tuliptrack/state/slot_schedule.py
+++ b/tuliptrack/state/slot_schedule.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotSchedule:
-    """Numbers the slots of an endpoint in slow start. Their rate grows linearly up to `slots_per_us`."""
+    """Numbers the slots of an endpoint in slow start; their rate grows linearly up to `slots_per_us`."""
 
     slots_per_us: float
     """The rate at the end of slow start."""
@@ -20,7 +20,7 @@
     """How long slow start lasts."""
 
     def slots_due(self, age_us: int) -> int:
-        """Return how many slots are due by an age of the endpoint."""
+        """Return how many slots have become due when the endpoint has a certain age."""
         if age_us <= 0:
             return 0
         mean_share = self.initial_share + (1 - self.initial_share) * age_us / (2 * self.duration_us)
--- a/tuliptrack/state/stream_rate.py
+++ b/tuliptrack/state/stream_rate.py
@@ -1,4 +1,4 @@
-"""How fast streams come to their end, at one endpoint or at all of them together."""
+"""The rate at which streams end, at one endpoint or at all of them together."""
 
 from __future__ import annotations
 
@@ -8,42 +8,42 @@
 __all__ = ["MEMORY_US", "StreamRate"]
 
 MEMORY_US = 6_000_000
-"""Microseconds in which what is known decays by a factor of e: the length of a few streams."""
+"""Time constant, in microseconds, of the decay of past streams: the length of a few streams."""
 
 
 @dataclass(slots=True)
 class StreamRate:
-    """Streaming time and completed streams. Both decay alike, so their ratio is the mean length."""
+    """Streaming time and completed streams. Both decay equally, so their ratio is the mean length."""
 
     streams: int = 0
-    """Streams that run now."""
+    """Number of streams that are running."""
     completed: float = 0.0
-    """Streams that came to their regular end."""
+    """Decayed number of streams that completed."""
     streamed_us: float = 0.0
-    """Microseconds of streaming, summed over all streams."""
+    """Decayed sum of the streaming time of all streams, in microseconds."""
     as_of_us: int = 0
-    """The time up to which this holds."""
+    """The time up to which the sums are computed."""
 
     def advance(self, now_us: int) -> None:
-        """Bring the sums up to now."""
+        """Decay the sums up to now, and add the time of the running streams."""
         decay = math.exp((self.as_of_us - now_us) / MEMORY_US)
         self.streamed_us = self.streamed_us * decay + self.streams * MEMORY_US * (1 - decay)
         self.completed *= decay
         self.as_of_us = now_us
 
     def begin_stream(self, now_us: int) -> None:
-        """Record that one more stream runs."""
+        """Record that a stream has begun."""
         self.advance(now_us)
         self.streams += 1
 
     def end_stream(self, now_us: int, is_completed: bool) -> None:
-        """Record that a stream has ended, regularly or not."""
+        """Record that a stream has ended, and whether it completed."""
         self.advance(now_us)
         self.streams -= 1
         self.completed += is_completed
 
     def subtract(self, part: StreamRate, now_us: int) -> None:
-        """Remove the streams of one endpoint from those of all."""
+        """Subtract one endpoint's sums from these sums of all endpoints."""
         self.advance(now_us)
         part.advance(now_us)
         self.streamed_us = max(self.streamed_us - part.streamed_us, 0.0)
