--- a/tuliptrack/routing/__init__.py
+++ b/tuliptrack/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The routing decisions of one node. `router.py` is the table of contents."""
+"""The routing decisions of one node. The docstring of `router.py` lists the modules."""
--- a/tuliptrack/routing/admission.py
+++ b/tuliptrack/routing/admission.py
@@ -1,10 +1,10 @@
 """Decides whether a new request is admitted or shed, and where an admitted one starts.
 
-A request is shed if its estimated time to first token exceeds a share of its latency objective, or if it
-could not be in time for its client. The share depends on its priority weight: requests of the lowest priority
-are shed first, those of the highest last. Before a request is shed, other places are considered: another
-zone, a zone whose traffic is still ramped up, an endpoint in slow start with an open slot, and any endpoint
-with a short queue. Times are microseconds.
+A request is shed if its estimated time to first token exceeds a share of its latency objective, or if its
+first token could not meet the client's deadline. The share depends on its priority weight: requests of the
+lowest priority are shed first, those of the highest last. Before a request is shed, alternatives are tried:
+another zone, a recovering zone ahead of its ramp, an endpoint in slow start with an open slot, and any
+endpoint with a short queue. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -27,33 +27,33 @@
 __all__ = ["SHEDDING_CONDITION", "Admission", "AdmissionInputs", "ShedReason"]
 
 SHEDDING_CONDITION = "shedding load by priority"
-"""How logs name the time in which requests are shed."""
+"""Log text for the condition that requests are being shed."""
 LOW_PRIORITY_FACTOR = 0.5
 """Multiple of the queue limit above which the lowest priority is shed."""
 TOP_PRIORITY_FACTOR = 1.6
-"""Multiple of the queue limit above which the highest priority is shed too: most of it would only be late."""
+"""Multiple of the queue limit above which the highest priority is shed: most would only be late."""
 
 
 class ShedReason(Enum):
     """Why a request is shed."""
 
     OVERLOAD = "overload"
-    """Its first token would come too late for its class: capacity is short."""
+    """The first token would miss the class's latency objective: capacity is short."""
     CLIENT_DEADLINE = "the client's deadline is too short"
-    """Its first token would come in time for its class, and too late for this client."""
+    """The first token would meet the class's latency objective, but not the client's deadline."""
 
 
 @dataclass(slots=True)
 class _Placement:
-    """Where a request could start, and its estimated time to first token there."""
+    """An endpoint where a request could start, and the estimated time to first token there."""
 
     endpoint: Endpoint | None
-    wait_us: float
+    time_to_first_token_us: float
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionInputs:
-    """The modules that admission asks."""
+    """The modules that admission depends on."""
 
     eligibility: Eligibility
     slow_start: SlowStart
@@ -71,7 +71,7 @@
         self._min_priority_weight, self._max_priority_weight = _priority_range(state.settings)
 
     def place(self, request: InFlightRequest) -> Endpoint | None:
-        """Return where a new request starts, or None if it is shed."""
+        """Return the endpoint where a new request starts, or None if it is shed."""
         state = self._state
         priority_factor = self._priority_factor(request.request)
         state.record_arrival()
@@ -79,12 +79,14 @@
         limit_us = priority_factor * MAX_QUEUE_SHARE * request.latency_objective_us
         placement = self._best_placement(request, priority_factor, limit_us)
         shed_reason = self._shed_reason(request, placement, limit_us)
-        # Failure: a few clients with hardly any time left count as an overload. It would show as silent
-        # attempts without a time-out and slow endpoints that are not ejected, for all clients of the node.
+        # A few clients with too short deadlines must not count as an overload: attempts would then get no
+        # time-out, and slow endpoints would not be ejected, for all clients of the node.
         if shed_reason is ShedReason.OVERLOAD:
             state.shed_at_us = state.now_us
-        # Until what waits may be down to the limit.
-        request.retry_after_us = max(int(placement.wait_us - limit_us), 0) if shed_reason else 0
+        # The estimated time until the queue has shrunk to the limit.
+        request.retry_after_us = (
+            max(int(placement.time_to_first_token_us - limit_us), 0) if shed_reason else 0
+        )
         self._outbox.announce(SHEDDING_CONDITION, state.is_shedding)
         return None if shed_reason else placement.endpoint
 
@@ -95,7 +97,7 @@
         weight = settings.classes[request.class_index].priority_weight
         if is_over_quota or request.is_over_token_budget:
             weight *= settings.over_quota_weight_factor
-        if request.is_resumed:  # What was done for it so far would be lost.
+        if request.is_resumed:  # Shedding it would waste the work already done.
             return TOP_PRIORITY_FACTOR
         if weight < self._min_priority_weight:
             return LOW_PRIORITY_FACTOR
@@ -106,42 +108,44 @@
     ) -> _Placement:
         """Return the preferred placement, or the first alternative that is within the limit."""
         locality, prefill = self._inputs.locality, self._inputs.prefill
-        placement = self._estimated(request, prefill.choose(request))
-        if placement.wait_us > limit_us and locality.is_budgeted and priority_factor >= 1:
+        placement = self._estimate(request, prefill.choose(request))
+        if placement.time_to_first_token_us > limit_us and locality.is_budgeted and priority_factor >= 1:
             # Serving matters more than the zone budget.
             remote = prefill.choose_remote(request)
-            placement = self._estimated(request, remote) if remote else placement
-        if placement.wait_us > limit_us and locality.is_recovering:
-            # There is no capacity elsewhere, so the recovering zone gets the request ahead of its ramp.
+            placement = self._estimate(request, remote) if remote else placement
+        if placement.time_to_first_token_us > limit_us and locality.is_recovering:
+            # There is no capacity elsewhere, so the recovering zone may get the request ahead of its ramp.
             request.ignores_recovery_ramp = True
-            placement = self._estimated(request, prefill.choose(request))
-        if placement.wait_us > limit_us / 2:
+            placement = self._estimate(request, prefill.choose(request))
+        if placement.time_to_first_token_us > limit_us / 2:
             placement = self._alternative_near_limit(request, placement, limit_us)
         return placement
 
-    def _estimated(self, request: InFlightRequest, endpoint: Endpoint | None) -> _Placement:
+    def _estimate(self, request: InFlightRequest, endpoint: Endpoint | None) -> _Placement:
         return _Placement(endpoint, self._inputs.queue.time_to_first_token_us(request, endpoint))
 
     def _alternative_near_limit(
         self, request: InFlightRequest, placement: _Placement, limit_us: float
     ) -> _Placement:
-        """Return an alternative to a placement that is near the limit, or the placement itself.
+        """Return an alternative to a placement that is near or above the limit, or the placement itself.
 
-        Near the limit an endpoint with an open slot is capacity, as slots expire; above it any
-        endpoint with a short queue is.
+        Near the limit, endpoints with an open slow-start slot are used, because unused slots expire. Above
+        the limit, any endpoint with a short queue is used as well.
         """
-        inputs, is_over_limit = self._inputs, placement.wait_us > limit_us
+        inputs, is_over_limit = self._inputs, placement.time_to_first_token_us > limit_us
         candidates = inputs.eligibility.candidates(Role.PREFILL, request)
         with_slot = [
-            one for one in candidates.with_slot if is_over_limit or not inputs.locality.is_remote(one)
+            endpoint
+            for endpoint in candidates.with_slot
+            if is_over_limit or not inputs.locality.is_remote(endpoint)
         ]
         endpoint = inputs.prefill.first_in_order(request, with_slot)
         if endpoint is None and is_over_limit:
             endpoint = inputs.prefill.choose_any(request, candidates)
         if endpoint is None:
             return placement
-        alternative = self._estimated(request, endpoint)
-        has_short_queue = 2 * alternative.wait_us <= limit_us
+        alternative = self._estimate(request, endpoint)
+        has_short_queue = 2 * alternative.time_to_first_token_us <= limit_us
         if has_short_queue or inputs.slow_start.has_open_slot(endpoint, request):
             return alternative
         return placement
@@ -150,10 +154,10 @@
         self, request: InFlightRequest, placement: _Placement, limit_us: float
     ) -> ShedReason | None:
         """Return why a request is shed, or None if it is admitted."""
-        if placement.wait_us > limit_us:
+        if placement.time_to_first_token_us > limit_us:
             return ShedReason.OVERLOAD
         fastest_us = self._inputs.queue.fastest_time_to_first_token_us(request, placement.endpoint)
-        first_token_us = max(placement.wait_us, fastest_us)
+        first_token_us = max(placement.time_to_first_token_us, fastest_us)
         if first_token_us <= request.request.time_left_us:
             return None
         is_late_for_class = first_token_us > request.latency_objective_us
@@ -161,5 +165,5 @@
 
 
 def _priority_range(settings: Settings) -> tuple[float, float]:
-    weights = [cls.priority_weight for cls in settings.classes]
+    weights = [request_class.priority_weight for request_class in settings.classes]
     return min(weights), max(weights)
--- a/tuliptrack/routing/attempt_timeout.py
+++ b/tuliptrack/routing/attempt_timeout.py
@@ -1,7 +1,7 @@
-"""Decides when an attempt that stays silent is given up, so that a retry can still be in time.
+"""Decides after what time an unanswered attempt is abandoned, so that a retry can still succeed in time.
 
-The limit is a multiple of what the slowest answers of the role take. There is none where a retry would do
-harm or could not help: no attempt is left, the request may not be repeated, or all endpoints are slow, in
+The time-out is a multiple of the latency of the role's slowest answers. There is no time-out if a retry would
+do harm or could not help: no attempt is left, the request may not be repeated, or all endpoints are slow, in
 which case retries would add to the overload. Times are microseconds.
 """
 
@@ -17,22 +17,23 @@
 __all__ = ["NO_TIMEOUT", "AttemptTimeout"]
 
 NO_TIMEOUT = 0
-"""The attempt is not given up before the client's deadline."""
+"""The attempt is not abandoned before the client's deadline."""
 MIN_TIMEOUT_SHARE = 0.5
-"""Share of the latency objective before which no attempt is given up: two attempts still fit into it."""
+"""Minimum time-out, as a share of the latency objective: two attempts still fit into it."""
 TIMEOUT_RATIO = 2.5
-"""Multiple of the slowest fifth of the answers."""
+"""Multiple of the latency at the start of the slowest fifth of the answers."""
 TIMEOUT_GROWTH = 1.5
-"""Factor for each further time-out of one request, so that a slowness causes no retry storm."""
+"""Factor for each earlier time-out or error of the request, so that a general slowdown causes no retry
+storm."""
 MAX_TIMEOUT_SHARE = 0.7
-"""Share of attempts that time out or fail from which on there is an overload; then all are waited for."""
+"""Share of attempts with time-outs or errors that shows an overload; from it on, no attempt is abandoned."""
 MIN_HIDDEN_SHARE = 0.5
 HIDDEN_SHARE_EXPONENT = 0.75
-"""With few nodes, what is queued explains a wait, and the limit is longer."""
+"""With few nodes, a long wait can be explained by the queue, so the time-out is longer."""
 
 
 class AttemptTimeout:
-    """Chooses the time-out of each attempt."""
+    """Computes the time-out of each attempt."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
@@ -49,12 +50,12 @@
         return int(timeout_us) if has_time_for_retry and timeout_us < retry_window_us else NO_TIMEOUT
 
     def _has_attempts_left(self, request: InFlightRequest, endpoint: Endpoint) -> bool:
-        """Whether a retry is possible. A prefill needs one more attempt for its decode stage."""
+        """Whether attempts are left for a retry. A prefill needs one more for its decode stage."""
         needed = 1 if endpoint.role is Role.PREFILL else 0
         return self._state.settings.max_attempts - request.attempts - needed > 0
 
     def _is_overload_likely(self, request: InFlightRequest, endpoint: Endpoint) -> bool:
-        """Whether silence may come from an overload: time-outs, shedding, or no recent answer to prefills."""
+        """Whether silence may be due to overload: time-outs, shedding, or no recent answers to prefills."""
         statistics, now_us = endpoint.statistics, self._state.now_us
         answered_before_us = now_us - MIN_TIMEOUT_SHARE * request.latency_objective_us
         is_unanswered = (
@@ -66,25 +67,26 @@
 
     def _computed_timeout_us(self, request: InFlightRequest, endpoint: Endpoint) -> float:
         statistics, state = endpoint.statistics, self._state
-        # The oldest waiting attempt at each peer counts as an answer: a slowness of all shows there first.
+        # The oldest waiting attempt at each endpoint counts as an answer: a general slowdown shows there
+        # first.
         ages = (
             (state.now_us - attempt.sent_at_us) / attempt.latency_objective_us
             for _, attempt in state.table.oldest_waiting(endpoint.role)
         )
-        # Never empty: the attempt itself waits already.
+        # Never empty: the attempt itself is already waiting.
         latencies = sorted([*statistics.relative_latencies, *ages])
         slowest_fifth = latencies[-len(latencies) // 5]
         min_share = MIN_TIMEOUT_SHARE / max(state.hidden_share, MIN_HIDDEN_SHARE) ** HIDDEN_SHARE_EXPONENT
         timeout_us: float = max(min_share, TIMEOUT_RATIO * slowest_fifth) * request.latency_objective_us
         timeout_us *= TIMEOUT_GROWTH**request.unanswered_attempts
-        # Where reports tell of a queue, silence means waiting, and a retry would only lengthen the queue.
+        # If load reports show a queue, the attempt probably waits in it; a retry would make the queue longer.
         queue_factor = 1 + statistics.waiting_tokens / max(statistics.attempt_tokens, 1.0)
         timeout_us *= queue_factor / max(1 - statistics.timeout_or_error_share, 1 - MAX_TIMEOUT_SHARE)
         return timeout_us
 
 
 def _retry_window_us(request_class: RequestClass) -> float:
-    """Return for how long after the first attempt a retry is harmless; 0 if it never is."""
+    """Return how long after the first attempt a retry is harmless; 0 if it never is."""
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return math.inf
     if request_class.idempotency is Idempotency.WITH_KEY:
--- a/tuliptrack/routing/eligibility.py
+++ b/tuliptrack/routing/eligibility.py
@@ -1,9 +1,9 @@
-"""Decides which endpoints a request may go to now.
+"""Decides which endpoints a request may be sent to now.
 
-An endpoint is eligible if the request was not rejected or failed there, if an attempt there cannot double the
-effect of an earlier one, and if the endpoint is warm or has a slow-start slot open. Among these the usable
-ones are preferred: not ejected for such requests, and in no zone whose traffic is still ramped up. The others
-are used only if nothing else is left.
+An endpoint is eligible if it has not rejected or failed the request, if an attempt there cannot repeat the
+effect of an earlier one, and if it is warm or has an open slow-start slot. Usable endpoints are preferred:
+those that are not ejected for such requests, and whose zone may get the request while traffic to recovered
+zones is ramped up. Other eligible endpoints are used only if none is usable.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Eligibility:
-    """Combines what each module says of an endpoint and a request."""
+    """Combines the conditions of the other modules on an endpoint and a request."""
 
     def __init__(
         self, state: NodeState, slow_start: SlowStart, locality: Locality, outliers: OutlierDetection
@@ -33,35 +33,42 @@
         self._locality, self._outliers = locality, outliers
 
     def is_usable(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
-        """Whether an eligible endpoint is preferred to others."""
+        """Whether an endpoint is preferred among the eligible ones."""
         if self._locality.is_recovering and not self._locality.admits(endpoint, request):
             return False
         return not endpoint.ejections or self._outliers.is_usable(endpoint, request)
 
     def candidates(self, role: Role, request: InFlightRequest) -> Candidates:
-        """Return all endpoints of a role that a request may go to; only usable ones if there are any."""
+        """Return all eligible endpoints of a role for a request; only the usable ones if there are any."""
         state, ready = self._state, self._state.table.ready(role)
         warming_up = state.table.started_since(role, state.now_us - state.settings.slow_start_us)
         excluded = {endpoint_id for endpoint_id in request.excluded if endpoint_id in ready}
         excluded.update(
             [
-                one.info.id
-                for one in warming_up
-                if one.no_slot_before_us > state.now_us or self._slow_start.slot_for(one, request) is None
+                endpoint.info.id
+                for endpoint in warming_up
+                if endpoint.no_slot_before_us > state.now_us
+                or self._slow_start.slot_for(endpoint, request) is None
             ]
         )
         if self._is_restricted_by_execution(request):
-            excluded.update([one.info.id for one in ready if not may_send_to(request, one, state.now_us)])
+            excluded.update(
+                [endpoint.info.id for endpoint in ready if not may_send_to(request, endpoint, state.now_us)]
+            )
         examined = ready if self._locality.is_recovering else state.table.ejected(role)
-        unusable = {one.info.id for one in examined if not self.is_usable(one, request)} | excluded
+        unusable = {
+            endpoint.info.id for endpoint in examined if not self.is_usable(endpoint, request)
+        } | excluded
         if len(unusable) < len(ready):
             excluded = unusable
-        return Candidates(ready, excluded, [one for one in warming_up if one.info.id not in excluded])
+        return Candidates(
+            ready, excluded, [endpoint for endpoint in warming_up if endpoint.info.id not in excluded]
+        )
 
     def first_eligible(
         self, endpoints: Iterable[Endpoint], request: InFlightRequest, limit: int
     ) -> list[Endpoint]:
-        """Return the first `limit` endpoints that a request may go to; usable ones if there are any."""
+        """Return the first `limit` eligible endpoints for a request; only usable ones if there are any."""
         usable: list[Endpoint] = []
         unusable: list[Endpoint] = []
         for endpoint in endpoints:
@@ -81,7 +88,7 @@
 
     @staticmethod
     def _is_restricted_by_execution(request: InFlightRequest) -> bool:
-        """Whether an earlier attempt restricts where the next one may go."""
+        """Whether an earlier attempt restricts where the next one may be sent."""
         if request.first_execution is None:
             return False
         return request.request_class.idempotency is not Idempotency.IDEMPOTENT
--- a/tuliptrack/routing/locality.py
+++ b/tuliptrack/routing/locality.py
@@ -1,8 +1,8 @@
 """Decides what traffic may cross zones, and how fast a recovered zone gets its traffic back.
 
-Only where `zone_budgets` are set; otherwise no zone is remote and nothing has a price. The budgets and
-recovery ramps are those of `decisions/cross_zone_budget.py` and `decisions/zone_recovery.py`; this module
-asks them about endpoints and requests. Sizes are bytes.
+This applies only if `zone_budgets` are set; otherwise no zone is remote and nothing has a price. Budgets and
+recovery ramps are implemented in `decisions/cross_zone_budget.py` and `decisions/zone_recovery.py`; this
+module applies them to endpoints and requests. Sizes are bytes.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
     """One node's view of zones."""
 
     def __init__(self, state: NodeState, outbox: Outbox, budgets: CrossZoneBudgets | None) -> None:
-        """Create the view of a node.
+        """Create the zone view of one node.
 
         Args:
-            state: of the node.
-            outbox: for lines about zones.
-            budgets: for cross-zone traffic, shared by the node's routers of several models; may be None.
+            state: the shared state of the node.
+            outbox: receives log lines about lost and recovered zones.
+            budgets: of cross-zone traffic, shared by the node's routers of several models, or None.
         """
         self._state, self._outbox = state, outbox
         self.budgets = budgets
         self._recovery = ZoneRecovery()
         classes = state.settings.classes
-        self._max_priority_weight = max(cls.priority_weight for cls in classes)
+        self._max_priority_weight = max(request_class.priority_weight for request_class in classes)
 
     @property
     def is_budgeted(self) -> bool:
@@ -48,18 +48,21 @@
         return self.budgets is not None and self._recovery.is_ramping_up
 
     def is_remote(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint lies in another zone, where cross-zone traffic is budgeted."""
+        """Whether cross-zone traffic is budgeted and an endpoint is in another zone."""
         return self.budgets is not None and endpoint.info.zone != self._state.settings.zone
 
     def admits(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
-        """Whether a request may go to the endpoint's zone while the traffic of some zone is ramped up."""
+        """Whether a request may be sent to the endpoint's zone while traffic to some zone is ramped up."""
         if request.ignores_recovery_ramp:
             return True
         position = mix(request.request.session) / 2**64
         return self._recovery.admits(self._state.now_us, endpoint.info.zone, endpoint.role, position)
 
     def price(self, request: InFlightRequest, zone: int, is_decode: bool) -> float:
-        """Return the price of an attempt in a zone, as a share of a score or in mean loads; 0 at home."""
+        """Return the price of an attempt in a zone; 0 if no bytes cross zones.
+
+        Prefill placement uses it as a share of a score, decode placement as a multiple of the mean load.
+        """
         if self.budgets is None:
             return 0.0
         size = self._crossing_bytes(self.budgets, request, zone, is_decode)
@@ -67,12 +70,16 @@
         return self.budgets.price(self._state.now_us, request.request.class_index, size, relative_weight)
 
     def record_arrival(self) -> None:
-        """Record that a request has arrived, which some budgets are filled by."""
+        """Record that a request has arrived; some budgets are refilled by arrivals."""
         if self.budgets:
             self.budgets.record_arrival(self._state.now_us)
 
     def reserve(self, request: InFlightRequest, endpoint: Endpoint) -> CrossZoneCause | None:
-        """Reserve what an attempt moves between zones; return why it may, or None if nothing is booked."""
+        """Reserve the bytes that an attempt may move between zones.
+
+        Returns:
+            The cause to which the bytes are charged, or None if nothing is charged.
+        """
         if self.budgets is None:
             return None
         is_decode = endpoint.role is not Role.PREFILL
@@ -83,25 +90,25 @@
         )
 
     def settle(self, request_id: int, moved_bytes: float) -> None:
-        """Settle an attempt's reservation by what it has moved."""
+        """Settle an attempt's reservation by the bytes that it has moved."""
         if self.budgets:
             self.budgets.settle(self._state.now_us, request_id, moved_bytes)
 
     def apply_list_update(self) -> None:
-        """Take note of a changed endpoint list."""
+        """Start the budgets if necessary and compare the zones after a change of the endpoint list."""
         if self.budgets:
             self.budgets.start(self._state.now_us)
         self.observe_zones()
 
     def observe_zones(self) -> None:
-        """Compare the zones' usable endpoints with before, and log zones that were lost or recovered."""
+        """Update the zones' state from their usable endpoints; log zones that were lost or have recovered."""
         endpoints = self._state.table.endpoints.values()
-        if self.budgets is None or len({one.info.zone for one in endpoints}) <= 1:
+        if self.budgets is None or len({endpoint.info.zone for endpoint in endpoints}) <= 1:
             return
         usable = [
-            (one.info.zone, one.role)
-            for one in endpoints
-            if one.info.state is EndpointState.READY and ALL_REQUESTS not in one.ejections
+            (endpoint.info.zone, endpoint.role)
+            for endpoint in endpoints
+            if endpoint.info.state is EndpointState.READY and ALL_REQUESTS not in endpoint.ejections
         ]
         for change in self._recovery.observe(self._state.now_us, usable):
             self._outbox.log(str(change))
--- a/tuliptrack/routing/node_state.py
+++ b/tuliptrack/routing/node_state.py
@@ -1,4 +1,4 @@
-"""What all routing decisions of one node are based on."""
+"""State that all routing decisions of one node share."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 __all__ = ["SHEDDING_MEMORY_US", "NodeState"]
 
 SHEDDING_MEMORY_US = 2_000_000
-"""Microseconds after the last shed request for which this node still counts as shedding load."""
+"""How many microseconds after the last shed request this node still counts as shedding load."""
 
 
 class NodeState:
-    """The records of one node. Times are microseconds of the host's clock, which never goes backwards."""
+    """Shared state of one node. Times are microseconds of the host's clock, which never goes backwards."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.random = settings, Random(seed)
@@ -28,37 +28,37 @@
         """When a request was last shed for lack of capacity."""
         self.table = EndpointTable(settings.roles, groups_by_zone=bool(settings.zone_budgets))
         self.are_in_flight_reported = "in_flight" in settings.report_fields
-        """Whether load reports tell the requests in flight."""
+        """Whether load reports include the number of requests in flight."""
         self.demand = DemandStatistics()
         self.statistics = {
             (role, is_remote): RoleStatistics() for role in Role for is_remote in (False, True)
         }
-        """What answers of a role have shown; remote zones apart, where cross-zone traffic is budgeted."""
+        """Statistics of each role. Remote zones have their own if cross-zone traffic is budgeted."""
         self.total_quota_per_s = sum(tenant.quota_per_s for tenant in settings.tenants)
         self.fleet_capacity_per_s = self.total_quota_per_s
         """Requests per second that the listed endpoints are provisioned for."""
         self.hidden_share = 1 - 1 / settings.replicas
-        """Share of all traffic that other nodes handle, which this one cannot see."""
+        """Share of all traffic that other nodes handle, which this node cannot observe."""
         self.arrival_gap_us = 0.0
-        """Smoothed time between two requests."""
+        """Smoothed time between two arriving requests."""
         self._arrived_at_us = 0
 
     def advance(self, now_us: int) -> None:
-        """Enter the time of the next events."""
+        """Set the time of the next events."""
         self.now_us = now_us
         self.first_event_at_us = self.first_event_at_us or now_us
 
     def record_arrival(self) -> None:
-        """Update the time between two requests."""
+        """Update the smoothed time between two requests."""
         gap_us = self.now_us - (self._arrived_at_us or self.now_us)
         self.arrival_gap_us = smoothed(self.arrival_gap_us, gap_us)
         self._arrived_at_us = self.now_us
 
     @property
     def is_shedding(self) -> bool:
-        """Whether a request was shed for lack of capacity lately."""
+        """Whether a request was recently shed for lack of capacity."""
         return self.now_us - self.shed_at_us < SHEDDING_MEMORY_US
 
     def local_statistics(self, role: Role) -> RoleStatistics:
-        """Return what answers of a role have shown in this zone, or everywhere if zones do not matter."""
+        """Return the statistics of a role in this zone, or in all zones without cross-zone budgets."""
         return self.statistics[role, False]
--- a/tuliptrack/routing/outbox.py
+++ b/tuliptrack/routing/outbox.py
@@ -1,4 +1,4 @@
-"""The actions of one call of `Router.handle`, in order, and the conditions that operators are told of."""
+"""The actions of one call of `Router.handle`, in order, and the conditions that are logged for operators."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class Outbox:
-    """Collects actions. Bound: one entry for each condition that holds now."""
+    """Collects actions, and keeps one entry for each condition that is currently active."""
 
     def __init__(self) -> None:
         self.actions: list[Action] = []
         self.conditions: set[str] = set()
-        """Conditions that were announced and have not ended."""
+        """Active conditions: those whose beginning was logged, but not their end."""
 
     def start_batch(self) -> list[Action]:
         """Begin a new list of actions and return it."""
@@ -25,15 +25,15 @@
         self.actions.append(action)
 
     def log(self, text: str) -> None:
-        """Append a line for the operators."""
+        """Append a log line for operators."""
         self.add(LogMessage(text))
 
     def announce(self, condition: str, is_active: bool) -> None:
-        """Log a condition once when it begins and once when it ends."""
+        """Log a condition when it begins and when it ends, but not while it is unchanged."""
         if is_active != (condition in self.conditions):
             self.conditions ^= {condition}
             self.log(f"{condition}: {'begins' if is_active else 'ends'}")
 
     def forget(self, *conditions: str) -> None:
-        """Drop conditions whose subject is gone, without a line."""
+        """Drop conditions whose subject no longer exists, without a log line."""
         self.conditions -= set(conditions)
--- a/tuliptrack/routing/outlier_detection.py
+++ b/tuliptrack/routing/outlier_detection.py
@@ -2,17 +2,16 @@
 
 A failed attempt ejects an endpoint for the requests that share the cause:
 
-- A connection that breaks or is not established counts against the whole endpoint. If only this one
+- A connection that breaks or is not established ejects the endpoint for all requests. If only this one
   connection failed, `MAX_CONNECTION_FAILURES` in a row are needed.
-- An error or a time-out counts against its service of that request class.
-- A rejection counts against the whole endpoint if it comes at once, which shows a lack of capacity, and
-  against its service of that tenant if it comes late, which shows throttling.
+- An error or a time-out ejects it for the request class.
+- An early rejection shows a lack of capacity, and ejects it for all requests; a late one shows throttling,
+  and ejects it for the tenant.
 
 An ejected endpoint is used only if no other is left, or for one attempt when a health check is due. That
-attempt is a request of a client (the half-open state of a circuit breaker), not a `CheckHealth`. The interval
-of the checks doubles with each failure. An answer restores the endpoint for requests of that kind; a new
-start time, that is another process, restores it for all.
-Times are microseconds.
+attempt is a client's request (as in the half-open state of a circuit breaker), not a `CheckHealth`. The check
+interval doubles with each failure. An answer restores the endpoint for requests with the same cause; a new
+start time, which means a new process, restores it for all requests. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -28,27 +27,26 @@
 __all__ = ["OutlierDetection", "ejected_condition"]
 
 CHECK_INTERVAL_US = 700_000
-"""Before the first health-check attempt; doubled at each failure, and jittered."""
+"""Interval before the first health-check attempt; doubled with each failure, then jittered."""
 CHECK_INTERVAL_REQUESTS = 20
-"""Before jitter, the interval lasts at least as many requests of this node: each check delays one of them."""
+"""Minimum interval before jitter, in requests arriving at this node, because each check delays a request."""
 MAX_CHECK_INTERVAL_US = 15_000_000
-"""Before jitter. Longer intervals would leave a recovered endpoint unused."""
+"""Maximum interval before jitter. Longer ones would leave a recovered endpoint unused."""
 EARLY_REJECTION_SHARE = 0.08
-"""A rejection within this share of the latency objective shows a lack of capacity; a later one throttling."""
+"""A rejection within this share of the latency objective shows a lack of capacity, a later one throttling."""
 MAX_CONNECTION_FAILURES = 4
-"""Consecutive failures of single connections, with no answer between them, that count against the
-endpoint."""
+"""Consecutive failures of single connections, with no answer in between, that eject the endpoint."""
 CONNECTION_STATUSES = (Status.CONNECT_FAILED, Status.RESET)
-"""Statuses that tell of the connection, not of the service behind it."""
+"""Statuses that are caused by the connection, not by the service behind it."""
 
 
 def ejected_condition(endpoint_id: int) -> str:
-    """Return how logs name an endpoint that is ejected for some requests."""
+    """Return the log text for the condition that an endpoint is ejected for some requests."""
     return f"endpoint {endpoint_id} ejected"
 
 
 class OutlierDetection:
-    """Ejects and restores endpoints by the attempts of this node."""
+    """Ejects and restores endpoints based on the attempts of this node."""
 
     def __init__(self, state: NodeState, outbox: Outbox, locality: Locality) -> None:
         self._state, self._outbox, self._locality = state, outbox, locality
@@ -56,7 +54,8 @@
     def is_usable(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
         """Whether an endpoint is not ejected for a request, or is due for a health-check attempt.
 
-        Slow streams do not matter while this node sheds load: then even a slow endpoint is needed.
+        Ejections for slow streams are ignored while this node sheds load: then even a slow endpoint is
+        needed.
         """
         if not endpoint.ejections:
             return True
@@ -75,7 +74,7 @@
                 ejection.next_check_at_us = self._state.now_us + self.check_interval_us(ejection.failures)
 
     def record_failure(self, endpoint: Endpoint, ended: AttemptEnded, request: InFlightRequest) -> None:
-        """Record an attempt that has failed before its stream began."""
+        """Record an attempt that failed before its stream began."""
         all_requests, request_class, tenant = request.ejection_scopes
         statistics, now_us = endpoint.statistics, self._state.now_us
         if ended.status in CONNECTION_STATUSES:
@@ -94,7 +93,7 @@
             self._record_ejection(endpoint, all_requests if is_early else tenant, request.sent_at_us)
 
     def record_success(self, endpoint: Endpoint, request: InFlightRequest) -> None:
-        """Record an answer: it restores the endpoint for requests of this kind."""
+        """Record an answer, which restores the endpoint for the request's ejection scopes."""
         endpoint.connection_failures = 0
         for scope in request.ejection_scopes if endpoint.ejections else ():
             if endpoint.ejections.pop(scope, None) and scope == ALL_REQUESTS:
@@ -103,7 +102,7 @@
             self._outbox.announce(ejected_condition(endpoint.id), False)
 
     def check_interval_us(self, failures: int) -> int:
-        """Return after how many microseconds the next health-check attempt is due."""
+        """Return the jittered time, in microseconds, until the next health-check attempt."""
         backoff_us = CHECK_INTERVAL_US * 2 ** (failures - 1)
         requests_us = CHECK_INTERVAL_REQUESTS * self._state.arrival_gap_us
         interval_us = min(max(backoff_us, requests_us), MAX_CHECK_INTERVAL_US)
@@ -116,10 +115,10 @@
         self._state.table.eject(endpoint, scope, Ejection(failures, now_us, check_at_us))
 
     def _record_ejection(self, endpoint: Endpoint, scope: EjectionScope, sent_at_us: int) -> None:
-        known = endpoint.ejections.get(scope)
-        if known and sent_at_us < known.failed_at_us:
-            return  # Many attempts fail at once when a process dies: they count as one failure.
-        self.eject(endpoint, scope, known.failures + 1 if known else 1)
+        previous = endpoint.ejections.get(scope)
+        if previous and sent_at_us < previous.failed_at_us:
+            return  # When a process dies, many attempts fail at once; they count as one failure.
+        self.eject(endpoint, scope, previous.failures + 1 if previous else 1)
         if scope == ALL_REQUESTS:
             self._locality.observe_zones()
         self._outbox.announce(ejected_condition(endpoint.id), True)
--- a/tuliptrack/routing/prefill_placement.py
+++ b/tuliptrack/routing/prefill_placement.py
@@ -1,9 +1,9 @@
-"""Decides which prefill endpoint gets a new request: by prefix affinity, with spill to others.
+"""Decides which prefill endpoint gets a new request: by prefix affinity, spilling over to other endpoints.
 
 Each prefix has affinity endpoints, the first in its rendezvous order, where its prompts are likely to be
-cached. A session stays at one of them, whichever node it comes through. If the queue there exceeds the limit,
-the request spills to the eligible endpoint of the lowest score: (requests in flight + 1) x prefill latency,
-raised by the price of crossing zones. Times are microseconds.
+cached. A session stays at one of them, whichever node its requests arrive at. If the queue there exceeds the
+limit, the request spills over to the eligible endpoint with the lowest score: (requests in flight + 1) x
+prefill latency, raised by the price of crossing zones. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 __all__ = ["PrefillPlacement"]
 
 SPILL_ENDPOINTS = 3
-"""Endpoints in a prefix's order to spill among, the last affinity endpoint included."""
+"""Number of endpoints in a prefix's order to spill over to, including the last affinity endpoint."""
 MAX_AFFINITY_SHARE = 0.28
-"""Share of the endpoints that may be a prefix's affinity endpoints: nodes see little of the queues there."""
+"""Maximum share of the endpoints that have affinity to one prefix: a node sees little of the queues there."""
 AFFINITY_HEADROOM = 2.0
-"""How many times a prefix's share of the demand is its share of the endpoints."""
+"""Ratio of a popular prefix's share of the endpoints to its share of the demand."""
 
 
 class PrefillPlacement:
@@ -42,7 +42,7 @@
         self._slow_start, self._locality = slow_start, locality
 
     def choose(self, request: InFlightRequest) -> Endpoint | None:
-        """Return the endpoint for a request's first stage; None if there is none."""
+        """Return the endpoint for a request's first stage, or None if there is none."""
         ranking = self._ranking(request)
         count = self._affinity_count(request, ranking)
         eligible = self._eligibility.first_eligible(ranking, request, count + SPILL_ENDPOINTS - 1)
@@ -56,31 +56,31 @@
             return affinity_endpoint
         remote: list[Endpoint] = []
         if self._locality.is_budgeted:
-            remote = [one for one in self._remote_endpoints(request) if one not in eligible]
+            remote = [endpoint for endpoint in self._remote_endpoints(request) if endpoint not in eligible]
         return self._lowest_score(request, eligible + remote, price_weight=1.0)
 
     def choose_remote(self, request: InFlightRequest) -> Endpoint | None:
-        """Return the best endpoint of another zone, whatever it costs; None if there is none."""
+        """Return the best endpoint of another zone regardless of its price, or None if there is none."""
         return self._lowest_score(request, self._remote_endpoints(request), price_weight=0.0)
 
     def choose_any(self, request: InFlightRequest, candidates: Candidates) -> Endpoint | None:
-        """Return the candidate of the lowest score, wherever it stands in the prefix's order."""
+        """Return the candidate with the lowest score, regardless of the prefix's order."""
         return self._state.table.choose_lowest_score(
             candidates,
-            lambda one: self._score(request, one, price_weight=1.0),
+            lambda endpoint: self._score(request, endpoint, price_weight=1.0),
             self._state.now_us - REPORT_MAX_AGE_US,
             self._state.random,
         )
 
     def first_in_order(self, request: InFlightRequest, endpoints: Collection[Endpoint]) -> Endpoint | None:
-        """Return the first of some endpoints in the prefix's order, those of this zone before remote ones."""
+        """Return the given endpoint that is first in the prefix's order, local zone before remote zones."""
         key = request.request.prefix or request.request.session
         return min(
             endpoints,
             default=None,
-            key=lambda one: (
-                self._locality.is_remote(one),
-                -rendezvous_score(key, one.info.id, one.info.weight),
+            key=lambda endpoint: (
+                self._locality.is_remote(endpoint),
+                -rendezvous_score(key, endpoint.info.id, endpoint.info.weight),
             ),
         )
 
@@ -93,18 +93,20 @@
     def _affinity_count(self, request: InFlightRequest, ranking: Collection[Endpoint]) -> int:
         """Return how many affinity endpoints the request's prefix has.
 
-        A prefix has several where each of them can prefill it within the limit on queues, and one where it is
-        too long for that. A popular prefix has more, in proportion to its share of the demand.
+        A prefix has `SPILL_ENDPOINTS` of them if it is short enough to be prefilled at each within the queue
+        limit, else one. A popular prefix has more, in proportion to its share of the demand.
         """
         prefix = request.request.prefix
-        cls, state = request.request_class, self._state
+        request_class, state = request.request_class, self._state
         local_count = 0
         if self._locality.is_budgeted:
-            local_count = sum(not self._locality.is_remote(one) for one in ranking)
+            local_count = sum(not self._locality.is_remote(endpoint) for endpoint in ranking)
         local_count = local_count or len(ranking)
-        prefix_objective_us = cls.objective_us_per_1000_tokens * request.request.prefix_tokens / 1000
+        prefix_objective_us = (
+            request_class.objective_us_per_1000_tokens * request.request.prefix_tokens / 1000
+        )
         fits = SPILL_ENDPOINTS * prefix_objective_us <= MAX_QUEUE_SHARE * (
-            cls.latency_objective_us + prefix_objective_us
+            request_class.latency_objective_us + prefix_objective_us
         )
         desired = max(
             SPILL_ENDPOINTS if fits else 1,
@@ -115,8 +117,8 @@
         return max(1, int(min(MAX_AFFINITY_SHARE * state.hidden_share * local_count, desired)))
 
     def _session_endpoint(self, request: InFlightRequest, affinity: list[Endpoint]) -> Endpoint:
-        """Return the affinity endpoint of the session. One with an open slot goes first, as slots expire."""
-        local = [one for one in affinity if not self._locality.is_remote(one)]
+        """Return the session's affinity endpoint; an open slot is preferred, because slots expire."""
+        local = [endpoint for endpoint in affinity if not self._locality.is_remote(endpoint)]
 
         def preference(endpoint: Endpoint) -> tuple[int, float]:
             score = rendezvous_score(request.request.session, endpoint.info.id, endpoint.info.weight)
@@ -125,18 +127,19 @@
         return max(local or affinity, key=preference)
 
     def _remote_endpoints(self, request: InFlightRequest) -> list[Endpoint]:
-        """Return the endpoints of other zones to spill among, in the prefix's order."""
-        remote = [one for one in self._ranking(request) if self._locality.is_remote(one)]
+        """Return the endpoints of other zones to spill over to, in the prefix's order."""
+        remote = [endpoint for endpoint in self._ranking(request) if self._locality.is_remote(endpoint)]
         return self._eligibility.first_eligible(remote, request, SPILL_ENDPOINTS)
 
     def _lowest_score(
         self, request: InFlightRequest, endpoints: list[Endpoint], price_weight: float
     ) -> Endpoint | None:
-        """Return any endpoint of the lowest score.
+        """Return an endpoint with the lowest score, or None if there are no endpoints.
 
-        Ties are broken at random: nodes that know equally little must not all choose the same endpoint.
+        Ties are broken at random, so that nodes with equally little information do not all choose the same
+        one.
         """
-        ranked = lowest_ranked(endpoints, lambda one: self._score(request, one, price_weight))
+        ranked = lowest_ranked(endpoints, lambda endpoint: self._score(request, endpoint, price_weight))
         return random_member(ranked, self._state.random)
 
     def _score(self, request: InFlightRequest, endpoint: Endpoint, price_weight: float) -> float:
--- a/tuliptrack/routing/queue_estimate.py
+++ b/tuliptrack/routing/queue_estimate.py
@@ -1,8 +1,8 @@
 """Estimates the time to first token at an endpoint, which admission and placement compare with limits.
 
 The inputs are this node's own attempts, the last load reports and the last answers. A node that gets one
-request in a second has hardly any attempts of its own waiting, so what answers of the whole role have shown
-stands in for what it cannot see; `hidden_share` is the share of the traffic at other nodes. Times are
+request per second has hardly any waiting attempts of its own, so the statistics of the whole role are used to
+estimate the load that it cannot see; `hidden_share` is the share of the traffic at other nodes. Times are
 microseconds.
 """
 
@@ -21,26 +21,27 @@
 __all__ = ["MAX_QUEUE_SHARE", "QueueEstimate", "endpoint_queue_us"]
 
 MAX_QUEUE_SHARE = 0.5
-"""Share of the latency objective that a queue may take; above it requests spill, and are shed if all are
-above."""
+"""Share of the latency objective that a queue may take. Above it requests spill over to other endpoints, and
+are shed if all endpoints are above it."""
 STATISTICS_MEMORY_US = 5_000_000
-"""In this time what answers have shown loses its weight, so that shedding all requests does not freeze it."""
+"""Time after which role statistics no longer count. Otherwise they would never change once all requests are
+shed."""
 ROLE_QUEUE_WEIGHT = 0.9
-"""Weight of the time to first token that the role shows, times the square of the hidden share."""
+"""Weight of the role's queue time, multiplied by the square of `hidden_share`."""
 AGE_EXPONENT = 6
-"""Exponent of the hidden share in the weight of waiting attempts' ages: with few nodes the own queue tells
-more."""
+"""Exponent of `hidden_share` in the weight of waiting attempts' ages: with few nodes, this node's own queue
+is more informative."""
 
 
 def endpoint_queue_us(state: NodeState, endpoint: Endpoint) -> float:
-    """Return in how many microseconds an endpoint processes the tokens that wait there.
+    """Return the time in which an endpoint processes the tokens that wait there.
 
-    The speed is that seen there. A limit on this time therefore fits fast and slow endpoints, short and long
-    prompts; slowness alone is no overload.
+    It is based on the speed observed at that endpoint, so the same limit suits fast and slow endpoints, short
+    and long prompts; a slow endpoint alone is not an overload.
     """
     now_us = state.now_us
     if endpoint.role is Role.PREFILL_AND_DECODE:
-        # A prefill slows down the streams that run there, so they count as prefills that wait.
+        # A prefill slows down the streams at its endpoint, so running streams count as waiting prefills.
         in_flight = endpoint.in_flight(now_us, state.are_in_flight_reported)
         others = (in_flight - len(endpoint.waiting)) * endpoint.service_tokens / state.settings.replicas
     else:
@@ -49,7 +50,7 @@
 
 
 class QueueEstimate:
-    """Estimates for whole requests, from the prefill to the first token."""
+    """Estimates the time from arrival to first token, over all stages of a request."""
 
     def __init__(
         self, state: NodeState, slow_start: SlowStart, locality: Locality, decode_placement: DecodePlacement
@@ -58,10 +59,11 @@
         self._decode_placement = decode_placement
 
     def time_to_first_token_us(self, request: InFlightRequest, endpoint: Endpoint | None) -> float:
-        """Estimate the time to first token if the request starts at an endpoint (None: there is none).
+        """Estimate the time to first token if the request starts at `endpoint`; None: there is none.
 
-        The queue of the endpoint does not lower what the role shows: one idle endpoint would hide an overload
-        of all others. At an endpoint in slow start an open slot counts as capacity.
+        A short queue at the endpoint does not lower the role's queue time, or one idle endpoint would hide an
+        overload of all others. An open slot at an endpoint in slow start counts as capacity, so there only
+        the endpoint's own queue matters.
         """
         queue_us = self._queue_us(request, endpoint)
         is_remote = endpoint is not None and self._locality.is_remote(endpoint)
@@ -73,13 +75,13 @@
         return max(queue_us, role_us)
 
     def fastest_time_to_first_token_us(self, request: InFlightRequest, endpoint: Endpoint | None) -> float:
-        """Return a time to first token that only a quarter of the last answers were below."""
+        """Estimate the fastest time to first token: the first quartile of recent answers of each stage."""
         roles = _stages_at(endpoint)
         latencies = (self._state.local_statistics(role).fast_relative_latency for role in roles)
         return sum(latencies) * request.latency_objective_us
 
     def _queue_us(self, request: InFlightRequest, endpoint: Endpoint | None) -> float:
-        """Return the queue at an endpoint and at the decode endpoint that would follow."""
+        """Return the queue time at an endpoint and at the decode endpoint that would follow."""
         if endpoint is None:
             return 0.0
         decode_endpoint = None
@@ -93,18 +95,18 @@
     def _role_queue_us(
         self, request: InFlightRequest, endpoint: Endpoint | None, role: Role, is_remote: bool
     ) -> float:
-        """Return the queue that the endpoints of a role show together."""
+        """Return the queue time that the statistics of a role indicate."""
         state = self._state
         statistics = state.statistics[role, is_remote]
         weight = max(0.0, 1 - (state.now_us - statistics.observed_at_us) / STATISTICS_MEMORY_US)
         waiting_tokens = self._waiting_tokens(statistics, endpoint, role)
         queued_tokens = waiting_tokens + statistics.attempt_tokens
-        shown_us = ROLE_QUEUE_WEIGHT * state.hidden_share**2 * queued_tokens * statistics.us_per_token
+        observed_us = ROLE_QUEUE_WEIGHT * state.hidden_share**2 * queued_tokens * statistics.us_per_token
         rejections_us = statistics.rejection_share * request.latency_objective_us
-        return max(weight * (shown_us + rejections_us), self._ages_us(statistics, role))
+        return max(weight * (observed_us + rejections_us), self._ages_us(statistics, role))
 
     def _waiting_tokens(self, statistics: RoleStatistics, endpoint: Endpoint | None, role: Role) -> float:
-        """Return the tokens that wait at an endpoint: by its own fresh report, else by those of its peers."""
+        """Return the tokens that wait at an endpoint: by its own fresh report, else the role's average."""
         waiting_tokens = statistics.waiting_tokens
         if endpoint and endpoint.role is role:
             own_difference = endpoint.reported_waiting_tokens - waiting_tokens
@@ -114,7 +116,7 @@
     def _ages_us(self, statistics: RoleStatistics, role: Role) -> float:
         """Return the weighted median age of the oldest waiting attempts.
 
-        In an overload no answers come, but attempts grow old. The median is not moved by one silent endpoint.
+        In an overload no answers arrive, but attempts age. One silent endpoint does not change the median.
         """
         state = self._state
         ages_us = [
@@ -126,7 +128,7 @@
 
 
 def _stages_at(endpoint: Endpoint | None) -> tuple[Role, ...]:
-    """Return the roles that a request passes if it starts at an endpoint."""
+    """Return the roles of a request's stages if it starts at an endpoint."""
     if endpoint and endpoint.role is Role.PREFILL:
         return (Role.PREFILL, Role.DECODE)
     return (Role.PREFILL_AND_DECODE,)
--- a/tuliptrack/routing/retry.py
+++ b/tuliptrack/routing/retry.py
@@ -1,9 +1,9 @@
-"""Decides what follows an attempt that has ended: a retry elsewhere, at the same endpoint, or none.
+"""Decides whether a failed attempt is retried, and whether the retry may go to the same endpoint.
 
-A retry excludes the endpoint that failed. Only where nothing but the connection of the attempt failed may the
-next one go to the same endpoint, as its prompt is cached there; a decode endpoint that could not be connected
-to is excluded all the same. No retry follows a rejection while many attempts at the role are rejected, since
-the load of retries would only delay all.
+A retry excludes the endpoint that failed. Only if nothing but the connection of the attempt failed may the
+next attempt go to the same endpoint, because its prompt is cached there; a decode endpoint to which no
+connection could be made is excluded in any case. A rejection is not retried while many attempts at the role
+are rejected, because the load of retries would delay all requests.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 __all__ = ["Retry"]
 
 MAX_CONNECTION_ONLY_RETRIES = 2
-"""Failures of only a connection, of one request at any endpoints, after which the endpoint is excluded."""
+"""Connection-only failures of a request, at any endpoints, up to which the endpoint is not excluded."""
 MAX_REJECTION_SHARE = 0.4
-"""Share of attempts rejected at once above which a rejected request is not offered to another endpoint."""
+"""Share of early rejections among a role's attempts above which rejected requests are not retried."""
 
 
 class Retry:
@@ -28,7 +28,7 @@
         self._state = state
 
     def record_end(self, request: InFlightRequest, endpoint: Endpoint, ended: AttemptEnded) -> None:
-        """Update where the request may go next."""
+        """Update which endpoints the request's next attempt may be sent to."""
         request.connection_failures += ended.is_connection_only
         may_return = ended.is_connection_only and request.connection_failures <= MAX_CONNECTION_ONLY_RETRIES
         decode_endpoints = len(self._state.table.ready(Role.DECODE))
@@ -36,7 +36,7 @@
 
     @staticmethod
     def may_continue(endpoint: Endpoint, ended: AttemptEnded) -> bool:
-        """Whether the next stage or a retry may follow an attempt."""
+        """Whether the next stage or a retry may follow an attempt that has ended."""
         if ended.status is Status.ABANDONED:
             return False
         is_role_overloaded = endpoint.statistics.rejection_share > MAX_REJECTION_SHARE
--- a/tuliptrack/routing/router.py
+++ b/tuliptrack/routing/router.py
@@ -1,12 +1,12 @@
-"""The router of one node: events in, actions out, both defined in `tuliptrack.interface`.
+"""The router of one node: it turns events into actions, both defined in `tuliptrack.interface`.
 
 Each event is handled by one method, and each decision is made by one module:
 
-- a new request: `admission` (admit or shed), `prefill_placement` (where it starts), which ask
+- a new request: `admission` (admit or shed), `prefill_placement` (where it starts), which use
   `queue_estimate`, `eligibility`, `slow_start`, `locality` and `tenant_quota`;
 - a finished prefill: `decode_placement`;
-- a failed attempt: `outlier_detection` (eject the endpoint), `retry` (try again, and where not),
-  `idempotency` (when trying again can do harm);
+- a failed attempt: `outlier_detection` (eject the endpoint), `retry` (whether and where to retry),
+  `idempotency` (when a retry could do harm);
 - a stream: `slow_streams` (eject an endpoint whose streams take too long);
 - each attempt: `attempt_timeout`.
 
@@ -64,26 +64,26 @@
 __all__ = ["Router"]
 
 RESUBSCRIBE_US = 500_000
-"""Until a failed subscription to the endpoint list is repeated; jittered to between once and twice this."""
+"""Minimum delay before a failed subscription to the endpoint list is repeated; jitter at most doubles it."""
 RESUBSCRIBE_TOKEN = 0
-"""Of the only timer that a router sets."""
+"""Token of the only timer that a router sets."""
 
 
 class Router:
-    """The decisions of one node. `handle` takes what has happened and returns what to do."""
+    """Makes the routing decisions of one node: `handle` takes events and returns actions."""
 
     def __init__(self, settings: Settings, seed: int, sibling_router: Router | None = None) -> None:
         """Create a router that knows no endpoints.
 
         Args:
-            settings: of the node.
-            seed: of its random numbers.
+            settings: the settings of the node.
+            seed: the seed of its random numbers.
             sibling_router: this node's router of another model; they share quotas and zone budgets.
         """
         self.settings = settings
         self.state = state = NodeState(settings, seed)
         self.in_flight: dict[int, InFlightRequest] = {}
-        """Requests that are not concluded, or have an attempt in flight, by id."""
+        """Requests that are not concluded or have an attempt in flight, by id."""
         self.outbox = outbox = Outbox()
         self.quotas: TenantQuotas = sibling_router.quotas if sibling_router else TenantQuotas(settings)
         self.locality = Locality(state, outbox, _zone_budgets(settings, sibling_router))
@@ -123,7 +123,7 @@
         return self.state.table.endpoints
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take the events of one moment (`now`, in microseconds), in order; return the actions, in order."""
+        """Handle the events of one moment (`now`, in microseconds) in order; return the actions in order."""
         self.state.advance(now)
         actions = self.outbox.start_batch()
         for event in events:
@@ -133,7 +133,7 @@
         self.slow_streams.check_if_due()
         return actions
 
-    # -- the endpoint list
+    # Endpoint list
 
     def _handle_list_update(self, update: EndpointListUpdate) -> None:
         if update.kind is UpdateKind.FAILED:
@@ -153,22 +153,22 @@
     def _handle_timer(self, _: TimerFired) -> None:
         self.outbox.add(Subscribe(True))
 
-    # -- requests
+    # Requests
 
-    def _handle_request(self, arrived: Request) -> None:
-        cls = self.settings.classes[arrived.class_index]
-        extra_us = int(cls.objective_us_per_1000_tokens * arrived.prompt_tokens / 1000)
-        output_tokens = _expected_output_tokens(arrived, cls.inter_token_objective_us)
+    def _handle_request(self, event: Request) -> None:
+        request_class = self.settings.classes[event.class_index]
+        extra_us = int(request_class.objective_us_per_1000_tokens * event.prompt_tokens / 1000)
+        output_tokens = _expected_output_tokens(event, request_class.inter_token_objective_us)
         request = InFlightRequest(
-            arrived,
-            cls,
-            deadline_us=self.state.now_us + arrived.time_left_us,
-            latency_objective_us=cls.latency_objective_us + extra_us,
-            projected_tokens=arrived.prompt_tokens + output_tokens,
+            event,
+            request_class,
+            deadline_us=self.state.now_us + event.time_left_us,
+            latency_objective_us=request_class.latency_objective_us + extra_us,
+            projected_tokens=event.prompt_tokens + output_tokens,
         )
-        self.in_flight[arrived.request_id] = request
+        self.in_flight[event.request_id] = request
         size = RequestSize(request.uncached_tokens, output_tokens)
-        self.state.demand.record(arrived.class_index, size, arrived.prefix)
+        self.state.demand.record(event.class_index, size, event.prefix)
         self._send(request, self.admission.place(request))
 
     def _handle_client_disconnected(self, event: ClientDisconnected) -> None:
@@ -181,12 +181,12 @@
         elif self.settings.may_cancel and not request.is_streaming:
             self.outbox.add(CancelAttempt(event.request_id, request.attempts - 1))
 
-    # -- attempts
+    # Attempts
 
     def _send(self, request: InFlightRequest, endpoint: Endpoint | None) -> None:
-        """Send an attempt, or conclude the request if there is no endpoint, no attempt or no time left.
+        """Send an attempt, or conclude the request if there is no endpoint, attempt or time left.
 
-        Only called while no attempt of the request is in flight, so that there are never two at once.
+        This is only called while no attempt of the request is in flight, so there are never two at once.
         """
         state = self.state
         is_exhausted = request.attempts >= self.settings.max_attempts
@@ -206,7 +206,7 @@
         self.outbox.add(SendAttempt(request.request.request_id, endpoint.id, timeout_us, cause))
 
     def _add_attempt(self, request: InFlightRequest, endpoint: Endpoint) -> None:
-        """Record an attempt in the endpoint's load."""
+        """Add an attempt to the endpoint's recorded load."""
         state = self.state
         request.endpoint, request.sent_at_us = endpoint, state.now_us
         attempt = WaitingAttempt(
@@ -259,13 +259,13 @@
         self._continue(request, endpoint, event)
 
     def _record_load_report(self, event: AttemptEnded) -> None:
-        """Take over the load report that came with the end of an attempt."""
+        """Apply the load report that came with the end of an attempt."""
         endpoint = self.endpoints.get(event.endpoint_id)
         if endpoint is None or not event.load_report:
             return
         report = dict(zip(self.settings.report_fields, event.load_report, strict=False))
         self.state.table.record_report(endpoint, report, self.state.now_us)
-        # After a pause the report replaces what was known of the role.
+        # The longer the role has not answered, the more the report outweighs the old average.
         pause_us = self.state.now_us - endpoint.statistics.answered_at_us
         weight = max(SAMPLE_WEIGHT, min(pause_us / REPORT_MAX_AGE_US, 1.0))
         statistics = endpoint.statistics
@@ -274,7 +274,7 @@
         )
 
     def _remove_attempt(self, request: InFlightRequest, endpoint: Endpoint, event: AttemptEnded) -> None:
-        """Remove an attempt from the endpoint's load, and record what its end shows of the endpoint."""
+        """Remove an attempt from the endpoint's recorded load, and record how it ended."""
         table = self.state.table
         if not table.remove_waiting(endpoint, event.request_id):
             self.slow_streams.record_stream_end(endpoint, request, event.status is Status.OK)
@@ -288,18 +288,18 @@
         request.endpoint = None
 
     def _continue(self, request: InFlightRequest, endpoint: Endpoint, event: AttemptEnded) -> None:
-        """Go on after an attempt without a final answer: with the next stage, a retry, or the end."""
+        """Continue after an attempt without a final answer: with the next stage, a retry, or a conclusion."""
         self.retry.record_end(request, endpoint, event)
-        following = None
+        next_endpoint = None
         if self.retry.may_continue(endpoint, event):
             placement = self.decode_placement if request.kv_holder else self.prefill_placement
-            following = placement.choose(request)
-        self._send(request, following)
+            next_endpoint = placement.choose(request)
+        self._send(request, next_endpoint)
 
-    # -- ends
+    # Final answers
 
     def _conclude(self, request: InFlightRequest) -> None:
-        """Forget a request: release what is reserved for it, and give its final answer if one is owed."""
+        """Drop a request: release its KV state, and give the final answer unless none is needed any more."""
         request_id = request.request.request_id
         del self.in_flight[request_id]
         if request.kv_holder and not request.is_streaming:
@@ -322,11 +322,11 @@
         self.outbox.add(Reject(request_id, retry_after_us))
 
 
-def _expected_output_tokens(arrived: Request, inter_token_objective_us: float) -> float:
-    """Return the output that is expected: by the client's hint on its duration, else half of the maximum."""
-    if arrived.stream_time_hint_us is None or not inter_token_objective_us:
-        return arrived.max_tokens / 2
-    return arrived.stream_time_hint_us / inter_token_objective_us
+def _expected_output_tokens(request: Request, inter_token_objective_us: float) -> float:
+    """Return the expected output, from the client's hint on its duration or else half of the maximum."""
+    if request.stream_time_hint_us is None or not inter_token_objective_us:
+        return request.max_tokens / 2
+    return request.stream_time_hint_us / inter_token_objective_us
 
 
 def _zone_budgets(settings: Settings, sibling_router: Router | None) -> CrossZoneBudgets | None:
--- a/tuliptrack/routing/slow_start.py
+++ b/tuliptrack/routing/slow_start.py
@@ -1,20 +1,21 @@
-"""Decides how much load an endpoint in slow start may get, over all nodes together, without communication.
-
-A warming endpoint fails if all nodes send it much more than N requests in one window, N being what the
-settings allow it in that time; 2 x sqrt(N) + 2 more are within chance. Nodes therefore send by numbered
-slots. A slot becomes due whenever the ramp of the endpoint allows one more request, at `SLOT_RATE_SHARE` x
-`slow_start_overload_factor` x its share of the capacity. Slot k belongs to the node whose replica index is k
-modulo the number of replicas. It is good for one attempt and expires after one window.
-
-In any window the usable slots are those that became due in it (a third of N), unused ones of the window
-before (a third of N), and one for each node. The last third covers half as many processes as replicas again,
-quotas above the capacity, and endpoints that were removed before a node received its first list. Peers,
-traffic and chance have no influence: a batch of retries finds one slot, and a restarted node leaves the slots
-that its earlier incarnation may have used. A request of a class that costs h mean requests may use one slot
-in h.
-
-The quotas are taken for the capacity; without quotas a warm endpoint is assumed to serve one request in a
-window. Inputs are the endpoint's start time, the replica index and the settings. Times are microseconds.
+"""Limits the load of an endpoint in slow start, over all nodes together, without communication between them.
+
+A warming endpoint fails if all nodes together send it much more than N requests in one window, where N is the
+number that the settings allow in that time; an excess of 2 x sqrt(N) + 2 is within random variation. Nodes
+therefore send by numbered slots. A slot becomes due whenever the ramp of the endpoint allows one more
+request, at the rate of `SLOT_RATE_SHARE` x `slow_start_overload_factor` x its share of the capacity. Slot k
+belongs to the node whose replica index is k modulo the number of replicas; the id of the endpoint shifts this
+assignment. A slot is valid for one attempt and expires after one window.
+
+In any window the usable slots are those that became due in it (a third of N), unused ones of the previous
+window (a third of N), and one for each node. The last third covers half as many additional processes as there
+are replicas, quotas above the capacity, and endpoints that were removed before a node received its first
+list. The limit does not depend on peers, traffic or chance: a batch of retries gets one slot, and a restarted
+node skips the slots that its earlier process may have used. A request of a class that costs as much as h mean
+requests may use one slot in h.
+
+The quotas are used as the capacity; without quotas a warm endpoint is assumed to serve one request per
+window. The inputs are the endpoint's start time, the replica index and the settings. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -30,11 +31,11 @@
 __all__ = ["WARM", "SlowStart"]
 
 SLOT_RATE_SHARE = 1 / 3
-"""Share of the overload factor at which slots become due; the module's text says why a third."""
+"""Share of the overload factor at which slots become due; the module docstring explains why it is a third."""
 GOLDEN_RATIO_FRACTION = (math.sqrt(5) - 1) / 2
-"""Successive slots' multiples of it, modulo 1, are spread evenly from 0 to 1."""
+"""Its multiples by successive slot numbers, modulo 1, are spread evenly from 0 to 1."""
 WARM = 0
-"""The slot number of endpoints that need none. Slots are numbered from 1."""
+"""Returned instead of a slot number for an endpoint that needs no slot. Slots are numbered from 1."""
 
 
 class SlowStart:
@@ -44,7 +45,7 @@
         self._state = state
 
     def slot_for(self, endpoint: Endpoint, request: InFlightRequest) -> int | None:
-        """Return the slot by which a request may go to an endpoint.
+        """Return the slot that lets a request be sent to an endpoint.
 
         It is `WARM` if the endpoint is not in slow start, and None if no slot of this node is open for it.
         """
@@ -59,7 +60,8 @@
         schedule = self._schedule(endpoint)
         slot = schedule.slots_due(state.now_us - started_at_us)
         slot -= (slot + mix(endpoint.info.id) - settings.replica_index) % settings.replicas
-        # Slots that have expired, or were due before this process saw its first event, may have been used.
+        # Slots that became due before the window are expired; those due before this process saw its first
+        # event may have been used by an earlier process.
         usable_from_us = max(state.now_us - settings.slow_start_window_us, state.first_event_at_us)
         if slot <= max(endpoint.last_slot, schedule.slots_due(usable_from_us - started_at_us)):
             endpoint.no_slot_before_us = started_at_us + schedule.age_before(slot + settings.replicas)
@@ -68,11 +70,11 @@
         return slot if slot * GOLDEN_RATIO_FRACTION % 1 * cost <= 1 else None
 
     def has_open_slot(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
-        """Whether an endpoint is in slow start and the request may go there by a slot."""
+        """Whether an endpoint is in slow start and has an open slot for the request."""
         return bool(self.slot_for(endpoint, request))
 
     def use_slot(self, endpoint: Endpoint, request: InFlightRequest) -> None:
-        """Record that an attempt is sent there."""
+        """Mark the slot of an attempt that is sent to an endpoint as used."""
         endpoint.last_slot = self.slot_for(endpoint, request) or endpoint.last_slot
 
     def _schedule(self, endpoint: Endpoint) -> SlotSchedule:
--- a/tuliptrack/routing/slow_streams.py
+++ b/tuliptrack/routing/slow_streams.py
@@ -1,10 +1,10 @@
 """Decides which decode endpoints are ejected because their streams are slower than those of their peers.
 
-Such an endpoint answers in time, so no attempt fails. The evidence is how few streams have ended there for
-the time that they have run, compared with its peers in the same seconds; a slowness of all endpoints ejects
-none. Nothing but health checks goes to an ejected endpoint, and its streams are migrated where clients can
-resume them. All this pauses while the node sheds load: then even a slow endpoint is needed. Times are
-microseconds.
+Such an endpoint answers in time, so no attempt fails. It is detected because fewer of its streams complete
+per streaming time than at its peers in the same seconds; if all endpoints are equally slow, none is ejected.
+Only health checks are sent to an ejected endpoint, and its streams are migrated if clients can resume them.
+Detection and ejections are suspended while the node sheds load, because even slow capacity is needed then.
+Times are microseconds.
 """
 
 from __future__ import annotations
@@ -22,30 +22,30 @@
 __all__ = ["SlowStreamDetection", "slow_condition"]
 
 CHECK_INTERVAL_US = 250_000
-"""Between two comparisons."""
+"""Minimum time between two comparisons."""
 MIN_MEAN_LENGTH_US = 100_000
-"""Shorter mean lengths of streams count as this: a short halt of the machine would outlast many of them."""
+"""Lower limit of the mean stream length: a short pause of the machine would outlast many shorter streams."""
 SLOWDOWN = 3.0
-"""How many times longer the streams of a slow endpoint take."""
+"""Factor by which the streams of a slow endpoint are assumed to take longer."""
 MIN_LOG_ODDS = 5.0
-"""Logarithm of the odds that an endpoint is slow. Comparisons are frequent, so lower odds would come by
+"""Minimum logarithm of the odds that an endpoint is slow. With frequent comparisons, lower odds occur by
 chance."""
 MIN_PEER_STREAMS = 4.0
-"""Streams that must have ended at the peers, so that a slowness of all is not taken for one endpoint's."""
+"""Minimum completed streams at the peers, so that a slowdown of all is not attributed to one endpoint."""
 MAX_SLOW_SHARE = 0.34
-"""Share of the decode endpoints that may be ejected at once; more of them have a common cause."""
+"""Share of the decode endpoints that may be ejected at once; if more are slow, there is a common cause."""
 INITIAL_FAILURES = 2
 MAX_FAILURES = 4
-"""Bounds of the failures that set the interval of the health checks."""
+"""Range of the failure count, which determines the interval of health checks."""
 
 
 def slow_condition(endpoint_id: int) -> str:
-    """Return how logs name an endpoint with slow streams."""
+    """Return the log text for the condition that an endpoint has slow streams."""
     return f"endpoint {endpoint_id} has slow streams"
 
 
 class SlowStreamDetection:
-    """Compares the endpoints' streams, and ejects and restores endpoints by them."""
+    """Compares streams across endpoints, and ejects and restores endpoints accordingly."""
 
     def __init__(self, state: NodeState, outbox: Outbox, outliers: OutlierDetection) -> None:
         self._state, self._outbox, self._outliers = state, outbox, outliers
@@ -53,7 +53,7 @@
         """When the endpoints were last compared."""
 
     def check_if_due(self) -> None:
-        """Compare the endpoints if that was not done lately."""
+        """Compare the endpoints if the last comparison was long enough ago."""
         if self._state.now_us - self.checked_at_us <= CHECK_INTERVAL_US:
             return
         self.checked_at_us = self._state.now_us
@@ -61,7 +61,7 @@
             self._check()
 
     def record_stream_end(self, endpoint: Endpoint, request: InFlightRequest, is_completed: bool) -> None:
-        """Record that a stream has ended; one of usual length restores its endpoint."""
+        """Record that a stream has ended; a completed stream of normal length restores its endpoint."""
         table = self._state.table
         ran_us = table.end_stream(endpoint, request.request.request_id, self._state.now_us, is_completed)
         if not is_completed or SLOW_STREAMS not in endpoint.ejections:
@@ -74,7 +74,7 @@
         table, now_us = self._state.table, self._state.now_us
         table.stream_rate.advance(now_us)
         completed, streamed_us = table.stream_rate.completed, table.stream_rate.streamed_us
-        slow_count = sum(SLOW_STREAMS in one.ejections for one in table.ejected(Role.DECODE))
+        slow_count = sum(SLOW_STREAMS in endpoint.ejections for endpoint in table.ejected(Role.DECODE))
         for endpoint in [table.endpoints[endpoint_id] for endpoint_id in sorted(table.streaming)]:
             endpoint.stream_rate.advance(now_us)
             peers_completed = completed - endpoint.stream_rate.completed
@@ -88,7 +88,7 @@
 
     @staticmethod
     def _is_slow(endpoint: Endpoint, peers_completed: float, peers_streamed_us: float) -> bool:
-        """Whether streams are slow, by the likelihood ratio of a Poisson process of their ends."""
+        """Whether streams are slow, by a likelihood ratio; stream ends are modelled as a Poisson process."""
         if peers_completed < MIN_PEER_STREAMS or peers_streamed_us <= 0:
             return False
         mean_length_us = max(peers_streamed_us / peers_completed, MIN_MEAN_LENGTH_US)
@@ -97,8 +97,8 @@
         return log_odds >= MIN_LOG_ODDS
 
     def _eject(self, endpoint: Endpoint) -> None:
-        known = endpoint.ejections.get(SLOW_STREAMS)
-        failures = min(known.failures + 1, MAX_FAILURES) if known else INITIAL_FAILURES
+        previous = endpoint.ejections.get(SLOW_STREAMS)
+        failures = min(previous.failures + 1, MAX_FAILURES) if previous else INITIAL_FAILURES
         self._outliers.eject(endpoint, SLOW_STREAMS, failures)
         self._outbox.announce(slow_condition(endpoint.id), True)
         self._state.table.reset_stream_rate(endpoint, self._state.now_us)
--- a/tuliptrack/routing/tenant_quota.py
+++ b/tuliptrack/routing/tenant_quota.py
@@ -1,7 +1,7 @@
 """Decides whether a tenant exceeds its quota at this node.
 
 Each tenant has a token bucket that fills at the node's share of the quota: requests per second divided by the
-number of replicas. A request above quota is not rejected for that; admission gives it a lower priority.
+number of replicas. A request above quota is not rejected; admission gives it a lower priority.
 """
 
 from __future__ import annotations
@@ -13,30 +13,30 @@
 __all__ = ["TenantQuotas", "TokenBucket"]
 
 BURST_S = 2.0
-"""Seconds of its quota that a tenant may save up: evens out chance, too short to hide a burst."""
+"""Bucket size, in seconds of quota: absorbs random variation, but is too small to hide a burst."""
 MIN_BURST_REQUESTS = 4.0
-"""Requests that it may save up at least: at one node of hundreds they arrive by chance."""
+"""Minimum bucket size, in requests: at one of hundreds of nodes, a tenant's requests arrive at random."""
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Requests that a tenant has saved up."""
+    """The requests that a tenant may send without exceeding its quota."""
 
     tokens: float
     updated_at_us: int
 
 
 class TenantQuotas:
-    """The buckets of one node, shared by its routers of several models. Bound: one for each tenant."""
+    """The token buckets of one node, one per tenant, shared by its routers of several models."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self.buckets: dict[int, TokenBucket] = {}
 
     def is_over_quota(self, request: Request, now_us: int) -> bool:
-        """Whether the tenant's bucket is empty; otherwise one token is taken.
+        """Return whether the tenant's bucket is empty; if it is not, take one token.
 
-        Retries and resumed streams take none, as their first attempt did.
+        Retries and resumed streams take no token, because their first attempt did.
         """
         if request.tenant >= len(self._settings.tenants):
             return False
