--- a/tuliptrack/routing/admission.py
+++ b/tuliptrack/routing/admission.py
@@ -139,9 +139,9 @@
             for endpoint in candidates.with_slot
             if is_over_limit or not inputs.locality.is_remote(endpoint)
         ]
-        endpoint = inputs.prefill.first_in_order(request, with_slot)
+        endpoint = inputs.prefill.first_in_prefix_order(request, with_slot)
         if endpoint is None and is_over_limit:
-            endpoint = inputs.prefill.choose_any(request, candidates)
+            endpoint = inputs.prefill.choose_by_score(request, candidates)
         if endpoint is None:
             return placement
         alternative = self._estimate(request, endpoint)
--- a/tuliptrack/routing/decode_placement.py
+++ b/tuliptrack/routing/decode_placement.py
@@ -64,7 +64,7 @@
         least = loads.least
         limit = least + NEAR_TIE_SHARE * loads.mean
         cell = self._preferred_cell(request)
-        preferred = self._preferred(choice, cell, limit)
+        preferred = self._preferred_endpoints(choice, cell, limit)
         if preferred:
             ranked = lowest_ranked(
                 preferred, lambda endpoint: (endpoint.info.cell != cell, choice.load_of(endpoint))
@@ -77,7 +77,7 @@
         if not self._locality.is_budgeted:
             return {}
         table = self._state.table
-        counts = table.memory.counts_up_to(math.inf, candidates.excluded)
+        counts = table.memory_shares.counts_up_to(math.inf, candidates.excluded)
         return {
             group: self._locality.price(request, table.groups[group].zone, is_decode=True)
             for group, count in counts.items()
@@ -90,7 +90,7 @@
         This node knows little about memory in remote zones, so the median is that of groups without a price.
         """
         local_groups = [group for group, price in prices.items() if not price]
-        median = self._state.table.memory.low_median(candidates.excluded, local_groups or None)
+        median = self._state.table.memory_shares.low_median(candidates.excluded, local_groups or None)
         return median + MEMORY_MARGIN
 
     def _projected_loads(
@@ -102,7 +102,7 @@
     ) -> ProjectedLoads:
         """Return the candidates' loads, raised by their cross-zone prices in multiples of the mean load."""
         state, table = self._state, self._state.table
-        counts = table.memory.counts_up_to(max_memory_share, candidates.excluded)
+        counts = table.memory_shares.counts_up_to(max_memory_share, candidates.excluded)
         counts = {group: count for group, count in counts.items() if count}
         role_loads = {
             role: state.local_statistics(role).assign(0.0, state.now_us) / table.capacity.capacity(role)
@@ -134,7 +134,7 @@
         decode_share = capacity.cell_share(Role.DECODE, cell)
         return cell if self._state.random.random() < decode_share / prefill_share else None
 
-    def _preferred(self, choice: _Choice, cell: int | None, limit: float) -> list[Endpoint]:
+    def _preferred_endpoints(self, choice: _Choice, cell: int | None, limit: float) -> list[Endpoint]:
         """Return the endpoints up to a load limit with an open slot, or else those in the preferred cell."""
         preferred = [
             endpoint for endpoint in choice.candidates.with_slot if choice.load_of(endpoint) <= limit
--- a/tuliptrack/routing/node_state.py
+++ b/tuliptrack/routing/node_state.py
@@ -10,9 +10,9 @@
 from tuliptrack.state.role_statistics import RoleStatistics
 from tuliptrack.state.smoothing import smoothed
 
-__all__ = ["SHEDDING_MEMORY_US", "NodeState"]
+__all__ = ["SHEDDING_PERIOD_US", "NodeState"]
 
-SHEDDING_MEMORY_US = 2_000_000
+SHEDDING_PERIOD_US = 2_000_000
 """How many microseconds after the last shed request this node still counts as shedding load."""
 
 
@@ -24,7 +24,7 @@
         self.now_us = 0
         """The time of the events that are being handled."""
         self.first_event_at_us = 0
-        self.shed_at_us = -SHEDDING_MEMORY_US
+        self.shed_at_us = -SHEDDING_PERIOD_US
         """When a request was last shed for lack of capacity."""
         self.table = EndpointTable(settings.roles, groups_by_zone=bool(settings.zone_budgets))
         self.are_in_flight_reported = "in_flight" in settings.report_fields
@@ -57,7 +57,7 @@
     @property
     def is_shedding(self) -> bool:
         """Whether a request was recently shed for lack of capacity."""
-        return self.now_us - self.shed_at_us < SHEDDING_MEMORY_US
+        return self.now_us - self.shed_at_us < SHEDDING_PERIOD_US
 
     def local_statistics(self, role: Role) -> RoleStatistics:
         """Return the statistics of a role in this zone, or in all zones without cross-zone budgets."""
--- a/tuliptrack/routing/prefill_placement.py
+++ b/tuliptrack/routing/prefill_placement.py
@@ -63,7 +63,7 @@
         """Return the best endpoint of another zone regardless of its price, or None if there is none."""
         return self._lowest_score(request, self._remote_endpoints(request), price_weight=0.0)
 
-    def choose_any(self, request: InFlightRequest, candidates: Candidates) -> Endpoint | None:
+    def choose_by_score(self, request: InFlightRequest, candidates: Candidates) -> Endpoint | None:
         """Return the candidate with the lowest score, regardless of the prefix's order."""
         return self._state.table.choose_lowest_score(
             candidates,
@@ -72,7 +72,9 @@
             self._state.random,
         )
 
-    def first_in_order(self, request: InFlightRequest, endpoints: Collection[Endpoint]) -> Endpoint | None:
+    def first_in_prefix_order(
+        self, request: InFlightRequest, endpoints: Collection[Endpoint]
+    ) -> Endpoint | None:
         """Return the given endpoint that is first in the prefix's order, local zone before remote zones."""
         key = request.request.prefix or request.request.session
         return min(
--- a/tuliptrack/routing/queue_estimate.py
+++ b/tuliptrack/routing/queue_estimate.py
@@ -23,7 +23,7 @@
 MAX_QUEUE_SHARE = 0.5
 """Share of the latency objective that a queue may take. Above it requests spill over to other endpoints, and
 are shed if all endpoints are above it."""
-STATISTICS_MEMORY_US = 5_000_000
+STATISTICS_MAX_AGE_US = 5_000_000
 """Time after which role statistics no longer count. Otherwise they would never change once all requests are
 shed."""
 ROLE_QUEUE_WEIGHT = 0.9
@@ -43,10 +43,12 @@
     if endpoint.role is Role.PREFILL_AND_DECODE:
         # A prefill slows down the streams at its endpoint, so running streams count as waiting prefills.
         in_flight = endpoint.in_flight(now_us, state.are_in_flight_reported)
-        others = (in_flight - len(endpoint.waiting)) * endpoint.service_tokens / state.settings.replicas
+        other_tokens = (in_flight - len(endpoint.waiting)) * endpoint.service_tokens / state.settings.replicas
     else:
-        others = state.hidden_share**2 * endpoint.reported_waiting_tokens * endpoint.report_weight(now_us)
-    return max(endpoint.waiting_tokens, others) * endpoint.us_per_token(now_us)
+        other_tokens = (
+            state.hidden_share**2 * endpoint.reported_waiting_tokens * endpoint.report_weight(now_us)
+        )
+    return max(endpoint.waiting_tokens, other_tokens) * endpoint.us_per_token(now_us)
 
 
 class QueueEstimate:
@@ -98,12 +100,12 @@
         """Return the queue time that the statistics of a role indicate."""
         state = self._state
         statistics = state.statistics[role, is_remote]
-        weight = max(0.0, 1 - (state.now_us - statistics.observed_at_us) / STATISTICS_MEMORY_US)
+        weight = max(0.0, 1 - (state.now_us - statistics.observed_at_us) / STATISTICS_MAX_AGE_US)
         waiting_tokens = self._waiting_tokens(statistics, endpoint, role)
         queued_tokens = waiting_tokens + statistics.attempt_tokens
         observed_us = ROLE_QUEUE_WEIGHT * state.hidden_share**2 * queued_tokens * statistics.us_per_token
         rejections_us = statistics.rejection_share * request.latency_objective_us
-        return max(weight * (observed_us + rejections_us), self._ages_us(statistics, role))
+        return max(weight * (observed_us + rejections_us), self._median_age_us(statistics, role))
 
     def _waiting_tokens(self, statistics: RoleStatistics, endpoint: Endpoint | None, role: Role) -> float:
         """Return the tokens that wait at an endpoint: by its own fresh report, else the role's average."""
@@ -113,7 +115,7 @@
             waiting_tokens += own_difference * endpoint.report_weight(self._state.now_us)
         return waiting_tokens
 
-    def _ages_us(self, statistics: RoleStatistics, role: Role) -> float:
+    def _median_age_us(self, statistics: RoleStatistics, role: Role) -> float:
         """Return the weighted median age of the oldest waiting attempts.
 
         In an overload no answers arrive, but attempts age. One silent endpoint does not change the median.
--- a/tuliptrack/state/endpoint_table.py
+++ b/tuliptrack/state/endpoint_table.py
@@ -62,9 +62,9 @@
         """Streams at all endpoints together."""
         self.groups: list[EndpointGroup] = []
         """Every group that has had a listed endpoint; indexes do not change."""
-        self.memory: GroupedValues[int] = GroupedValues()
+        self.memory_shares: GroupedValues[int] = GroupedValues()
         """Reported memory shares of the ready endpoints that decode."""
-        self.prefill_latency: GroupedValues[int] = GroupedValues()
+        self.prefill_latencies: GroupedValues[int] = GroupedValues()
         """Smoothed prefill latencies of the ready endpoints that prefill; 0 before the first prefill."""
         self.capacity = CapacityIndex()
         self._group_indexes: dict[EndpointGroup, int] = {}
@@ -74,10 +74,10 @@
         self._removed: dict[int, Endpoint] = {}
         """Removed endpoints that are still known, the most recently removed last."""
         self._ready: dict[Role, SortedMembers[Endpoint]] = {role: SortedMembers() for role in Role}
-        self._started_lately: dict[Role, SortedMembers[Endpoint]] = {role: SortedMembers() for role in Role}
+        self._recently_started: dict[Role, SortedMembers[Endpoint]] = {role: SortedMembers() for role in Role}
         """Ready endpoints that were listed with a start time and are not yet known to be warm."""
         self._earliest_start_us: float = math.inf
-        """A lower bound on the start times in `_started_lately`."""
+        """A lower bound on the start times in `_recently_started`."""
         self._by_cell: dict[int, SortedMembers[Endpoint]] = {}
         """Ready endpoints that decode, by cell."""
         self._prefill_hasher: RendezvousHasher[Endpoint] | None = None
@@ -93,7 +93,7 @@
                 changed[info.id] = endpoint
         for stage in (Role.PREFILL, Role.DECODE):
             self.capacity.note_ready_count(stage, len(self._ready[stage]))
-        for members in self._started_lately.values():  # The endpoints' capacity shares may have changed.
+        for members in self._recently_started.values():  # The endpoints' capacity shares may have changed.
             for endpoint in members:
                 endpoint.no_slot_before_us = 0
         return AppliedUpdate(list(changed.values()), self._forget_removed(now_us))
@@ -148,15 +148,15 @@
         for served in _served_roles(role):
             self._ready[served].put(info.id, endpoint)
             if info.started_at_us:
-                self._started_lately[served].put(info.id, endpoint)
+                self._recently_started[served].put(info.id, endpoint)
                 self._earliest_start_us = min(self._earliest_start_us, info.started_at_us)
         endpoint.group = self._group_index(EndpointGroup(role, info.zone if self.groups_by_zone else 0))
         if role is not Role.DECODE:
             self._prefill_hasher = None
-            self.prefill_latency.put(info.id, endpoint.group, endpoint.prefill_latency_us)
+            self.prefill_latencies.put(info.id, endpoint.group, endpoint.prefill_latency_us)
         if role is not Role.PREFILL:
             endpoint.projected_load = endpoint.projected_tokens / max(info.weight, MIN_WEIGHT)
-            self.memory.put(info.id, endpoint.group, endpoint.reported_memory_share)
+            self.memory_shares.put(info.id, endpoint.group, endpoint.reported_memory_share)
             self._by_cell.setdefault(info.cell, SortedMembers()).put(info.id, endpoint)
         self.capacity.add_ready(role, info)
 
@@ -164,13 +164,13 @@
         info, role = endpoint.info, endpoint.role
         if info.state is not EndpointState.READY:
             return
-        for members in (*self._ready.values(), *self._started_lately.values()):
+        for members in (*self._ready.values(), *self._recently_started.values()):
             members.remove(info.id)
         if role is not Role.DECODE:
             self._prefill_hasher = None
-            self.prefill_latency.remove(info.id)
+            self.prefill_latencies.remove(info.id)
         if role is not Role.PREFILL:
-            self.memory.remove(info.id)
+            self.memory_shares.remove(info.id)
             cell = self._by_cell[info.cell]
             cell.remove(info.id)
             if not cell:
@@ -245,14 +245,14 @@
         endpoint.record_report(report, now_us)
         self._reported.pop(endpoint.info.id, None)
         self._reported[endpoint.info.id] = endpoint
-        if endpoint.info.id in self.memory:
-            self.memory.put(endpoint.info.id, endpoint.group, endpoint.reported_memory_share)
+        if endpoint.info.id in self.memory_shares:
+            self.memory_shares.put(endpoint.info.id, endpoint.group, endpoint.reported_memory_share)
 
     def record_answer(self, endpoint: Endpoint, sample: AnswerSample, now_us: int) -> None:
         """Update the endpoint's averages after an attempt was answered."""
         endpoint.record_answer(sample, now_us)
-        if endpoint.info.id in self.prefill_latency:
-            self.prefill_latency.put(endpoint.info.id, endpoint.group, endpoint.prefill_latency_us)
+        if endpoint.info.id in self.prefill_latencies:
+            self.prefill_latencies.put(endpoint.info.id, endpoint.group, endpoint.prefill_latency_us)
 
     def eject(self, endpoint: Endpoint, scope: EjectionScope, ejection: Ejection) -> None:
         """Record an ejection."""
@@ -287,14 +287,14 @@
         """
         if self._earliest_start_us <= since_us:
             self._drop_started_by(since_us)
-        return self._started_lately[role]
+        return self._recently_started[role]
 
     def _drop_started_by(self, since_us: int) -> None:
-        for members in self._started_lately.values():
+        for members in self._recently_started.values():
             for endpoint in [endpoint for endpoint in members if endpoint.info.started_at_us <= since_us]:
                 members.remove(endpoint.id)
         starts = (
-            endpoint.info.started_at_us for members in self._started_lately.values() for endpoint in members
+            endpoint.info.started_at_us for members in self._recently_started.values() for endpoint in members
         )
         self._earliest_start_us = min(starts, default=math.inf)
 
@@ -316,14 +316,14 @@
         """
         observed = self._observed_since(since_us)
         examined = candidates.among(observed.values())
-        left_out = candidates.excluded | {key for key in observed if key in self.prefill_latency}
-        without_latency = self.prefill_latency.counts_up_to(0.0, left_out)
+        left_out = candidates.excluded | {key for key in observed if key in self.prefill_latencies}
+        without_latency = self.prefill_latencies.counts_up_to(0.0, left_out)
         scores_and_counts: list[tuple[float, int]] = []
         for group, count in without_latency.items():
             if count:
-                first = next(key for _, key in self.prefill_latency.ascending(group) if key not in left_out)
+                first = next(key for _, key in self.prefill_latencies.ascending(group) if key not in left_out)
                 scores_and_counts.append((score(self.endpoints[first]), count))
-            rising = self.prefill_latency.ascending(group, 0.0)
+            rising = self.prefill_latencies.ascending(group, 0.0)
             examined += _first_tied((self.endpoints[key] for _, key in rising if key not in left_out), score)
         lowest_examined = lowest_ranked(examined, score)
         scores = [
--- a/tuliptrack/state/role_statistics.py
+++ b/tuliptrack/state/role_statistics.py
@@ -12,7 +12,7 @@
 
 MAX_LATENCIES = 15
 """Number of stored latencies; their slowest fifth is three answers."""
-ASSIGNED_MEMORY_US = 20_000_000
+ASSIGNED_DECAY_US = 20_000_000
 """Time constant, in microseconds, of the decay of assigned tokens: the duration of some tens of requests."""
 
 
@@ -93,7 +93,7 @@
 
     def assign(self, tokens: float, now_us: int) -> float:
         """Add the projected tokens of a request, and return the decayed sum."""
-        decay = math.exp((self.assigned_at_us - now_us) / ASSIGNED_MEMORY_US)
+        decay = math.exp((self.assigned_at_us - now_us) / ASSIGNED_DECAY_US)
         self.assigned_tokens = self.assigned_tokens * decay + tokens
         self.assigned_at_us = now_us
         return self.assigned_tokens
--- a/tuliptrack/state/stream_rate.py
+++ b/tuliptrack/state/stream_rate.py
@@ -5,9 +5,9 @@
 import math
 from dataclasses import dataclass
 
-__all__ = ["MEMORY_US", "StreamRate"]
+__all__ = ["DECAY_TIME_US", "StreamRate"]
 
-MEMORY_US = 6_000_000
+DECAY_TIME_US = 6_000_000
 """Time constant, in microseconds, of the decay of past streams: the length of a few streams."""
 
 
@@ -26,8 +26,8 @@
 
     def advance(self, now_us: int) -> None:
         """Decay the sums up to now, and add the time of the running streams."""
-        decay = math.exp((self.as_of_us - now_us) / MEMORY_US)
-        self.streamed_us = self.streamed_us * decay + self.streams * MEMORY_US * (1 - decay)
+        decay = math.exp((self.as_of_us - now_us) / DECAY_TIME_US)
+        self.streamed_us = self.streamed_us * decay + self.streams * DECAY_TIME_US * (1 - decay)
         self.completed *= decay
         self.as_of_us = now_us
 
