--- a/tuliptrack/routing/queue_estimate.py
+++ b/tuliptrack/routing/queue_estimate.py
@@ -2,8 +2,8 @@
 
 The inputs are this node's own attempts, the last load reports and the last answers. A node that gets one
 request per second has hardly any waiting attempts of its own, so the statistics of the whole role are used to
-estimate the load that it cannot see; `hidden_share` is the share of the traffic at other nodes. Times are
-microseconds.
+estimate the load that it cannot see; `hidden_share` is the share of the traffic at other nodes.
+Times are microseconds.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 ROLE_QUEUE_WEIGHT = 0.9
 """Weight of the role's queue time, multiplied by the square of `hidden_share`."""
 AGE_EXPONENT = 6
-"""Exponent of `hidden_share` in the weight of waiting attempts' ages: with few nodes, this node's own queue
-is more informative."""
+"""Exponent of `hidden_share` in the weight of waiting attempts' ages: with few nodes, this node's own
+queue is more informative."""
 
 
 def endpoint_queue_us(state: NodeState, endpoint: Endpoint) -> float:
--- a/tuliptrack/state/endpoint_table.py
+++ b/tuliptrack/state/endpoint_table.py
@@ -61,7 +61,7 @@
         self.stream_rate = StreamRate()
         """Streams at all endpoints together."""
         self.groups: list[EndpointGroup] = []
-        """Every group that has had a listed endpoint; indexes do not change."""
+        """Every group that ever had a ready endpoint; the index of a group never changes."""
         self.memory_shares: GroupedValues[int] = GroupedValues()
         """Reported memory shares of the ready endpoints that decode."""
         self.prefill_latencies: GroupedValues[int] = GroupedValues()
@@ -127,7 +127,10 @@
         return endpoint
 
     def _replace_entry(self, endpoint: Endpoint, info: EndpointInfo, now_us: int) -> None:
-        """Replace the entry of a known endpoint. A later start time means a new process."""
+        """Replace the entry of a known endpoint.
+
+        A later start time means a new process: its ejections, slots and most averages are reset.
+        """
         self._remove_from_indexes(endpoint)
         self.capacity.change_weight(endpoint.role, endpoint.info.weight, info.weight)
         if info.started_at_us > endpoint.info.started_at_us:
--- a/tuliptrack/state/role_statistics.py
+++ b/tuliptrack/state/role_statistics.py
@@ -13,7 +13,7 @@
 MAX_LATENCIES = 15
 """Number of stored latencies; their slowest fifth is three answers."""
 ASSIGNED_DECAY_US = 20_000_000
-"""Time constant, in microseconds, of the decay of assigned tokens: the duration of some tens of requests."""
+"""Time constant, in microseconds, of the decay of assigned tokens: the time of some tens of requests."""
 
 
 @dataclass(slots=True)
--- a/tuliptrack/structures/grouped_values.py
+++ b/tuliptrack/structures/grouped_values.py
@@ -73,7 +73,7 @@
         """Return the median value of all members or of some groups; of two middle values the lower one.
 
         Raises:
-            ValueError: all members are excluded, or there are none.
+            ValueError: no member of the groups is left after the exclusions.
         """
         selected = self._groups.keys() if groups is None else set(groups)
         values = self._merged(selected)
