--- a/tuliptrack/routing/admission.py
+++ b/tuliptrack/routing/admission.py
@@ -31,8 +31,8 @@
 LOW_PRIORITY_FACTOR = 0.5
 """Multiple of the queue limit above which the lowest priority is shed."""
 TOP_PRIORITY_FACTOR = 1.6
-"""Multiple of the queue limit above which the highest priority is shed too, because most of its requests would
-only be late."""
+"""Multiple of the queue limit above which the highest priority is shed too, because most of its requests
+would only be late."""
 
 
 class ShedReason(Enum):
