--- a/tests/routing/test_recovery.py
+++ b/tests/routing/test_recovery.py
@@ -75,7 +75,7 @@
         slow_start_window_us=3 * S,
         report_fields=FIELDS,
     )
-    w.router.state.hidden_share = 1 - 1 / NODES
+    w.router.state.other_nodes_share = 1 - 1 / NODES
     for _ in range(8):
         number, said = w.ask(class_index=1, after=100 * MS)
         if any(isinstance(a, Reject) for a in said):
--- a/tuliptrack/routing/attempt_timeout.py
+++ b/tuliptrack/routing/attempt_timeout.py
@@ -27,8 +27,8 @@
 storm."""
 MAX_TIMEOUT_SHARE = 0.7
 """Share of attempts with time-outs or errors that shows an overload; from it on, no attempt is abandoned."""
-MIN_HIDDEN_SHARE = 0.5
-HIDDEN_SHARE_EXPONENT = 0.75
+MIN_OTHER_NODES_SHARE = 0.5
+OTHER_NODES_SHARE_EXPONENT = 0.75
 """With few nodes, a long wait can be explained by the queue, so the time-out is longer."""
 
 
@@ -76,7 +76,10 @@
         # Never empty: the attempt itself is already waiting.
         latencies = sorted([*statistics.relative_latencies, *ages])
         slowest_fifth = latencies[-len(latencies) // 5]
-        min_share = MIN_TIMEOUT_SHARE / max(state.hidden_share, MIN_HIDDEN_SHARE) ** HIDDEN_SHARE_EXPONENT
+        min_share = (
+            MIN_TIMEOUT_SHARE
+            / max(state.other_nodes_share, MIN_OTHER_NODES_SHARE) ** OTHER_NODES_SHARE_EXPONENT
+        )
         timeout_us: float = max(min_share, TIMEOUT_RATIO * slowest_fifth) * request.latency_objective_us
         timeout_us *= TIMEOUT_GROWTH**request.unanswered_attempts
         # If load reports show a queue, the attempt probably waits in it; a retry would make the queue longer.
--- a/tuliptrack/routing/node_state.py
+++ b/tuliptrack/routing/node_state.py
@@ -37,7 +37,7 @@
         self.total_quota_per_s = sum(tenant.quota_per_s for tenant in settings.tenants)
         self.fleet_capacity_per_s = self.total_quota_per_s
         """Requests per second that the listed endpoints are provisioned for."""
-        self.hidden_share = 1 - 1 / settings.replicas
+        self.other_nodes_share = 1 - 1 / settings.replicas
         """Share of all traffic that other nodes handle, which this node cannot observe."""
         self.arrival_gap_us = 0.0
         """Smoothed time between two arriving requests."""
--- a/tuliptrack/routing/prefill_placement.py
+++ b/tuliptrack/routing/prefill_placement.py
@@ -116,7 +116,7 @@
         )
         if not prefix:
             return 1
-        return max(1, int(min(MAX_AFFINITY_SHARE * state.hidden_share * local_count, desired)))
+        return max(1, int(min(MAX_AFFINITY_SHARE * state.other_nodes_share * local_count, desired)))
 
     def _session_endpoint(self, request: InFlightRequest, affinity: list[Endpoint]) -> Endpoint:
         """Return the session's affinity endpoint; an open slot is preferred, because slots expire."""
--- a/tuliptrack/routing/queue_estimate.py
+++ b/tuliptrack/routing/queue_estimate.py
@@ -2,7 +2,7 @@
 
 The inputs are this node's own attempts, the last load reports and the last answers. A node that gets one
 request per second has hardly any waiting attempts of its own, so the statistics of the whole role are used to
-estimate the load that it cannot see; `hidden_share` is the share of the traffic at other nodes.
+estimate the load that it cannot see; `other_nodes_share` is the share of the traffic at other nodes.
 Times are microseconds.
 """
 
@@ -27,9 +27,9 @@
 """Time after which role statistics no longer count. Otherwise they would never change once all requests are
 shed."""
 ROLE_QUEUE_WEIGHT = 0.9
-"""Weight of the role's queue time, multiplied by the square of `hidden_share`."""
+"""Weight of the role's queue time, multiplied by the square of `other_nodes_share`."""
 AGE_EXPONENT = 6
-"""Exponent of `hidden_share` in the weight of waiting attempts' ages: with few nodes, this node's own
+"""Exponent of `other_nodes_share` in the weight of waiting attempts' ages: with few nodes, this node's own
 queue is more informative."""
 
 
@@ -46,7 +46,7 @@
         other_tokens = (in_flight - len(endpoint.waiting)) * endpoint.service_tokens / state.settings.replicas
     else:
         other_tokens = (
-            state.hidden_share**2 * endpoint.reported_waiting_tokens * endpoint.report_weight(now_us)
+            state.other_nodes_share**2 * endpoint.reported_waiting_tokens * endpoint.report_weight(now_us)
         )
     return max(endpoint.waiting_tokens, other_tokens) * endpoint.us_per_token(now_us)
 
@@ -103,7 +103,7 @@
         weight = max(0.0, 1 - (state.now_us - statistics.observed_at_us) / STATISTICS_MAX_AGE_US)
         waiting_tokens = self._waiting_tokens(statistics, endpoint, role)
         queued_tokens = waiting_tokens + statistics.attempt_tokens
-        observed_us = ROLE_QUEUE_WEIGHT * state.hidden_share**2 * queued_tokens * statistics.us_per_token
+        observed_us = ROLE_QUEUE_WEIGHT * state.other_nodes_share**2 * queued_tokens * statistics.us_per_token
         rejections_us = statistics.rejection_share * request.latency_objective_us
         return max(weight * (observed_us + rejections_us), self._median_age_us(statistics, role))
 
@@ -126,7 +126,7 @@
             for endpoint, attempt in state.table.oldest_waiting(role)
             if endpoint.statistics is statistics
         ]
-        return state.hidden_share**AGE_EXPONENT * median_low([0, *ages_us])
+        return state.other_nodes_share**AGE_EXPONENT * median_low([0, *ages_us])
 
 
 def _stages_at(endpoint: Endpoint | None) -> tuple[Role, ...]:
