--- a/tuliptrack/decisions/__init__.py
+++ b/tuliptrack/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that routing, nodes and the fleet share: limits, budgets, bills, consensus and rollouts."""
+"""Decision logic shared by routing, nodes and the fleet: limits, budgets, bills, consensus and rollouts."""
--- a/tuliptrack/decisions/billing.py
+++ b/tuliptrack/decisions/billing.py
@@ -1,15 +1,16 @@
-"""Computes bills from the usage records of any nodes, in any order, each given any number of times.
+"""Computes bills from usage records of any nodes, in any order and with any duplicates.
 
 A usage record says which tokens of one piece of work reached the client through one node. The bill of a work
 is a function of the set of its records alone: merging ledgers is a union, so it is idempotent, and neither
 order nor duplicates change it.
 
-- Of two states of one record (same node and number) the newer one counts: an end over OPEN, else more tokens.
+- Of two states of one record (same node and number) the newer one counts: a final outcome over OPEN, else
+  more tokens.
 - Output tokens are billed once each, whichever records cover them, at the price of the earliest that does.
 - The prompt is billed once for each work, by the earliest record through which the client got any token: a
   repeated prefill, after a failure or to resume, is at the operator's cost. A work of which the client got
   nothing is free.
-- All numbers are whole: tokens, and millionths of the currency. Times are microseconds since 1970.
+- All numbers are integers: tokens, and millionths of the currency. Times are microseconds since 1970.
 
 Fields are named as in `billing.proto`, in which they are stored, and as the columns of `tuliptrack bills`.
 There `read` are prompt tokens that were not cached, `kept` cached ones, `written` output tokens, and `lost_`
@@ -43,7 +44,7 @@
     """How a record's part of a work ended; the values are stored."""
 
     OPEN = 0
-    """It streams, or its node was killed."""
+    """Still streaming, or its node was killed."""
     SERVED = 1
     CUT = 2
     """The client got a part of the output."""
@@ -84,12 +85,12 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """What identifies the record over all its states."""
+        """Identity of the record, the same in all its states."""
         return self.node, self.number
 
     @property
     def sort_key(self) -> tuple[int, str, int]:
-        """Puts the earliest first, in the same order at every merge."""
+        """Sorts the earliest first, in the same order at every merge."""
         return self.at_us, self.node, self.number
 
 
@@ -126,7 +127,7 @@
 
 
 def newer_state(a: UsageRecord, b: UsageRecord) -> UsageRecord:
-    """Return which of two states of one record counts."""
+    """Return the newer of two states of one record, which is the one that counts."""
     return max(a, b, key=_age_key)
 
 
@@ -160,11 +161,11 @@
 def newest_states(
     records: Iterable[UsageRecord], known: dict[tuple[str, int], UsageRecord] | None = None
 ) -> dict[tuple[str, int], UsageRecord]:
-    """Return the state that counts of each record, by its key; added to `known`, if that is given."""
+    """Return the newest state of each record by key, merged into `known` if that is given."""
     newest = {} if known is None else known
     for record in records:
-        other = newest.get(record.key)
-        newest[record.key] = record if other is None else newer_state(other, record)
+        previous = newest.get(record.key)
+        newest[record.key] = record if previous is None else newer_state(previous, record)
     return newest
 
 
@@ -173,11 +174,11 @@
     works: dict[tuple[str, str], list[UsageRecord]] = {}
     for record in newest_states(records).values():
         works.setdefault((record.tenant, record.work), []).append(record)
-    return [_bill(sorted(of_work, key=lambda r: r.sort_key)) for _, of_work in sorted(works.items())]
+    return [_bill(sorted(parts, key=lambda r: r.sort_key)) for _, parts in sorted(works.items())]
 
 
 def _bill(records: list[UsageRecord]) -> Bill:
-    """Return the bill of one work, whose records are given from the earliest to the latest."""
+    """Return the bill of one work from its records, the earliest first."""
     first = records[0]
     bill = Bill(first.tenant, first.work, first.at_us, parts=len(records))
     billed_tokens, is_prompt_billed = IntervalSet(), False
@@ -206,7 +207,7 @@
 
 
 def daily_totals(bills: Iterable[Bill]) -> dict[tuple[str, int], DailyTotal]:
-    """Return the totals by tenant and day, counted from 1970, on which a work's earliest record began."""
+    """Return totals by tenant and day since 1970; a work counts on the day of its earliest record."""
     totals: dict[tuple[str, int], DailyTotal] = {}
     for bill in bills:
         total = totals.setdefault((bill.tenant, bill.at_us // DAY_US), DailyTotal())
--- a/tuliptrack/decisions/calendar_window.py
+++ b/tuliptrack/decisions/calendar_window.py
@@ -1,4 +1,4 @@
-"""Counts what a tenant uses at one node in windows of the calendar, such as a day.
+"""Counts a tenant's usage at one node in calendar windows, such as a day.
 
 Windows are numbered from 1970. Times are in microseconds. The module does no I/O and reads no clock.
 """
@@ -11,7 +11,7 @@
 
 
 class CalendarClock:
-    """Turns a node's time into the time since 1970, which never steps back: a window would start anew."""
+    """Converts a node's time to a Unix time that never steps back: a step back would restart a window."""
 
     def __init__(self, epoch_offset_us: int) -> None:
         """`epoch_offset_us` is added to the node's time."""
@@ -26,18 +26,18 @@
 
 @dataclass(slots=True)
 class CalendarWindow:
-    """The current window of one tenant, and what of it this node may use and has used."""
+    """The current window of one tenant: the units that this node may use in it, and those it has used."""
 
     length_us: int
     units: int
     used_units: int = 0
-    _number: int = -1
+    _window_index: int = -1
 
     def advance(self, unix_us: int) -> None:
-        """Begin to count anew if another window runs now."""
-        number = unix_us // self.length_us
-        if number != self._number:
-            self._number, self.used_units = number, 0
+        """Reset the count if a new window has begun."""
+        window_index = unix_us // self.length_us
+        if window_index != self._window_index:
+            self._window_index, self.used_units = window_index, 0
 
     def remaining_us(self, unix_us: int) -> int:
         """Return the time until the next window."""
--- a/tuliptrack/decisions/concurrency_limit.py
+++ b/tuliptrack/decisions/concurrency_limit.py
@@ -1,8 +1,8 @@
 """Limits requests in flight at a node, for a tenant and on a connection, and the bytes of arriving bodies.
 
 These limits hold before the router sees a request, whichever front it comes from. A rejection has had no
-effect, so a retry is harmless; its reason names the limit. When to retry follows from how fast requests have
-ended lately.
+effect, so a retry is harmless; its reason names the limit. The retry delay that clients are given follows
+from the rate at which requests have ended lately.
 
 Times are in microseconds. The module does no I/O and reads no clock. Bound: one counter for each connection
 and each tenant with requests in flight.
@@ -25,20 +25,20 @@
 ]
 
 SMOOTHING = 0.05
-"""Weight of the newest interval between two ends in their mean."""
+"""Weight of the newest interval between two request ends in the moving average."""
 RETRY_AFTER_DIVISOR = 10
-"""A client is told to retry when one in so many of the requests in flight will have ended."""
+"""The retry delay is the time in which one in this many requests in flight is expected to end."""
 MIN_RETRY_AFTER_US = 10_000
 MAX_RETRY_AFTER_US = 2_000_000
-"""Bounds on the advice: the pace of ends may be unknown, or may change soon."""
+"""Bounds on the retry delay: the rate at which requests end may be unknown, or may change soon."""
 BODIES_FULL = "too many bytes of requests are arriving"
-"""Reason for which a body is rejected that a `ByteBudget` has no capacity for."""
+"""Reason for rejecting a body that exceeds the capacity of a `ByteBudget`."""
 
 _Key = TypeVar("_Key", bound=Hashable)
 
 
 def rejection_text(reason: str) -> str:
-    """Return the text that clients get for a rejection."""
+    """Return the text of a rejection as clients get it."""
     return f"refused: {reason}; trying again is harmless"
 
 
@@ -56,12 +56,12 @@
     __slots__ = ("limit_bytes", "peak_bytes", "rejections", "used_bytes")
 
     def __init__(self, limit_bytes: int) -> None:
-        """Nothing is in use yet."""
+        """Create a budget with nothing in use."""
         self.limit_bytes = limit_bytes
         self.used_bytes, self.peak_bytes, self.rejections = 0, 0, 0
 
     def acquire(self, size_bytes: int) -> bool:
-        """Take all of the bytes, or none of them and return False."""
+        """Acquire all of the bytes and return True, or none of them and return False."""
         if self.used_bytes + size_bytes > self.limit_bytes:
             self.rejections += 1
             return False
--- a/tuliptrack/decisions/consensus.py
+++ b/tuliptrack/decisions/consensus.py
@@ -4,7 +4,7 @@
 its promise, ballot and value on disk. A controller that wants to lead has a quorum promise its epoch. From
 those promises it learns the newest value that another proposer may have had chosen, proposes it again under
 its own epoch, and acts on nothing that a quorum has not accepted from it. An acceptor that promised a newer
-epoch accepts no values or orders of an older one. So two controllers may both believe that they lead, and
+epoch accepts no values or orders of an older one. So two controllers may both believe that they lead, but
 only one can have a value chosen: safety depends on no clock and no time-out.
 
 The module does no I/O and reads no clock. Bound: a value of `MAX_VALUE_BYTES`, and one ballot for each
@@ -30,7 +30,7 @@
 
 MAX_VALUE_BYTES = 1 << 20
 MAX_CONTROLLERS = 64
-"""Epochs of controller i are i modulo this, so no two controllers ever start the same one."""
+"""Controller i starts only epochs equal to i modulo this, so no two controllers start the same one."""
 
 
 class Ballot(NamedTuple):
@@ -44,7 +44,7 @@
 
 
 FIRST_BALLOT = Ballot(0, 0)
-"""Older than any proposal: nothing has been accepted yet."""
+"""Older than any proposal; the ballot of an acceptor that has accepted nothing."""
 
 
 class AcceptedValue(NamedTuple):
@@ -58,7 +58,7 @@
 
 
 def epoch_after(epoch: int, controller: int) -> int:
-    """Return the lowest epoch of a controller that is above another epoch."""
+    """Return the lowest of a controller's epochs that is above `epoch`."""
     if not 0 <= controller < MAX_CONTROLLERS:
         raise ValueError(f"controller: must lie in [0, {MAX_CONTROLLERS}), got {controller!r}")
     own_epoch = epoch - epoch % MAX_CONTROLLERS + controller
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class Acceptor:
-    """What one agent has promised and accepted. Its fields must be on disk before an answer is sent."""
+    """What one agent has promised and accepted. Its fields must be on disk before a reply is sent."""
 
     promised_epoch: int = 0
     ballot: Ballot = FIRST_BALLOT
@@ -83,7 +83,7 @@
     def accept(self, ballot: Ballot, value: bytes) -> bool:
         """Accept a value unless its epoch or ballot is older than what was promised or accepted.
 
-        The value that was accepted last is accepted again, as the answer may have been lost.
+        The value that was accepted last is accepted again, as the reply may have been lost.
         """
         if ballot.epoch < self.promised_epoch or ballot < self.ballot or len(value) > MAX_VALUE_BYTES:
             return False
@@ -95,17 +95,17 @@
 
 @dataclass(slots=True)
 class Proposer:
-    """One controller's part: `start_epoch`, then `propose`; it may act on what was `chosen`."""
+    """One controller's side of the protocol: `start_epoch`, then `propose`; it acts only on `chosen`."""
 
     controller: int
     acceptors: frozenset[str]
     epoch: int = 0
     is_leader: bool = False
-    """A quorum has promised this epoch, and no newer one is known."""
+    """Whether a quorum has promised this epoch and no newer one is known."""
     newest_epoch: int = 0
     """The newest epoch that is known, of any proposer."""
     ballot: Ballot = FIRST_BALLOT
-    """Of the value that is being proposed."""
+    """Ballot of the value that is being proposed."""
     value: bytes = b""
     chosen: AcceptedValue | None = None
     """The newest value that a quorum has accepted under this epoch."""
@@ -127,7 +127,7 @@
         return self.epoch
 
     def handle_promise(self, acceptor: str, epoch: int, accepted: AcceptedValue) -> bool:
-        """Record a promise and what its acceptor had accepted; True once, when that makes a quorum.
+        """Record a promise and what its acceptor had accepted; True for the promise that completes a quorum.
 
         The newest of the accepted values is then being proposed again (`ballot`, `value`): it may have been
         chosen, and what was chosen must not be lost.
@@ -145,7 +145,7 @@
         return True
 
     def propose(self, value: bytes) -> Ballot:
-        """Begin to propose a value; RuntimeError for who is not the leader.
+        """Begin to propose a value; RuntimeError unless this controller leads.
 
         A value that was being proposed before may still be chosen, through another proposer.
         """
@@ -158,12 +158,12 @@
         return self.ballot
 
     def handle_accept(self, acceptor: str, ballot: Ballot) -> bool:
-        """Record that a value was accepted; True once, when that makes the newest one chosen."""
+        """Record that a value was accepted; True for the acceptance by which the newest value is chosen."""
         if not self.is_leader or ballot != self.ballot or acceptor not in self.acceptors:
             return False
-        before = len(self._accepted_by)
+        previous_count = len(self._accepted_by)
         self._accepted_by.add(acceptor)
-        if before < self.quorum <= len(self._accepted_by):
+        if previous_count < self.quorum <= len(self._accepted_by):
             self.chosen = AcceptedValue(self.ballot, self.value)
             return True
         return False
--- a/tuliptrack/decisions/cross_zone_budget.py
+++ b/tuliptrack/decisions/cross_zone_budget.py
@@ -1,24 +1,24 @@
-"""Budgets the bytes that cross zones, for all nodes together, and prices each crossing.
+"""Limits the bytes that cross zones, for all nodes together, and prices each crossing.
 
-Each node keeps its own part of a budget and asks nobody. The budget of `rate` bytes a second with a `burst`
-is dealt out in grants of `quantum` bytes, numbered on a time that all nodes share (their clocks' offset is
-set once, at the start). Grant k comes at k x quantum / rate, belongs to the node whose index is k modulo
-`replicas`, and expires after burst / rate. So in any window of W seconds all nodes together can use the
-grants that came in it, and those that had come before and not expired: at most
+Each node keeps its own part of a budget, without communication. The budget of `rate` bytes a second with a
+`burst` is divided into grants of `quantum` bytes, numbered on a time that all nodes share (their clocks'
+offset is set once, at the start). Grant k is issued at k x quantum / rate, belongs to the node whose index is
+k modulo `replicas`, and expires after burst / rate. So in any window of W seconds all nodes together can use
+the grants that were issued in it, and those issued before that had not expired: at most
 
     rate x W + burst + quantum   (+ 2 x rate x the nodes' clock skew)
 
-bytes by choice, whatever the number of nodes, their traffic and their restarts: a node uses no grant that
-came before its start, since its previous incarnation may have. A clock that jumps later changes nothing, as
-only the offset at the start counts. What was reserved and not sent is refunded to its grant; what was sent
-beyond the reservation is taken from the next grants. A forced crossing, because no other endpoint can serve,
-takes no grants: otherwise a flow of forced ones would block the budget for good.
+bytes by choice, whatever the number of nodes, their traffic and their restarts: a node uses no grant issued
+before its start, since its previous incarnation may have used it. A clock that jumps later changes nothing,
+as only the offset at the start counts. What was reserved and not sent is refunded to its grant; what was sent
+beyond the reservation is taken from the next grants. A crossing that is forced, because no other endpoint can
+serve, takes no grants: otherwise steady forced traffic would block the budget for good.
 
-Grants in turn suit nodes with equal traffic. Where it is uneven, the part `by_traffic` of the budget is
-earned instead: each request that arrives at a node earns part x rate / quotas bytes there, paid out in whole
-quanta that expire as grants do. While the tenants stay within their quotas, all nodes together earn at most
-that part of rate x W + burst, plus a quantum for each node that was earned before (half of one in the mean,
-as the nodes begin at evenly spread parts of a quantum).
+Grants in turn suit nodes with equal traffic. Where traffic is uneven, the fraction `by_traffic` of the budget
+is earned instead: each request that arrives at a node earns by_traffic x rate / quotas bytes there, paid out
+in whole quanta that expire as grants do. While the tenants stay within their quotas, all nodes together earn
+at most that fraction of rate x W + burst, plus a quantum for each node that was earned before (half a quantum
+on average, as the nodes start at evenly spread fractions of a quantum).
 
 Times are in whole microseconds, sizes in bytes. The module does no I/O, reads no clock and draws no random
 numbers. Bound: one reservation for each request in flight.
@@ -38,11 +38,11 @@
 __all__ = ["CrossZoneBudgets", "CrossZoneReservation"]
 
 PRICE_FULL = 0.5
-"""Mean loads (or part of a score) that a crossing costs while the node's whole burst is available."""
+"""Price, in mean loads or as a share of a score, while the node's whole burst is available."""
 PRICE_EMPTY = 8.0
-"""The same where nothing is available: another zone is chosen only if this one is that much worse."""
+"""Price while nothing is available: another zone is chosen only if the own one is that much worse."""
 MIN_RELATIVE_WEIGHT = 0.05
-"""Priority weight below which a crossing gets no dearer: a price must stay comparable with a load."""
+"""Relative weight below which the price rises no further, so that it stays comparable with a load."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _TrafficEarning:
-    """A bucket that requests add to, and the bytes that each brings."""
+    """A bucket that arriving requests fill, and the bytes that each adds."""
 
     bucket: SharedTokenBucket
     bytes_per_request: float
@@ -74,7 +74,7 @@
             self._first_bucket(class_index) for class_index in range(len(settings.classes))
         ]
         self.reservations: dict[int, CrossZoneReservation] = {}
-        """By request; a request has at most one attempt out."""
+        """By request; a request has at most one attempt in flight."""
         quotas_per_s = sum(tenant.quota_per_s for tenant in settings.tenants)
         self._earnings = [
             _TrafficEarning(bucket, budget.by_traffic * budget.bytes_per_s / quotas_per_s)
@@ -103,8 +103,8 @@
     ) -> float:
         """Return the bytes that an attempt at an endpoint of a zone would move between zones.
 
-        `kv_state_zone` is where the KV state lies that it would fetch, None without any; `total_tokens` are
-        prompt and expected output.
+        `kv_state_zone` is the zone of the KV state that it would fetch, None if there is none; `total_tokens`
+        counts the prompt and the expected output.
         """
         settings, is_remote = self._settings, zone != self._settings.zone
         size_bytes = settings.prompt_bytes * request.prompt_tokens * is_remote
@@ -116,15 +116,15 @@
         return size_bytes
 
     def bucket_of(self, class_index: int) -> SharedTokenBucket | None:
-        """Return the bucket of the first budget that counts a request class."""
+        """Return the bucket of the first budget that applies to a request class."""
         return self._bucket_by_class[class_index]
 
     def price(self, now_us: int, class_index: int, size_bytes: float, relative_weight: float) -> float:
-        """Return what a crossing costs, in mean loads or as part of a score; 0 if nothing crosses.
+        """Return the price of a crossing, in mean loads or as a share of a score; 0 if nothing crosses.
 
         It rises from PRICE_FULL to PRICE_EMPTY as the budget runs out. `relative_weight` is the request's
-        priority weight as part of the highest: the lower, the dearer, so that less important requests are the
-        first to stay in their zone.
+        priority weight relative to the highest: the lower it is, the higher the price, so that less important
+        requests are the first to stay in their zone.
         """
         bucket = self.bucket_of(class_index)
         if not size_bytes or bucket is None:
@@ -138,7 +138,7 @@
     def reserve(
         self, now_us: int, request_id: int, class_index: int, size_bytes: float, is_retry: bool
     ) -> CrossZoneCause | None:
-        """Reserve what an attempt is expected to move; return the cause to book it under, None for none."""
+        """Reserve what an attempt is expected to move; return the cause to account it to, None for none."""
         bucket = self.bucket_of(class_index)
         self.reservations.pop(request_id, None)
         if not size_bytes or bucket is None:
--- a/tuliptrack/decisions/lending_pool.py
+++ b/tuliptrack/decisions/lending_pool.py
@@ -1,8 +1,10 @@
-"""Lends what tenants let expire unused in their token buckets to tenants that are short.
+"""Lends what tenants let expire unused in their token buckets to tenants whose own do not suffice.
 
-A grant is never lent while it is its owner's, so nothing has to be called back, and all tenants together stay
-within the sum of their bounds, moved by `LENDING_US`. Times are in microseconds. The module does no I/O and
-reads no clock. Bound: one bucket for each tenant, and what expires within `LENDING_US`.
+A grant is lent only after it has expired for its owner, so nothing has to be revoked, and all tenants
+together stay within the sum of their bounds, shifted by up to `LENDING_US`.
+
+Times are in microseconds. The module does no I/O and reads no clock. Bound: one bucket for each tenant, and
+what expires within `LENDING_US`.
 """
 
 from __future__ import annotations
@@ -15,7 +17,7 @@
 __all__ = ["LendingPool"]
 
 LENDING_US = 2_000_000
-"""Time for which an expired grant may be lent: what was idle a minute ago says nothing of now."""
+"""Time for which an expired grant may be lent: what was idle a minute ago says nothing of the load now."""
 MIN_CHECK_INTERVAL_US = 10_000
 MAX_CHECK_INTERVAL_US = 60_000_000
 """Bounds on the time between two checks of what a tenant has let expire."""
@@ -25,7 +27,7 @@
     """Expired grants of all lenders at one node."""
 
     def __init__(self, now_us: int) -> None:
-        """Nobody lends yet."""
+        """Create a pool without lenders."""
         self._lenders: dict[str, SharedTokenBucket] = {}
         self._next_check: TimingWheel[str] = TimingWheel(now_us)
         self._expired: deque[BudgetGrant] = deque()
@@ -36,7 +38,7 @@
         self._next_check.schedule(tenant, now_us + MIN_CHECK_INTERVAL_US)
 
     def advance(self, now_us: int) -> None:
-        """Drop what was lent out long enough, and collect what has expired at the lenders that are due."""
+        """Drop what may no longer be lent, and collect what has expired at the lenders due for a check."""
         while self._expired and self._expired[0].expires_at_us <= now_us:
             self._expired.popleft()
         for tenant in self._next_check.advance(now_us):
@@ -53,7 +55,7 @@
         return sum(grant.remaining for grant in self._expired)
 
     def borrow(self, units: float) -> None:
-        """Use up to so many units, of the oldest grants first."""
+        """Use up to `units`, from the oldest grants first."""
         while units > 0 and self._expired:
             oldest = self._expired[0]
             part = min(oldest.remaining, units)
--- a/tuliptrack/decisions/model_catalog.py
+++ b/tuliptrack/decisions/model_catalog.py
@@ -4,14 +4,14 @@
 one is of no use to the other, and queues and failures of one say nothing of the other. So each (model,
 version) has a `Router` of its own that sees only its own endpoints. The catalog divides each update of the
 endpoint list among them. The routers of one node share the tenants' quotas and the cross-zone budgets;
-`quota_share` tells each how much of the quotas its endpoints are built for.
+`quota_share` gives each the share of the quotas that its endpoints have the capacity for.
 
 A request that names no version gets one by its session: weighted rendezvous hashing over the versions that
 can serve, weighted by their capacity. So a rollout moves as much of the traffic as there are endpoints for
-it, each session moves once, and every node chooses alike.
+it, each session moves once, and all nodes choose the same version.
 
 The module does no I/O, reads no clock and draws no random numbers. Bound: `MAX_MODELS` models and versions;
-endpoints of any more are not served, and listed in `over_limit`.
+endpoints of further ones are not served and are listed in `over_limit`.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
     """No endpoints can serve what was asked for."""
 
     def __init__(self, field: str, reason: str, is_listed: bool = False) -> None:
-        """`field` names the field of the request; what is listed may become ready again."""
+        """`field` names the field of the request; `is_listed`: endpoints are listed and may become ready."""
         super().__init__(f"{field}: {reason}")
         self.field, self.reason, self.is_listed = field, reason, is_listed
 
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class _SplitUpdate:
-    """An update that is being divided."""
+    """An update of the endpoint list while it is being divided among the routers."""
 
     is_full: bool
     models: set[Model]
@@ -78,7 +78,7 @@
         self._endpoints: dict[int, _LabelledEndpoint] = {}
         """Every endpoint that is listed and not removed."""
         self.over_limit: set[int] = set()
-        """Endpoints that are not served, as there are too many models."""
+        """Endpoints that are not served because there are more than `MAX_MODELS` models."""
         self._weights: dict[Model, dict[Role, float]] = {}
         """Sum of the ready endpoints' weights."""
 
@@ -97,7 +97,7 @@
         if is_full:
             self.over_limit &= labels.keys()
             for model in before:
-                split.endpoints[model] = []  # What a full list does not name is removed, at each router.
+                split.endpoints[model] = []  # Each router removes what a full list does not name.
         for endpoint in update.endpoints:
             self._apply(endpoint, labels.get(endpoint.id, Model()), split)
         for endpoint_id in missing:
@@ -119,7 +119,7 @@
     def _apply(self, endpoint: EndpointInfo, model: Model, split: _SplitUpdate) -> None:
         known = self._endpoints.get(endpoint.id)
         if known and known.model != model and not split.is_full:
-            # It serves another model now: to the router of the old one it is removed.
+            # It serves another model now, so the old model's router must remove it.
             split.endpoints[known.model].append(replace(known.info, state=EndpointState.REMOVED))
         if endpoint.state is EndpointState.REMOVED:
             self._endpoints.pop(endpoint.id, None)
@@ -153,7 +153,7 @@
 
     def quota_share(self, model: Model) -> float:
         """Return the model's part of the fleet's capacity, and so of the quotas; 1 if nothing else serves."""
-        total = sum(self._capacity(one) for one in self._weights)
+        total = sum(self._capacity(other) for other in self._weights)
         return self._capacity(model) / total if total and self._capacity(model) else 1.0
 
     def listed(self) -> list[Model]:
@@ -181,7 +181,7 @@
             versions = _matching_versions(listed, name, version)
             return self._choose_version(name, versions, session)
         if names == {""} and not version:
-            return Model()  # The endpoints carry no labels: they serve whatever is asked for.
+            return Model()  # The endpoints have no labels: they serve any model.
         shown = f"{name[:MAX_NAME_SHOWN_CHARS]!r} is not served here; {_shown(names)}"
         raise NotServedError("model", shown)
 
--- a/tuliptrack/decisions/output_estimate.py
+++ b/tuliptrack/decisions/output_estimate.py
@@ -1,7 +1,7 @@
 """Estimates how many output tokens a request will have, from earlier ones of its tenant and request class.
 
-An estimate is a smoothed mean and mean deviation. A tenant whose outputs are always as long as allowed makes
-only its own estimates longer. The module does no I/O and reads no clock. Bound: `MAX_ESTIMATES` pairs of
+An estimate is a smoothed mean and mean deviation. A tenant whose outputs are always as long as allowed raises
+only its own estimates. The module does no I/O and reads no clock. Bound: `MAX_ESTIMATES` pairs of
 tenant and class, the least recently updated of which are dropped.
 """
 
@@ -13,9 +13,9 @@
 __all__ = ["OutputEstimates"]
 
 SMOOTHING = 0.1
-"""Weight of one more output, once ten have been seen; before, each has the same weight."""
+"""Weight of a new output in the averages, once ten have been seen; the first ten weigh the same."""
 MARGIN_DEVIATIONS = 1.0
-"""Mean deviations added to the mean: most outputs are within it, and little is reserved for nothing."""
+"""Mean deviations added to the mean: covers most outputs, and leaves little reserved in vain."""
 MAX_ESTIMATES = 50_000
 
 
@@ -30,7 +30,7 @@
     """The estimates of one node."""
 
     def __init__(self) -> None:
-        """Nothing has been seen yet."""
+        """Create it without any outputs seen."""
         self._estimates: OrderedDict[tuple[str, int], _Estimate] = OrderedDict()
 
     def estimate(self, tenant: str, class_index: int, max_tokens: int) -> int:
@@ -42,7 +42,7 @@
         return max(min(expected, max_tokens), 1)
 
     def record(self, tenant: str, class_index: int, tokens: int) -> None:
-        """Learn from a complete output."""
+        """Update the estimate with the length of a complete output."""
         key = tenant, class_index
         known = self._estimates.pop(key, None) or _Estimate(float(tokens), 0.0, 0)
         weight = max(SMOOTHING, 1 / (known.samples + 1))
--- a/tuliptrack/decisions/rollout.py
+++ b/tuliptrack/decisions/rollout.py
@@ -1,13 +1,13 @@
 """Decides the steps of a rollout in stages, and its rollback if new nodes do worse.
 
 `Rollout` takes what agents report and what operators command, and returns the next `Record`. A controller
-that takes over finds the record and goes on from it; the evidence of the stage starts anew, which can only
-make a stage longer.
+that takes over continues from the record; the evidence of the stage is collected again from the start, which
+can only make the stage longer.
 
-A stage ends in one of four ways. It is promoted if new nodes are shown to be no worse than the plan's margin.
-It is rolled back if they are shown to do worse, cannot start, or nothing is shown within the stage's longest
-time. It is held for an operator if all nodes do worse than usual, so that nobody can tell whether it is the
-release. An operator aborts it, which rolls it back.
+A stage ends in one of four ways. It is promoted if new nodes are shown to be worse by no more than the plan's
+margin. It is rolled back if they are shown to do worse, cannot start, or nothing is shown within the stage's
+longest time. It is held for an operator if all nodes do worse than usual, so that the release cannot be told
+apart from other causes. An operator aborts it, which rolls it back.
 
 Times are in microseconds, those of the controller. The module does no I/O and reads no clock. Bound: one
 entry for each host of the plan.
@@ -26,7 +26,7 @@
 __all__ = ["Command", "Rollout"]
 
 ROLLBACK_READY_FACTOR = 2
-"""Multiple of a plan's `ready_within` for a node to become ready with the old release again."""
+"""Multiple of a plan's `ready_within` in which a rolled-back node must be ready with the old release."""
 
 
 class Command(Enum):
@@ -38,10 +38,10 @@
 
 
 class Rollout:
-    """Decides the next record from the last one that was chosen by a quorum."""
+    """Decides the next record from the last one that a quorum has accepted."""
 
     def __init__(self, record: Record | None = None) -> None:
-        """Go on from a record, or begin without a rollout."""
+        """Continue from a record, or start without a rollout."""
         self.record = record or Record()
         self.evidence = RolloutEvidence()
         self._stage_since_us = 0
@@ -49,11 +49,11 @@
         self._stage_ready_since_us = 0
         """When all of the stage's hosts were first seen to be ready; 0 before."""
         self._unavailable_since_us: dict[str, int] = {}
-        """When each unavailable host was first seen to be so."""
+        """When each unavailable host was first seen to be unavailable."""
 
     @property
     def _unavailable(self) -> frozenset[str]:
-        """Hosts that are not ready, not heard of, or do not run yet what they are to."""
+        """Hosts that are not ready, send no reports, or do not yet run their assigned release."""
         return frozenset(self._unavailable_since_us)
 
     def start(self, plan: Plan) -> Record:
@@ -66,10 +66,10 @@
             raise PlanError(
                 f"least_learnt: {plan.least_learnt} windows are wanted, {learnt} are known so far"
             )
-        return Record(self.record.number + 1, Phase.FORWARD, plan, reason="begun by an operator")
+        return Record(self.record.number + 1, Phase.FORWARD, plan, reason="started by an operator")
 
     def handle_command(self, command: Command) -> Record:
-        """Return the record that a command leads to; PlanError if there is nothing to command."""
+        """Return the record that a command leads to; PlanError if it does not apply in this phase."""
         record, phase = self.record, self.record.phase
         if command is Command.PAUSE and phase in (Phase.FORWARD, Phase.BACK):
             return replace(record, phase=Phase.PAUSED, interrupted=phase, reason="paused by an operator")
@@ -79,10 +79,10 @@
             )
         if command is Command.ABORT and phase in (Phase.FORWARD, Phase.PAUSED, Phase.HELD):
             return self._roll_back("aborted by an operator")
-        raise PlanError(f"command: a rollout that is {phase.value!r} can't be told to {command.value}")
+        raise PlanError(f"command: cannot {command.value} a rollout in phase {phase.value!r}")
 
     def handle_chosen(self, record: Record) -> None:
-        """Go on from a record that a quorum has accepted."""
+        """Continue from a record that a quorum has accepted."""
         is_new_rollout = record.number != self.record.number
         is_new_phase = is_new_rollout or record.phase != self.record.phase
         if is_new_phase or record.stage != self.record.stage:
@@ -123,7 +123,7 @@
         }
 
     def _stop_if_harmful(self, now_us: int, plan: Plan, by_host: Mapping[str, NodeReport]) -> Record | None:
-        """Return the record that stops the rollout, if something speaks against the new release."""
+        """Return the record that stops the rollout, if there is reason to; otherwise None."""
         if fault := self._fault_of_new_host(now_us, plan, by_host):
             return self._roll_back(fault)
         settled = [
@@ -149,7 +149,7 @@
         for host in sorted(self.record.new_hosts):
             report = by_host.get(host)
             if report is None:
-                continue  # A host that is cut off says nothing of the release.
+                continue  # An unreachable host is no evidence against the release.
             if report.release == plan.new and report.broken_rule:
                 return f"{host} broke a rule: {report.broken_rule}"
             if self._is_overdue(now_us, host, plan.ready_within):
@@ -178,12 +178,12 @@
         return self.evidence.is_shown_no_worse(self._stage(plan).least_requests, plan.margin)
 
     def _next_step(self, now_us: int, plan: Plan) -> Record | None:
-        """Return the record that changes the next hosts of the stage, or promotes it."""
+        """Return the record that changes the next hosts of the stage or promotes it; None to wait."""
         stage = self._stage(plan)
         remaining = [host for host in stage.hosts if host not in self.record.new_hosts]
         next_hosts = self._changeable(plan, remaining)
-        # The last old host changes only after the new ones are shown to be no worse: without it there is
-        # nothing to compare with.
+        # The last old host changes only after the new ones are shown to be no worse: without it nothing is
+        # left to compare them with.
         is_last = self.record.new_hosts | next_hosts >= set(plan.zones)
         if next_hosts and not (is_last and not self._is_shown_no_worse(plan)):
             return replace(
@@ -212,17 +212,17 @@
         return replace(self.record, phase=Phase.BACK, interrupted=Phase.NONE, reason=reason)
 
     def _hold(self, reason: str) -> Record:
-        reason = f"{reason}; a person has to look"
+        reason = f"{reason}; an operator has to decide"
         return replace(self.record, phase=Phase.HELD, interrupted=self.record.phase, reason=reason)
 
     def _next_rollback_step(
         self, now_us: int, plan: Plan, by_host: Mapping[str, NodeReport]
     ) -> Record | None:
-        """Return the record that rolls back the next hosts, unavailable ones first: they serve nobody."""
+        """Return the record that rolls back the next hosts: first unavailable ones, which serve nothing."""
         new_hosts = self.record.new_hosts
         for host in sorted(self._unavailable - new_hosts):
             if host in by_host and self._is_overdue(now_us, host, ROLLBACK_READY_FACTOR * plan.ready_within):
-                return self._hold(f"{host} doesn't come back with the old release")
+                return self._hold(f"{host} did not become ready with the old release")
         if unavailable := new_hosts & self._unavailable:
             return replace(self.record, new_hosts=new_hosts - unavailable)
         if next_hosts := self._changeable(plan, sorted(new_hosts)):
@@ -232,7 +232,7 @@
         return None
 
     def _changeable(self, plan: Plan, hosts: Iterable[str]) -> frozenset[str]:
-        """Return the first of these hosts that may be unavailable besides those that are."""
+        """Return the first of these hosts that the limits allow to be unavailable besides those that are."""
         chosen: set[str] = set()
         for host in hosts:
             unavailable = self._unavailable | chosen
--- a/tuliptrack/decisions/rollout_evidence.py
+++ b/tuliptrack/decisions/rollout_evidence.py
@@ -1,4 +1,4 @@
-"""Collects what shows whether a new release does worse than the old one, or no worse.
+"""Collects the evidence on whether a new release does worse than the old one, or no worse.
 
 Nodes are compared in several measures, each by a sequential test against the old nodes of the same zone and
 class, and against a baseline from windows in which nothing was changed. The module does no I/O and reads no
@@ -18,24 +18,24 @@
 __all__ = ["MEASURES", "NodeReport", "RequestCounts", "RolloutEvidence"]
 
 MEASURES = ("refused", "failed", "broken", "late", "gaps", "cpu", "memory", "died")
-"""What is counted as bad: requests of a class, or a node's windows in the last three."""
+"""What is counted as bad: requests of a class or, for the last three, windows of a node."""
 EXIT_MEASURE = "died"
 PROMOTION_MEASURES = ("refused", "failed", "broken", "late")
-"""Those that must be shown to be within the margin; in the others, no evidence against is enough."""
+"""Measures that must be shown to be within the margin; others only must not show evidence of harm."""
 HARM_MEASURES = ("refused", "failed", "broken")
-"""Those that show harm to old and new nodes alike."""
+"""Measures in which harm to old and new nodes alike is detected."""
 FALSE_ROLLBACKS = 0.002
-"""Level of the evidence, over all measures; low, as nodes' lasting differences are not all known."""
+"""Significance level over all measures; low, as nodes' lasting differences are not all known."""
 MAX_PROMOTION_EVIDENCE = 1.0
-"""Log of the wealth over which a stage is not promoted: it may become evidence yet."""
+"""Log wealth above which a stage is not promoted, as it may still grow into evidence of harm."""
 MAX_COMMON_EXCESS = 0.15
-"""Share of requests that may go badly beyond the usual at old nodes (at all, once none is old)."""
+"""Share of requests that may go badly beyond the usual at old nodes (at all nodes once none is old)."""
 COMMON_HARM_WINDOWS = 3
-"""Windows in a row over that share which are no longer taken for a single burst."""
+"""Consecutive windows above that share that are too many for a single burst."""
 
 
 class RequestCounts(NamedTuple):
-    """Requests of one class in one measure, and those of them that went badly."""
+    """Requests of one class counted in one measure, and how many of them went badly."""
 
     requests: float
     bad: float
@@ -48,24 +48,24 @@
     host: str
     zone: str
     release: Release | None
-    """What runs; None if nothing does."""
+    """The release that runs; None if none does."""
     is_ready: bool = True
     ready_for_us: int = 0
     counts: Mapping[str, Mapping[str, RequestCounts]] = field(default_factory=dict)
     """By request class and measure."""
     unexpected_exits: int = 0
     broken_rule: str = ""
-    """A rule of the protocol that it broke, as far as its own records can show."""
+    """A protocol rule that the node broke, as far as its own records show; empty if none."""
 
 
 class RolloutEvidence:
     """The baseline, and the evidence of the rollout that is under way."""
 
     def __init__(self) -> None:
-        """Nothing is known yet."""
+        """Create it without a baseline or evidence."""
         self.baselines = {measure: Baseline() for measure in MEASURES}
         self.learnt_windows = 0
-        """Windows that the baseline is known from."""
+        """Number of windows that the baseline was learnt from."""
         self._tests: dict[str, SequentialTest] = {}
         self._compared_before_stage = 0.0
         self._common_harm_windows = 0
@@ -78,7 +78,7 @@
             self.baselines[measure].learn(_node_windows(reports, measure, frozenset()))
 
     def start_stage(self) -> None:
-        """Count the requests of a new stage, or phase, from here."""
+        """Start to count the compared requests of a new stage or phase."""
         self._common_harm_windows = 0
         self._compared_before_stage = self._compared_requests()
 
@@ -99,7 +99,7 @@
         return Excess(excess_bad, requests)
 
     def worse_measure(self) -> str:
-        """Return in what new nodes are shown to do worse, in words; empty if nothing is shown."""
+        """Return text on the measure in which new nodes are shown to do worse; empty if none is."""
         worst = max(self._tests, key=lambda measure: self._tests[measure].evidence)
         test = self._tests[worst]
         if test.evidence < log(len(MEASURES) / FALSE_ROLLBACKS):
--- a/tuliptrack/decisions/rollout_plan.py
+++ b/tuliptrack/decisions/rollout_plan.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """Hosts that change in this stage, and what must be known before the next."""
+    """Hosts that change in this stage, and the conditions for going on to the next."""
 
     hosts: tuple[str, ...]
     least_requests: int = 200
@@ -57,7 +57,7 @@
     most_out_zone: int = 1
     """The same within one zone."""
     margin: float = 0.01
-    """By how much the share of bad requests may be higher and still be no worse."""
+    """By how much the share of bad requests may be higher and still count as no worse."""
     ready_within: int = 30_000_000
     """Time for a changed node to become ready, with its slow start; later it counts as unable to start."""
     least_learnt: int = 20
@@ -68,7 +68,7 @@
     def check(self) -> None:
         """Check that the plan can be carried out; PlanError if not."""
         if self.old == self.new:
-            raise PlanError("new: is the release that runs already")
+            raise PlanError("new: is the same release as old")
         if not self.stages:
             raise PlanError("stages: at least one is needed")
         self._check_hosts()
@@ -87,9 +87,9 @@
                 raise PlanError(f"stages[{i}].hosts: at least one is needed")
             for host in stage.hosts:
                 if host not in self.zones:
-                    raise PlanError(f"stages[{i}].hosts: {host!r} is no host of the fleet")
+                    raise PlanError(f"stages[{i}].hosts: {host!r} is not a host of the fleet")
                 if host in seen:
-                    raise PlanError(f"stages[{i}].hosts: {host!r} stands in two stages or twice in one")
+                    raise PlanError(f"stages[{i}].hosts: {host!r} is in two stages or twice in one")
                 seen.add(host)
 
     def _check_stage(self, name: str, stage: Stage) -> None:
--- a/tuliptrack/decisions/rollout_record.py
+++ b/tuliptrack/decisions/rollout_record.py
@@ -1,7 +1,7 @@
 """The record of a rollout: what was decided last, and its JSON form, which is stored and sent.
 
-A record means nothing until a quorum has accepted it (`decisions/consensus.py`). Orders to hosts say no more
-than "run what the record names for you", so one that arrives twice or late does nothing.
+A record has no effect until a quorum has accepted it (`decisions/consensus.py`). An order to a host only says
+"run the release that the record names for you", so one that arrives twice or late changes nothing.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     TypeError,
     ValueError,
 )
-"""What reading a value of another form may raise."""
+"""Errors that reading a value of another form may raise."""
 _OPTIONAL_PLAN_FIELDS = (
     "most_out",
     "most_out_zone",
@@ -38,15 +38,15 @@
 
 
 class Phase(Enum):
-    """What is being done; the values are stored."""
+    """Phase of a rollout; the values are stored."""
 
     NONE = "none"
     FORWARD = "forward"
     PAUSED = "paused"
     BACK = "back"
-    """It is being rolled back, within the same limits as on the way forward."""
+    """Being rolled back, within the same limits as in FORWARD."""
     HELD = "held"
-    """Nothing more is changed until an operator decides."""
+    """Nothing is changed until an operator decides."""
     DONE = "done"
     ROLLED_BACK = "taken back"
 
@@ -58,10 +58,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """What is decided."""
+    """What was decided last about a rollout."""
 
     number: int = 0
-    """Of the rollout."""
+    """Number of the rollout."""
     phase: Phase = Phase.NONE
     plan: Plan | None = None
     stage: int = 0
@@ -69,7 +69,7 @@
     """Hosts of the plan that run, or are to run, the new release."""
     reason: str = ""
     interrupted: Phase = Phase.NONE
-    """What a pause or a hold has interrupted."""
+    """The phase that a pause or a hold has interrupted."""
 
     def release(self, host: str) -> Release | None:
         """Return what a host is to run; None if nothing is decided about it."""
@@ -93,13 +93,13 @@
 
     @staticmethod
     def from_dict(json_form: Mapping[str, Any]) -> Record:
-        """Return the record of a JSON form, without unknown fields.
+        """Return the record of a JSON form; unknown fields are ignored.
 
         Raises:
-            PlanError: Its format is newer, or it is no record.
+            PlanError: Its format is newer, or it is not a record.
         """
-        # Failure: a stored value of another form raises an error that no caller expects. It would show as a
-        # controller that leads and decides nothing any more.
+        # Callers expect PlanError only. Any other error from a stored value of another form would leave a
+        # controller that leads but decides nothing any more.
         try:
             return Record._from_dict(json_form)
         except _FORM_ERRORS as error:
--- a/tuliptrack/decisions/sequential_test.py
+++ b/tuliptrack/decisions/sequential_test.py
@@ -1,13 +1,13 @@
-"""Tests whether some nodes do worse than the others; the result may be looked at after every window.
+"""Tests whether some nodes do worse than the others; the result may be checked after every window.
 
-What is compared is how many of a node's requests went badly in a window with what its own past and its peers
-of the same zone and request class let expect. The unit is the node: requests of one node share its engines
-and its moment, so counting them one by one would find differences everywhere.
+The number of a node's requests that went badly in a window is compared with what its own past and its peers
+of the same zone and request class predict. The unit is the node: requests of one node share its engines and
+the conditions of the moment, so counting them one by one would find differences everywhere.
 
-The test is by betting: each window multiplies a wealth by a bet that pays at most its stake in the mean if
-new and old nodes are alike (for k nodes drawn of n, the mean of exp(sum) is at most the k-th power of the
-mean of exp, by Hoeffding). So by Ville's inequality the wealth exceeds 1/a with a probability of at most a,
-however often one looks.
+It is a test by betting: each window multiplies a wealth by a bet that pays at most its stake on average if
+new and old nodes do not differ (for k nodes drawn from n, the mean of exp(sum) is at most the k-th power of
+the mean of exp, by Hoeffding). So by Ville's inequality the wealth exceeds 1/a with a probability of at most
+a, however often it is checked.
 
 The module does no I/O and reads no clock. Bound: one entry for each node and stratum of the fleet, which
 `Baseline.retain` removes.
@@ -24,15 +24,15 @@
 __all__ = ["Baseline", "Excess", "NodeWindow", "SequentialTest", "Stratum"]
 
 STAKES = (0.15, 0.4, 1.0)
-"""Bets on a deviation, made side by side: from many small differences to a few great ones."""
+"""Stakes of parallel bets on the deviations, for many small differences up to a few large ones."""
 MAX_DEVIATION = 3.0
-"""A node's window counts no more than this: one bad moment is no verdict."""
+"""Bound on a node's deviation in one window, so that one bad moment does not decide the test."""
 PRIOR_BAD_REQUESTS = 12.0
-"""Weight of the stratum in a node's expected share, in bad requests: little is known of one with few."""
+"""Weight of the stratum in a node's expected share, in bad requests; a node with few is little known."""
 RETAINED_SHARE = 0.98
-"""Part of the past that is retained at each window, so that about fifty windows count."""
+"""Fraction of the past that is retained at each window, so that about fifty windows count."""
 ERROR_BOUND = 2.6
-"""Standard errors added to a bound."""
+"""Standard errors added to the excess for its upper bound."""
 
 _Key = TypeVar("_Key")
 
@@ -88,7 +88,7 @@
 
     @property
     def nodes(self) -> set[str]:
-        """Nodes that something is known of."""
+        """Nodes that windows were learnt from."""
         return {node for node, _ in self._nodes}
 
     def learn(self, windows: Iterable[NodeWindow]) -> None:
@@ -99,22 +99,22 @@
 
     def bad_share(self, node: str, stratum: Stratum) -> float:
         """Return the share of a node's requests that usually goes badly; never 0, as anything may happen."""
-        of_stratum = self._strata.get(stratum, NO_COUNTS)
-        usual = (of_stratum.bad + 0.5) / (of_stratum.requests + 1.0)
-        of_node = self._nodes.get((node, stratum), NO_COUNTS)
-        prior_requests = PRIOR_BAD_REQUESTS / usual
-        return min((of_node.bad + PRIOR_BAD_REQUESTS) / (of_node.requests + prior_requests), 1.0)
+        stratum_counts = self._strata.get(stratum, NO_COUNTS)
+        usual_share = (stratum_counts.bad + 0.5) / (stratum_counts.requests + 1.0)
+        node_counts = self._nodes.get((node, stratum), NO_COUNTS)
+        prior_requests = PRIOR_BAD_REQUESTS / usual_share
+        return min((node_counts.bad + PRIOR_BAD_REQUESTS) / (node_counts.requests + prior_requests), 1.0)
 
     def retain(self, nodes: set[str]) -> None:
         """Remove all other nodes, which are no longer in the fleet."""
         self._nodes = {key: counts for key, counts in self._nodes.items() if key[0] in nodes}
 
     def excess(self, windows: Iterable[NodeWindow]) -> Excess:
-        """Return what went badly beyond the usual."""
-        seen = list(windows)
+        """Return the bad requests beyond the usual, and the requests they are among."""
+        listed = list(windows)
         return Excess(
-            sum(w.bad - w.requests * self.bad_share(w.node, w.stratum) for w in seen),
-            sum(w.requests for w in seen),
+            sum(w.bad - w.requests * self.bad_share(w.node, w.stratum) for w in listed),
+            sum(w.requests for w in listed),
         )
 
 
@@ -128,11 +128,11 @@
         self._usual_share = {w.node: baseline.bad_share(w.node, stratum) for w in windows}
 
     def usual_bad(self, windows: list[NodeWindow]) -> float:
-        """Return the bad requests that are usual for so many requests of these nodes."""
+        """Return the bad requests that are usual among the requests of these nodes."""
         return sum(w.requests * self._usual_share[w.node] for w in windows)
 
     def expected_bad(self, window: NodeWindow, drift: float) -> float:
-        """Return the bad requests to be expected of a node, if all have drifted from the usual alike."""
+        """Return the bad requests expected of a node, if `drift` multiplies the usual share of all nodes."""
         return min(window.requests * self._usual_share[window.node] * drift, window.requests)
 
     def deviations(self, drift: float) -> list[tuple[NodeWindow, float]]:
@@ -151,20 +151,20 @@
     compared_requests: float = 0.0
     """Requests of new nodes that were compared."""
     excess_bad: float = 0.0
-    """Of those, how many more went badly than the old nodes at the same time let expect."""
+    """How many more of those went badly than the old nodes at the same time predict."""
     _log_wealth: list[float] = field(default_factory=lambda: [0.0] * len(STAKES))
     _excess_variance: float = 0.0
-    """From how nodes differ among themselves."""
+    """Variance of `excess_bad`, from how nodes differ among themselves."""
 
     @property
     def evidence(self) -> float:
-        """Log of the wealth; log(1 / a) or more is evidence at level a, whenever one looks."""
+        """Log of the wealth; log(1 / a) or more is evidence at level a, whenever it is checked."""
         top = max(self._log_wealth)
         wealth = sum(math.exp(x - top) for x in self._log_wealth)
         return top + math.log(wealth / len(self._log_wealth))
 
     def max_excess_share(self) -> float:
-        """Return by how much the share of bad requests may be higher, as far as the windows show."""
+        """Return an upper bound on how much higher the new nodes' share of bad requests is."""
         if not self.compared_requests:
             return 1.0
         error = ERROR_BOUND * math.sqrt(self._excess_variance)
@@ -176,25 +176,25 @@
         for window in windows:
             if window.requests > 0:
                 strata[window.stratum].append(window)
-        for stratum, of_stratum in strata.items():
-            seen = _StratumWindow(stratum, of_stratum, baseline)
-            # Without an old or without a new node it says nothing of the difference.
-            if seen.new and seen.old:
-                self._add_stratum(seen)
-
-    def _add_stratum(self, seen: _StratumWindow) -> None:
-        # What affects all nodes of the stratum alike, such as a burst or a bad engine, is no difference.
-        drift = (sum(w.bad for w in seen.windows) + 1.0) / (seen.usual_bad(seen.windows) + 1.0)
-        deviations = seen.deviations(drift)
+        for stratum, stratum_windows in strata.items():
+            stratum_window = _StratumWindow(stratum, stratum_windows, baseline)
+            # A stratum without both old and new nodes shows no difference between them.
+            if stratum_window.new and stratum_window.old:
+                self._add_stratum(stratum_window)
+
+    def _add_stratum(self, stratum: _StratumWindow) -> None:
+        # Drift affects all nodes of the stratum alike, as a burst or a bad engine does: it is no difference.
+        drift = (sum(w.bad for w in stratum.windows) + 1.0) / (stratum.usual_bad(stratum.windows) + 1.0)
+        deviations = stratum.deviations(drift)
         self._bet(deviations)
-        old_requests = sum(w.requests for w in seen.old)
-        old_drift = (sum(w.bad for w in seen.old) + 0.5) / (seen.usual_bad(seen.old) + 0.5)
-        new_requests = sum(w.requests for w in seen.new)
+        old_requests = sum(w.requests for w in stratum.old)
+        old_drift = (sum(w.bad for w in stratum.old) + 0.5) / (stratum.usual_bad(stratum.old) + 0.5)
+        new_requests = sum(w.requests for w in stratum.new)
         self.compared_requests += new_requests
-        self.excess_bad += sum(w.bad - seen.expected_bad(w, old_drift) for w in seen.new)
+        self.excess_bad += sum(w.bad - stratum.expected_bad(w, old_drift) for w in stratum.new)
         # An error of the old nodes' mean affects all the new ones at once.
         node_variance = sum(z * z for _, z in deviations) / len(deviations)
-        new_variance = seen.usual_bad(seen.new) * drift + 1.0
+        new_variance = stratum.usual_bad(stratum.new) * drift + 1.0
         self._excess_variance += max(node_variance, 1.0) * new_variance * (1.0 + new_requests / old_requests)
 
     def _bet(self, deviations: list[tuple[NodeWindow, float]]) -> None:
--- a/tuliptrack/decisions/shared_token_bucket.py
+++ b/tuliptrack/decisions/shared_token_bucket.py
@@ -1,11 +1,12 @@
 """Shares one token bucket among nodes that do not communicate, without exceeding its rate and burst together.
 
-The bucket of a `rate` with a `burst` is dealt out in grants of `quantum` tokens, numbered on a time that all
-nodes share. Grant k comes at k x quantum / rate, belongs to the node whose index is k modulo `replicas`, and
-expires after burst / rate. `decisions/cross_zone_budget.py` states the bound over all nodes and why it holds.
+The bucket of a `rate` with a `burst` is divided into grants of `quantum` tokens, numbered on a time that all
+nodes share. Grant k is issued at k x quantum / rate, belongs to the node whose index is k modulo `replicas`,
+and expires after burst / rate. `decisions/cross_zone_budget.py` states the bound over all nodes and why it
+holds.
 
-Times are in microseconds, tokens in whatever the budget counts (bytes, weighted tokens). The module does no
-I/O, reads no clock and draws no random numbers. Bound: 2 x `MAX_GRANTS` grants for each bucket.
+Times are in microseconds, tokens in the unit of the budget (bytes, weighted tokens). The module does no I/O,
+reads no clock and draws no random numbers. Bound: 2 x `MAX_GRANTS` grants for each bucket.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 __all__ = ["AcquiredTokens", "BudgetGrant", "SharedBucketSettings", "SharedTokenBucket"]
 
 MAX_GRANTS = 4096
-"""Grants that a node holds at once; where a burst would take more, each of them is larger."""
+"""Grants that a node holds at once; if a burst would need more, each grant is larger."""
 GOLDEN_RATIO_FRACTION = 0.6180339887498949
 """Successive multiples of it, modulo 1, are spread evenly from 0 to 1."""
 
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedBucketSettings:
-    """One bucket, and which node of the fleet has this part of it."""
+    """One bucket, and the index of the node that has this part of it."""
 
     rate_per_s: float
     burst: float
@@ -52,14 +53,14 @@
     epoch_offset_us: int = 0
     """Added to the node's clock, it gives the time that all nodes share."""
     by_traffic: float = 0.0
-    """Part of the rate that is earned by requests instead of granted in turn, from 0 to 1."""
+    """Fraction of the rate that is earned by requests instead of granted in turn, from 0 to 1."""
 
 
 class SharedTokenBucket:
     """One node's part of a token bucket that all nodes share."""
 
     def __init__(self, settings: SharedBucketSettings) -> None:
-        """Nothing is available yet; grants that come after the first call with a time are the node's own."""
+        """Start empty; the node may use grants that are issued after the first call with a time."""
         quantum, burst, replicas = settings.quantum, settings.burst, settings.replicas
         rate_per_us = settings.rate_per_s / 1e6
         granted_per_us = rate_per_us * (1 - settings.by_traffic)
@@ -68,12 +69,12 @@
         self._earned_quantum = quantum
         self._quantum = quantum * max(1.0, burst / quantum / replicas / MAX_GRANTS)
         self._grant_interval_us = self._quantum / granted_per_us if granted_per_us else 0.0
-        """Time between two grants, of whichever nodes; 0 if nothing is granted in turn."""
+        """Time between two consecutive grants of the fleet; 0 if nothing is granted in turn."""
         self._grant_lifetime_us = int(burst / rate_per_us) if rate_per_us else 0
         self.node_burst = max(burst / replicas, self._quantum)
         """Tokens that this node may have saved up, if all nodes have equal traffic."""
         self._earned = settings.replica_index * GOLDEN_RATIO_FRACTION % 1 * quantum
-        """Tokens earned by requests that do not make a quantum yet."""
+        """Tokens earned by requests that do not add up to a quantum yet."""
         self._grants: deque[BudgetGrant] = deque()
         self._next_grant: int | None = None
         """Number of this node's next grant; None before the first call with a time."""
@@ -83,7 +84,7 @@
         """Tokens that expired unused and were not collected yet."""
 
     def advance(self, now_us: int) -> None:
-        """Add the grants that have come, and drop those that have expired."""
+        """Add the grants that have been issued, and drop those that have expired."""
         while self._grants and self._grants[0].expires_at_us <= now_us:
             self._expired += self._grants.popleft().remaining
         if not self._grant_interval_us:
@@ -98,7 +99,7 @@
     def _first_due_grant(self, last: int) -> int:
         """Return the number of the first grant of this node to be added, if not above `last`."""
         if self._next_grant is None:
-            # What came before the node's start may have been used by its previous incarnation.
+            # Grants issued before the node's start may have been used by its previous incarnation.
             first = last + 1
             return first + (self._replica_index - first) % self._replicas
         max_behind = MAX_GRANTS * self._replicas
@@ -117,13 +118,13 @@
             self._grants.append(BudgetGrant(expires_at_us, tokens))
 
     def _pay_debt(self, tokens: float) -> float:
-        """Return how many of the tokens go into what is owed."""
+        """Pay debt with up to `tokens`; return how many of them it took."""
         paid = min(self._debt, tokens)
         self._debt -= paid
         return paid
 
     def earn(self, now_us: int, tokens: float) -> None:
-        """Credit what a request brings, where traffic fills the bucket; whole quanta become a grant."""
+        """Credit tokens that a request earns, if traffic fills the bucket; whole quanta become a grant."""
         self._earned += tokens
         if self._earned < self._earned_quantum:
             return
@@ -140,7 +141,7 @@
         return sum(grant.remaining for grant in self._grants)
 
     def acquire(self, tokens: float) -> list[AcquiredTokens]:
-        """Use tokens of the oldest grants; what they lack is owed, up to the node's share of a burst."""
+        """Use tokens of the oldest grants; a shortfall becomes debt, up to the node's share of a burst."""
         acquired = []
         for grant in self._grants:
             part = min(grant.remaining, tokens)
@@ -154,14 +155,14 @@
         return acquired
 
     def refund(self, acquired: Sequence[AcquiredTokens], tokens: float) -> None:
-        """Return tokens that were acquired and not used, to the youngest grants first: they last longest."""
+        """Return tokens that were acquired and not used, to the newest grants first: they expire last."""
         for part in reversed(acquired):
             refunded = min(part.tokens, tokens)
             part.grant.remaining += refunded
             tokens -= refunded
 
     def wait_us(self, now_us: int, tokens: float) -> int | None:
-        """Return the time until so many tokens are available if no others are used; None for never."""
+        """Return the time until `tokens` are available if none are used until then; None for never."""
         missing = tokens - self.available(now_us)
         if missing <= 0:
             return 0
@@ -187,5 +188,5 @@
         return expired
 
     def next_expiry_us(self, now_us: int) -> int:
-        """Return when the oldest grant expires, or about when the next one comes if there is none."""
+        """Return when the oldest grant expires, or about when the next one is issued if there is none."""
         return self._grants[0].expires_at_us if self._grants else now_us + self._own_interval_us()
--- a/tuliptrack/decisions/token_budget.py
+++ b/tuliptrack/decisions/token_budget.py
@@ -4,19 +4,19 @@
 of several windows; a request is within budget if every window has capacity for what it is expected to use.
 
 - Windows of up to `MAX_GRANTED_WINDOW_US` are token buckets that the nodes share by grants in turn
-  (`decisions/shared_token_bucket.py`): in any W all nodes together use at most units x (W / window + 1) and a
-  grant, whatever the traffic.
+  (`decisions/shared_token_bucket.py`): in any period W all nodes together use at most units x
+  (W / window + 1) and a grant, whatever the traffic.
 - Longer windows, such as a day, follow the calendar: each node's part is units x spread / replicas, and its
   usage is restored after a restart, since a grant of a day would be lost with it. `spread` says how uneven a
   tenant's traffic may be: a tenant that reaches replicas / spread of the nodes can use all of its budget, one
   that reaches all of them at most `spread` times as much.
 
-The number of output tokens is not known before: a request reserves an estimate
-(`decisions/output_estimate.py`) and settles by what was streamed. What a window lacked at settling is taken
-from its next grants.
+The number of output tokens is not known in advance: a request reserves an estimate
+(`decisions/output_estimate.py`) and settles by what was streamed. If a window lacks units at settling, they
+are taken from its next grants.
 
-A request over budget is not rejected for that: as its class says, it gets a lower priority or is rejected.
-What other tenants let expire unused is lent (`decisions/lending_pool.py`).
+A request over budget gets a lower priority or is rejected, as the settings of its class say. What other
+tenants let expire unused is lent (`decisions/lending_pool.py`).
 
 Times are in microseconds. The module does no I/O, reads no clock and draws no random numbers. Bounds: the
 tenants of the settings, and one reservation for each request in flight.
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetRequest:
-    """What the budgets have to know of a request."""
+    """What the budgets need to know about a request."""
 
     tenant: str
     class_index: int
@@ -116,18 +116,18 @@
     """Whether a request is within its tenant's budgets."""
 
     is_over: bool
-    """Some window has no capacity for it."""
+    """Whether some window has no capacity for it."""
     reserved_units: int = 0
     retry_after_us: int | None = 0
     """Time until every window has capacity for it; None for never."""
     window_us: int = 0
-    """Length of the window that has none; 0 if all have."""
+    """Length of a window without capacity; 0 if all have capacity."""
     is_borrowed: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ServedTokens:
-    """What a request got in the end."""
+    """Tokens that an ended request was served."""
 
     cached_tokens: int
     output_tokens: int
@@ -135,7 +135,7 @@
 
 @dataclass(slots=True)
 class BudgetUsage:
-    """How reservations of one tenant compare with what was used, for operators."""
+    """Reservations of one tenant compared with its usage, for operators."""
 
     reserved_units: int = 0
     used_units: int = 0
@@ -185,7 +185,7 @@
     """One node's part of every tenant's budgets."""
 
     def __init__(self, settings: TokenBudgetSettings, now_us: int) -> None:
-        """Grants that come from now on are this node's own."""
+        """Create the budgets; this node may use its grants that are issued from now on."""
         self._settings = settings
         self._clock = CalendarClock(settings.epoch_offset_us)
         self._lending_pool = LendingPool(now_us)
@@ -197,7 +197,7 @@
         }
         for tenant, budget in self._tenants.items():
             if budget.granted and settings.is_lending:
-                # Longer windows hold the same tokens once more.
+                # Longer windows count the same units again, so only the shortest one lends.
                 shortest = min(budget.granted, key=lambda window: window.length_us)
                 self._lending_pool.add_lender(now_us, tenant, shortest.bucket)
 
@@ -259,8 +259,8 @@
     def _check_calendar(self, now_us: int, budget: _TenantBudget, units: int) -> BudgetVerdict:
         retry_after_us: int | None = 0
         window_us = 0
-        # Failure: a request that is more than one window ever allows waits for another. It would show as a
-        # client that is sent back in vain.
+        # If one window can never allow the request, the wait for another must not replace that: the client
+        # would retry in vain.
         for window in budget.calendar:
             unix_us = self._clock.unix_us(now_us)
             window.advance(unix_us)
@@ -284,7 +284,7 @@
         return BudgetVerdict(window_us > 0, units, retry_after_us, window_us)
 
     def _can_borrow(self, verdict: BudgetVerdict) -> bool:
-        """Whether lent units make up for the lack; those of a calendar window are not lent."""
+        """Whether lent units cover the request; a calendar window's lack of units cannot be borrowed."""
         return (
             verdict.is_over
             and self._settings.is_lending
--- a/tuliptrack/decisions/zone_recovery.py
+++ b/tuliptrack/decisions/zone_recovery.py
@@ -1,11 +1,11 @@
-"""Detects zones that lost their endpoints, and ramps their traffic up again once they have recovered.
+"""Detects zones that lost their endpoints, and ramps up their traffic once they have recovered.
 
 Every node sees a recovery at nearly the same moment, in the endpoint list. If all sent a recovered zone its
 full traffic at once, its queues would grow before any load report shows them. So sessions return by their
-position from 0 to 1, the same at all nodes: those below a limit that rises evenly over `RAMP_US`.
+position from 0 to 1, the same at all nodes: those below a limit that rises linearly over `RAMP_US`.
 
-Zones are watched for each role apart. Times are in microseconds. The module does no I/O, reads no clock and
-draws no random numbers. Bound: one entry for each zone and role that the endpoint list has named.
+Each role of a zone is tracked separately. Times are in microseconds. The module does no I/O, reads no clock
+and draws no random numbers. Bound: one entry for each zone and role that the endpoint list has named.
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
 __all__ = ["ZoneChange", "ZoneRecovery", "ZoneState"]
 
 LOST_SHARE = 0.5
-"""A zone is lost while it has less than this part of its usual endpoints of a role."""
+"""A zone is lost while it has less than this share of its usual endpoints of a role."""
 MIN_LOST_US = 3_000_000
-"""Time after which a recovery is ramped up: in a shorter one, sessions have not moved elsewhere yet."""
+"""Shortest loss after which traffic is ramped up; in a shorter one, sessions have not moved yet."""
 RAMP_US = 8_000_000
-"""Some times what queues take to show in load reports."""
+"""A small multiple of the time that queues take to show in load reports."""
 INITIAL_SHARE = 0.1
-"""Part of the sessions that return at once, so that first latencies are seen."""
+"""Share of the sessions that return at once, so that first latencies are observed."""
 FORGET_AFTER_US = 600_000_000
 """Time after which a lost zone's remaining endpoints count as its usual ones."""
 
 
 class ZoneState(StrEnum):
-    """What has become of a zone's endpoints of one role; the values are logged."""
+    """What has happened to a zone's endpoints of one role; the values are logged."""
 
     LOST = "lost"
     RECOVERED = "recovered"
-    """After so short a time that nothing is ramped up."""
+    """After less than `MIN_LOST_US`, so nothing is ramped up."""
     RECOVERING = "recovering"
     FORGOTTEN = "no longer expected back"
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneChange:
-    """A change to be logged."""
+    """A change of a zone's state, to be logged."""
 
     zone: int
     role: Role
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class _EndpointCount:
-    """How many endpoints of one role a zone has had."""
+    """A zone's usual number of endpoints of one role, and since when it is lost."""
 
     usual: int
     lost_since_us: int | None = None
@@ -65,7 +65,7 @@
     """The zones that were lost, and those whose traffic is ramped up again, by role."""
 
     def __init__(self) -> None:
-        """No zone is known yet."""
+        """Create it without any known zones."""
         self._counts: dict[tuple[int, Role], _EndpointCount] = {}
         self._ramp_started_us: dict[tuple[int, Role], int] = {}
 
