--- a/tests/decisions/test_billing.py
+++ b/tests/decisions/test_billing.py
@@ -65,41 +65,40 @@
 
 @examples(max_examples=300, deadline=None, derandomize=True)
 @given(RECORDS, RECORDS, st.randoms(use_true_random=False))
-def test_merging_is_a_union(
-    ours: list[UsageRecord], theirs: list[UsageRecord], chance: random.Random
-) -> None:
-    whole = compute_bills([*ours, *theirs])
-    mixed = [*ours, *theirs, *ours, *theirs[:3]]
-    chance.shuffle(mixed)
-    assert compute_bills(mixed) == whole == compute_bills([*theirs, *ours])
-    for bill in whole:
-        # No token of an answer is billed twice, and no more than any client can have got.
-        last: dict[tuple[str, int], UsageRecord] = {}
-        for p in [*ours, *theirs]:
-            last[p.key] = newer_state(last[p.key], p) if p.key in last else p
-        own = [p for p in last.values() if (p.tenant, p.work) == (bill.tenant, bill.work)]
-        assert bill.written == len({n for p in own for n in range(p.first, p.next)})
+def test_merging_is_a_union(ours: list[UsageRecord], theirs: list[UsageRecord], rng: random.Random) -> None:
+    bills = compute_bills([*ours, *theirs])
+    shuffled = [*ours, *theirs, *ours, *theirs[:3]]
+    rng.shuffle(shuffled)
+    assert compute_bills(shuffled) == bills == compute_bills([*theirs, *ours])
+    for bill in bills:
+        # Each output token is billed once, and only if a client can have got it.
+        newest: dict[tuple[str, int], UsageRecord] = {}
+        for r in [*ours, *theirs]:
+            newest[r.key] = newer_state(newest[r.key], r) if r.key in newest else r
+        records = [r for r in newest.values() if (r.tenant, r.work) == (bill.tenant, bill.work)]
+        assert bill.written == len({n for r in records for n in range(r.first, r.next)})
         assert (bill.amount > 0) == (bill.written > 0)
         assert bill.read + bill.kept == (100 if bill.written else 0)
 
 
 def test_a_stream_that_breaks_and_is_resumed_elsewhere_is_one_bill() -> None:
-    one = compute_bills(
+    bill = compute_bills(
         [record_of("n1", 7, 0, 12, UsageOutcome.CUT, at=1), record_of("n2", 3, 12, 30, at=2)]
     )[0]
-    assert (one.read, one.kept, one.written, one.amount) == (60, 40, 30, 60 * 2 + 40 + 300)
-    assert one.whole and one.lost_read == 60  # a second prefill is at the operator's cost
-    # The client resumes from before what it has: the overlap is at the operator's cost.
-    again = compute_bills(
+    assert (bill.read, bill.kept, bill.written, bill.amount) == (60, 40, 30, 60 * 2 + 40 + 300)
+    assert bill.whole and bill.lost_read == 60  # a second prefill is at the operator's cost
+    # The client resumes at a token that it already has: the overlap is at the operator's cost.
+    overlapping = compute_bills(
         [record_of("n1", 7, 0, 12, UsageOutcome.CUT, at=1), record_of("n2", 3, 8, 30, at=2)]
     )[0]
-    assert again.amount == one.amount and again.lost_written == 4
+    assert overlapping.amount == bill.amount and overlapping.lost_written == 4
 
 
-def test_neither_a_retry_of_what_was_served_nor_what_was_never_served_is_billed() -> None:
-    twice = compute_bills([record_of("n1", 1, 0, 20, at=1), record_of("n2", 1, 0, 20, at=2)])[0]
-    assert twice.amount == compute_bills([record_of("n1", 1, 0, 20, at=1)])[0].amount
+def test_output_served_twice_is_billed_once_and_a_request_without_output_is_free() -> None:
+    retried = compute_bills([record_of("n1", 1, 0, 20, at=1), record_of("n2", 1, 0, 20, at=2)])[0]
+    assert retried.amount == compute_bills([record_of("n1", 1, 0, 20, at=1)])[0].amount
     assert compute_bills([record_of("n1", 1, 0, 0, UsageOutcome.NOTHING, lost_read=100)])[0].amount == 0
+    # Works of two tenants are distinct even if they have the same name.
     assert (
         compute_bills(
             [
@@ -108,15 +107,14 @@
             ]
         )[1].tenant
         == "b"
-    )  # the
-    # same name of work at two tenants is two works
+    )
 
 
 def test_the_price_is_that_of_the_earliest_record_of_each_token() -> None:
-    dear = TokenPrice(0, 0, 100)
+    expensive = TokenPrice(0, 0, 100)
     early, late = (
         record_of("n1", 1, 0, 10, UsageOutcome.CUT, at=1),
-        UsageRecord("n2", 1, "a", "w", 9, 100, 0, 5, 20, UsageOutcome.SERVED, price=dear),
+        UsageRecord("n2", 1, "a", "w", 9, 100, 0, 5, 20, UsageOutcome.SERVED, price=expensive),
     )
     assert compute_bills([late, early])[0].amount == 60 * 2 + 40 + 10 * 10 + 10 * 100
 
@@ -129,7 +127,7 @@
     ]
     assert compute_bills(states)[0].written == 9 and not compute_bills(states)[0].whole
     assert compute_bills([*states, record_of("n1", 1, 0, 12, UsageOutcome.SERVED)])[0].written == 12
-    sums = daily_totals(
+    totals = daily_totals(
         compute_bills(
             [
                 *states,
@@ -139,7 +137,7 @@
             ]
         )
     )
-    assert [(key, total.works, total.written) for key, total in sorted(sums.items())] == [
+    assert [(key, total.works, total.written) for key, total in sorted(totals.items())] == [
         (("a", 0), 1, 9),
         (("a", 1), 1, 1),
     ]
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -19,13 +19,13 @@
 
 
 def expected_rejection(in_flight: list[tuple[str, int]], sender: tuple[str, int]) -> ExceededLimit | None:
-    """What a node with limits of 8, 5 and 3 answers, by counting anew."""
+    """The limit that rejects a request at limits of 8, 5 and 3, from counting `in_flight`."""
     tenant, connection = sender
     if len(in_flight) >= 8:
         return ExceededLimit.NODE
-    if [one for one, _ in in_flight].count(tenant) >= 5:
+    if [other for other, _ in in_flight].count(tenant) >= 5:
         return ExceededLimit.TENANT
-    if [one for _, one in in_flight].count(connection) >= 3:
+    if [other for _, other in in_flight].count(connection) >= 3:
         return ExceededLimit.CONNECTION
     return None
 
@@ -58,7 +58,7 @@
     assert "connection" in ExceededLimit.CONNECTION
 
 
-def test_the_retry_advice_follows_the_pace_at_which_requests_end() -> None:
+def test_the_retry_delay_follows_the_rate_at_which_requests_end() -> None:
     quick, slow = (ConcurrencyLimiter(ConcurrencyLimits(100, 100, 100)) for _ in range(2))
     for limiter, interval_us in ((quick, 1_000), (slow, 50_000)):
         for _ in range(100):
--- a/tests/decisions/test_consensus.py
+++ b/tests/decisions/test_consensus.py
@@ -1,4 +1,4 @@
-"""Consensus among controllers: no chosen value is lost, whatever messages are reordered, lost or doubled."""
+"""Consensus among controllers: no chosen value is lost when messages are reordered, lost or duplicated."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 
 @dataclass
-class World:
-    """Proposers, acceptors and the messages between them, each a call that is made on delivery."""
+class SimulatedNetwork:
+    """Proposers, acceptors and the messages in flight between them; delivering a message calls it."""
 
     proposers: list[Proposer]
     acceptors: dict[str, Acceptor]
@@ -39,7 +39,7 @@
             self.messages.append(lambda name=name: self.deliver_prepare(index, name, epoch))  # type: ignore[misc]
 
     def propose(self, index: int) -> None:
-        """Propose a value built on the one that was chosen last, as a rollout's next step is."""
+        """Propose a value that extends the one chosen last, as a rollout's next step does."""
         proposer = self.proposers[index]
         if proposer.is_leader and proposer.chosen and proposer.chosen.ballot == proposer.ballot:
             self.proposals += 1
@@ -83,45 +83,45 @@
             self.check()
 
     def check(self) -> None:
-        """Each chosen value is built on every one that was chosen before it: none is lost, none forks."""
+        """Check that each chosen value extends every earlier one: none is lost, and none forks."""
         values = [accepted.value for accepted in sorted(self.chosen)]
         for earlier, later in pairwise(values):
             assert later.startswith(earlier), f"{later!r} is chosen after {earlier!r} and loses it"
 
 
-def world(proposers: int, acceptors: tuple[str, ...]) -> World:
-    return World(
+def network_of(proposers: int, acceptors: tuple[str, ...]) -> SimulatedNetwork:
+    return SimulatedNetwork(
         [Proposer(index, frozenset(acceptors)) for index in range(proposers)],
         {name: Acceptor() for name in acceptors},
     )
 
 
-def random_world(seed: int, steps: int = 400) -> World:
-    """Messages in any order, some lost, some twice; proposers that start epochs at any time."""
-    random, w = Random(seed), world(3, ("a", "b", "c", "d", "e"))
+def run_at_random(seed: int, steps: int = 400) -> SimulatedNetwork:
+    """Deliver messages in any order, some never, some twice; proposers start epochs at any time."""
+    random, network = Random(seed), network_of(3, ("a", "b", "c", "d", "e"))
     for _ in range(steps):
         draw = random.random()
         if draw < 0.03:
-            w.start_epoch(random.randrange(3))
+            network.start_epoch(random.randrange(3))
         elif draw < 0.12:
-            w.propose(random.randrange(3))
-        elif w.messages:
-            message = w.messages.pop(random.randrange(len(w.messages)))
+            network.propose(random.randrange(3))
+        elif network.messages:
+            message = network.messages.pop(random.randrange(len(network.messages)))
             if random.random() > 0.1:
                 message()
             if random.random() < 0.1:
-                w.messages.append(message)
-    return w
+                network.messages.append(message)
+    return network
 
 
 def test_no_chosen_value_is_ever_lost_or_forked_whatever_the_order() -> None:
-    chosen = sum(len(random_world(seed).chosen) for seed in range(400))
+    chosen = sum(len(run_at_random(seed).chosen) for seed in range(400))
     assert chosen > 1000
 
 
 @pytest.mark.parametrize("broken", ["promise", "accept", "adopt", "quorum"])
-def test_each_guard_matters(broken: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without any one of them the same worlds lose a chosen value."""
+def test_without_any_one_guard_a_chosen_value_is_lost(broken: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The runs are those of the test above, with one guard broken."""
     if broken == "promise":
 
         def promise(self: Acceptor, epoch: int) -> bool:
@@ -139,18 +139,18 @@
     elif broken == "adopt":
         handle_promise = Proposer.handle_promise
 
-        def forgetful(self: Proposer, acceptor: str, epoch: int, accepted: AcceptedValue) -> bool:
+        def ignore_accepted(self: Proposer, acceptor: str, epoch: int, accepted: AcceptedValue) -> bool:
             return handle_promise(self, acceptor, epoch, NOTHING_ACCEPTED)
 
-        monkeypatch.setattr(Proposer, "handle_promise", forgetful)
+        monkeypatch.setattr(Proposer, "handle_promise", ignore_accepted)
     else:
         monkeypatch.setattr(Proposer, "quorum", property(lambda self: len(self.acceptors) // 2))
     with pytest.raises(AssertionError, match="loses it"):
         for seed in range(400):
-            random_world(seed)
+            run_at_random(seed)
 
 
-def test_epochs_of_two_controllers_never_meet() -> None:
+def test_epochs_of_two_controllers_are_never_equal() -> None:
     epochs = {epoch_after(seen, controller) for seen in range(300) for controller in (0, 1, 63)}
     assert all(epoch_after(epoch, epoch % 64) == epoch + 64 for epoch in epochs)
     assert all(epoch_after(seen, 5) > seen and epoch_after(seen, 5) % 64 == 5 for seen in range(300))
@@ -171,7 +171,7 @@
     assert not Acceptor().accept(Ballot(epoch, 9), too_long)
 
 
-def test_a_lost_answer_is_given_again_and_an_older_proposal_is_not_accepted() -> None:
+def test_a_lost_reply_is_repeated_and_an_older_proposal_is_not_accepted() -> None:
     acceptor = Acceptor()
     assert acceptor.ballot == FIRST_BALLOT and acceptor.promise(65)
     assert acceptor.accept(Ballot(65, 1), b"x") and acceptor.accept(Ballot(65, 1), b"x")
--- a/tests/decisions/test_cross_zone_budget.py
+++ b/tests/decisions/test_cross_zone_budget.py
@@ -1,4 +1,4 @@
-"""Cross-zone budgets: their bound over all nodes, prices, refunds and which class each counts."""
+"""Cross-zone budgets: their bound over all nodes, prices, refunds and the classes they apply to."""
 
 from __future__ import annotations
 
@@ -53,9 +53,9 @@
     restarts: list[int],
     epoch: int,
 ) -> None:
-    """Reservations at any node and time, with nodes that restart in between, and clocks that differ."""
+    """Requests reserve at any node and time; nodes restart in between, and their clocks differ."""
     budget = ZoneBudget(rate_kb * 1000.0, float(quantum * grants), float(quantum))
-    # Each node's own clock starts elsewhere.
+    # Each node's clock has an offset of its own.
     offsets = [epoch + 1_000 * replica for replica in range(replicas)]
     nodes = [budgets_of(replicas, replica, budget, offsets[replica]) for replica in range(replicas)]
     at, sent = 50_000_000, []
@@ -91,7 +91,7 @@
     MOVES,
     st.integers(-(10**15), 10**15),
 )
-def test_earned_bytes_stay_within_their_part_and_a_quantum_a_node_also_with_clocks_years_off(
+def test_earned_bytes_stay_within_their_part_and_a_quantum_per_node_whatever_the_clock_offsets(
     replicas: int,
     rate_kb: int,
     quantum: int,
@@ -101,7 +101,7 @@
     skew: int,
 ) -> None:
     budget = ZoneBudget(rate_kb * 1000.0, float(quantum * grants), float(quantum), by_traffic=part)
-    each = part * budget.bytes_per_s / 100
+    bytes_per_request = part * budget.bytes_per_s / 100
     offsets = [10**16 + skew * replica for replica in range(replicas)]
     nodes = [
         CrossZoneBudgets(
@@ -115,26 +115,29 @@
         )
         for replica, offset in enumerate(offsets)
     ]
-    at, came, sent = 50_000_000, list[int](), list[tuple[int, float]]()
+    at, arrivals, sent = 50_000_000, list[int](), list[tuple[int, float]]()
     for number, (gap, who, size, _) in enumerate(moves):
         at += gap
-        node = nodes[min(who, 2) % replicas]  # most of it at one
-        came.append(at)
+        node = nodes[min(who, 2) % replicas]  # most requests at one node
+        arrivals.append(at)
         node.record_arrival(at)
         if node.reserve(at, number, 0, float(size), is_retry=False) is CrossZoneCause.BUDGET:
             sent.append((at, float(size)))
-    life = budget.burst / budget.bytes_per_s * 1e6
+    lifetime_us = budget.burst / budget.bytes_per_s * 1e6
     for start, _ in sent:
         for end in (start + 100_000, start + 2_000_000, at):
-            earned = each * sum(start - life <= t <= end for t in came) + budget.quantum * replicas
+            earned = (
+                bytes_per_request * sum(start - lifetime_us <= t <= end for t in arrivals)
+                + budget.quantum * replicas
+            )
             in_turn = (1 - part) * (
                 budget.bytes_per_s * (end - start) / 1e6 + budget.burst
             ) + budget.quantum * replicas
             assert sum(s for t, s in sent if start <= t <= end) <= earned + in_turn + 1
 
 
-def test_uneven_traffic_gets_what_equal_grants_would_waste() -> None:
-    """Twenty nodes; nine tenths of the traffic at two of them. All ask to cross with every request."""
+def test_uneven_traffic_can_use_what_equal_grants_would_waste() -> None:
+    """Of twenty nodes two get nine tenths of the traffic; every request reserves a crossing."""
     used = {}
     for part in (0.0, 1.0):
         budget = ZoneBudget(1_000_000.0, 5_000_000.0, 50_000.0, by_traffic=part)
@@ -149,21 +152,20 @@
             )
             for replica in range(20)
         ]
-        chance = random.Random(3)
+        rng = random.Random(3)
         used[part] = 0
         for number in range(3000):  # 100 a second for 30 s
             at = 10 * S + number * 10 * MS
-            node = nodes[chance.randrange(2) if chance.random() < 0.9 else chance.randrange(20)]
+            node = nodes[rng.randrange(2) if rng.random() < 0.9 else rng.randrange(20)]
             node.record_arrival(at)
             used[part] += node.reserve(at, number, 0, 50_000.0, is_retry=False) is CrossZoneCause.BUDGET
     assert used[0.0] < 0.55 * 600 and 0.9 * 600 < used[1.0] <= 600 + 100 + 20, (
         used
-    )  # 600 quanta accrue, 100 may be saved
+    )  # 600 quanta accrue, and 100 may be saved up
 
 
 def test_many_nodes_share_a_budget_of_less_than_a_request_each_and_none_is_starved() -> None:
-    """190 nodes, one request of 20,000 bytes every 100 ms for all of them: each gets its grant, none gets
-    two."""
+    """190 nodes share one grant of 20,000 bytes, a request's size, every 100 ms: in 19 s each gets one."""
     budget = ZoneBudget(200_000.0, 40_000.0, 20_000.0)
     nodes = [budgets_of(190, replica, budget) for replica in range(190)]
     used = [0] * 190
@@ -179,14 +181,14 @@
 def test_unused_bytes_are_refunded_and_overuse_is_paid_from_the_next_grants() -> None:
     budget = ZoneBudget(1_000_000.0, 400_000.0, 100_000.0)
     node = budgets_of(1, 0, budget)
-    assert node.buckets[0].available(10 * S) == 0.0  # just started: what came before may have been used
+    assert node.buckets[0].available(10 * S) == 0.0  # just started: earlier grants may have been used
     assert node.buckets[0].available(11 * S) == 400_000.0
     assert node.reserve(11 * S, 1, 0, 300_000.0, is_retry=False) is CrossZoneCause.BUDGET
     assert node.buckets[0].available(11 * S) == 100_000.0
     node.settle(11 * S, 1, 50_000.0)
     assert node.buckets[0].available(11 * S) == 350_000.0
     assert node.reserve(11 * S, 2, 0, 10_000.0, is_retry=True) is CrossZoneCause.RETRY
-    node.settle(11 * S, 2, 500_000.0)  # far more than reserved: the next grants pay
+    node.settle(11 * S, 2, 500_000.0)  # far more than reserved: taken from the next grants
     assert node.buckets[0].available(11 * S) == 0.0
     assert node.buckets[0].available(11 * S + 150 * MS) == 0.0
     assert node.buckets[0].available(12 * S) > 0
@@ -208,7 +210,7 @@
     assert node.price(11 * S, 0, 0.0, 0.1) == 0.0
 
 
-def test_a_class_is_counted_by_its_own_budget_and_others_by_that_for_all() -> None:
+def test_a_class_uses_its_own_budget_and_other_classes_use_the_budget_for_all() -> None:
     own, rest = ZoneBudget(1e6, 1e5, 1e4, frozenset({1})), ZoneBudget(1e6, 2e5, 1e4)
     node = CrossZoneBudgets(settings(zone_budgets=(own, rest)))
     assert node.bucket_of(1) is node.buckets[0] and node.bucket_of(0) is node.buckets[1]
--- a/tests/decisions/test_model_catalog.py
+++ b/tests/decisions/test_model_catalog.py
@@ -61,7 +61,7 @@
     assert [(s.id, s.state) for s in updates[A].endpoints] == [(2, EndpointState.REMOVED)]
     assert [(s.id, s.state) for s in updates[B].endpoints] == [(2, EndpointState.READY)]
     assert not models.ready("a") and models.ready("b", "1")
-    updates = models.split_update(*change({1: (READ, A)}))  # a full list: what is not named is removed
+    updates = models.split_update(*change({1: (READ, A)}))  # a full list removes what it does not name
     assert {m: [s.id for s in c.endpoints] for m, c in updates.items()} == {A: [1], B: [], B2: []}
 
 
@@ -75,7 +75,7 @@
     with pytest.raises(NotServedError) as caught:
         models.choose("a", "", "s")
     assert caught.value.is_listed
-    assert catalog({1: (READ, A), 2: (WRITE, A)}).choose("", "", "s") == A  # the only one need not be named
+    assert catalog({1: (READ, A), 2: (WRITE, A)}).choose("", "", "s") == A  # the only model need not be named
     assert catalog({1: (READ, Model()), 2: (WRITE, Model())}).choose("any", "", "s") == Model()
     assert ModelCatalog(ROLES).choose("any", "", "s") == Model()  # before the first list
 
@@ -160,13 +160,14 @@
         )
     assert (
         first.state.fleet_capacity_per_s == second.state.fleet_capacity_per_s == 501.0
-    )  # half of what the tenants have: the engines are half of the fleet
-    said = []
-    for number in range(14):  # the second tenant has two a second, whichever model it asks for
+    )  # half of the tenants' quotas: the endpoints are half of the fleet
+    actions = []
+    for number in range(14):  # the second tenant's quota is two requests a second over all models
         router = (first, second)[number % 2]
-        ask = Request(number, 0, 5 * S, 1000.0, 0.0, 200.0, number, 0, 1)
-        said.append(router.handle(S + number * MS, [ask])[-1])
-    assert isinstance(said[0], SendAttempt) and first.quotas is second.quotas
+        request = Request(number, 0, 5 * S, 1000.0, 0.0, 200.0, number, 0, 1)
+        actions.append(router.handle(S + number * MS, [request])[-1])
+    assert isinstance(actions[0], SendAttempt) and first.quotas is second.quotas
     assert first.quotas.buckets[1].tokens < 1  # one bucket, emptied by both
-    assert not any(isinstance(a, Reject) for a in said[:2])
-    assert only(SendAttempt, [said[0]]).endpoint_id == 10 and only(SendAttempt, [said[1]]).endpoint_id == 20
+    assert not any(isinstance(a, Reject) for a in actions[:2])
+    assert only(SendAttempt, [actions[0]]).endpoint_id == 10
+    assert only(SendAttempt, [actions[1]]).endpoint_id == 20
--- a/tests/decisions/test_token_budget.py
+++ b/tests/decisions/test_token_budget.py
@@ -106,7 +106,7 @@
             assert sum(u for _, u in inside) <= 2 * moved_bound + 2
 
 
-def test_every_window_must_have_capacity_and_the_retry_advice_is_exact() -> None:
+def test_every_window_must_have_capacity_and_the_retry_delay_is_exact() -> None:
     budgets = budgets_of({"a": (BudgetWindow(S, 1000, 100), BudgetWindow(60 * S, 3000, 300))})
     request, now_us, number = request_of(prompt_tokens=300), 100 * S + 60 * S, 0
     assert budgets.check(now_us, request_of(prompt_tokens=100)).is_over is False
@@ -140,7 +140,7 @@
     assert min(served) >= 1 and sum(served) <= 2 * 191 + 2
 
 
-def test_an_estimate_is_learnt_by_class_and_tenant_and_a_tenant_affects_only_its_own() -> None:
+def test_estimates_are_learnt_by_class_and_tenant_and_a_tenant_affects_only_its_own() -> None:
     budgets = budgets_of({"a": (BudgetWindow(S, 10**9),), "b": (BudgetWindow(S, 10**9),)})
 
     def expected(tenant: str, class_index: int, max_output_tokens: int) -> int:
@@ -148,10 +148,10 @@
         return budgets.expected_output_tokens(request)
 
     assert expected("a", 0, 1000) == 500
-    chance = random.Random(1)
+    rng = random.Random(1)
     for n in range(200):
         for tenant, class_index, tokens in (
-            ("a", 0, chance.randrange(40, 60)),
+            ("a", 0, rng.randrange(40, 60)),
             ("a", 1, 300),
             ("b", 0, 1000),
         ):
@@ -163,7 +163,7 @@
     assert usage.requests == 400 and usage.open_units == 0
     assert usage.estimate_error_units < 0.5 * usage.used_units
     before = expected("a", 0, 1000)
-    for n in range(300):  # long prompts that are cancelled at once teach nothing, and are refunded
+    for n in range(300):  # long prompts that are cancelled at once are refunded and not learnt from
         admit(budgets, 101 * S, n, request_of("a", 10**5, 200))
         budgets.settle(101 * S, n, None, is_complete=False)
     assert expected("a", 0, 1000) == before
@@ -181,15 +181,15 @@
     assert budgets.usage("a").used_units == 100 + 900 + 100
 
 
-def test_idle_budget_is_lent_and_the_owner_finds_its_own_untouched() -> None:
+def test_idle_budget_is_lent_without_reducing_what_its_owner_can_use() -> None:
     def served(is_lending: bool, is_owner_busy: bool) -> tuple[int, int]:
         windows = {"a": (BudgetWindow(S, 1000, 100),), "b": (BudgetWindow(S, 1000, 100),)}
         budgets, counts = budgets_of(windows, is_lending=is_lending), [0, 0]
         for n in range(4000):
             now_us = 101 * S + n * 5_000
-            for who, tenant in enumerate("ab"):
+            for index, tenant in enumerate("ab"):
                 if tenant == "a" or (is_owner_busy and n % 20 == 0):
-                    counts[who] += serve_prompt(budgets, now_us, 2 * n + who, request_of(tenant))
+                    counts[index] += serve_prompt(budgets, now_us, 2 * n + index, request_of(tenant))
         return counts[0], counts[1]
 
     alone, lent = served(False, False)[0], served(True, False)[0]
@@ -201,7 +201,7 @@
     day = {"a": (BudgetWindow(DAY, 40_000),)}
     request = request_of(prompt_tokens=1000)
     budgets = budgets_of(day, replicas=8)
-    for n in range(20):  # the node's part is half, since the tenant may reach every second node only
+    for n in range(20):  # the node's part is half: the tenant may reach only every second node
         assert serve_prompt(budgets, 100 * S, n, request)
     full = admit(budgets, 100 * S, 99, request)
     assert full.is_over and full.window_us == DAY and full.retry_after_us == DAY - 100 * S
@@ -210,7 +210,7 @@
     assert admit(restarted, 100 * S, 1, request).is_over
     for n in range(20):  # the next day, from its beginning
         assert serve_prompt(restarted, DAY + 10 * S, 2 + n, request)
-    # A clock that steps back over midnight begins no new day, in which all would be available again.
+    # A clock that steps back over midnight must not begin a new day, with the whole budget available again.
     assert admit(restarted, 100 * S, 99, request).is_over
 
 
@@ -226,8 +226,10 @@
 
 
 @pytest.mark.parametrize("small_first", [True, False])
-def test_what_one_calendar_window_never_allows_waits_for_no_other(small_first: bool) -> None:
-    """Failure: the wait of a second window hides the never of the first, and the client comes back in vain."""
+def test_a_request_that_one_calendar_window_never_allows_gets_no_retry_delay(small_first: bool) -> None:
+    """The wait of a second window must not hide that the first never allows it: the client would retry in
+    vain.
+    """
     small, used_up = BudgetWindow(2 * DAY, 500), BudgetWindow(DAY, 2_000)
     budgets = budgets_of({"a": (small, used_up) if small_first else (used_up, small)})
     budgets.restore_usage(100 * S, "a", 1_800)
@@ -235,8 +237,8 @@
     assert verdict.is_over and verdict.retry_after_us is None
 
 
-def test_complete_outputs_without_tokens_are_learnt_as_none() -> None:
-    """Failure: a negative length is learnt, and lowers what later requests reserve."""
+def test_complete_outputs_without_tokens_are_learnt_as_empty() -> None:
+    """A negative length must not be learnt: it would lower what later requests reserve."""
     budgets = budgets_of({"a": (BudgetWindow(3_600 * S, 1_000_000),)})
     request = request_of(max_output_tokens=1_000)
     for request_id in range(100):
--- a/tests/scale/test_costs.py
+++ b/tests/scale/test_costs.py
@@ -1,4 +1,4 @@
-"""What decisions and list changes cost as the fleet grows, by counts of operations: the same on every
+"""Costs of decisions and list changes as the fleet grows, in operations: their count is the same on every
 machine.
 """
 
@@ -19,65 +19,66 @@
 from tuliptrack.routing.router import Router
 
 SMALL, LARGE = 190, 1_900
-MINUTE, FEW = 400, 80  # requests of one node: of a minute, and as many as the scan bears
+# Requests of one node: in a minute, and few enough for the router that scans all engines.
+MINUTE, FEW = 400, 80
 
 
 def request_cost(make: Maker, engines: int, requests: int = MINUTE) -> float:
-    """Operations of a request's events after so much traffic."""
-    one = playback(make, engines)
-    one.play(requests)
-    return request_operations(one)
+    """Mean operations of a request's events, after so many requests of traffic."""
+    traffic = playback(make, engines)
+    traffic.play(requests)
+    return request_operations(traffic)
 
 
-def _jam(one: Playback) -> None:
-    """All prefill endpoints have just rejected for lack of capacity, as either router keeps it."""
-    if isinstance(one.router, Router):
-        statistics = one.router.state.statistics[Role.PREFILL, False]
-        statistics.rejection_share, statistics.observed_at_us = 1.0, one.now
+def _saturate_prefill(traffic: Playback) -> None:
+    """Set either router's state to that after all prefill endpoints have rejected for lack of capacity."""
+    if isinstance(traffic.router, Router):
+        statistics = traffic.router.state.statistics[Role.PREFILL, False]
+        statistics.rejection_share, statistics.observed_at_us = 1.0, traffic.now
     else:
-        assert isinstance(one.router, oracle.brain.Router)
-        kind = one.router.kinds[Role.PREFILL, False]
-        kind.full, kind.told_at = 1.0, one.now
-
-
-def refusal_cost(make: Maker, engines: int, requests: int = MINUTE) -> int:
-    """Operations of one request that is refused in a jam, when every reader has been looked for."""
-    one = playback(make, engines)
-    one.play(requests)
-    _jam(one)
-    said: list[Action] = []
-    cost = count_operations(lambda: said.extend(one.router.handle(one.now, [one.traffic.request()])))
-    assert any(isinstance(action, Reject) for action in said)
+        assert isinstance(traffic.router, oracle.brain.Router)
+        kind = traffic.router.kinds[Role.PREFILL, False]
+        kind.full, kind.told_at = 1.0, traffic.now
+
+
+def rejection_cost(make: Maker, engines: int, requests: int = MINUTE) -> int:
+    """Operations of one request that is rejected after a search of all prefill endpoints, which are full."""
+    traffic = playback(make, engines)
+    traffic.play(requests)
+    _saturate_prefill(traffic)
+    actions: list[Action] = []
+    cost = count_operations(
+        lambda: actions.extend(traffic.router.handle(traffic.now, [traffic.traffic.request()]))
+    )
+    assert any(isinstance(action, Reject) for action in actions)
     return cost
 
 
 def change_cost(make: Maker, engines: int) -> int:
-    """Operations of one engine's drain."""
+    """Operations of the list change by which one engine begins to drain."""
     population = Population(engines)
-    one = playback(make, engines)
-    one.play(50)
+    traffic = playback(make, engines)
+    traffic.play(50)
     change = EndpointListUpdate(
         UpdateKind.DELTA, 2, (replace(population.server(5), state=EndpointState.DRAINING),)
     )
-    return count_operations(lambda: one.router.handle(one.now, [change]))
+    return count_operations(lambda: traffic.router.handle(traffic.now, [change]))
 
 
-def test_a_request_at_ten_times_the_engines_costs_no_more_than_its_streams_ask_for() -> None:
-    """Ten times the engines spread a node's streams over more of them, which is what the growth left is
-    for.
-    """
+def test_the_cost_of_a_request_hardly_grows_with_ten_times_the_engines() -> None:
+    """The growth that remains is due to a node's streams, which are spread over more engines."""
     assert request_cost(Router, LARGE) < 1.6 * request_cost(Router, SMALL)
 
 
-def test_the_scan_of_all_engines_is_found_by_the_same_count() -> None:
+def test_the_same_count_detects_a_router_that_scans_all_engines() -> None:
     scan = oracle.brain.Router
     assert request_cost(scan, LARGE // 2, FEW) > 3 * request_cost(scan, SMALL, FEW)
 
 
-def test_a_refusal_looks_at_no_more_readers_in_a_larger_fleet() -> None:
-    assert refusal_cost(Router, LARGE) < 1.6 * refusal_cost(Router, SMALL)
+def test_a_rejection_checks_no_more_prefill_endpoints_in_a_larger_fleet() -> None:
+    assert rejection_cost(Router, LARGE) < 1.6 * rejection_cost(Router, SMALL)
     scan = oracle.brain.Router
-    assert refusal_cost(scan, LARGE // 2, FEW) > 3 * refusal_cost(scan, SMALL, FEW)
+    assert rejection_cost(scan, LARGE // 2, FEW) > 3 * rejection_cost(scan, SMALL, FEW)
 
 
 def test_a_change_of_one_engine_costs_the_same_in_any_fleet() -> None:
@@ -87,59 +88,63 @@
 
 
 @pytest.mark.parametrize("at_once", [True, False])
-def test_a_lost_zone_costs_by_its_engines_and_not_by_the_fleet(at_once: bool) -> None:
+def test_the_cost_of_a_lost_zone_depends_on_its_engines_and_not_on_the_fleet(at_once: bool) -> None:
     cost = {}
     for engines in (SMALL, LARGE):
         population = Population(engines)
-        one = playback(Router, engines)
-        gone = [replace(population.server(n), state=EndpointState.REMOVED) for n in population.in_zone(3)]
-        parts = [gone] if at_once else [[server] for server in gone]
+        traffic = playback(Router, engines)
+        removed = [replace(population.server(n), state=EndpointState.REMOVED) for n in population.in_zone(3)]
+        parts = [removed] if at_once else [[server] for server in removed]
         changes = [EndpointListUpdate(UpdateKind.DELTA, 2 + n, tuple(part)) for n, part in enumerate(parts)]
-        work = [count_operations(lambda c=c, one=one: one.router.handle(one.now, [c])) for c in changes]  # type: ignore[misc]
-        cost[engines] = sum(work) / len(gone)
-    # Gone servers that are still known, so that they keep their blame and turn, are looked through: 128 at
-    # most.
+        work = [
+            count_operations(lambda c=c, t=traffic: t.router.handle(t.now, [c]))  # type: ignore[misc]
+            for c in changes
+        ]
+        cost[engines] = sum(work) / len(removed)
+    # The router searches the removed endpoints that it still knows, 128 at most: one that returns keeps its
+    # ejections and its slot.
     assert cost[LARGE] < 2.5 * cost[SMALL]
 
 
-def whole(members: list[dict[str, Any]], revision: int) -> dict[str, Any]:
+def full_list(members: list[dict[str, Any]], revision: int) -> dict[str, Any]:
     return {"revision": revision, "complete": True, "members": members}
 
 
-def test_a_whole_list_equal_to_the_one_held_is_not_read_again() -> None:
+def test_a_full_list_equal_to_the_one_before_is_not_parsed_again() -> None:
     population = Population(LARGE)
     directory = EndpointDirectory(KINDS, tuple(f"zone-{n}" for n in range(8)))
     router = playback(Router, LARGE).router
-    first = whole(population.members(), 1)
-    again = whole(population.members(), 2)
+    first = full_list(population.members(), 1)
+    again = full_list(population.members(), 2)
 
-    def take(told: dict[str, Any]) -> EndpointListUpdate:
-        change = directory.apply(told)
+    def apply(listing: dict[str, Any]) -> EndpointListUpdate:
+        change = directory.apply(listing)
         assert change
         return change
 
-    held: list[EndpointListUpdate] = []
-    cost = count_operations(lambda: held.append(take(first)))
-    router.handle(2_000_000_000, [held[0]])
-    equal = count_operations(lambda: held.append(take(again)))
-    assert equal < 0.4 * cost
-    assert held[0].endpoints == held[1].endpoints
-    assert all(one is other for one, other in zip(held[0].endpoints, held[1].endpoints, strict=True))
-    assert count_operations(lambda: router.handle(2_000_001_000, [held[1]])) < 120 * LARGE
+    updates: list[EndpointListUpdate] = []
+    first_cost = count_operations(lambda: updates.append(apply(first)))
+    router.handle(2_000_000_000, [updates[0]])
+    equal_cost = count_operations(lambda: updates.append(apply(again)))
+    assert equal_cost < 0.4 * first_cost
+    assert updates[0].endpoints == updates[1].endpoints
+    assert all(old is new for old, new in zip(updates[0].endpoints, updates[1].endpoints, strict=True))
+    assert count_operations(lambda: router.handle(2_000_001_000, [updates[1]])) < 120 * LARGE
 
 
-def test_an_entry_that_changed_is_read_again_and_one_that_is_back_is_new() -> None:
+def test_a_changed_entry_is_parsed_again_and_one_that_returns_is_new() -> None:
     population = Population(64)
     directory = EndpointDirectory(KINDS, tuple(f"zone-{n}" for n in range(8)))
-    directory.apply(whole(population.members(), 1))
+    directory.apply(full_list(population.members(), 1))
     changed = [population.member(n) for n in range(64)]
     changed[7] = population.member(7, phase="Terminating", size=2.0)
-    change = directory.apply(whole(changed, 2))
+    change = directory.apply(full_list(changed, 2))
     assert change
     assert [s.state for s in change.endpoints if s.weight == 2.0] == [EndpointState.DRAINING]
     directory.apply({"revision": 3, "complete": False, "members": [population.member(7, phase="Gone")]})
     assert len(directory.addresses) == len(directory.names) == len(directory._entries) == 63
-    back = directory.apply(
+    returned = directory.apply(
         {"revision": 4, "complete": False, "members": [population.member(7, up_since_ms=1_000)]}
     )
-    assert back and back.endpoints[0].started_at_us > 0 and back.endpoints[0].state is EndpointState.READY
+    assert returned
+    assert returned.endpoints[0].started_at_us > 0 and returned.endpoints[0].state is EndpointState.READY
--- a/tests/scale/test_zone_back.py
+++ b/tests/scale/test_zone_back.py
@@ -1,5 +1,5 @@
-"""A zone's engines are back cold, at once or one after another, before 350 nodes: together these keep within
-the budget.
+"""A zone's engines restart cold, and 350 nodes see it at once or one after another: together the nodes keep
+within the budget of slow start.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class LostZone(Deployment):
-    """A tenth of the size that is aimed at; every engine of one zone has just started."""
+    """A tenth of the target size; every engine of one zone has just started."""
 
     kinds: tuple[int, ...] = ((READ,) * 3 + (WRITE,) * 9) * 12
     able: tuple[float, float, float] = (2.9, 1.0, 1.0)
@@ -32,26 +32,28 @@
         return tuple(number for number in range(1, len(self.kinds) + 1) if number // 4 % ZONES == 3)
 
 
-def allowed(budget: float) -> float:
-    """What all processes together may send in a window for which the settings allow so many calls."""
+def max_sends(budget: float) -> float:
+    """What all nodes together may send in a window in which the settings allow `budget` calls."""
     return budget + (2 * math.sqrt(budget) + 2 if budget >= 30 else 3 * math.sqrt(budget) + 3)
 
 
 @pytest.mark.parametrize("at_once", [True, False])
-def test_a_zone_that_is_back_cold_is_sent_within_its_budget_by_all_nodes(at_once: bool) -> None:
-    of = LostZone()
-    service = Service(NODES, 0.8 * of.quota, of, late=0.0 if at_once else 1.0)
+def test_all_nodes_together_send_to_a_zone_that_restarted_cold_within_its_budget(at_once: bool) -> None:
+    deployment = LostZone()
+    service = Service(NODES, 0.8 * deployment.quota, deployment, late=0.0 if at_once else 1.0)
     service.flood(1.0, 1)
     service.run()
-    assert len(of.cold) == 20
-    assert max(service.worst(number, allowed) for number in of.cold) < 1
-    assert sum(bool(sends) for sends in service.sent.values()) > len(of.cold) / 2, "and not starved"
+    assert len(deployment.cold) == 20
+    assert max(service.worst(number, max_sends) for number in deployment.cold) < 1
+    assert sum(bool(sends) for sends in service.sent.values()) > len(deployment.cold) / 2, "and not starved"
 
 
-def test_without_its_turns_the_sum_is_over(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_slow_start_slots_the_nodes_together_exceed_the_budget(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(SlowStart, "slot_for", lambda self, endpoint, request: WARM)
-    of = LostZone()
-    service = Service(NODES // 10, 0.8 * of.quota, of)
+    deployment = LostZone()
+    service = Service(NODES // 10, 0.8 * deployment.quota, deployment)
     service.flood(1.0, 20)
     service.run()
-    assert max(service.worst(number, allowed) for number in of.cold) > 1
+    assert max(service.worst(number, max_sends) for number in deployment.cold) > 1
--- a/tests/structures/test_rendezvous.py
+++ b/tests/structures/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous rankings compared with one score after another."""
+"""Rendezvous rankings compared with scores computed one by one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,9 @@
 
 @pytest.mark.parametrize("member_count", [0, 1, 2, 3, 23, 24, 25, 200, 850])
 @pytest.mark.parametrize("weights", [(1.0,), (0.5, 1.0, 3.0)])
-def test_a_ranking_equals_one_score_after_another(member_count: int, weights: tuple[float, ...]) -> None:
+def test_a_ranking_equals_sorting_by_scores_computed_one_by_one(
+    member_count: int, weights: tuple[float, ...]
+) -> None:
     random = Random(member_count)
     ids = [random.getrandbits(64) for _ in range(member_count)]
     member_weights = [random.choice(weights) for _ in ids]
@@ -26,7 +28,7 @@
         expected = sorted(range(member_count), key=scores.__getitem__, reverse=True)
         ranking = hasher.ranking(key)
         assert [member for member, _ in zip(ranking, range(3), strict=False)] == expected[:3], (
-            "the first members alone"
+            "reading only the first members"
         )
         assert list(ranking) == expected and len(ranking) == member_count
 
--- a/tests/structures/test_timing_wheel.py
+++ b/tests/structures/test_timing_wheel.py
@@ -45,7 +45,7 @@
             yielded = list(wheel.advance(now))
             expected = sorted((due, k) for k, due in plain.items() if due <= now // tick)
             assert sorted(yielded) == sorted(k for _, k in expected)
-            assert [plain[k] for k in yielded] == [due for due, _ in expected]  # in the order of their times
+            assert [plain[k] for k in yielded] == [due for due, _ in expected]  # in order of due time
             for k in yielded:
                 del plain[k]
         assert wheel.due_ticks == plain and len(wheel) == len(plain)
