--- a/tests/decisions/test_cross_zone_budget.py
+++ b/tests/decisions/test_cross_zone_budget.py
@@ -59,15 +59,15 @@
     offsets = [epoch + 1_000 * replica for replica in range(replicas)]
     nodes = [budgets_of(replicas, replica, budget, offsets[replica]) for replica in range(replicas)]
     at, sent = 50_000_000, []
-    for number, (gap, who, size, done) in enumerate(moves):
+    for number, (gap, node_number, size, done_percent) in enumerate(moves):
         at += gap
-        replica = who % replicas
+        replica = node_number % replicas
         if any(at - gap < restart + 50_000_000 <= at for restart in restarts):
             nodes[replica] = budgets_of(replicas, replica, budget, offsets[replica])
         cause = nodes[replica].reserve(at - offsets[replica], number, 0, float(size), is_retry=False)
         if cause is CrossZoneCause.BUDGET:
             sent.append((at, float(size)))
-        actual = size * done / 100 if done < 90 else size
+        actual = size * done_percent / 100 if done_percent < 90 else size
         nodes[replica].settle(
             at - offsets[replica], number, actual if cause is CrossZoneCause.BUDGET else 0.0
         )
@@ -116,9 +116,9 @@
         for replica, offset in enumerate(offsets)
     ]
     at, arrivals, sent = 50_000_000, list[int](), list[tuple[int, float]]()
-    for number, (gap, who, size, _) in enumerate(moves):
+    for number, (gap, node_number, size, _) in enumerate(moves):
         at += gap
-        node = nodes[min(who, 2) % replicas]  # most requests at one node
+        node = nodes[min(node_number, 2) % replicas]  # most requests at one node
         arrivals.append(at)
         node.record_arrival(at)
         if node.reserve(at, number, 0, float(size), is_retry=False) is CrossZoneCause.BUDGET:
--- a/tests/decisions/test_token_budget.py
+++ b/tests/decisions/test_token_budget.py
@@ -85,13 +85,13 @@
         for replica in range(replicas)
     ]
     now_us, used = 100 * S, list[tuple[int, str, int]]()
-    for number, (gap, who, prompt, part) in enumerate(moves):
+    for number, (gap, node_number, prompt, served_percent) in enumerate(moves):
         now_us += gap
-        node, tenant = nodes[who % replicas], "ab"[who % 2]
+        node, tenant = nodes[node_number % replicas], "ab"[node_number % 2]
         verdict = admit(node, now_us, number, request_of(tenant, prompt))
         if not verdict.is_over:
             assert verdict.reserved_units <= prompt + 1
-            is_served = part > 20
+            is_served = served_percent > 20
             node.settle(now_us, number, PROMPT_ONLY if is_served else None, is_complete=False)
             used.append((now_us, tenant, prompt if is_served else 0))
         assert not node.open_reservations and all(node.usage(t).open_units == 0 for t in "ab")
--- a/tests/scale/test_costs.py
+++ b/tests/scale/test_costs.py
@@ -42,7 +42,7 @@
 
 
 def rejection_cost(make: Maker, engines: int, requests: int = MINUTE) -> int:
-    """Operations of one request that is rejected after a search of all prefill endpoints, which are full."""
+    """Operations of one request that is rejected, as the search for a prefill endpoint finds none."""
     traffic = playback(make, engines)
     traffic.play(requests)
     _saturate_prefill(traffic)
