--- a/tuliptrack/decisions/rollout_plan.py
+++ b/tuliptrack/decisions/rollout_plan.py
@@ -87,7 +87,7 @@
                 raise PlanError(f"stages[{i}].hosts: at least one is needed")
             for host in stage.hosts:
                 if host not in self.zones:
-                    raise PlanError(f"stages[{i}].hosts: {host!r} is not a host of the fleet")
+                    raise PlanError(f"stages[{i}].hosts: {host!r} is no host of the fleet")
                 if host in seen:
                     raise PlanError(f"stages[{i}].hosts: {host!r} is in two stages or twice in one")
                 seen.add(host)
