--- a/tuliptrack/decisions/rollout.py
+++ b/tuliptrack/decisions/rollout.py
@@ -1,8 +1,8 @@
 """Decides the steps of a rollout in stages, and its rollback if new nodes do worse.
 
-`Rollout` takes what agents report and what operators command, and returns the next `Record`. A controller
-that takes over continues from the record; the evidence of the stage is collected again from the start, which
-can only make the stage longer.
+`Rollout` takes the reports of agents and the commands of operators, and returns the next `Record`. A
+controller that takes over continues from the record; the evidence of the stage is collected again from the
+start, which can only make the stage longer.
 
 A stage ends in one of four ways. It is promoted if new nodes are shown to be worse by no more than the plan's
 margin. It is rolled back if they are shown to do worse, cannot start, or nothing is shown within the stage's
