--- a/tests/decisions/test_rollout.py
+++ b/tests/decisions/test_rollout.py
@@ -9,19 +9,19 @@
 
 import pytest
 
-from tuliptrack.decisions.rollout import Command, Rollout
+from tuliptrack.decisions.rollout import Rollout, RolloutCommand
 from tuliptrack.decisions.rollout_evidence import NodeReport, RequestCounts
-from tuliptrack.decisions.rollout_plan import Plan, PlanError, Release, Stage
-from tuliptrack.decisions.rollout_record import Phase, Record
+from tuliptrack.decisions.rollout_plan import NodeRelease, PlanError, RolloutPlan, RolloutStage
+from tuliptrack.decisions.rollout_record import RolloutPhase, RolloutRecord
 
 S = 1_000_000
-OLD, NEW = Release("p-old", "s-old"), Release("p-new", "s-old")
+OLD, NEW = NodeRelease("p-old", "s-old"), NodeRelease("p-new", "s-old")
 HOSTS = {f"n{i}": f"z{i % 3}" for i in range(9)}
-PLAN = Plan(
+PLAN = RolloutPlan(
     OLD,
     NEW,
     HOSTS,
-    (Stage(("n0", "n1", "n2"), 400), Stage(("n3", "n4", "n5", "n6", "n7", "n8"), 400)),
+    (RolloutStage(("n0", "n1", "n2"), 400), RolloutStage(("n3", "n4", "n5", "n6", "n7", "n8"), 400)),
     most_out=2,
     most_out_zone=1,
     margin=0.05,
@@ -37,14 +37,14 @@
         self, seed: int, rates: Rates, new_starts: bool = True, traffic: dict[str, float] | None = None
     ) -> None:
         self.random, self.rates, self.new_starts = Random(seed), rates, new_starts
-        self.releases: dict[str, Release] = dict.fromkeys(HOSTS, OLD)
+        self.releases: dict[str, NodeRelease] = dict.fromkeys(HOSTS, OLD)
         self.ready_at = dict.fromkeys(HOSTS, -100)
         self.traffic = traffic or {h: self.random.uniform(20, 60) for h in HOSTS}
         self.bad_factor = {h: self.random.lognormvariate(0, 0.3) for h in HOSTS}
         self.max_unavailable, self.windows, self.unreachable = 0, 0, frozenset[str]()
         self.unexpected_exits: dict[str, int] = {}
 
-    def carry_out(self, record: Record) -> None:
+    def carry_out(self, record: RolloutRecord) -> None:
         for host in set(HOSTS) - self.unreachable:
             assigned = record.release(host)
             if assigned and assigned != self.releases[host]:
@@ -92,9 +92,9 @@
 
 def run_rollout(
     hosts: Hosts,
-    plan: Plan = PLAN,
+    plan: RolloutPlan = PLAN,
     windows: int = 400,
-    on_window: Callable[[int, Rollout, Hosts], Record | None] = lambda *_: None,
+    on_window: Callable[[int, Rollout, Hosts], RolloutRecord | None] = lambda *_: None,
 ) -> Rollout:
     """Learn a baseline for 60 windows, start the plan, and continue until it has ended or is held."""
     rollout, now = Rollout(), 0
@@ -107,7 +107,7 @@
             rollout.handle_chosen(commanded)
         if (decided := rollout.handle_window(now := now + 5 * S, hosts.reports())) is not None:
             rollout.handle_chosen(decided)
-        if rollout.record.phase in (Phase.DONE, Phase.ROLLED_BACK, Phase.HELD):
+        if rollout.record.phase in (RolloutPhase.DONE, RolloutPhase.ROLLED_BACK, RolloutPhase.HELD):
             break
     return rollout
 
@@ -116,7 +116,7 @@
     for seed in range(12):
         hosts = Hosts(seed, usual_rates)
         rollout = run_rollout(hosts)
-        assert rollout.record.phase is Phase.DONE, (seed, rollout.record.reason)
+        assert rollout.record.phase is RolloutPhase.DONE, (seed, rollout.record.reason)
         assert set(hosts.releases.values()) == {NEW} and hosts.max_unavailable <= PLAN.most_out
 
 
@@ -127,7 +127,9 @@
     for seed in range(6):
         hosts = Hosts(seed, worse_rates(**{measure: more}))
         rollout = run_rollout(hosts)
-        assert rollout.record.phase is Phase.ROLLED_BACK and measure in rollout.record.reason, rollout.record
+        assert rollout.record.phase is RolloutPhase.ROLLED_BACK and measure in rollout.record.reason, (
+            rollout.record
+        )
         assert (
             set(hosts.releases.values()) == {OLD}
             and hosts.max_unavailable <= PLAN.most_out
@@ -138,7 +140,7 @@
 def test_a_release_that_never_starts_is_rolled_back_within_the_limit_on_unavailable_hosts() -> None:
     hosts = Hosts(1, usual_rates, new_starts=False)
     rollout = run_rollout(hosts)
-    assert rollout.record.phase is Phase.ROLLED_BACK and "not ready" in rollout.record.reason
+    assert rollout.record.phase is RolloutPhase.ROLLED_BACK and "not ready" in rollout.record.reason
     assert set(hosts.releases.values()) == {OLD} and hosts.max_unavailable <= PLAN.most_out
 
 
@@ -148,7 +150,7 @@
             hosts.unexpected_exits = dict.fromkeys((h for h, r in hosts.releases.items() if r == NEW), 1)
 
     rollout = run_rollout(Hosts(3, usual_rates), on_window=crash)
-    assert rollout.record.phase is Phase.ROLLED_BACK and "'died'" in rollout.record.reason
+    assert rollout.record.phase is RolloutPhase.ROLLED_BACK and "'died'" in rollout.record.reason
 
 
 def test_harm_to_old_and_new_nodes_alike_holds_the_rollout() -> None:
@@ -157,20 +159,20 @@
 
     hosts = Hosts(5, all_worse)
     rollout = run_rollout(hosts)
-    assert rollout.record.phase is Phase.HELD and "alike" in rollout.record.reason
-    assert rollout.handle_command(Command.ABORT).phase is Phase.BACK
+    assert rollout.record.phase is RolloutPhase.HELD and "alike" in rollout.record.reason
+    assert rollout.handle_command(RolloutCommand.ABORT).phase is RolloutPhase.BACK
 
 
 def test_a_severe_defect_of_few_nodes_is_not_taken_for_common_harm() -> None:
     """The defect affects half of a third of all requests; old nodes do as usual, so the release causes it."""
-    plan = replace(PLAN, stages=(Stage(("n0", "n1", "n2"), 400),), most_out=3)
+    plan = replace(PLAN, stages=(RolloutStage(("n0", "n1", "n2"), 400),), most_out=3)
     for seed in range(4):
         record = run_rollout(Hosts(seed, worse_rates(refused=0.6)), plan).record
-        assert record.phase is Phase.ROLLED_BACK and "'refused'" in record.reason
+        assert record.phase is RolloutPhase.ROLLED_BACK and "'refused'" in record.reason
 
 
 def test_a_failing_zone_with_only_new_nodes_does_not_roll_the_release_back() -> None:
-    plan = replace(PLAN, stages=(Stage(("n0", "n3", "n6", "n1"), 400), Stage(("n2",), 400)))
+    plan = replace(PLAN, stages=(RolloutStage(("n0", "n3", "n6", "n1"), 400), RolloutStage(("n2",), 400)))
 
     def zone_bad(host: str, new: bool, window: int) -> dict[str, float]:
         bad = HOSTS[host] == "z0" and 90 < window < 100
@@ -178,20 +180,22 @@
 
     for seed in range(4):
         record = run_rollout(Hosts(seed, zone_bad), plan).record
-        assert record.phase is Phase.DONE or (record.phase is Phase.HELD and "alike" in record.reason)
+        assert record.phase is RolloutPhase.DONE or (
+            record.phase is RolloutPhase.HELD and "alike" in record.reason
+        )
 
 
 def test_uneven_traffic_does_not_stop_a_rollout() -> None:
     for busy in (400.0, 4.0):
         traffic = {h: busy if h in PLAN.stages[0].hosts else 40.0 for h in HOSTS}
         rollout = run_rollout(Hosts(7, usual_rates, traffic=traffic), windows=1000)
-        assert rollout.record.phase is Phase.DONE, rollout.record.reason
+        assert rollout.record.phase is RolloutPhase.DONE, rollout.record.reason
 
 
 def test_a_stage_that_shows_nothing_is_never_promoted() -> None:
     traffic = dict.fromkeys(HOSTS, 0.0)
     rollout = run_rollout(Hosts(2, usual_rates, traffic=traffic))
-    assert rollout.record.phase is Phase.ROLLED_BACK and "showed nothing" in rollout.record.reason
+    assert rollout.record.phase is RolloutPhase.ROLLED_BACK and "showed nothing" in rollout.record.reason
 
 
 def test_losing_half_of_the_nodes_in_a_stage_stops_further_changes() -> None:
@@ -202,31 +206,31 @@
     hosts = Hosts(4, usual_rates)
     rollout = run_rollout(hosts, windows=60, on_window=lose_hosts)
     assert (
-        rollout.record.phase is Phase.FORWARD
+        rollout.record.phase is RolloutPhase.FORWARD
         and len(rollout.record.new_hosts) <= 3
         and hosts.max_unavailable <= 2
     )
 
 
 def test_an_abort_after_a_promotion_rolls_back_even_if_the_rollback_is_paused() -> None:
-    def abort_and_pause(window: int, rollout: Rollout, hosts: Hosts) -> Record | None:
-        if rollout.record.stage == 1 and rollout.record.phase is Phase.FORWARD:
-            return rollout.handle_command(Command.ABORT)
-        if rollout.record.phase is Phase.BACK and window % 7 == 0:
-            return rollout.handle_command(Command.PAUSE)
-        if rollout.record.phase is Phase.PAUSED and window % 7 == 3:
-            return rollout.handle_command(Command.RESUME)
+    def abort_and_pause(window: int, rollout: Rollout, hosts: Hosts) -> RolloutRecord | None:
+        if rollout.record.stage == 1 and rollout.record.phase is RolloutPhase.FORWARD:
+            return rollout.handle_command(RolloutCommand.ABORT)
+        if rollout.record.phase is RolloutPhase.BACK and window % 7 == 0:
+            return rollout.handle_command(RolloutCommand.PAUSE)
+        if rollout.record.phase is RolloutPhase.PAUSED and window % 7 == 3:
+            return rollout.handle_command(RolloutCommand.RESUME)
         return None
 
     hosts = Hosts(6, usual_rates)
     rollout = run_rollout(hosts, on_window=abort_and_pause)
     assert (
-        rollout.record.phase is Phase.ROLLED_BACK
+        rollout.record.phase is RolloutPhase.ROLLED_BACK
         and set(hosts.releases.values()) == {OLD}
         and hosts.max_unavailable <= 2
     )
     with pytest.raises(PlanError, match="taken back"):
-        rollout.handle_command(Command.PAUSE)
+        rollout.handle_command(RolloutCommand.PAUSE)
 
 
 def test_a_new_controller_continues_from_the_record_alone() -> None:
@@ -238,15 +242,15 @@
     learnt = Rollout()
     for _ in range(60):
         learnt.handle_window(now := now + 5 * S, hosts.reports())
-    record = learnt.start(replace(PLAN, stages=(Stage(("n0",), 1, S),)))
+    record = learnt.start(replace(PLAN, stages=(RolloutStage(("n0",), 1, S),)))
     for window in range(100):
         hosts.carry_out(record)
         if window < 20 or window % 40 == 0:
-            acting = Rollout(Record.from_dict(json.loads(json.dumps(record.as_dict()))))
+            acting = Rollout(RolloutRecord.from_dict(json.loads(json.dumps(record.as_dict()))))
             acting.evidence.baselines = learnt.evidence.baselines
         record = acting.handle_window(now := now + 5 * S, hosts.reports()) or record
         acting.handle_chosen(record)
-    assert record.phase is Phase.DONE and hosts.max_unavailable == 1
+    assert record.phase is RolloutPhase.DONE and hosts.max_unavailable == 1
 
 
 def test_a_second_plan_and_invalid_plans_are_rejected_naming_the_field() -> None:
@@ -259,18 +263,21 @@
     bad: list[tuple[dict[str, object], str]] = [
         ({"new": OLD}, "new:"),
         ({"stages": ()}, "stages:"),
-        ({"stages": (Stage(()),)}, r"stages\[0\].hosts"),
-        ({"stages": (Stage(("n99",)),)}, "n99"),
-        ({"stages": (Stage(("n1",)), Stage(("n1",)))}, "twice"),
+        ({"stages": (RolloutStage(()),)}, r"stages\[0\].hosts"),
+        ({"stages": (RolloutStage(("n99",)),)}, "n99"),
+        ({"stages": (RolloutStage(("n1",)), RolloutStage(("n1",)))}, "twice"),
         ({"most_out": 9}, "most_out:"),
         ({"most_out_zone": 0}, "most_out_zone:"),
         ({"margin": 1.0}, "margin:"),
-        ({"stages": (Stage(("n1",), 0),)}, "least_requests"),
-        ({"stages": (Stage(("n1",), 1, 5, 5),)}, "longest"),
+        ({"stages": (RolloutStage(("n1",), 0),)}, "least_requests"),
+        ({"stages": (RolloutStage(("n1",), 1, 5, 5),)}, "longest"),
     ]
     for changes, field in bad:
         with pytest.raises(PlanError, match=field):
             Rollout().start(replace(PLAN, **changes))  # type: ignore[arg-type]
     with pytest.raises(PlanError, match="format"):
-        Record.from_dict(Record(1, Phase.FORWARD, PLAN).as_dict() | {"format": 2})
-    assert Record.from_dict(Record(1, Phase.FORWARD, PLAN).as_dict() | {"later": 1}).plan == PLAN
+        RolloutRecord.from_dict(RolloutRecord(1, RolloutPhase.FORWARD, PLAN).as_dict() | {"format": 2})
+    assert (
+        RolloutRecord.from_dict(RolloutRecord(1, RolloutPhase.FORWARD, PLAN).as_dict() | {"later": 1}).plan
+        == PLAN
+    )
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -14,7 +14,7 @@
 import pytest
 from world import run, until
 
-from tuliptrack.decisions.rollout_plan import Release
+from tuliptrack.decisions.rollout_plan import NodeRelease
 from tuliptrack.fleet.agent import Agent
 from tuliptrack.fleet.unary_call import CallError, call_unary
 from tuliptrack.proto import rollout_pb2 as pb
@@ -24,7 +24,7 @@
 CALL_TIMEOUT_US = 2_000_000
 TIMEOUT_S = 60
 """For one test."""
-ONE, TWO = Release("one", "conf"), Release("two", "conf")
+ONE, TWO = NodeRelease("one", "conf"), NodeRelease("two", "conf")
 NODE = f"#!{sys.executable}\nimport json, time\nprint(json.dumps({{'address': '127.0.0.1:9'}}), flush=True)\ntime.sleep(600)\n"
 IGNORES_SIGTERM = NODE.replace(
     "import json, time", "import json, signal, time; signal.signal(signal.SIGTERM, signal.SIG_IGN)"
@@ -66,7 +66,7 @@
         request = pb.AcceptRequest(mark=pb.Mark(epoch=epoch, number=number), value=value)
         return await call_unary(self.channel, "Agent/Accept", request, pb.AgentAnswer, CALL_TIMEOUT_US)
 
-    async def order(self, epoch: int, number: int, release: Release) -> pb.HostReport:
+    async def order(self, epoch: int, number: int, release: NodeRelease) -> pb.HostReport:
         request = pb.LookRequest(
             order=pb.Mark(epoch=epoch, number=number),
             release=pb.ReleaseName(program=release.program, settings=release.settings),
@@ -159,9 +159,9 @@
             await until(lambda: host.agent.node.ready_at_us)
             pid = host.agent.node.pid
             for release, fault in (
-                (Release("three", "conf"), "'three' is not at hand"),
-                (Release("two", "x"), "'x' are not at hand"),
-                (Release("../one", "conf"), "no digest"),
+                (NodeRelease("three", "conf"), "'three' is not at hand"),
+                (NodeRelease("two", "x"), "'x' are not at hand"),
+                (NodeRelease("../one", "conf"), "no digest"),
             ):
                 assert fault in (await host.order(1, 1, release)).trouble
             assert host.agent.node.pid == pid and host.agent.node.running == ONE
--- a/tests/fleet/test_hostile_values.py
+++ b/tests/fleet/test_hostile_values.py
@@ -16,18 +16,18 @@
 from hypothesis import settings as examples
 from json_values import any_json
 
-from tuliptrack.decisions.rollout_plan import Plan, PlanError, Release, Stage
-from tuliptrack.decisions.rollout_record import Phase, Record
+from tuliptrack.decisions.rollout_plan import NodeRelease, PlanError, RolloutPlan, RolloutStage
+from tuliptrack.decisions.rollout_record import RolloutPhase, RolloutRecord
 from tuliptrack.fleet.log_metrics import LogMetrics
 from tuliptrack.fleet.plan_parsing import parse_plan
 
-PLAN = Plan(
-    Release("one", "conf"),
-    Release("two", "conf"),
+PLAN = RolloutPlan(
+    NodeRelease("one", "conf"),
+    NodeRelease("two", "conf"),
     {"h0": "z", "h1": "z"},
-    (Stage(("h0",), 10, 1, 60), Stage(("h1",), 10, 1, 60)),
+    (RolloutStage(("h0",), 10, 1, 60), RolloutStage(("h1",), 10, 1, 60)),
 )
-RECORD = Record(1, Phase.FORWARD, PLAN, 0, frozenset({"h0"}), "because", Phase.NONE)
+RECORD = RolloutRecord(1, RolloutPhase.FORWARD, PLAN, 0, frozenset({"h0"}), "because", RolloutPhase.NONE)
 RECORD_FIELDS = tuple(RECORD.as_dict())
 
 
@@ -35,16 +35,16 @@
 @given(value=any_json)
 @examples(max_examples=50, deadline=None, derandomize=True)
 def test_any_value_in_a_record_is_used_or_is_the_error_of_plans(field: str, value: Any) -> None:
-    assert Record.from_dict(RECORD.as_dict()) == RECORD
+    assert RolloutRecord.from_dict(RECORD.as_dict()) == RECORD
     with suppress(PlanError):
-        Record.from_dict({**RECORD.as_dict(), field: value})
+        RolloutRecord.from_dict({**RECORD.as_dict(), field: value})
 
 
 @given(value=any_json)
 @examples(max_examples=100, deadline=None, derandomize=True)
 def test_any_value_is_a_record_or_the_error_of_plans(value: Any) -> None:
     with suppress(PlanError):
-        Record.from_dict(value)
+        RolloutRecord.from_dict(value)
 
 
 @given(stages=any_json, old=any_json, zones=any_json)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -22,7 +22,7 @@
 from world import KINDS, SETTINGS, World, run, until
 
 from tuliptrack.decisions.consensus import MAX_CONTROLLERS
-from tuliptrack.decisions.rollout_plan import Plan, Release, Stage
+from tuliptrack.decisions.rollout_plan import NodeRelease, RolloutPlan, RolloutStage
 from tuliptrack.fleet.unary_call import CallError, call_unary
 from tuliptrack.lab.engine import Engine
 from tuliptrack.lab.wire import Cut, Wire
@@ -181,11 +181,14 @@
         )
 
     def plan(self, program: str, **changes: Any) -> pb.BeginRequest:
-        plan = Plan(
-            Release(GOOD, CONF),
-            Release(program, CONF),
+        plan = RolloutPlan(
+            NodeRelease(GOOD, CONF),
+            NodeRelease(program, CONF),
             dict.fromkeys(HOSTS, "z"),
-            (Stage(("h0",), 60, 2_000_000, 60_000_000), Stage(("h1", "h2"), 60, 1_000_000, 60_000_000)),
+            (
+                RolloutStage(("h0",), 60, 2_000_000, 60_000_000),
+                RolloutStage(("h1", "h2"), 60, 1_000_000, 60_000_000),
+            ),
             margin=0.2,
             least_learnt=2,
             allowance=300_000,
--- a/tests/stored/test_files_of_c9c5611.py
+++ b/tests/stored/test_files_of_c9c5611.py
@@ -14,8 +14,8 @@
 from tuliptrack.config.node import load
 from tuliptrack.decisions.billing import UsageOutcome, compute_bills
 from tuliptrack.decisions.consensus import Ballot
-from tuliptrack.decisions.rollout_plan import Release
-from tuliptrack.decisions.rollout_record import Phase, Record
+from tuliptrack.decisions.rollout_plan import NodeRelease
+from tuliptrack.decisions.rollout_record import RolloutPhase, RolloutRecord
 from tuliptrack.fleet.agent_state import load_state
 from tuliptrack.interface import EndpointState, Role
 from tuliptrack.sources.endpoint_list import EndpointList, load_cache
@@ -59,23 +59,23 @@
 
 def test_the_record_of_a_rollout_is_read_and_written_alike() -> None:
     stored = json.loads((HERE / "rollout-record.json").read_text())
-    record = Record.from_dict(stored)
+    record = RolloutRecord.from_dict(stored)
     assert (record.number, record.phase, record.stage, record.reason) == (
         3,
-        Phase.PAUSED,
+        RolloutPhase.PAUSED,
         1,
         "held by a person",
     )
-    assert record.plan and record.plan.old == Release("prog-1", "set-1")
+    assert record.plan and record.plan.old == NodeRelease("prog-1", "set-1")
     assert [stage.hosts for stage in record.plan.stages] == [("h0",), ("h1", "h2")]
     assert json.loads(json.dumps(record.as_dict())) == stored
 
 
 def test_the_state_of_an_agent_is_read() -> None:
     state = load_state(HERE / "agent-state")
-    assert state and state.release == Release("prog-1", "set-1") and state.change_count == 4
+    assert state and state.release == NodeRelease("prog-1", "set-1") and state.change_count == 4
     assert state.order == state.acceptor.ballot == Ballot(65, 2) and state.acceptor.promised_epoch == 65
-    assert Record.from_dict(json.loads(state.acceptor.value)).phase is Phase.PAUSED
+    assert RolloutRecord.from_dict(json.loads(state.acceptor.value)).phase is RolloutPhase.PAUSED
 
 
 def test_a_settings_file_means_the_same() -> None:
--- a/tuliptrack/cli/agent.py
+++ b/tuliptrack/cli/agent.py
@@ -8,7 +8,7 @@
 import click
 
 from tuliptrack.cli.running import run_until_told
-from tuliptrack.decisions.rollout_plan import Release
+from tuliptrack.decisions.rollout_plan import NodeRelease
 from tuliptrack.fleet.agent import Agent
 from tuliptrack.node.logs import set_up
 from tuliptrack.rpc.process_signals import STOP_SIGNALS, ProcessSignals
@@ -34,7 +34,7 @@
     signals = ProcessSignals(*STOP_SIGNALS)
     set_up(json_lines=True)
     try:
-        one = Agent(host, folder, Release(program, settings))
+        one = Agent(host, folder, NodeRelease(program, settings))
         asyncio.run(run_until_told(one, listen, signals, life=one.incarnation))
     except (SealedError, OSError) as error:
         raise click.ClickException(str(error)) from None
--- a/tuliptrack/decisions/rollout.py
+++ b/tuliptrack/decisions/rollout.py
@@ -1,6 +1,6 @@
 """Decides the steps of a rollout in stages, and its rollback if new nodes do worse.
 
-`Rollout` takes the reports of agents and the commands of operators, and returns the next `Record`. A
+`Rollout` takes the reports of agents and the commands of operators, and returns the next `RolloutRecord`. A
 controller that takes over continues from the record; the evidence of the stage is collected again from the
 start, which can only make the stage longer.
 
@@ -20,16 +20,16 @@
 from enum import Enum
 
 from tuliptrack.decisions.rollout_evidence import NodeReport, RolloutEvidence
-from tuliptrack.decisions.rollout_plan import Plan, PlanError, Stage
-from tuliptrack.decisions.rollout_record import Phase, Record
+from tuliptrack.decisions.rollout_plan import PlanError, RolloutPlan, RolloutStage
+from tuliptrack.decisions.rollout_record import RolloutPhase, RolloutRecord
 
-__all__ = ["Command", "Rollout"]
+__all__ = ["Rollout", "RolloutCommand"]
 
 ROLLBACK_READY_FACTOR = 2
 """Multiple of a plan's `ready_within` in which a rolled-back node must be ready with the old release."""
 
 
-class Command(Enum):
+class RolloutCommand(Enum):
     """What an operator may command; the values are sent."""
 
     PAUSE = "pause"
@@ -40,9 +40,9 @@
 class Rollout:
     """Decides the next record from the last one that a quorum has accepted."""
 
-    def __init__(self, record: Record | None = None) -> None:
+    def __init__(self, record: RolloutRecord | None = None) -> None:
         """Continue from a record, or start without a rollout."""
-        self.record = record or Record()
+        self.record = record or RolloutRecord()
         self.evidence = RolloutEvidence()
         self._stage_since_us = 0
         """When this controller first saw the stage or phase; 0 before."""
@@ -56,7 +56,7 @@
         """Hosts that are not ready, send no reports, or do not yet run their assigned release."""
         return frozenset(self._unavailable_since_us)
 
-    def start(self, plan: Plan) -> Record:
+    def start(self, plan: RolloutPlan) -> RolloutRecord:
         """Return the record that starts a plan; PlanError if it is not possible or one is under way."""
         if self.record.phase.is_under_way:
             raise PlanError(f"plan: rollout {self.record.number} is under way ({self.record.phase.value})")
@@ -66,22 +66,33 @@
             raise PlanError(
                 f"least_learnt: {plan.least_learnt} windows are wanted, {learnt} are known so far"
             )
-        return Record(self.record.number + 1, Phase.FORWARD, plan, reason="started by an operator")
+        return RolloutRecord(
+            self.record.number + 1, RolloutPhase.FORWARD, plan, reason="started by an operator"
+        )
 
-    def handle_command(self, command: Command) -> Record:
+    def handle_command(self, command: RolloutCommand) -> RolloutRecord:
         """Return the record that a command leads to; PlanError if it does not apply in this phase."""
         record, phase = self.record, self.record.phase
-        if command is Command.PAUSE and phase in (Phase.FORWARD, Phase.BACK):
-            return replace(record, phase=Phase.PAUSED, interrupted=phase, reason="paused by an operator")
-        if command is Command.RESUME and phase in (Phase.PAUSED, Phase.HELD):
+        if command is RolloutCommand.PAUSE and phase in (RolloutPhase.FORWARD, RolloutPhase.BACK):
+            return replace(
+                record, phase=RolloutPhase.PAUSED, interrupted=phase, reason="paused by an operator"
+            )
+        if command is RolloutCommand.RESUME and phase in (RolloutPhase.PAUSED, RolloutPhase.HELD):
             return replace(
-                record, phase=record.interrupted, interrupted=Phase.NONE, reason="resumed by an operator"
+                record,
+                phase=record.interrupted,
+                interrupted=RolloutPhase.NONE,
+                reason="resumed by an operator",
             )
-        if command is Command.ABORT and phase in (Phase.FORWARD, Phase.PAUSED, Phase.HELD):
+        if command is RolloutCommand.ABORT and phase in (
+            RolloutPhase.FORWARD,
+            RolloutPhase.PAUSED,
+            RolloutPhase.HELD,
+        ):
             return self._roll_back("aborted by an operator")
         raise PlanError(f"command: cannot {command.value} a rollout in phase {phase.value!r}")
 
-    def handle_chosen(self, record: Record) -> None:
+    def handle_chosen(self, record: RolloutRecord) -> None:
         """Continue from a record that a quorum has accepted."""
         is_new_rollout = record.number != self.record.number
         is_new_phase = is_new_rollout or record.phase != self.record.phase
@@ -94,7 +105,7 @@
             self._unavailable_since_us = {}
         self.record = record
 
-    def handle_window(self, now_us: int, reports: Iterable[NodeReport]) -> Record | None:
+    def handle_window(self, now_us: int, reports: Iterable[NodeReport]) -> RolloutRecord | None:
         """Return the record that a window's reports lead to; None if nothing changes.
 
         A host without a report counts as unavailable.
@@ -106,13 +117,13 @@
             return None
         self._stage_since_us = self._stage_since_us or now_us
         self._find_unavailable(now_us, plan, by_host)
-        if self.record.phase in (Phase.PAUSED, Phase.HELD):
+        if self.record.phase in (RolloutPhase.PAUSED, RolloutPhase.HELD):
             return None
-        if self.record.phase is Phase.BACK:
+        if self.record.phase is RolloutPhase.BACK:
             return self._next_rollback_step(now_us, plan, by_host)
         return self._stop_if_harmful(now_us, plan, by_host) or self._next_step(now_us, plan)
 
-    def _find_unavailable(self, now_us: int, plan: Plan, by_host: Mapping[str, NodeReport]) -> None:
+    def _find_unavailable(self, now_us: int, plan: RolloutPlan, by_host: Mapping[str, NodeReport]) -> None:
         known = self._unavailable_since_us
         self._unavailable_since_us = {
             host: known.get(host, now_us)
@@ -122,7 +133,9 @@
             or by_host[host].release != self.record.release(host)
         }
 
-    def _stop_if_harmful(self, now_us: int, plan: Plan, by_host: Mapping[str, NodeReport]) -> Record | None:
+    def _stop_if_harmful(
+        self, now_us: int, plan: RolloutPlan, by_host: Mapping[str, NodeReport]
+    ) -> RolloutRecord | None:
         """Return the record that stops the rollout, if there is reason to; otherwise None."""
         if fault := self._fault_of_new_host(now_us, plan, by_host):
             return self._roll_back(fault)
@@ -144,7 +157,7 @@
             return self._hold(f"old and new nodes alike do worse than usual: {share:.0%} more of requests")
         return self._stop_if_overdue(now_us, plan)
 
-    def _fault_of_new_host(self, now_us: int, plan: Plan, by_host: Mapping[str, NodeReport]) -> str:
+    def _fault_of_new_host(self, now_us: int, plan: RolloutPlan, by_host: Mapping[str, NodeReport]) -> str:
         """Return why one host alone is reason enough to roll back; empty if none is."""
         for host in sorted(self.record.new_hosts):
             report = by_host.get(host)
@@ -161,7 +174,7 @@
         since_us = self._unavailable_since_us.get(host)
         return since_us is not None and now_us - since_us > limit_us
 
-    def _stop_if_overdue(self, now_us: int, plan: Plan) -> Record | None:
+    def _stop_if_overdue(self, now_us: int, plan: RolloutPlan) -> RolloutRecord | None:
         stage = self._stage(plan)
         is_overdue = now_us - self._stage_since_us > stage.longest
         has_old_hosts = not self.record.new_hosts >= set(plan.zones)
@@ -171,13 +184,13 @@
             )
         return None
 
-    def _stage(self, plan: Plan) -> Stage:
+    def _stage(self, plan: RolloutPlan) -> RolloutStage:
         return plan.stages[self.record.stage]
 
-    def _is_shown_no_worse(self, plan: Plan) -> bool:
+    def _is_shown_no_worse(self, plan: RolloutPlan) -> bool:
         return self.evidence.is_shown_no_worse(self._stage(plan).least_requests, plan.margin)
 
-    def _next_step(self, now_us: int, plan: Plan) -> Record | None:
+    def _next_step(self, now_us: int, plan: RolloutPlan) -> RolloutRecord | None:
         """Return the record that changes the next hosts of the stage or promotes it; None to wait."""
         stage = self._stage(plan)
         remaining = [host for host in stage.hosts if host not in self.record.new_hosts]
@@ -199,25 +212,27 @@
             return None
         return self._promote(plan) if is_last or self._is_shown_no_worse(plan) else None
 
-    def _promote(self, plan: Plan) -> Record:
+    def _promote(self, plan: RolloutPlan) -> RolloutRecord:
         if self.record.stage + 1 < len(plan.stages):
             return replace(
                 self.record,
                 stage=self.record.stage + 1,
                 reason=f"stage {self.record.stage + 1} showed new nodes to be no worse",
             )
-        return replace(self.record, phase=Phase.DONE, reason="all stages showed new nodes to be no worse")
+        return replace(
+            self.record, phase=RolloutPhase.DONE, reason="all stages showed new nodes to be no worse"
+        )
 
-    def _roll_back(self, reason: str) -> Record:
-        return replace(self.record, phase=Phase.BACK, interrupted=Phase.NONE, reason=reason)
+    def _roll_back(self, reason: str) -> RolloutRecord:
+        return replace(self.record, phase=RolloutPhase.BACK, interrupted=RolloutPhase.NONE, reason=reason)
 
-    def _hold(self, reason: str) -> Record:
+    def _hold(self, reason: str) -> RolloutRecord:
         reason = f"{reason}; an operator has to decide"
-        return replace(self.record, phase=Phase.HELD, interrupted=self.record.phase, reason=reason)
+        return replace(self.record, phase=RolloutPhase.HELD, interrupted=self.record.phase, reason=reason)
 
     def _next_rollback_step(
-        self, now_us: int, plan: Plan, by_host: Mapping[str, NodeReport]
-    ) -> Record | None:
+        self, now_us: int, plan: RolloutPlan, by_host: Mapping[str, NodeReport]
+    ) -> RolloutRecord | None:
         """Return the record that rolls back the next hosts: first unavailable ones, which serve nothing."""
         new_hosts = self.record.new_hosts
         for host in sorted(self._unavailable - new_hosts):
@@ -228,10 +243,10 @@
         if next_hosts := self._changeable(plan, sorted(new_hosts)):
             return replace(self.record, new_hosts=new_hosts - next_hosts)
         if not new_hosts and not self._unavailable:
-            return replace(self.record, phase=Phase.ROLLED_BACK)
+            return replace(self.record, phase=RolloutPhase.ROLLED_BACK)
         return None
 
-    def _changeable(self, plan: Plan, hosts: Iterable[str]) -> frozenset[str]:
+    def _changeable(self, plan: RolloutPlan, hosts: Iterable[str]) -> frozenset[str]:
         """Return the first of these hosts that the limits allow to be unavailable besides those that are."""
         chosen: set[str] = set()
         for host in hosts:
--- a/tuliptrack/decisions/rollout_evidence.py
+++ b/tuliptrack/decisions/rollout_evidence.py
@@ -12,7 +12,7 @@
 from math import log
 from typing import NamedTuple
 
-from tuliptrack.decisions.rollout_plan import Release
+from tuliptrack.decisions.rollout_plan import NodeRelease
 from tuliptrack.decisions.sequential_test import Baseline, Excess, NodeWindow, SequentialTest, Stratum
 
 __all__ = ["MEASURES", "NodeReport", "RequestCounts", "RolloutEvidence"]
@@ -47,7 +47,7 @@
 
     host: str
     zone: str
-    release: Release | None
+    release: NodeRelease | None
     """The release that runs; None if none does."""
     is_ready: bool = True
     ready_for_us: int = 0
--- a/tuliptrack/decisions/rollout_plan.py
+++ b/tuliptrack/decisions/rollout_plan.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-__all__ = ["Plan", "PlanError", "Release", "Stage"]
+__all__ = ["NodeRelease", "PlanError", "RolloutPlan", "RolloutStage"]
 
 SHOWN_DIGEST_CHARS = 12
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Release:
+class NodeRelease:
     """What a node runs: digests of its program and of its settings."""
 
     program: str
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stage:
+class RolloutStage:
     """Hosts that change in this stage, and the conditions for going on to the next."""
 
     hosts: tuple[str, ...]
@@ -44,14 +44,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class RolloutPlan:
     """A rollout from one release to another."""
 
-    old: Release
-    new: Release
+    old: NodeRelease
+    new: NodeRelease
     zones: Mapping[str, str]
     """The zone of every host of the fleet."""
-    stages: tuple[Stage, ...]
+    stages: tuple[RolloutStage, ...]
     most_out: int = 1
     """Nodes that may be unavailable at once, for any reason: no change begins that would exceed it."""
     most_out_zone: int = 1
@@ -92,7 +92,7 @@
                     raise PlanError(f"stages[{i}].hosts: {host!r} is in two stages or twice in one")
                 seen.add(host)
 
-    def _check_stage(self, name: str, stage: Stage) -> None:
+    def _check_stage(self, name: str, stage: RolloutStage) -> None:
         if stage.least_requests < 1:
             raise PlanError(f"{name}.least_requests: must be above 0, got {stage.least_requests}")
         if stage.longest <= self.ready_within + self.allowance + stage.shortest:
--- a/tuliptrack/decisions/rollout_record.py
+++ b/tuliptrack/decisions/rollout_record.py
@@ -11,9 +11,9 @@
 from enum import Enum
 from typing import Any
 
-from tuliptrack.decisions.rollout_plan import Plan, PlanError, Release, Stage
+from tuliptrack.decisions.rollout_plan import NodeRelease, PlanError, RolloutPlan, RolloutStage
 
-__all__ = ["Phase", "Record"]
+__all__ = ["RolloutPhase", "RolloutRecord"]
 
 FORMAT = 1
 """Version of the JSON form; a newer one is rejected, as it may mean something else."""
@@ -37,7 +37,7 @@
 )
 
 
-class Phase(Enum):
+class RolloutPhase(Enum):
     """Phase of a rollout; the values are stored."""
 
     NONE = "none"
@@ -53,25 +53,25 @@
     @property
     def is_under_way(self) -> bool:
         """Whether a rollout has begun and not ended."""
-        return self not in (Phase.NONE, Phase.DONE, Phase.ROLLED_BACK)
+        return self not in (RolloutPhase.NONE, RolloutPhase.DONE, RolloutPhase.ROLLED_BACK)
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class RolloutRecord:
     """What was decided last about a rollout."""
 
     number: int = 0
     """Number of the rollout."""
-    phase: Phase = Phase.NONE
-    plan: Plan | None = None
+    phase: RolloutPhase = RolloutPhase.NONE
+    plan: RolloutPlan | None = None
     stage: int = 0
     new_hosts: frozenset[str] = frozenset()
     """Hosts of the plan that run, or are to run, the new release."""
     reason: str = ""
-    interrupted: Phase = Phase.NONE
+    interrupted: RolloutPhase = RolloutPhase.NONE
     """The phase that a pause or a hold has interrupted."""
 
-    def release(self, host: str) -> Release | None:
+    def release(self, host: str) -> NodeRelease | None:
         """Return what a host is to run; None if nothing is decided about it."""
         if self.plan is None or host not in self.plan.zones:
             return None
@@ -92,7 +92,7 @@
         }
 
     @staticmethod
-    def from_dict(json_form: Mapping[str, Any]) -> Record:
+    def from_dict(json_form: Mapping[str, Any]) -> RolloutRecord:
         """Return the record of a JSON form; unknown fields are ignored.
 
         Raises:
@@ -101,30 +101,32 @@
         # Callers expect PlanError only. Any other error from a stored value of another form would leave a
         # controller that leads but decides nothing any more.
         try:
-            return Record._from_dict(json_form)
+            return RolloutRecord._from_dict(json_form)
         except _FORM_ERRORS as error:
             raise PlanError(f"record: {type(error).__name__}: {error}") from None
 
     @staticmethod
-    def _from_dict(json_form: Mapping[str, Any]) -> Record:
+    def _from_dict(json_form: Mapping[str, Any]) -> RolloutRecord:
         if json_form.get("format", 0) > FORMAT:
             raise PlanError(f"format: {json_form['format']} is newer than {FORMAT}, which this program knows")
         plan = json_form.get("plan")
-        return Record(
+        return RolloutRecord(
             json_form["number"],
-            Phase(json_form["phase"]),
+            RolloutPhase(json_form["phase"]),
             None if plan is None else _plan_from_dict(plan),
             json_form["stage"],
             frozenset(json_form["wanted"]),
             json_form["reason"],
-            Phase(json_form["before"]),
+            RolloutPhase(json_form["before"]),
         )
 
 
-def _plan_from_dict(plan: Mapping[str, Any]) -> Plan:
+def _plan_from_dict(plan: Mapping[str, Any]) -> RolloutPlan:
     stages = tuple(
-        Stage(tuple(stage["hosts"]), stage["least_requests"], stage["shortest"], stage["longest"])
+        RolloutStage(tuple(stage["hosts"]), stage["least_requests"], stage["shortest"], stage["longest"])
         for stage in plan["stages"]
     )
     optional = {name: plan[name] for name in _OPTIONAL_PLAN_FIELDS if name in plan}
-    return Plan(Release(**plan["old"]), Release(**plan["new"]), plan["zones"], stages, **optional)
+    return RolloutPlan(
+        NodeRelease(**plan["old"]), NodeRelease(**plan["new"]), plan["zones"], stages, **optional
+    )
--- a/tuliptrack/fleet/agent.py
+++ b/tuliptrack/fleet/agent.py
@@ -16,7 +16,7 @@
 import structlog
 
 from tuliptrack.decisions.consensus import FIRST_BALLOT, Acceptor, Ballot
-from tuliptrack.decisions.rollout_plan import Release
+from tuliptrack.decisions.rollout_plan import NodeRelease
 from tuliptrack.fleet.agent_state import AgentState, load_state, save_state
 from tuliptrack.fleet.host_folder import HostFolder
 from tuliptrack.fleet.log_metrics import ALL_REQUESTS, MEASURES, LogMetrics
@@ -37,7 +37,7 @@
 class Agent:
     """One host's agent. `start`, then `stop`, which leaves the node running."""
 
-    def __init__(self, host: str, root: Path, initial_release: Release) -> None:
+    def __init__(self, host: str, root: Path, initial_release: NodeRelease) -> None:
         """Read what an earlier agent stored in the folder.
 
         Args:
@@ -120,12 +120,12 @@
     def _handle_report_request(self, call: ServerCall, request: pb.LookRequest) -> None:
         obeyed = True
         if request.HasField("order"):
-            release = Release(request.release.program, request.release.settings)
+            release = NodeRelease(request.release.program, request.release.settings)
             obeyed = self._obey(Ballot(request.order.epoch, request.order.number), release)
         call.send(self._report(obeyed).SerializeToString())
         call.end(Status(Code.OK))
 
-    def _obey(self, order: Ballot, release: Release) -> bool:
+    def _obey(self, order: Ballot, release: NodeRelease) -> bool:
         """Carry out an order; one without a release only shows that there is a leader.
 
         Returns:
@@ -139,7 +139,7 @@
             self.order_fault = self._folder.missing(release) or self._change_release(order, release)
         return True
 
-    def _change_release(self, order: Ballot, release: Release) -> str:
+    def _change_release(self, order: Ballot, release: NodeRelease) -> str:
         """Run a release from now on; return why not, or an empty text."""
         change_count = self.state.change_count + (release != self.state.release)
         try:
--- a/tuliptrack/fleet/agent_state.py
+++ b/tuliptrack/fleet/agent_state.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from tuliptrack.decisions.consensus import Acceptor, Ballot
-from tuliptrack.decisions.rollout_plan import Release
+from tuliptrack.decisions.rollout_plan import NodeRelease
 from tuliptrack.store import sealed
 
 __all__ = ["FORMAT_VERSION", "AgentState", "load_state", "save_state"]
@@ -27,7 +27,7 @@
     acceptor: Acceptor
     order: Ballot
     """Ballot of the record that the last order followed from."""
-    release: Release
+    release: NodeRelease
     """What has to run."""
     change_count: int = 0
     """Orders that changed the release."""
@@ -50,7 +50,7 @@
     return AgentState(
         Acceptor(stored["promised"], Ballot(*stored["mark"]), base64.b64decode(stored["value"])),
         Ballot(*stored["order"]),
-        Release(*stored["release"]),
+        NodeRelease(*stored["release"]),
         stored["changes"],
     )
 
--- a/tuliptrack/fleet/controller.py
+++ b/tuliptrack/fleet/controller.py
@@ -17,7 +17,7 @@
 
 from tuliptrack.decisions.rollout import Rollout
 from tuliptrack.decisions.rollout_plan import PlanError
-from tuliptrack.decisions.rollout_record import Record
+from tuliptrack.decisions.rollout_record import RolloutRecord
 from tuliptrack.fleet.agent_calls import AgentCalls
 from tuliptrack.fleet.host import Host
 from tuliptrack.fleet.operator_service import OperatorService
@@ -183,7 +183,7 @@
         """Put a settled record in force."""
         before = self._rollout.record
         try:
-            record = Record.from_dict(parse_json(value)) if value else Record()
+            record = RolloutRecord.from_dict(parse_json(value)) if value else RolloutRecord()
         except (InvalidJsonError, PlanError) as error:
             log.error("record rejected", reason=str(error))
             self._consensus.resign()
--- a/tuliptrack/fleet/host_folder.py
+++ b/tuliptrack/fleet/host_folder.py
@@ -11,7 +11,7 @@
 import re
 from pathlib import Path
 
-from tuliptrack.decisions.rollout_plan import Release
+from tuliptrack.decisions.rollout_plan import NodeRelease
 from tuliptrack.store.sealed import SealedError
 
 __all__ = ["HostFolder"]
@@ -41,15 +41,15 @@
         """Let another agent have the folder."""
         os.close(self._lock)
 
-    def program(self, release: Release) -> Path:
+    def program(self, release: NodeRelease) -> Path:
         """Return the path of a release's program."""
         return self.root / "programs" / release.program / "run"
 
-    def settings(self, release: Release) -> Path:
+    def settings(self, release: NodeRelease) -> Path:
         """Return the path of a release's settings."""
         return self.root / "settings" / release.settings
 
-    def missing(self, release: Release) -> str:
+    def missing(self, release: NodeRelease) -> str:
         """Return what a release lacks to be run here, as a text for operators; empty if nothing."""
         for field, name in (("program", release.program), ("settings", release.settings)):
             if not DIGEST.fullmatch(name):
--- a/tuliptrack/fleet/node_process.py
+++ b/tuliptrack/fleet/node_process.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from tuliptrack.decisions.rollout_plan import Release
+from tuliptrack.decisions.rollout_plan import NodeRelease
 from tuliptrack.fleet.host_folder import HostFolder
 
 __all__ = ["NodeProcess", "find_node", "start_node"]
@@ -33,7 +33,7 @@
     pid: int
     start_time: str
     """By the kernel's count: with another one, the pid is that of another process."""
-    release: Release
+    release: NodeRelease
     child: subprocess.Popen[bytes] | None = None
     """If this agent started it."""
 
@@ -60,7 +60,7 @@
     return None
 
 
-def _release_of(entry: Path, root: Path) -> Release | None:
+def _release_of(entry: Path, root: Path) -> NodeRelease | None:
     """Return the release in the mark of a process, or None if that is no node of this folder."""
     prefix = f"{MARK_VARIABLE}={root}{MARK_SEPARATOR}".encode()
     variables = (entry / "environ").read_bytes().split(b"\0")
@@ -68,7 +68,7 @@
     if not marks:
         return None
     _, program, settings = marks[0].decode().split(MARK_SEPARATOR)
-    return Release(program, settings)
+    return NodeRelease(program, settings)
 
 
 def _start_time(pid: int) -> str:
@@ -80,7 +80,7 @@
     return "" if fields[STATE_FIELD] == ZOMBIE else fields[START_TIME_FIELD]
 
 
-def start_node(folder: HostFolder, release: Release) -> NodeProcess:
+def start_node(folder: HostFolder, release: NodeRelease) -> NodeProcess:
     """Start a node.
 
     Raises:
--- a/tuliptrack/fleet/node_supervisor.py
+++ b/tuliptrack/fleet/node_supervisor.py
@@ -15,7 +15,7 @@
 
 import structlog
 
-from tuliptrack.decisions.rollout_plan import Release
+from tuliptrack.decisions.rollout_plan import NodeRelease
 from tuliptrack.fleet.host_folder import HostFolder
 from tuliptrack.fleet.node_process import NodeProcess, find_node, start_node
 from tuliptrack.rpc.clock import now_us
@@ -51,7 +51,7 @@
 class NodeSupervisor:
     """One host's node. `find`, then `watch` for as long as the agent runs."""
 
-    def __init__(self, folder: HostFolder, release: Release) -> None:
+    def __init__(self, folder: HostFolder, release: NodeRelease) -> None:
         """Prepare to run `release`; nothing is started yet."""
         self.fault = ""
         """Why the node could not be started last, for operators; empty once it could."""
@@ -74,11 +74,11 @@
         return self._node.pid if self._node else 0
 
     @property
-    def running(self) -> Release | None:
+    def running(self) -> NodeRelease | None:
         """The release that runs, ready or not."""
         return self._node.release if self._node else None
 
-    def run_release(self, release: Release) -> None:
+    def run_release(self, release: NodeRelease) -> None:
         """Run this release from now on; it is started without any backoff from earlier failures."""
         self._release = release
         self._backoff.reset()
--- a/tuliptrack/fleet/operator_service.py
+++ b/tuliptrack/fleet/operator_service.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tuliptrack.decisions.rollout import Command, Rollout
-from tuliptrack.decisions.rollout_plan import Plan, PlanError, Release
-from tuliptrack.decisions.rollout_record import Phase, Record
+from tuliptrack.decisions.rollout import Rollout, RolloutCommand
+from tuliptrack.decisions.rollout_plan import NodeRelease, PlanError, RolloutPlan
+from tuliptrack.decisions.rollout_record import RolloutPhase, RolloutRecord
 from tuliptrack.fleet.host import Host
 from tuliptrack.fleet.plan_parsing import parse_plan
 from tuliptrack.fleet.record_consensus import RecordConsensus
@@ -29,7 +29,7 @@
 @dataclass(frozen=True, slots=True)
 class _PendingDecision:
     call: ServerCall
-    record: Record
+    record: RolloutRecord
 
 
 class OperatorService:
@@ -55,7 +55,7 @@
         server.add(SERVICE, "State", unary_request(pb.StateRequest, lambda call, _: self._send_state(call)))
 
     @property
-    def decided_record(self) -> Record | None:
+    def decided_record(self) -> RolloutRecord | None:
         """The record that an operator's decision asks for, until it is answered."""
         return self._pending.record if self._pending else None
 
@@ -85,11 +85,11 @@
         except PlanError as error:
             call.end(Status(Code.INVALID_ARGUMENT, str(error)))
 
-    def _is_under_way(self, plan: Plan) -> bool:
+    def _is_under_way(self, plan: RolloutPlan) -> bool:
         record = self._rollout.record
-        return plan == record.plan and record.phase in (Phase.FORWARD, Phase.PAUSED)
+        return plan == record.plan and record.phase in (RolloutPhase.FORWARD, RolloutPhase.PAUSED)
 
-    def _check_zones(self, plan: Plan) -> None:
+    def _check_zones(self, plan: RolloutPlan) -> None:
         zones = {name: host.zone for name, host in self._hosts.items()}
         if dict(plan.zones) != zones:
             name, zone = min(set(plan.zones.items()) ^ set(zones.items()))
@@ -99,7 +99,7 @@
         if not self._require_leader(call):
             return
         try:
-            self._decide(call, self._rollout.handle_command(Command(request.command)))
+            self._decide(call, self._rollout.handle_command(RolloutCommand(request.command)))
         except ValueError as error:
             call.end(Status(Code.INVALID_ARGUMENT, str(error)))
 
@@ -109,7 +109,7 @@
             call.end(Status(Code.FAILED_PRECONDITION, f"controller {self._number} does not act"))
         return self._consensus.is_leader
 
-    def _decide(self, call: ServerCall, record: Record) -> None:
+    def _decide(self, call: ServerCall, record: RolloutRecord) -> None:
         if self._pending:
             text = "another decision is being settled; trying again is harmless"
             call.end(Status(Code.ABORTED, text))
@@ -146,4 +146,4 @@
 
 
 def _release_name(release: pb.ReleaseName) -> str:
-    return Release(release.program, release.settings).name if release.program else ""
+    return NodeRelease(release.program, release.settings).name if release.program else ""
--- a/tuliptrack/fleet/plan_parsing.py
+++ b/tuliptrack/fleet/plan_parsing.py
@@ -5,13 +5,13 @@
 from dataclasses import fields
 from typing import Any
 
-from tuliptrack.decisions.rollout_plan import Plan, PlanError, Release, Stage
+from tuliptrack.decisions.rollout_plan import NodeRelease, PlanError, RolloutPlan, RolloutStage
 from tuliptrack.rpc.json_text import parse_json
 
 __all__ = ["parse_plan"]
 
 
-def parse_plan(text: str) -> Plan:
+def parse_plan(text: str) -> RolloutPlan:
     """Return the plan of a JSON object.
 
     Raises:
@@ -25,11 +25,13 @@
         raise PlanError(f"plan: {error}") from None
 
 
-def _to_plan(content: Any) -> Plan:
+def _to_plan(content: Any) -> RolloutPlan:
     if not isinstance(content, dict):
         raise PlanError("plan: must be an object")
-    if unknown := set(content) - {field.name for field in fields(Plan)}:
+    if unknown := set(content) - {field.name for field in fields(RolloutPlan)}:
         raise PlanError(f"{min(unknown)}: is no field of a plan")
-    stages = tuple(Stage(**{**stage, "hosts": tuple(stage["hosts"])}) for stage in content.pop("stages"))
-    releases = {"old": Release(**content["old"]), "new": Release(**content["new"])}
-    return Plan(**{**content, **releases, "stages": stages})
+    stages = tuple(
+        RolloutStage(**{**stage, "hosts": tuple(stage["hosts"])}) for stage in content.pop("stages")
+    )
+    releases = {"old": NodeRelease(**content["old"]), "new": NodeRelease(**content["new"])}
+    return RolloutPlan(**{**content, **releases, "stages": stages})
--- a/tuliptrack/fleet/report_collector.py
+++ b/tuliptrack/fleet/report_collector.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from tuliptrack.decisions.rollout_evidence import NodeReport, RequestCounts
-from tuliptrack.decisions.rollout_plan import Release
+from tuliptrack.decisions.rollout_plan import NodeRelease
 from tuliptrack.proto import rollout_pb2 as pb
 
 __all__ = ["ReportCollector"]
@@ -36,7 +36,7 @@
         return NodeReport(
             host=host,
             zone=self._zones[host],
-            release=Release(running.program, running.settings) if running.program else None,
+            release=NodeRelease(running.program, running.settings) if running.program else None,
             is_ready=report.ready,
             ready_for_us=report.ready_for,
             counts=_count_differences(earlier, report),
--- a/tuliptrack/lab/capacity/control.py
+++ b/tuliptrack/lab/capacity/control.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from tuliptrack.decisions.rollout_plan import Plan, Release, Stage
-from tuliptrack.decisions.rollout_record import Phase, Record
+from tuliptrack.decisions.rollout_plan import NodeRelease, RolloutPlan, RolloutStage
+from tuliptrack.decisions.rollout_record import RolloutPhase, RolloutRecord
 from tuliptrack.fleet.unary_call import CallError, call_unary
 from tuliptrack.lab.capacity.node import NodeCosts
 from tuliptrack.lab.hollow.agents import HollowAgent
@@ -45,10 +45,12 @@
 def record_of(hosts: int, changed: float = 0.5) -> bytes:
     """The record of a rollout in its middle, as it is written to each agent."""
     names = [f"host-{n:04d}" for n in range(hosts)]
-    old, new = Release("a" * 64, "b" * 64), Release("c" * 64, "b" * 64)
-    stages = tuple(Stage(tuple(names[start : start + 25])) for start in range(0, hosts, 25))
-    plan = Plan(old, new, {name: f"zone-{n % 8}" for n, name in enumerate(names)}, stages)
-    record = Record(3, Phase.FORWARD, plan, 1, frozenset(names[: int(hosts * changed)]), "", Phase.NONE)
+    old, new = NodeRelease("a" * 64, "b" * 64), NodeRelease("c" * 64, "b" * 64)
+    stages = tuple(RolloutStage(tuple(names[start : start + 25])) for start in range(0, hosts, 25))
+    plan = RolloutPlan(old, new, {name: f"zone-{n % 8}" for n, name in enumerate(names)}, stages)
+    record = RolloutRecord(
+        3, RolloutPhase.FORWARD, plan, 1, frozenset(names[: int(hosts * changed)]), "", RolloutPhase.NONE
+    )
     return json.dumps(record.as_dict()).encode()
 
 
