--- a/tuliptrack/decisions/rollout_plan.py
+++ b/tuliptrack/decisions/rollout_plan.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-__all__ = ["Plan", "PlanError", "Release", "Stage"]
+__all__ = ["NodeRelease", "PlanError", "RolloutPlan", "RolloutStage"]
 
 SHOWN_DIGEST_CHARS = 12
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Release:
+class NodeRelease:
     """What a node runs: digests of its program and of its settings."""
 
     program: str
@@ -31,8 +31,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stage:
-    """Hosts that change in this stage, and what must be known before the next."""
+class RolloutStage:
+    """Hosts that change in this stage, and the conditions for going on to the next."""
 
     hosts: tuple[str, ...]
     least_requests: int = 200
@@ -44,20 +44,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class RolloutPlan:
     """A rollout from one release to another."""
 
-    old: Release
-    new: Release
+    old: NodeRelease
+    new: NodeRelease
     zones: Mapping[str, str]
     """The zone of every host of the fleet."""
-    stages: tuple[Stage, ...]
+    stages: tuple[RolloutStage, ...]
     most_out: int = 1
     """Nodes that may be unavailable at once, for any reason: no change begins that would exceed it."""
     most_out_zone: int = 1
     """The same within one zone."""
     margin: float = 0.01
-    """By how much the share of bad requests may be higher and still be no worse."""
+    """By how much the share of bad requests may be higher and still count as no worse."""
     ready_within: int = 30_000_000
     """Time for a changed node to become ready, with its slow start; later it counts as unable to start."""
     least_learnt: int = 20
@@ -68,7 +68,7 @@
     def check(self) -> None:
         """Check that the plan can be carried out; PlanError if not."""
         if self.old == self.new:
-            raise PlanError("new: is the release that runs already")
+            raise PlanError("new: is the same release as old")
         if not self.stages:
             raise PlanError("stages: at least one is needed")
         self._check_hosts()
@@ -89,10 +89,10 @@
                 if host not in self.zones:
                     raise PlanError(f"stages[{i}].hosts: {host!r} is no host of the fleet")
                 if host in seen:
-                    raise PlanError(f"stages[{i}].hosts: {host!r} stands in two stages or twice in one")
+                    raise PlanError(f"stages[{i}].hosts: {host!r} is in two stages or twice in one")
                 seen.add(host)
 
-    def _check_stage(self, name: str, stage: Stage) -> None:
+    def _check_stage(self, name: str, stage: RolloutStage) -> None:
         if stage.least_requests < 1:
             raise PlanError(f"{name}.least_requests: must be above 0, got {stage.least_requests}")
         if stage.longest <= self.ready_within + self.allowance + stage.shortest:
