--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -1,8 +1,8 @@
 """Runs one node on the platform: `python -m tuliptrack.relay`, configured by its environment.
 
-`config.py` has the settings. SIGHUP reads their file again and follows the discovery agent that it names.
-SIGTERM or SIGINT stops the node: it serves for as long as nothing may kill it, since clients keep their
-connections, and then ends what is open.
+`config.py` describes the settings. SIGHUP reloads the settings file and switches to the discovery agent named
+there. SIGTERM or SIGINT stops the node gracefully: it keeps serving until shortly before SIGKILL may follow,
+since clients keep their connections, and then ends what is open.
 """
 
 from __future__ import annotations
@@ -26,12 +26,13 @@
 
 log = structlog.get_logger("relay")
 CONFIG_RETRY_S = 5.0
-"""How long a start is retried, where the settings or an event loop are not available yet."""
+"""How long the start retries to read the settings and to open an event loop."""
 MAX_DEADLINE_BEFORE_KILL_S = 3.0
 KILL_MARGIN_S = 0.7
-"""SIGKILL follows SIGTERM no sooner than this after the longest deadline, or after the maximum above."""
+"""SIGKILL follows SIGTERM no sooner than this margin after the longest deadline, of which at most
+`MAX_DEADLINE_BEFORE_KILL_S` count."""
 STOP_GRACE_DEADLINES = 4
-"""What is open at the end may take so many of the longest deadline."""
+"""Requests that are still open at the end may take this many times the longest deadline."""
 
 
 async def _run(config: RelayConfig, signals: ProcessSignals) -> None:
@@ -48,7 +49,7 @@
     signals.handle(signal.SIGHUP, node.reload)
     gc.freeze()
     await stop.wait()
-    longest_s = max(one.deadline_us for one in config.settings.classes) / 1e6
+    longest_s = max(request_class.deadline_us for request_class in config.settings.classes) / 1e6
     kill_after_s = min(longest_s, MAX_DEADLINE_BEFORE_KILL_S) + KILL_MARGIN_S
     await node.stop(longest_s * STOP_GRACE_DEADLINES, kill_after_s)
     signals.block()
@@ -67,8 +68,8 @@
 
 def main() -> int:
     """Run a node until SIGTERM; return 2 where its settings cannot be used or it cannot listen."""
-    # Failure: SIGHUP during the start ends the process, or is lost. It would show as a node that is gone, or
-    # polls the former discovery agent. Signals are recorded first of all, and handled once the node serves.
+    # Signals are recorded before anything else and handled once the node serves. Otherwise a SIGHUP during
+    # the start would end the process, or be lost and leave the node polling the former discovery agent.
     signals = ProcessSignals(*STOP_SIGNALS, signal.SIGHUP)
     set_up(json_lines=False, colours=False)
     try:
--- a/tuliptrack/relay/agent_polls.py
+++ b/tuliptrack/relay/agent_polls.py
@@ -1,22 +1,22 @@
-"""Polls one discovery agent for its endpoint list, one long poll after another, overlapping if one is late.
-
-The platform counts an endpoint list as received 6 s after the agent had it and could be reached, whatever
-polls failed in between. So no single poll is relied upon. A long poll is answered within
-`LONG_POLL_GRACE_SHARE` of the drain grace, by an empty delta if nothing changes. Where no answer has come
-after a further `LATE_GRACE_SHARE`, the next poll starts beside it on another connection, and one more after
-each such time-out. The earlier ones go on: a connection may come up slowly, an answer may arrive in small
-pieces, or this process may be late to read it. With `MAX_POLLS_PER_AGENT` open, the one that has received
-nothing for longest gives way; none lasts longer than `MAX_POLL_S`, its connection included.
-
-The bound, from a change at an agent that can be reached (from then on a poll is answered in full within
-`MAX_POLL_S`): at worst all of `MAX_POLLS_PER_AGENT` are open, each still receiving an answer older than the
-change, and end at `MAX_POLL_S`; then comes a backoff; then a poll that takes `MAX_POLL_S` itself. 2 x 2.5 s +
-1.5 x `BACKOFF_GRACE_SHARE` of 2 s at most: 5.3 s, and 0.7 s are left for this process to be late. Where
-answers come at once it is one time-out and one backoff: 0.65 of the grace.
-
-A poll that fails at once (connection rejected or reset, half a body, 503, not JSON) costs one backoff, and so
-does an answer that is rejected, after which the full list is requested. Polls start at least a backoff apart,
-however quickly they are answered.
+"""Polls one discovery agent for its endpoint list by consecutive long polls, which overlap if one is late.
+
+The platform considers an endpoint list received 6 s after the agent had it and was reachable, whichever polls
+failed in between. So the node does not rely on any single poll. The agent answers a long poll within
+`LONG_POLL_GRACE_SHARE` of the drain grace, with an empty delta if nothing changes. If there is no answer
+after a further `LATE_GRACE_SHARE`, the next poll starts in parallel on another connection, and one more after
+each such time-out. The earlier polls continue: a connection may be established slowly, an answer may arrive
+in small pieces, or this process may be late to read it. With `MAX_POLLS_PER_AGENT` open, the poll that has
+received nothing for longest is cancelled; no poll lasts longer than `MAX_POLL_S`, including its connection.
+
+How long a change takes to arrive once the agent is reachable, so that it answers a poll in full within
+`MAX_POLL_S`: in the worst case all `MAX_POLLS_PER_AGENT` polls are open, each still receiving an answer older
+than the change, and end at `MAX_POLL_S`; then follow a backoff and a poll that takes `MAX_POLL_S` itself.
+That is 2 x 2.5 s + 1.5 x `BACKOFF_GRACE_SHARE` of 2 s at most: 5.3 s, which leaves 0.7 s for delays of this
+process. If answers come at once, it is one time-out and one backoff: 0.65 of the grace.
+
+A poll that fails at once (connection rejected or reset, half a body, 503, not JSON) is followed by one
+backoff. So is an answer that is rejected, after which the full list is requested. Polls start at least a
+backoff apart, however quickly they are answered.
 """
 
 from __future__ import annotations
@@ -43,33 +43,34 @@
 LONG_POLL_GRACE_SHARE = 0.25
 """Share of the drain grace that the agent may wait for a change before it answers."""
 LATE_GRACE_SHARE = 0.25
-"""Share of the drain grace after which, beyond that, an answer is late."""
+"""Further share of the drain grace after which a poll without an answer is late."""
 BACKOFF_GRACE_SHARE = 0.1
-"""Share of the drain grace between the starts of two polls; jittered by half after a failure."""
+"""Minimum share of the drain grace between the starts of two polls. After a failure it is the pause
+before the next poll, jittered by 50 % either way."""
 MAX_POLLS_PER_AGENT = 8
 """Polls open at once, each on a connection of its own."""
 MAX_POLL_S = 2.5
-"""Two polls of this length and a backoff end before the 6 s of the platform."""
+"""Maximum duration of a poll: two of them and a backoff fit into the 6 s of the platform."""
 MAX_OLDER_ANSWERS = 3
-"""Answers in a row that are older than the known list, after which the agent must have restarted."""
+"""After so many consecutive answers that are older than the known list, the agent must have restarted."""
 MAX_BODY_BYTES = 16_777_216
-"""Of one answer."""
+"""Maximum body of one answer."""
 MAX_REASON_CHARACTERS = 200
 _HTTP_OK = 200
 _PATH = "/api/targets"
 
 ListHandler = Callable[[Any, bool], bool]
-"""Handles the JSON of an answer; the second argument says whether it is the first one of its agent, or of a
-restarted agent. Returns whether it was applied, False if it is older than the known list; raises
-`InvalidEndpointListError` where it cannot be used."""
+"""Handles the JSON of an answer; the second argument says whether it is the first answer of an agent, or of a
+restarted agent. Returns whether it was applied: False if it is older than the known list. Raises
+`InvalidEndpointListError` if it cannot be used."""
 
 FaultHandler = Callable[[Exception], None]
-"""Counts and logs an error that only a fault of this program can raise."""
+"""Counts and logs an error that can only be caused by a bug in this program."""
 
 
 @dataclass(slots=True, eq=False)
 class _Poll:
-    """One poll. Times are on the loop's clock, in seconds."""
+    """One poll. Times are on the event loop's clock, in seconds."""
 
     exchange: Exchange
     started_at: float
@@ -82,8 +83,8 @@
         """Return the answer's JSON.
 
         Raises:
-            OSError: There is no answer.
-            InvalidJsonError: It is not JSON.
+            OSError: The poll failed, or was answered by another status than 200.
+            InvalidJsonError: The answer is not JSON.
         """
         if self.outcome is not How.ANSWER:
             raise OSError(self.failure)
@@ -109,35 +110,36 @@
         self._handle = handle
         self._record_fault = record_fault
         self._poll_timeout_s = (LONG_POLL_GRACE_SHARE + LATE_GRACE_SHARE) * drain_grace_s
-        """After which a poll is late, and the next one starts beside it."""
+        """After this time a poll is late, and the next one starts in parallel."""
         self._needs_full_list = True
         """The next poll requests the full list."""
         self._is_first_answer = True
+        """Whether the next answer is handled as the first one of its agent."""
         self._is_reachable = True
-        """Of the last answer or failure: each change is logged once."""
+        """Whether the last poll that ended was answered; each change is logged once."""
         self._older_answers = 0
-        """Answers in a row that were older than the known list."""
-        self._open: list[_Poll] = []
-        self._ended: deque[_Poll] = deque()
-        """Polls that have ended by themselves and have not been handled."""
+        """Number of consecutive answers that were older than the known list."""
+        self._open_polls: list[_Poll] = []
+        self._ended_polls: deque[_Poll] = deque()
+        """Polls that ended without being cancelled here, and have not been handled yet."""
         self._has_ended_poll = asyncio.Event()
         self._next_poll_at = 0.0
-        """On the loop's clock, in seconds."""
+        """On the event loop's clock, in seconds."""
         self._is_stopped = False
         self._loop = asyncio.get_running_loop()
         self._task = self._loop.create_task(self._run())
 
     def request_full_list(self) -> None:
-        """Have the next poll request the full list."""
+        """Make the next poll request the full list."""
         self._needs_full_list = True
 
     def stop(self) -> None:
-        """Handle no answer from now on."""
+        """Stop polling; further answers are not handled."""
         self._is_stopped = True
         self._task.cancel()
 
     async def close(self) -> None:
-        """End every poll and connection."""
+        """Stop polling and close every connection."""
         self.stop()
         with contextlib.suppress(asyncio.CancelledError):
             await self._task
@@ -154,30 +156,30 @@
                 self._cancel_overlong_polls()
                 if self._loop.time() >= self._next_poll_at:
                     self._start_next_poll(pool)
-                if await self._has_answer():
-                    pause_s = self._handle_ended(self._ended.popleft())
+                if await self._wait_for_ended_poll():
+                    pause_s = self._handle_ended(self._ended_polls.popleft())
                     self._next_poll_at = self._loop.time() + pause_s
         finally:
-            self._open.clear()
+            self._open_polls.clear()
             await pool.close()
 
-    async def _has_answer(self) -> bool:
-        """Wait for a poll to end; False where the next one is due before."""
-        if self._ended:
+    async def _wait_for_ended_poll(self) -> bool:
+        """Wait until a poll has ended; return False if the next poll is due first."""
+        if self._ended_polls:
             return True
         self._has_ended_poll.clear()
         try:
             async with asyncio.timeout_at(self._next_poll_at):
                 await self._has_ended_poll.wait()
         except TimeoutError:
-            if self._open:
+            if self._open_polls:
                 self._log_failure("no answer in time")
             return False
         return True
 
     def _start_next_poll(self, pool: Pool) -> None:
         self._cancel_silent_poll_at_limit()
-        if len(self._open) < MAX_POLLS_PER_AGENT:
+        if len(self._open_polls) < MAX_POLLS_PER_AGENT:
             self._start_poll(pool)
         self._next_poll_at = self._loop.time() + self._poll_timeout_s
 
@@ -190,14 +192,14 @@
             poll.last_received_at = self._loop.time()
 
         def record_end(outcome: How, failure: str) -> None:
-            if poll in self._open:
-                self._open.remove(poll)
+            if poll in self._open_polls:
+                self._open_polls.remove(poll)
                 poll.outcome, poll.failure = outcome, failure
-                self._ended.append(poll)
+                self._ended_polls.append(poll)
                 self._has_ended_poll.set()
 
         poll.exchange.on_data, poll.exchange.on_end = record_data, record_end
-        self._open.append(poll)
+        self._open_polls.append(poll)
         pool.send(poll.exchange)
 
     def _target(self) -> str:
@@ -207,57 +209,57 @@
         return f"{_PATH}?since={self._known_revision()}&timeout_ms={wait_ms}"
 
     def _cancel(self, poll: _Poll) -> None:
-        # Removed first: the end of a poll that is cancelled here is not handled.
-        self._open.remove(poll)
+        # The poll is removed first, so that `record_end` ignores its end.
+        self._open_polls.remove(poll)
         poll.exchange.cancel()
 
     def _cancel_overlong_polls(self) -> None:
         now_s = self._loop.time()
-        for poll in [poll for poll in self._open if now_s - poll.started_at >= MAX_POLL_S]:
+        for poll in [poll for poll in self._open_polls if now_s - poll.started_at >= MAX_POLL_S]:
             self._cancel(poll)
 
     def _cancel_silent_poll_at_limit(self) -> None:
-        """With as many polls open as may be, cancel the one that has received nothing for longest."""
-        # Failure: an agent whose machine is cut off leaves every open poll without an end. It would show as
-        # a list that stays old after the agent is back. A silent poll that is late makes way for a new one;
-        # one that still receives data is kept, since it may bring the list.
-        if len(self._open) < MAX_POLLS_PER_AGENT:
+        """If the maximum of polls is open, cancel the one that has received nothing for longest."""
+        # While the agent's machine is cut off from the network, no open poll ends. Without this, no new poll
+        # could start and the list would stay old after the agent is back. A poll that is late and silent is
+        # replaced; one that still receives data is kept, since it may deliver the list.
+        if len(self._open_polls) < MAX_POLLS_PER_AGENT:
             return
-        silent = min(self._open, key=lambda poll: poll.last_received_at)
+        silent = min(self._open_polls, key=lambda poll: poll.last_received_at)
         if self._loop.time() - silent.last_received_at >= self._poll_timeout_s:
             self._cancel(silent)
 
     def _handle_ended(self, poll: _Poll) -> float:
-        """Handle a poll that has ended; return the seconds until the next one."""
+        """Handle a poll that has ended; return the pause before the next one, in seconds."""
         try:
             is_applied = self._handle(poll.message(), self._is_first_answer)
         except OSError as error:
             return self._handle_failure(error)
         except (InvalidJsonError, InvalidEndpointListError) as error:
-            # An answer that could not be used may have been a delta, which is missing now.
+            # The rejected answer may have been a delta, whose changes are missing now.
             self._needs_full_list = True
             return self._handle_failure(error)
         except Exception as error:
-            # Failure: an answer of an unforeseen form ends the polls by an error that nothing expects. It
-            # would show as a list that never changes again. Polling goes on, and the error is counted.
+            # An unforeseen answer may raise any error in the handler. It must not end the polling task, after
+            # which the list would never change again: the error is counted, and polling continues.
             self._needs_full_list = True
             self._record_fault(error)
             return self._handle_failure(error)
         self._record_answer(is_applied)
-        for other in [other for other in self._open if not other.body]:
+        for other in [other for other in self._open_polls if not other.body]:
             self._cancel(other)
         next_poll_at = poll.started_at + BACKOFF_GRACE_SHARE * self._drain_grace_s
         return max(next_poll_at - self._loop.time(), 0.0)
 
     def _handle_failure(self, error: Exception) -> float:
-        """Log why a poll failed; return the seconds until the next one."""
+        """Log why a poll failed; return the pause before the next one, in seconds."""
         self._log_failure(str(error) or type(error).__name__)
         return BACKOFF_GRACE_SHARE * self._drain_grace_s * (0.5 + random.random())
 
     def _record_answer(self, is_applied: bool) -> None:
-        # Failure: an agent that restarted counts its revisions from the start, so that each of its lists is
-        # older than the known one. It would show as a list that never changes again. A single older answer
-        # may have been overtaken by a later poll; several in a row cannot, so the next is a first answer.
+        # A restarted agent counts its revisions from the start, so each of its lists looks older than the
+        # known one, and the list would never change again. A single older answer may have been overtaken by a
+        # later poll; several in a row cannot, so the next answer is handled as the first one of its agent.
         self._older_answers = 0 if is_applied else self._older_answers + 1
         self._is_first_answer = self._older_answers >= MAX_OLDER_ANSWERS
         self._needs_full_list = self._is_first_answer
--- a/tuliptrack/relay/config.py
+++ b/tuliptrack/relay/config.py
@@ -1,6 +1,6 @@
 """The settings of one node: the JSON file that `RELAY_CONFIG` names, and the environment for what it omits.
 
-The names of the file's fields appear in this module only. An error names the field that is wrong.
+Only this module knows the names of the file's fields. Error messages name the wrong field.
 """
 
 from __future__ import annotations
@@ -19,29 +19,29 @@
 
 MAX_FILE_BYTES = 16_777_216
 MIN_DESCRIPTORS = 48
-"""Below it a node cannot serve: what it needs itself, and some for clients and engines."""
+"""A node needs as many to serve: those of its own, and some for clients and engines."""
 DEFAULT_DESCRIPTORS = 1_024
 DEFAULT_MEMORY_MIB = 192
 DEFAULT_MAX_OPEN_REQUESTS = 20_000
 BYTES_PER_MIB = 1_048_576
 MAX_NUMBER = 2**53
-"""Of any number of the file: up to it whole numbers are exact."""
+"""Limit of every number in the file: up to 2**53 a float holds each integer exactly."""
 MAX_PORT = 65_535
 MAX_PORT_DIGITS = 5
 MAX_QUOTED_CHARACTERS = 120
-"""Of a wrong value, in the text of an error."""
+"""How much of a wrong value an error message quotes."""
 MAX_ERROR_CHARACTERS = 200
-"""Of an error's text, since a wrong value may be long."""
+"""Maximum length of a JSON error's text, since it may quote a long value."""
 
 
 class RelayConfigError(Exception):
-    """Settings that cannot be used; the text names the field."""
+    """The settings cannot be used; the message names the field."""
 
 
 class RelayConfigUnreadableError(RelayConfigError):
-    """The file cannot be read, or is no complete JSON.
+    """The file cannot be read, or is not complete JSON.
 
-    It may be just being written, or its folder may fail for a while, so a second reading may help.
+    It may be in the middle of being written, or its folder may be unavailable for a while: a retry may help.
     """
 
 
@@ -55,26 +55,26 @@
     discovery_address: str
     """host:port of the agent that serves the endpoint list."""
     seed: int
-    """Of the router's random choices; 0: a random one."""
+    """Seed of the router's random choices; 0: a random seed."""
     memory_bytes: int
     max_descriptors: int
-    """File descriptors that the process may use, by the settings or by the system, whichever is less."""
+    """File descriptors that the process may use: the lower of the limits of the settings and the system."""
     cached_list: Mapping[str, Any]
-    """The endpoint list as this node had it last, in the agent's format; it may be old."""
+    """The last endpoint list that this node had, in the agent's format; it may be out of date."""
     settings: Settings
     kinds: tuple[str, ...]
-    """Names of the kinds of engines, in the order of their numbers."""
+    """Names of the kinds of engines; the index of a name is the number of its kind."""
     zones: tuple[str, ...]
-    """Names of the zones, in the order of their numbers."""
+    """Names of the zones; the index of a name is the number of its zone."""
     report_names: tuple[str, ...]
-    """Names of a load report's values, in the settings' order."""
+    """Names of a load report's values, in the order of the settings; empty where engines send no reports."""
     engine_idle_timeout_us: int
-    """After which an engine closes an idle connection; 0: unknown."""
+    """Time after which an engine closes an idle connection; 0: unknown."""
     max_open_requests: int
 
 
 def load(environ: Mapping[str, str]) -> RelayConfig:
-    """Read the settings that the environment points to.
+    """Load the settings from the file that the environment names.
 
     Raises:
         RelayConfigUnreadableError: The file cannot be read now.
@@ -103,10 +103,10 @@
 
 
 def parse(text: bytes, environ: Mapping[str, str]) -> RelayConfig:
-    """Parse the file's text; the environment states what it omits.
+    """Parse the text of the file; the environment supplies fields that it omits.
 
     Raises:
-        RelayConfigUnreadableError: It is no JSON.
+        RelayConfigUnreadableError: The text is not JSON.
         RelayConfigError: The settings cannot be used.
     """
     try:
@@ -159,7 +159,7 @@
 
 
 def _optional_number(parent: Mapping[str, Any], name: str, default: float) -> float:
-    """Return a number above 0; the default where there is none, or 0."""
+    """Return a number above 0; the default if the field is missing or 0."""
     return _number(parent, name, default) if parent.get(name.rpartition(".")[2]) else default
 
 
@@ -172,7 +172,7 @@
 
 def _text(value: object, name: str) -> str:
     if not isinstance(value, str):
-        raise RelayConfigError(f"{name}: must be a text, is {_quote(value)}")
+        raise RelayConfigError(f"{name}: must be a string, is {_quote(value)}")
     return value
 
 
@@ -193,7 +193,7 @@
 
 
 def _quote(value: object) -> str:
-    """Return the beginning of a value's text, for an error."""
+    """Return the beginning of a value's text, for an error message."""
     try:
         return repr(value)[:MAX_QUOTED_CHARACTERS]
     except (ValueError, RecursionError):  # Too many digits, or nested too deeply.
--- a/tuliptrack/relay/corroboration.py
+++ b/tuliptrack/relay/corroboration.py
@@ -1,20 +1,20 @@
-"""Decides whether an attempt of which its engine has given no sign may be taken to have arrived.
+"""Decides whether an attempt that its engine has not responded to may be assumed to have arrived.
 
 An engine sends nothing about a request until its first token, which takes seconds under overload. A release
-beside an attempt that waits costs its engine work, so it is made only where the attempt may not have arrived.
-Three facts together corroborate the arrival:
-
-1. The attempt's connection answered a probe right before: from the probe to the attempt's last byte it took
-   `MAX_PROBE_AGE_S` at most. That a new connection has come up says nothing of a process behind it, so an
-   attempt on a connection that was not probed never counts.
-2. The engine has answered a probe on another connection that was sent after the attempt was: its machine was
-   not cut off, and its process runs.
-3. A connection to another engine that was open before that has received something since the attempt was
-   sent: the open connections have not all fallen silent together.
-
-What remains is one connection that falls silent alone within that time. The probes are releases of a request
-that has been served, which have no effect. Where one of the facts is missing the attempt counts as not
-arrived.
+that is sent while an attempt waits costs its engine work, so it is sent only if the attempt may not have
+arrived. Three facts together corroborate the arrival:
+
+1. The attempt's connection answered a probe right before: the attempt's last byte was sent at most
+   `MAX_PROBE_AGE_S` after the probe. An established connection does not show that a process serves it, so an
+   attempt on a connection that was not probed is never corroborated.
+2. The engine has answered a probe that was sent on another connection after the attempt: its machine was not
+   cut off from the network, and its process runs.
+3. A connection to another engine, open before the attempt's connection was probed, has received something
+   since the attempt was sent: the open connections have not all fallen silent together.
+
+The remaining risk is that this one connection alone falls silent within `MAX_PROBE_AGE_S`. The probes are
+releases of a request that has been served, which have no effect. If one of the facts is missing, the attempt
+counts as not arrived.
 """
 
 from __future__ import annotations
@@ -29,22 +29,22 @@
 __all__ = ["Corroboration"]
 
 MAX_PROBE_AGE_S = 0.02
-"""The longer it is, the more may have happened to the connection since its probe."""
+"""The longer it is, the more likely the connection fails between its probe and the attempt."""
 
 
 class Corroboration:
     """The facts about one attempt.
 
-    It sends two probes at most, which end with their time-out to connect or by `close`.
+    It sends two probes at most, each of which ends by its connect time-out or by `close`.
     """
 
     def __init__(self, pools: EnginePools, pool: Pool, exchange: Exchange) -> None:
-        """Probe nothing yet.
+        """Create it without sending probes.
 
         Args:
-            pools: Of all engines.
-            pool: Of the attempt's engine.
-            exchange: The attempt.
+            pools: The pools of all engines.
+            pool: The pool of the attempt's engine.
+            exchange: The attempt's exchange.
         """
         self._pools, self._pool, self._exchange = pools, pool, exchange
         self._has_engine_answered = False
@@ -52,16 +52,16 @@
         self._probes: set[Exchange] = set()
 
     def check(self) -> None:
-        """Probe for the facts that are missing; answers take a round trip."""
+        """Send probes for the missing facts; their answers take a round trip."""
         if not self._was_connection_probed() or self._probes:
             return
         self._probe(self._pool, self._record_engine_answer)
         if not self._has_other_connection_received() and (pool := self._other_pool_to_probe()):
-            # Its connection records that it has received an answer.
+            # The callback has nothing to do: the connection itself records when it last received data.
             self._probe(pool, lambda: None)
 
     def is_corroborated(self) -> bool:
-        """Return whether all three facts are known; once they are, they stay so."""
+        """Return whether all three facts hold; once true, the result stays true."""
         self._is_corroborated = self._is_corroborated or (
             self._was_connection_probed()
             and self._has_engine_answered
@@ -75,7 +75,7 @@
             probe.cancel()
 
     def _was_connection_probed(self) -> bool:
-        """Return whether the first fact holds."""
+        """Return whether the first fact holds: the connection was probed right before."""
         exchange = self._exchange
         return (
             exchange.sent
@@ -84,7 +84,7 @@
         )
 
     def _has_other_connection_received(self) -> bool:
-        """Return whether the third fact holds."""
+        """Return whether the third fact holds: an older connection to another engine has received data."""
         sent_at = self._exchange.sent_at
         return any(
             connection.heard_at > sent_at
@@ -99,7 +99,7 @@
         return [connection for connection in pool.links if connection.opened_at < self._exchange.proven_since]
 
     def _other_pool_to_probe(self) -> Pool | None:
-        """Return the pool of another engine with an older idle connection to spare, heard from last."""
+        """Return the pool, of another engine with an older idle connection, that received data last."""
         pools = [
             pool
             for pool in self._pools.all()
--- a/tuliptrack/relay/discovery.py
+++ b/tuliptrack/relay/discovery.py
@@ -1,9 +1,9 @@
 """Follows one discovery agent, and switches to another one when the settings name it.
 
-A new agent is polled beside the followed one, and followed from its first full list on. So a new agent that
-is down or silent costs nothing. Its revisions count on their own and may start lower: see
-`EndpointDirectory.apply`. While no agent answers, the known list stays in force: the state of an endpoint
-holds until an agent states another one.
+A new agent is polled in parallel with the followed one, and replaces it with its first full list. So a new
+agent that is down or silent does no harm. Its revisions are independent of the former agent's and may start
+lower: see `EndpointDirectory.apply`. While no agent answers, the known list stays in force: an endpoint keeps
+its state until an agent states another one.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 __all__ = ["MAX_CONNECTIONS", "Discovery"]
 
 MAX_CONNECTIONS = 2 * MAX_POLLS_PER_AGENT
-"""To the followed agent and to the new one."""
+"""Connections to the followed agent and to the new one together."""
 MIN_DRAIN_GRACE_S = 0.1
-"""A shorter grace is treated as this one: it means twenty polls a second."""
+"""Minimum for a shorter drain grace: at this one there are already twenty polls a second."""
 MAX_DRAIN_GRACE_S = 2.0
-"""A longer grace is treated as this one: polls follow each other within half of it."""
+"""Maximum for a longer drain grace: polls follow each other within half of it."""
 
 
 class Discovery:
@@ -35,17 +35,17 @@
         drain_grace_us: int,
         record_fault: FaultHandler,
     ) -> None:
-        """Poll nothing yet.
+        """Create it without polling.
 
         Args:
             address: The agent's host:port.
-            known_revision: Returns the revision of the known list, from which on changes are requested.
-            handle: Gets each answer.
-            drain_grace_us: Within which an endpoint that drains must get no further request.
-            record_fault: Gets each error of `handle` that is none of an answer.
+            known_revision: Returns the revision of the known list; changes since then are requested.
+            handle: Called with each answer.
+            drain_grace_us: Time after which a draining endpoint must not get further requests.
+            record_fault: Called with each error of `handle` other than `InvalidEndpointListError`.
         """
         self.address = address
-        """Of the agent that is to be followed, whether or not it has answered."""
+        """Address of the agent to follow, whether or not it has answered."""
         self._known_revision = known_revision
         self._handle = handle
         self._record_fault = record_fault
@@ -54,14 +54,14 @@
         self._candidate: AgentPolls | None = None
         """Polls of a new agent that has not sent a full list yet."""
         self._closing: set[asyncio.Task[None]] = set()
-        """Of polls that are being closed."""
+        """Tasks that close the polls of former agents."""
 
     def start(self) -> None:
-        """Poll the agent."""
+        """Start to poll the agent."""
         self._followed = self._poll(self.address)
 
     def subscribe(self, on: bool) -> None:
-        """Do nothing: the list is polled all the time."""
+        """Do nothing: the list is polled continuously."""
 
     def fetch(self) -> None:
         """Request the full list with the next poll."""
@@ -69,7 +69,7 @@
             self._followed.request_full_list()
 
     def switch_to(self, address: str) -> None:
-        """Poll another agent; the followed one is left with the other's first full list."""
+        """Poll another agent, which replaces the followed one with its first full list."""
         if address == self.address:
             return
         self.address = address
@@ -80,7 +80,7 @@
             self._candidate = self._poll(address)
 
     async def close(self) -> None:
-        """End every poll and connection."""
+        """Stop all polls and close their connections."""
         agents = [polls for polls in (self._followed, self._candidate) if polls]
         self._followed = self._candidate = None
         for polls in agents:
--- a/tuliptrack/relay/endpoint_directory.py
+++ b/tuliptrack/relay/endpoint_directory.py
@@ -1,8 +1,8 @@
 """The endpoint list that a node knows, built from full lists and deltas of one agent after another.
 
-An entry that cannot be used is left out and logged once; a message that is no list is rejected, and the known
-list stays in force. Lists that are older than the known one are ignored, unless they come from an agent that
-was not followed before: its revisions count on their own.
+An unusable entry is left out and logged once. A message that is not a list is rejected, and the known list
+stays in force. Lists older than the known one are ignored, unless they come from an agent that was not
+followed before, whose revisions are independent of the former agent's.
 """
 
 from __future__ import annotations
@@ -31,41 +31,41 @@
 
 log = structlog.get_logger("discovery")
 MAX_REMEMBERED_STATES = 2 * MAX_ENDPOINTS
-"""Endpoints whose last state is remembered: those listed, and as many that have been removed."""
+"""Maximum number of endpoints whose last state is remembered: those listed, and as many removed ones."""
 MAX_LOGGED_ENTRIES = MAX_ENDPOINTS
-"""Entries left out that are logged, each once."""
+"""Maximum number of left-out entries that are logged, each once."""
 MAX_LOGGED_NAME_CHARACTERS = 60
 _VERSION_MASK = 0xFFFFFFFF
-"""The router's versions have 32 bits."""
+"""The router's list versions have 32 bits."""
 _UNKNOWN_START: object = 0
 
 
 @dataclass(frozen=True, slots=True)
 class _LastState:
-    """What the followed agents last stated of an endpoint."""
+    """The state of an endpoint that an agent stated last."""
 
     state: EndpointState
     started_at_ms: object
-    """Identifies the incarnation that the state belongs to."""
+    """Identifies the incarnation of the endpoint that the state belongs to."""
 
 
 class EndpointDirectory:
-    """The known endpoint list, in the router's terms."""
+    """The known endpoint list, as the router's types."""
 
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...]) -> None:
         self.revision = -1
-        """Of the last list applied; -1 before the first."""
+        """Revision of the last list applied; -1 before the first one."""
         self.addresses: dict[int, str] = {}
-        """host:port of the endpoints that are listed, by `endpoint_id`."""
+        """host:port of each listed endpoint, by `endpoint_id`."""
         self.names: dict[int, str] = {}
-        """Names of the endpoints that are listed, by `endpoint_id`."""
+        """Name of each listed endpoint, by `endpoint_id`."""
         self._entries: dict[str, EndpointEntry] = {}
-        """By name, of the endpoints that are listed: an unchanged entry is not read again."""
+        """Entries of the listed endpoints by name, so that an unchanged entry is not parsed again."""
         self._start_times = StartTimes()
         self._parser = EntryParser(kinds, zones, self._start_times)
         self._logged: set[str] = set()
         self._last_states: dict[int, _LastState] = {}
-        """By `endpoint_id`, the one stated last at the end."""
+        """By `endpoint_id`, ordered by when they were stated, the latest at the end."""
 
     def apply(
         self, message: object, *, is_cached: bool = False, is_new_agent: bool = False
@@ -74,20 +74,20 @@
 
         Args:
             message: The JSON of an agent's answer, or the list in the settings.
-            is_cached: It is the list in the settings, a full one.
-            is_new_agent: It is the first list of an agent that was not followed before, which must be full.
-                Its revision is not compared with the known one.
+            is_cached: Whether it is the list in the settings, which is full.
+            is_new_agent: Whether it is the first list of an agent that was not followed before. It must be
+                full, and is applied even if its revision is below the known one.
 
         Returns:
-            The update for the router; None where the list is older than the known one.
+            The update for the router; None if the list is older than the known one.
 
         Raises:
-            InvalidEndpointListError: It cannot be used; nothing has changed.
+            InvalidEndpointListError: The list cannot be used; nothing has changed.
         """
         received = parse_message(message)
         is_full = is_cached or received.is_full
         if is_new_agent and not is_full:
-            raise InvalidEndpointListError("complete: a whole list is needed from a new agent")
+            raise InvalidEndpointListError("complete: must be true in the first list of a new agent")
         is_older = received.revision < self.revision
         if is_older and not is_new_agent:
             return None
@@ -130,9 +130,10 @@
         return self._parser.parse(received, f"members[{index}]", now)
 
     def _leaving_entry(self, received: object) -> EndpointEntry | None:
-        """Return what is known of an endpoint whose unusable entry still says that it is leaving."""
-        # Failure: an engine drains, and another field of its entry cannot be used. In a delta it would go on
-        # as ready, and show as requests sent there after the drain grace. Its name and its state suffice.
+        """Return the known entry in its new state if an unusable entry says that the endpoint is leaving."""
+        # If an engine drains and another field of its entry is unusable, leaving out that entry of a delta
+        # would keep the engine ready, and requests would be sent there after the drain grace. The name and
+        # the state of the entry suffice to prevent that.
         state = parse_state(received)
         known = self._entries.get(entry_name(received) or "")
         if known is None or state in (None, EndpointState.READY):
@@ -140,18 +141,18 @@
         return replace(known, endpoint=replace(known.endpoint, state=state), received={})
 
     def _keep_last_state(self, entry: EndpointEntry) -> EndpointEntry:
-        """Return an entry of an older list with the last state that is known of the same incarnation."""
-        # Failure: a new agent that lags behind the one before lists an endpoint as ready that has been
-        # draining or removed since. It would show as requests sent there after the drain grace. An endpoint
-        # that drains does not become ready again before its next start, so the state known of this start is
-        # the later one; if it is wrong after all, the agent's next entry of the endpoint replaces it.
+        """Return an entry of an older list, with the last known state of the same incarnation."""
+        # A new agent that lags behind the former one may list an endpoint as ready that has been draining or
+        # removed since, and requests would be sent there after the drain grace. A draining endpoint does not
+        # become ready again before its next start, so the state known of the same start is the later one. If
+        # it is wrong after all, the agent's next entry of the endpoint replaces it.
         last = self._last_states.get(entry.endpoint.id)
         if last is None or last.state is EndpointState.READY or last.started_at_ms != entry.started_at_ms:
             return entry
         return replace(entry, endpoint=replace(entry.endpoint, state=last.state), received={})
 
     def _remove_absent(self, present: Container[int]) -> None:
-        """Remove the endpoints that a full list does not name."""
+        """Remove the endpoints that are not in a full list."""
         for endpoint_id in [known for known in self.addresses if known not in present]:
             last = self._last_states.get(endpoint_id)
             started_at_ms = last.started_at_ms if last else _UNKNOWN_START
@@ -181,18 +182,18 @@
             del self._last_states[oldest]
 
     def _log_left_out(self, entry: object, reason: str) -> None:
-        """Log an entry that is left out, once for each field and name."""
+        """Log an entry that is left out, once for each error and name."""
         field_and_reason = reason.partition(".")[2]
         name = entry_name(entry) or ""
-        complaint = field_and_reason + name[:MAX_LOGGED_NAME_CHARACTERS]
-        if complaint in self._logged or len(self._logged) >= MAX_LOGGED_ENTRIES:
+        logged_key = field_and_reason + name[:MAX_LOGGED_NAME_CHARACTERS]
+        if logged_key in self._logged or len(self._logged) >= MAX_LOGGED_ENTRIES:
             return
-        self._logged.add(complaint)
+        self._logged.add(logged_key)
         log.warning("endpoint list entry left out", reason=reason)
 
 
 def _is_equal(known: object, received: object) -> bool:
     try:
         return known == received
-    except RecursionError:  # Nested too deeply to be compared, and no list that can be used.
+    except RecursionError:  # Nested too deeply to be compared, so it is no usable entry either.
         return False
--- a/tuliptrack/relay/endpoint_entries.py
+++ b/tuliptrack/relay/endpoint_entries.py
@@ -1,8 +1,8 @@
-"""Reads the platform's endpoint lists: from the JSON of an answer to typed values.
+"""Parses the platform's endpoint lists: from the JSON of an answer to typed values.
 
-The JSON field names of the platform's protocol appear in this module only. A message that is no list at all
-raises `InvalidEndpointListError`, and so does a single entry that cannot be used; the text names the place of
-the entry and the field. Start times arrive as Unix milliseconds and become monotonic microseconds.
+Only this module knows the JSON field names of the platform's endpoint lists. A message that is not a list
+raises `InvalidEndpointListError`, and so does a single unusable entry; the error names the position of the
+entry and the field. Start times arrive as Unix milliseconds and are converted to monotonic microseconds.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 ]
 
 MAX_ENDPOINTS = 10_000
-"""Entries of one list: a bound on memory and time, above any fleet of the platform."""
+"""Maximum number of entries of one list. It bounds memory and time, and exceeds any fleet of the platform."""
 MAX_PORT = 65_535
 MAX_WEIGHT = 1e9
 MAX_CELL = 2**53
 MAX_STARTED_AT_MS = 2**53
 MAX_QUOTED_CHARACTERS = 40
-"""Of a wrong value, in the text of an error."""
+"""How much of a wrong value an error message quotes."""
 MAX_QUOTED_ADDRESS_CHARACTERS = 80
 US_PER_MS = 1_000
 _ADDRESS = re.compile(r"[\x21-\x7e]+:[0-9]{1,5}")
-"""Printable ASCII: the address goes into the `Host` field of requests."""
+"""Only printable ASCII, as the address goes into the `Host` field of requests."""
 
 _STATES = {
     "Ready": EndpointState.READY,
@@ -50,47 +50,47 @@
 
 
 class InvalidEndpointListError(Exception):
-    """A list or an entry that cannot be used; the text names the place and the field."""
+    """A list or an entry cannot be used; the message names the position and the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListMessage:
-    """One answer of the agent, checked as a whole; its entries are not read yet."""
+    """One answer of the agent, checked as a whole; its entries are not parsed yet."""
 
     revision: int
     is_full: bool
-    """Whether it names every endpoint that there is, not only those that changed."""
+    """Whether it lists every endpoint, not only those that changed."""
     entries: list[Any]
 
 
 @dataclass(frozen=True, slots=True)
 class ReadingTime:
-    """When a list is read, on both clocks at the same moment."""
+    """The time at which a list is parsed, on both clocks."""
 
     monotonic_us: int
     wall_us: int
-    """Since 1970."""
+    """Microseconds since the Unix epoch."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One entry of a list, and what it was read as."""
+    """One entry of a list: its JSON and the values parsed from it."""
 
     received: Mapping[str, Any]
-    """The entry's JSON, so that an equal one is not read again; empty where `endpoint` differs from it."""
+    """The entry's JSON, so that an equal one is not parsed again; empty if `endpoint` differs from it."""
     endpoint: EndpointInfo
     address: str
     """host:port"""
     name: str
     started_at_ms: object
-    """As the agent states it: it identifies an incarnation of the endpoint."""
+    """As stated by the agent, unconverted: it identifies an incarnation of the endpoint."""
 
 
 def parse_message(message: object) -> ListMessage:
     """Check an answer as a whole.
 
     Raises:
-        InvalidEndpointListError: It is no list.
+        InvalidEndpointListError: It is not an endpoint list.
     """
     if not isinstance(message, dict) or not isinstance(message.get("members", []), list):
         raise InvalidEndpointListError("must be an object with members")
@@ -104,50 +104,50 @@
 
 
 def entry_name(entry: object) -> str | None:
-    """Return the name that an entry gives its endpoint; None where it gives none."""
+    """Return the endpoint's name in an entry; None if there is none."""
     name = entry.get("id") if isinstance(entry, dict) else None
     return name if isinstance(name, str) else None
 
 
 def parse_state(entry: object) -> EndpointState | None:
-    """Return the state that an entry gives its endpoint; None where it gives none that is known."""
+    """Return the endpoint's state in an entry; None if it is missing or unknown."""
     return _STATES.get(_text(entry, "phase")) if isinstance(entry, dict) else None
 
 
 class EntryParser:
-    """Reads entries by the kinds and zones of the settings, both numbered in their order there."""
+    """Parses entries. Kinds and zones are numbered by their order in the settings."""
 
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...], start_times: StartTimes) -> None:
         self._kinds = {name: number for number, name in enumerate(kinds)}
         self._zones = {name: number for number, name in enumerate(zones)}
         self._start_times = start_times
 
-    def parse(self, entry: object, place: str, now: ReadingTime) -> EndpointEntry:
-        """Read one entry; `place` is where it stands in the list.
+    def parse(self, entry: object, path: str, now: ReadingTime) -> EndpointEntry:
+        """Parse one entry; `path` is its position in the list, for error messages.
 
         Raises:
-            InvalidEndpointListError: It cannot be used.
+            InvalidEndpointListError: The entry cannot be used.
         """
         if not isinstance(entry, dict):
-            raise InvalidEndpointListError(f"{place}: must be an object")
+            raise InvalidEndpointListError(f"{path}: must be an object")
         name = entry_name(entry)
         if not name:
-            raise InvalidEndpointListError(f"{place}.id: is required")
+            raise InvalidEndpointListError(f"{path}.id: is required")
         try:
             endpoint_id = key(name)
         except UnicodeEncodeError:
-            raise InvalidEndpointListError(f"{place}.id: {_quote(name)} has a lone surrogate") from None
+            raise InvalidEndpointListError(f"{path}.id: {_quote(name)} has a lone surrogate") from None
         state = parse_state(entry)
         if state is None:
-            raise InvalidEndpointListError(f"{place}.phase: {_quote(entry.get('phase'))} is unknown")
-        # A change may state only the name and the phase of an endpoint that has been removed.
+            raise InvalidEndpointListError(f"{path}.phase: {_quote(entry.get('phase'))} is unknown")
+        # A delta may contain only the name and the phase of an endpoint that has been removed.
         is_removed = state is EndpointState.REMOVED
-        kind = self._parse_kind(entry, place, is_removed)
-        address = _parse_address(entry, place, is_removed)
-        weight = _parse_number(entry, "size", place, default=1.0, maximum=MAX_WEIGHT)
-        started_at_ms = _parse_number(entry, "up_since_ms", place, default=0, maximum=MAX_STARTED_AT_MS)
-        cell = _parse_number(entry, "cell", place, default=0, maximum=MAX_CELL)
-        zone = self._parse_zone(entry, place, is_removed)
+        kind = self._parse_kind(entry, path, is_removed)
+        address = _parse_address(entry, path, is_removed)
+        weight = _parse_number(entry, "size", path, default=1.0, maximum=MAX_WEIGHT)
+        started_at_ms = _parse_number(entry, "up_since_ms", path, default=0, maximum=MAX_STARTED_AT_MS)
+        cell = _parse_number(entry, "cell", path, default=0, maximum=MAX_CELL)
+        zone = self._parse_zone(entry, path, is_removed)
         started_at_us = self._start_times.to_monotonic_us(
             endpoint_id, int(started_at_ms * US_PER_MS), now.monotonic_us, now.wall_us
         )
@@ -156,58 +156,58 @@
         )
         return EndpointEntry(entry, endpoint, address, name, entry.get("up_since_ms", 0))
 
-    def _parse_kind(self, entry: Mapping[str, Any], place: str, is_removed: bool) -> int:
+    def _parse_kind(self, entry: Mapping[str, Any], path: str, is_removed: bool) -> int:
         kind = self._kinds.get(_text(entry, "flavor"))
         if kind is None and not is_removed:
             raise InvalidEndpointListError(
-                f"{place}.flavor: {_quote(entry.get('flavor'))} is not among the settings' kinds"
+                f"{path}.flavor: {_quote(entry.get('flavor'))} is not among the settings' kinds"
             )
         return kind or 0
 
-    def _parse_zone(self, entry: Mapping[str, Any], place: str, is_removed: bool) -> int:
+    def _parse_zone(self, entry: Mapping[str, Any], path: str, is_removed: bool) -> int:
         default = None if self._zones else 0
         zone = self._zones.get(_text(entry, "locality"), default)
         if zone is None and not is_removed:
             raise InvalidEndpointListError(
-                f"{place}.locality: {_quote(entry.get('locality'))} is not among the settings' zones"
+                f"{path}.locality: {_quote(entry.get('locality'))} is not among the settings' zones"
             )
         return zone or 0
 
 
-def _parse_address(entry: Mapping[str, Any], place: str, is_removed: bool) -> str:
+def _parse_address(entry: Mapping[str, Any], path: str, is_removed: bool) -> str:
     address = _text(entry, "host_port")
     if is_removed:
         return address
     port = address.rpartition(":")[2]
     if not _ADDRESS.fullmatch(address) or not 0 < int(port) <= MAX_PORT:
         quoted = repr(address[:MAX_QUOTED_ADDRESS_CHARACTERS])
-        raise InvalidEndpointListError(f"{place}.host_port: must be host:port, is {quoted}")
+        raise InvalidEndpointListError(f"{path}.host_port: must be host:port, is {quoted}")
     return address
 
 
 def _parse_number(
-    entry: Mapping[str, Any], name: str, place: str, *, default: float, maximum: float
+    entry: Mapping[str, Any], name: str, path: str, *, default: float, maximum: float
 ) -> float:
     value = entry.get(name, default)
     if not is_number_within(value, 0, maximum):
         raise InvalidEndpointListError(
-            f"{place}.{name}: must be a number from 0 to {maximum:.0f}, is {_quote(value)}"
+            f"{path}.{name}: must be a number from 0 to {maximum:.0f}, is {_quote(value)}"
         )
     number: float = value
     return number
 
 
 def _text(entry: Mapping[str, Any], name: str) -> str:
-    """Return a field's text; an empty one where it has none."""
+    """Return a field that is a string or a number as a string; an empty string otherwise."""
     value = entry.get(name, "")
     is_printable = isinstance(value, str) or is_number_within(value, 0, MAX_CELL)
     return str(value) if is_printable else ""
 
 
 def _quote(value: object) -> str:
-    """Return the beginning of a value's text, for an error."""
-    # Failure: a value that is nested deeply, or a number with thousands of digits, has no text. It would
-    # show as a list that is refused whole for one entry.
+    """Return the beginning of a value's text, for an error message."""
+    # A deeply nested value, or a number with thousands of digits, cannot be converted to text. If the error
+    # escaped, the whole list would be rejected because of one entry.
     try:
         return repr(str(value)[:MAX_QUOTED_CHARACTERS])
     except (ValueError, RecursionError):
