--- a/tuliptrack/relay/endpoint_entries.py
+++ b/tuliptrack/relay/endpoint_entries.py
@@ -185,9 +185,7 @@
     return address
 
 
-def _parse_number(
-    entry: Mapping[str, Any], name: str, path: str, *, default: float, maximum: float
-) -> float:
+def _parse_number(entry: Mapping[str, Any], name: str, path: str, *, default: float, maximum: float) -> float:
     value = entry.get(name, default)
     if not is_number_within(value, 0, maximum):
         raise InvalidEndpointListError(
--- a/tuliptrack/relay/engine_client.py
+++ b/tuliptrack/relay/engine_client.py
@@ -1,7 +1,7 @@
-"""The engines on the platform's HTTP, for the core: starts attempts and releases KV states.
+"""The core's client of engines on the platform's HTTP protocol: starts attempts and releases KV states.
 
-`node/port.py` describes the interface. This protocol has no reservations and no health checks: both are
-answered at once, as not available.
+`node/port.py` describes the interface. This protocol has no reservations and no health checks: the client
+reports at once that they are not available.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 __all__ = ["HttpEngineClient"]
 
 MIN_BUDGET_US = 1_000
-"""An engine is always given some time, as a budget of 0 is invalid."""
+"""Minimum budget that is sent to an engine, since a budget of 0 is invalid."""
 
 
 class HttpEngineClient:
-    """See `node.port.EngineClient`.
+    """Implements `node.port.EngineClient`.
 
     Bounds: the connections of `EnginePools`, the pending releases of `KvStateReleases` and `LateReleases`.
     """
@@ -36,27 +36,27 @@
     prefills_have_no_effect = False
     releases_are_global = True
     release_transit_us = 0
-    """The platform allows for it beyond the time that the settings state."""
+    """The platform grants the transit time in addition to the time that the settings state."""
 
     def __init__(self, core: Core, pools: EnginePools, report_names: tuple[str, ...]) -> None:
         self.core, self.pools = core, pools
         self.releases = KvStateReleases(pools, core.settings.release_within_us, core.counters)
         self.late_releases = LateReleases(pools, core.settings.release_within_us, core.counters)
         self._report_names = report_names
-        self._served_id = ""
-        """A request that has been served: nothing is reserved for it, so its release has no effect."""
+        self._served_call_id = ""
+        """Call id of a served request: nothing is reserved for it, so its release has no effect."""
         pools.make_question = self._make_probe
 
     def record_served(self, record: RequestRecord) -> None:
         """Note that a request has been served and is over."""
-        self._served_id = record.client_request.call_id
+        self._served_call_id = record.client_request.call_id
 
     def has_address(self, endpoint_id: int) -> bool:
-        """Return whether the endpoint list states an address."""
+        """Return whether the endpoint list states an address of the endpoint."""
         return endpoint_id in self.pools
 
     def start(self, record: RequestRecord, attempt: Attempt, timeout_us: int) -> HttpAttempt:
-        """Start an attempt, for which the node waits `timeout` microseconds."""
+        """Start an attempt, for which the node waits `timeout_us`."""
         forwarded = cast(ForwardedRequest, record.client_request.payload)
         pool = self.pools.get_or_create(attempt.endpoint_id)
         assert pool
@@ -65,7 +65,7 @@
         deadline_us, address = self.core.now() + timeout_us, pool.address
 
         def set_fields() -> None:
-            # Made as late as possible: the budget is the time that is left when the request is sent.
+            # Called right before the request is written, since the budget is the time left at that moment.
             budget_us = max(deadline_us - self.core.now(), MIN_BUDGET_US)
             exchange.fields = [
                 ("host", address),
@@ -82,7 +82,7 @@
         return call
 
     def release(self, endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
-        """Release all that is reserved for a request, at whichever engine."""
+        """Release everything that is reserved for a request, at any engine."""
         self.releases.start(record.client_request.call_id, UNCONFIRMED_END_ROUNDS if unsure else 1)
 
     def cancel_release(self, record: RequestRecord) -> None:
@@ -92,15 +92,15 @@
         self.late_releases.cancel(call_id)
 
     def release_later(self, endpoint_id: int, record: RequestRecord) -> None:
-        """Have an engine that gave no sign on an attempt release what it may reserve later."""
+        """Have an engine that sent nothing about an attempt release what it may still reserve."""
         self.late_releases.start(endpoint_id, record.client_request.call_id)
 
     def reserve(self, endpoint_id: int, record: RequestRecord, attempt: Attempt) -> None:
-        """Report that no reservation was made."""
+        """Report that no reservation was made: the protocol has none."""
         self.core.reservation_answered(record, attempt, endpoint_id, False)
 
     def check_health(self, endpoint_id: int, done: Callable[[HealthCheckResult], None]) -> None:
-        """Report that the check failed, once this call has returned."""
+        """Report that the check failed, after this call has returned: the protocol has no health checks."""
         asyncio.get_running_loop().call_soon(done, HealthCheckResult(endpoint_id, Status.ERROR, 0))
 
     def close_idle_connections(self, endpoint_id: int) -> None:
@@ -109,7 +109,7 @@
             pool.close_idle()
 
     async def close(self) -> None:
-        """Wait for the pending releases, then end every connection."""
+        """Wait for the pending releases, then close every connection."""
         await self.releases.wait_until_idle()
         self.releases.close()
         self.late_releases.close()
@@ -117,5 +117,5 @@
 
     def _make_probe(self, address: str) -> Exchange | None:
         """Return a request without effect that shows whether a connection works."""
-        # An engine closes its connection after a rejection, so a request without a valid id would not do.
-        return release_request(self._served_id, address) if self._served_id else None
+        # An engine closes the connection after it rejects a request, so the probe needs a valid call id.
+        return release_request(self._served_call_id, address) if self._served_call_id else None
--- a/tuliptrack/relay/engine_pools.py
+++ b/tuliptrack/relay/engine_pools.py
@@ -1,4 +1,4 @@
-"""One pool of connections for each engine of the endpoint list, at the address that the list states now."""
+"""One connection pool for each engine of the endpoint list, at its current address."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EnginePools:
-    """The pools by `endpoint_id`. `Connections` bounds the connections of all of them together."""
+    """The pools by `endpoint_id`. `Connections` bounds the connections of all pools together."""
 
     def __init__(self, options: ClientOptions, connections: Connections) -> None:
         self.options, self.connections = options, connections
@@ -23,7 +23,7 @@
         """host:port of the listed endpoints."""
         self._pools: dict[int, Pool] = {}
         self._retired: list[Pool] = []
-        """Pools of endpoints that have been removed or have moved, until the exchanges on them have ended."""
+        """Pools of endpoints that were removed or changed their address, until their exchanges have ended."""
         self._closing: set[asyncio.Task[None]] = set()
 
     def __iter__(self) -> Iterator[int]:
@@ -35,26 +35,27 @@
         return endpoint_id in self.addresses
 
     def get_or_create(self, endpoint_id: int) -> Pool | None:
-        """Return the pool of an endpoint; None where the list states no address."""
+        """Return the pool of an endpoint; None if the list states no address."""
         pool = self._pools.get(endpoint_id)
         if pool is None and (address := self.addresses.get(endpoint_id)):
-            # `make_question` is looked up at each use, as it is set after the first pools may exist.
+            # `make_question` is looked up at each use, since it may be set after the first pools are created.
             pool = Pool(address, self.options, self.connections, lambda to: self.make_question(to))
             self._pools[endpoint_id] = pool
         return pool
 
     def get(self, endpoint_id: int) -> Pool | None:
-        """Return the pool of an endpoint; None where it has not been used."""
+        """Return the pool of an endpoint; None if the endpoint has not been used."""
         return self._pools.get(endpoint_id)
 
     def all(self) -> list[Pool]:
-        """Return every pool, also those of endpoints that have been removed or have moved."""
+        """Return every pool, including those of endpoints that were removed or changed their address."""
         return [*self._pools.values(), *self._retired]
 
     def update(self, addresses: Mapping[int, str]) -> None:
         """Apply the addresses of a new endpoint list.
 
-        At a new address an endpoint gets new connections; the old ones end with the exchanges on them.
+        An endpoint whose address has changed gets new connections. The old ones are closed when the exchanges
+        on them have ended.
         """
         changed = [known for known in self._pools if self.addresses.get(known) != addresses.get(known)]
         for endpoint_id in changed:
@@ -76,7 +77,7 @@
         self._retired = busy
 
     async def close(self) -> None:
-        """End every connection and task."""
+        """Close every connection and wait for the closing tasks."""
         for pool in self.all():
             await pool.close()
         self._pools, self._retired = {}, []
--- a/tuliptrack/relay/event_stream.py
+++ b/tuliptrack/relay/event_stream.py
@@ -1,8 +1,8 @@
-"""Reads an engine's event stream: complete events for the client, and what the node itself needs of them.
+"""Parses an engine's event stream: complete events for the client, and the data in them that the node uses.
 
-Bytes go in by `EventStream.feed`, which returns the events that have arrived in full, as they came. Comments
-are for the node: they carry load reports and are not forwarded. The node reads two more things: the last
-event, by which a stream is complete, and the token counts that come with the end.
+`EventStream.feed` takes the bytes and returns the complete events unchanged. Comments are for the node: they
+carry load reports and are not forwarded. The node also reads the last event, which shows that the stream is
+complete, and the token counts near the end.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 __all__ = ["JSON_FIELD_ERRORS", "EventStream", "MalformedStreamError", "StreamUsage", "token_count"]
 
 MAX_EVENT_BYTES = 65_536
-"""Of an event that has not arrived in full; beyond it the stream is malformed."""
+"""Maximum size of an incomplete event; beyond it the stream is malformed."""
 MAX_TOKEN_COUNT = 2**31
-"""Of one prompt or answer; a greater count is taken for a mistake."""
+"""Maximum token count of one prompt or answer; a greater value is treated as invalid."""
 JSON_FIELD_ERRORS = (ValueError, TypeError, KeyError)
-"""What reading a field of unchecked JSON may raise."""
+"""Exceptions that reading a field of unvalidated JSON may raise."""
 _SEPARATOR = b"\n\n"
 _COMMENT = b":"
 _DATA = b"data:"
@@ -29,7 +29,7 @@
 
 
 class MalformedStreamError(Exception):
-    """The stream cannot be forwarded any further."""
+    """The stream is not a valid event stream and cannot be forwarded any further."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,11 +38,11 @@
 
     cached_tokens: int
     output_tokens: int | None
-    """None where the engine states no valid number."""
+    """None if the engine states no valid number."""
 
 
 class EventStream:
-    """The event stream of one answer. Bound: `MAX_EVENT_BYTES` and one piece of the body."""
+    """The event stream of one answer. It buffers at most `MAX_EVENT_BYTES` and one piece of the body."""
 
     __slots__ = (
         "_buffer",
@@ -54,37 +54,37 @@
     )
 
     def __init__(self, report_names: tuple[str, ...], record_usage: Callable[[StreamUsage], None]) -> None:
-        """Expect the first byte of the stream.
+        """Create the parser at the start of a stream.
 
         Args:
-            report_names: Names of a load report's values.
+            report_names: Names of the values of a load report.
             record_usage: Called with the token counts, before `feed` returns the event that carries them.
         """
         self._report_names, self._record_usage = report_names, record_usage
         self._buffer = bytearray()
         self.load_report: tuple[float, ...] = ()
-        """The last valid one; empty before it."""
+        """The last valid load report; empty before the first."""
         self.ignored_reports = 0
-        """Load reports that could not be used."""
+        """Number of load reports that could not be used."""
         self.has_last_event = False
-        """Whether the engine has marked the stream as complete."""
+        """Whether the engine has sent the event that marks the end of the stream."""
 
     @property
     def is_complete(self) -> bool:
-        """Whether the stream has ended as it should, with nothing after its last event."""
+        """Whether the stream has its last event and nothing after it."""
         return self.has_last_event and not self._buffer
 
     def feed(self, data: bytes) -> bytes:
         """Add a piece of the body; return the events that are complete now, without comments.
 
         Raises:
-            MalformedStreamError: It is no event stream.
+            MalformedStreamError: The data is not a valid event stream.
         """
         self._buffer += data
         end = self._buffer.rfind(_SEPARATOR)
         if end < 0:
             if len(self._buffer) > MAX_EVENT_BYTES:
-                raise MalformedStreamError("an event without an end")
+                raise MalformedStreamError(f"an event of more than {MAX_EVENT_BYTES} bytes")
             return b""
         complete = bytes(self._buffer[:end])
         del self._buffer[: end + len(_SEPARATOR)]
@@ -92,12 +92,12 @@
         return _SEPARATOR.join([*events, b""]) if events else b""
 
     def _read_event(self, event: bytes) -> bool:
-        """Read an event; return whether the client gets it."""
+        """Parse an event; return whether it is forwarded to the client."""
         if event.startswith(_COMMENT):
             self._read_comment(event)
             return False
         if not event.startswith(_DATA):
-            raise MalformedStreamError("something that is no event")
+            raise MalformedStreamError("malformed event")
         self._read_data(event.removeprefix(_DATA).strip())
         return True
 
@@ -116,7 +116,7 @@
 
 
 def _parse_usage(text: bytes) -> StreamUsage | None:
-    """Return the token counts of an event, or None if they cannot be read: they are meant for the client."""
+    """Return the token counts of an event; None if they are invalid, as they are meant for the client."""
     try:
         usage = parse_json(text)["usage"]
         cached_tokens = token_count(usage["prompt_tokens_details"]["cached_tokens"])
@@ -129,11 +129,11 @@
 
 
 def token_count(value: object) -> int:
-    """Return a count of tokens from unchecked JSON.
+    """Return a token count from unvalidated JSON.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The value is not a valid count.
     """
     if not is_number_within(value, 0, MAX_TOKEN_COUNT):
-        raise ValueError("must be a count of tokens")
+        raise ValueError(f"must be a token count from 0 to {MAX_TOKEN_COUNT}")
     return int(cast(float, value))
--- a/tuliptrack/relay/forwarded_request.py
+++ b/tuliptrack/relay/forwarded_request.py
@@ -1,4 +1,4 @@
-"""What engines get of a client's request."""
+"""The parts of a client's request that are forwarded to engines."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """A client's request as it arrived, which engines get unchanged."""
+    """A client's request as it is forwarded to engines, unchanged."""
 
     method: str
     target: str
     body: bytes
-    """Empty once the answer has started, as no engine needs it any more."""
+    """Emptied once the answer has started, since no further attempt will need it."""
     fields: Fields
     """The header fields that are forwarded."""
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -1,7 +1,7 @@
-"""The listener for clients on the platform's HTTP: requests, their answers, and the node's own pages.
+"""The HTTP server for clients: requests, their answers, and the node's own pages.
 
-A request becomes a `ClientRequest` for the core; its end becomes a status. An engine's events pass through
-unchanged. The node's own pages are `/-/ready`, `/-/healthy` and `/-/counters`.
+A request is passed to the core as a `ClientRequest`, and its end is mapped to an HTTP status. An engine's
+events are forwarded unchanged. The node's own pages are `/-/ready`, `/-/healthy` and `/-/counters`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 MIN_RETRY_AFTER_S = 0.001
 BODY_BUDGET_RETRY_AFTER_S = 0.1
-"""Bodies are freed as answers start, so the next attempt may find enough of the budget soon."""
+"""Bodies are freed when answers start, so a retry may soon find enough of the budget free."""
 MAX_QUOTED_METHOD_CHARACTERS = 20
 MAX_QUOTED_ID_CHARACTERS = 60
 _OK = 200
@@ -41,24 +41,24 @@
 
 
 class _ResponseWriter:
-    """One request's answer; see `fronts.port.RawResponseWriter`."""
+    """The answer to one request; implements `fronts.port.RawResponseWriter`."""
 
     __slots__ = ("_reserved_bytes", "call", "call_id", "front")
 
     def __init__(self, front: Front, call: HttpCall, call_id: str, reserved_bytes: int) -> None:
         self.front, self.call, self.call_id = front, call, call_id
         self._reserved_bytes = reserved_bytes
-        """Of the body budget."""
+        """Share of the body budget that the request holds."""
 
     def close(self) -> None:
-        """Free what the request reserves; may be called more than once."""
+        """Free the body budget and the call id of the request; may be called more than once."""
         self._free_body()
-        # The id may belong to a later request by now.
+        # A later request may use the same id by now.
         if self.front.open_requests.get(self.call_id) is self:
             del self.front.open_requests[self.call_id]
 
     def events(self, data: bytes) -> bool:
-        """Forward complete events; False where the client reads too slowly."""
+        """Forward complete events; return False if the client reads too slowly."""
         if not self.call.started:
             self._free_body()
             self.call.start(_OK, "text/event-stream")
@@ -82,7 +82,7 @@
         self.call.error(_SERVICE_UNAVAILABLE, rejection_text(reason), headers)
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
-        """Answer that the request failed; an answer that has started is broken off."""
+        """Answer that the request failed; if the answer has started, abort the connection."""
         self.close()
         if self.call.started:
             self.call.abort()
@@ -95,7 +95,7 @@
 
 
 class Front:
-    """The listener.
+    """The HTTP server for clients.
 
     Bounds: `HttpLimits` for connections, heads and bodies that arrive; `body_budget` for the bodies of
     requests whose answers have not started.
@@ -107,14 +107,14 @@
         self.core, self.body_budget = core, body_budget
         self.server = HttpServer(self._handle, self._reject_early, limits, arriving_budget)
         self.open_requests: dict[str, _ResponseWriter] = {}
-        """By the clients' ids."""
+        """The writers of open requests by call id."""
         self.is_ready = False
 
     def _reject_early(self, call: HttpCall) -> Refusal | None:
-        """Return the rejection of a request under overload, which is known before its body has arrived."""
-        # Failure: a node that ends rejects a request whose client still sends. It would show as a reset
-        # connection in place of the answer, as the close overtakes it. So while the node ends, the rejection
-        # waits until the whole request has arrived.
+        """Return the rejection of a request under overload, known before its body has arrived; else None."""
+        # A stopping node closes the connection after its answer. If the client were still sending, the close
+        # would overtake the answer and the client would see a reset connection. So while the node stops, the
+        # rejection waits until the whole request has arrived.
         if call.method != "POST" or self.core.stopping:
             return None
         reason, wait_us = self.core.overload()
@@ -145,7 +145,7 @@
             call.respond(_OK, b'{"ready": true}')
 
     def _answer_counters(self, call: HttpCall) -> None:
-        """Answer what the node has counted since its start, as one JSON object."""
+        """Answer with the counters since the node's start, as one JSON object."""
         if call.method == "GET":
             call.respond(_OK, json.dumps(self.core.counter_values()).encode())
         else:
--- a/tuliptrack/relay/http_attempt.py
+++ b/tuliptrack/relay/http_attempt.py
@@ -1,7 +1,7 @@
-"""One attempt at an engine on the platform's HTTP: its answer as it arrives, and its end in the core's terms.
+"""One attempt at an engine over HTTP: its answer as it arrives, and its end as a status of the core.
 
 A prefill is answered by 202 with a small JSON body, a decode by 200 with an event stream. A rejection carries
-`x-rejected: 1`: the engine has not run the request. Everything else is an error, or a broken connection.
+`x-rejected: 1`: the engine has not run the request. Everything else is an error or a broken connection.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 log = structlog.get_logger("engines")
 MAX_BODY_BYTES = 65_536
-"""Of an answer that is no stream."""
+"""Maximum body of an answer that is not a stream."""
 _REJECTED_FIELD = "x-rejected"
 _STREAM_STATUS = 200
 _PREFILL_STATUS = 202
@@ -49,7 +49,7 @@
 
 
 class HttpAttempt:
-    """An attempt that is in progress; see `node.port.AttemptCall`."""
+    """An attempt in flight; implements `node.attempt_call.AttemptCall`."""
 
     __slots__ = (
         "_attempt",
@@ -80,7 +80,7 @@
         self._report_names = report_names
         self._stream = EventStream(report_names, self._record_usage)
         self._body = bytearray()
-        """Of an answer that is no stream."""
+        """The body of an answer that is not a stream."""
         self._head_load_report: tuple[float, ...] = ()
         self._is_rejected = False
         self._status_if_cancelled = Status.CANCELLED
@@ -89,12 +89,12 @@
         exchange.on_end = self._handle_end
 
     def cancel(self, status: Status) -> None:
-        """End the attempt, as `status`."""
+        """Cancel the attempt; it ends as `status`."""
         self._status_if_cancelled = status
         self.exchange.cancel()
 
     def delivery(self) -> Delivery:
-        """Return how far the attempt has come."""
+        """Return how far the delivery of the attempt has come."""
         if not self.exchange.sent:
             return Delivery.NOT_SENT
         if self.exchange.heard:
@@ -102,7 +102,7 @@
         return Delivery.CORROBORATED if self._corroboration.is_corroborated() else Delivery.POSSIBLE
 
     def confirm_arrival(self) -> None:
-        """Find out whether the attempt has arrived."""
+        """Start to find out whether the attempt has arrived."""
         if not self.exchange.heard:
             self._corroboration.check()
 
@@ -115,7 +115,7 @@
         self.exchange.pause()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue to read the answer."""
         self.exchange.resume()
 
     @property
@@ -140,7 +140,7 @@
             return
         self._body += data
         if len(self._body) > MAX_BODY_BYTES:
-            self._fail("an answer that is too long")
+            self._fail(f"an answer of more than {MAX_BODY_BYTES} bytes")
 
     def _handle_events(self, data: bytes) -> None:
         try:
@@ -155,7 +155,7 @@
         self._core.output_forwarded(self._record, self._attempt, is_accepted)
 
     def _fail(self, reason: str) -> None:
-        """End an attempt whose answer cannot be used."""
+        """Cancel the attempt, whose answer is malformed."""
         log.warning("engine fault", request=self._record.id, server=self._attempt.endpoint_id, reason=reason)
         self.exchange.spoilt = True
         self.cancel(Status.RESET)
@@ -174,31 +174,31 @@
 
     def _result(self, outcome: How, failure: str) -> AttemptResult:
         if outcome is How.GIVEN_UP and not self.exchange.sent:
-            return self._result_of_unsent()
+            return self._unsent_result()
         if outcome is How.GIVEN_UP:
-            return self._result_of_broken(self._status_if_cancelled, "given up")
+            return self._broken_result(self._status_if_cancelled, "given up")
         if outcome is not How.ANSWER:
-            return self._result_of_broken(_STATUS_BY_OUTCOME[outcome], failure)
-        return self._result_of_answer()
+            return self._broken_result(_STATUS_BY_OUTCOME[outcome], failure)
+        return self._answer_result()
 
-    def _result_of_unsent(self) -> AttemptResult:
+    def _unsent_result(self) -> AttemptResult:
         """Return the result of an attempt that was cancelled before it was sent.
 
-        It never ran, and its end says nothing of its engine but that no connection came up in time.
+        It never ran. All that its end may show of the engine is that no connection was established in time.
         """
         is_timeout = self._status_if_cancelled is Status.TIMEOUT
         return AttemptResult(
             Status.CONNECT_FAILED if is_timeout else Status.ABANDONED,
-            "given up before it was sent",
+            "cancelled before it was sent",
             is_connection_only=is_timeout,
         )
 
-    def _result_of_broken(self, status: Status, reason: str) -> AttemptResult:
+    def _broken_result(self, status: Status, reason: str) -> AttemptResult:
         exchange = self.exchange
         return AttemptResult(
             status,
             reason,
-            # A malformed stream has run: the KV state that it needed is gone.
+            # The engine has run an attempt whose stream is malformed: the KV state that it used is gone.
             is_state_lost=exchange.spoilt and not self._attempt.is_prefill,
             load_report=self._load_report,
             is_connection_only=exchange.spoilt or exchange.lone,
@@ -206,29 +206,31 @@
             is_corroborated=self._corroboration.is_corroborated(),
         )
 
-    def _result_of_answer(self) -> AttemptResult:
+    def _answer_result(self) -> AttemptResult:
         status = self.exchange.status
         if self._is_rejected and status in _AT_CAPACITY_STATUSES:
-            return self._confirmed(Status.AT_CAPACITY, "turned away")
+            return self._confirmed_result(Status.AT_CAPACITY, "turned away")
         if self._is_rejected and status == _STATE_LOST_STATUS:
-            return self._confirmed(Status.AT_CAPACITY, "the state is gone", is_state_lost=True)
+            return self._confirmed_result(
+                Status.AT_CAPACITY, "the engine no longer has the KV state", is_state_lost=True
+            )
         if status == _PREFILL_STATUS and self._attempt.is_prefill:
             location = KvStateLocation(self._attempt.endpoint_id, "", "")
             self._core.prefill_finished(self._record, self._attempt, location, self._cached_tokens())
-            return self._confirmed(Status.OK)
+            return self._confirmed_result(Status.OK)
         if self._is_stream:
-            return self._result_of_stream()
+            return self._stream_result()
         is_invalid = status in _INVALID_REQUEST_STATUSES
-        return self._confirmed(Status.ERROR, f"answered {status}", is_invalid_request=is_invalid)
+        return self._confirmed_result(Status.ERROR, f"answered {status}", is_invalid_request=is_invalid)
 
-    def _result_of_stream(self) -> AttemptResult:
+    def _stream_result(self) -> AttemptResult:
         if not self._stream.is_complete:
             self.exchange.spoilt = True
-            return self._result_of_broken(Status.RESET, "a stream that isn't whole")
+            return self._broken_result(Status.RESET, "incomplete event stream")
         self._record.finish_reason = FinishReason.STOP
-        return self._confirmed(Status.OK)
+        return self._confirmed_result(Status.OK)
 
-    def _confirmed(
+    def _confirmed_result(
         self,
         status: Status,
         reason: str = "",
@@ -236,7 +238,7 @@
         is_state_lost: bool = False,
         is_invalid_request: bool = False,
     ) -> AttemptResult:
-        """Return the result of an attempt that its engine has answered in full."""
+        """Return the result of an attempt that its engine has answered completely."""
         return AttemptResult(
             status,
             reason,
@@ -247,7 +249,7 @@
         )
 
     def _cached_tokens(self) -> int:
-        """Return how much of the prompt the prefill found cached; 0 where its answer does not say."""
+        """Return how many tokens of the prompt the prefill found cached; 0 if its answer does not say."""
         try:
             return token_count(parse_json(bytes(self._body))["cached_tokens"])
         except JSON_FIELD_ERRORS:
--- a/tuliptrack/relay/kv_state_releases.py
+++ b/tuliptrack/relay/kv_state_releases.py
@@ -1,19 +1,19 @@
-"""Releases KV states: a `DELETE` for a request, sent to one engine after another until one has confirmed it.
+"""Releases KV states: sends a `DELETE` for a request to one engine after another until one confirms it.
 
-Any engine that runs releases what is reserved for a request, at whichever engine. So a release does not
-depend on the engine that has the state. The first exchange goes to the engine that was heard from last,
-among those with a connection to spare, since a new connection costs its engine work. Each step asks more
-engines at once, and an exchange whose connection is still coming up is not waited for. Steps are a fixed part
-of the time that the settings allow apart, less where all exchanges of a step have failed. After `STEPS` of
-them, 19 exchanges, the steps go on with the allowed time between them, until an engine confirms or
-`ABANDONED_AFTER_S` has passed.
+Any running engine can release what is reserved for a request, even at another engine. So a release does not
+depend on the engine that holds the state. The first exchange goes to the engine that sent something last,
+among those with an idle connection, since a new connection costs its engine work. Each step asks more engines
+at once, and does not wait for exchanges whose connections are still being established. The pause between two
+steps is a fixed part of the time that the settings allow, and shorter if all exchanges of a step have failed.
+After `STEPS` steps, which are 19 exchanges, the steps continue with the allowed time between them, until an
+engine confirms the release or `ABANDONED_AFTER_S` has passed.
 
 An attempt that ended unconfirmed, such as a cancelled prefill, may reach its engine after a release was
-confirmed, so that a state is reserved which no attempt will use. Such a release has `UNCONFIRMED_END_ROUNDS`
-rounds, half of the allowed time apart.
+confirmed, and reserve a state that no attempt will use. Its release has `UNCONFIRMED_END_ROUNDS` rounds, half
+of the allowed time apart.
 
-Bounds: `MAX_PENDING` releases, where the one that has been pending for longest is abandoned for a new one;
-`MAX_OPEN_EXCHANGES` exchanges, past which steps wait in the order in which they are due.
+Bounds: `MAX_PENDING` releases, beyond which the one that has been pending for longest is abandoned for a new
+one; `MAX_OPEN_EXCHANGES` exchanges, beyond which steps wait in the order in which they are due.
 """
 
 from __future__ import annotations
@@ -43,19 +43,19 @@
 MAX_PENDING = 4_096
 MAX_OPEN_EXCHANGES = 512
 STEPS = 6
-"""Within the time that the settings allow."""
+"""Steps within the time that the settings allow."""
 FAILED_STEP_SPEEDUP = 10
-"""Divides the pause between two steps if all exchanges have failed: no answer is awaited then."""
+"""Divides the pause between two steps if all exchanges have failed, as no answer is pending then."""
 EXCHANGES_BY_STEP = (1, 2, 4)
-"""New exchanges of each step; the last figure counts for all further ones."""
+"""New exchanges of each step; the last number applies to all further steps."""
 NEW_CONNECTIONS_FROM_STEP = 2
-"""From this step on exchanges use new connections: the idle ones may all have fallen silent."""
+"""From this step on, exchanges use new connections, since the idle ones may all have fallen silent."""
 UNCONFIRMED_END_ROUNDS = 2
-"""Rounds where the end of the attempt may reach its engine after the first release."""
+"""Rounds of a release whose attempt may reach its engine after the first confirmation."""
 LATE_AFTER_S = 0.3
-"""The platform's slack: a release that takes longer may come too late."""
+"""The platform's tolerance: a release that takes longer may be too late."""
 ABANDONED_AFTER_S = 15.0
-"""Twice as long as the longest outage of the network that is expected."""
+"""Twice the longest network outage that is expected."""
 MIN_ALLOWED_S = 0.001
 _SUCCESS_STATUSES = range(200, 300)
 _PATH = "/bootstrap/rooms/"
@@ -72,7 +72,7 @@
 
 
 def allowed_seconds(release_within_us: int) -> float:
-    """Return the time that the settings allow for a release, never zero."""
+    """Return the time that the settings allow for a release, in seconds; never zero."""
     return max(release_within_us / 1e6, MIN_ALLOWED_S)
 
 
@@ -82,41 +82,41 @@
 
     call_id: str
     started_at: float
-    """Start of the round, on the loop's clock, in seconds."""
+    """Start of the current round, on the event loop's clock, in seconds."""
     rounds: int
-    """Confirmations that are still missing."""
+    """Number of confirmations that are still missing."""
     step: int = 0
     exchanges: list[Exchange] = field(default_factory=list)
-    """Those that are open."""
+    """Its open exchanges."""
     contacted: set[int] = field(default_factory=set)
-    """Endpoints where it was sent since all of them were."""
+    """Endpoints that were asked since the last time that all of them had been."""
     timer: asyncio.TimerHandle | None = None
-    """Of the next step or round."""
+    """Starts the next step or round."""
     awaits_round: bool = False
-    """It is confirmed and waits for its next round."""
+    """Whether it is confirmed and waits for its next round."""
     awaits_capacity: bool = False
-    """Its next step waits until fewer exchanges are open."""
+    """Whether its next step waits until fewer exchanges are open."""
 
 
 class KvStateReleases:
-    """The pending releases, by the client's id of the request. `close` ends every exchange and timer."""
+    """The pending releases by call id. `close` ends every exchange and timer."""
 
     def __init__(self, pools: EnginePools, release_within_us: int, counters: Counters) -> None:
-        """Release nothing yet.
+        """Create it without pending releases.
 
         Args:
-            pools: The engines to ask.
-            release_within_us: After which a state that no attempt waits for must have been released.
-            counters: Of the node.
+            pools: The pools of all engines.
+            release_within_us: Time within which a state that no attempt waits for must be released.
+            counters: The counters of the node.
         """
         self._pools, self._counters = pools, counters
         self._allowed_s = allowed_seconds(release_within_us)
         self._pending: dict[str, _Release] = {}
-        """In the order in which their rounds started, so the first one has been pending for longest."""
+        """Ordered by the start of their rounds, so the first one has been pending for longest."""
         self._waiting: deque[_Release] = deque()
         """Releases whose next step waits until fewer exchanges are open."""
         self._open_exchanges: dict[Exchange, asyncio.TimerHandle] = {}
-        """Each with the timer that cancels it."""
+        """The open exchanges, each with the timer that cancels it."""
         self._is_idle = asyncio.Event()
         self._is_idle.set()
 
@@ -125,7 +125,7 @@
         return len(self._pending)
 
     def start(self, call_id: str, rounds: int = 1) -> None:
-        """Release all that is reserved for a request, in so many rounds."""
+        """Release everything that is reserved for a request; it needs `rounds` confirmations."""
         if pending := self._pending.get(call_id):
             self._extend(pending, rounds)
             return
@@ -143,34 +143,34 @@
         return pending is not None and pending.awaits_round
 
     def cancel(self, call_id: str) -> None:
-        """Stop a release: a newer state is reserved for the request, which a late exchange would release."""
+        """Stop a release: a newer state is reserved for the request, and a late exchange would release it."""
         if release := self._pending.get(call_id):
             self._end(release)
 
     async def wait_until_idle(self) -> None:
-        """Wait until nothing is pending, but no longer than the settings allow."""
+        """Wait until nothing is pending, but no longer than the settings allow for a release."""
         try:
             await asyncio.wait_for(self._is_idle.wait(), self._allowed_s)
         except TimeoutError:
             log.warning("releases pending at the end", pending=len(self._pending))
 
     def close(self) -> None:
-        """Give up every release."""
+        """Cancel every release."""
         for release in list(self._pending.values()):
             self._end(release)
         for exchange in list(self._open_exchanges):
             exchange.cancel()
 
     def _extend(self, release: _Release, rounds: int) -> None:
-        """Have a pending release cover what may have been reserved since it started."""
+        """Extend a pending release to what may have been reserved since it started."""
         release.rounds = max(release.rounds, rounds)
-        # What is reserved now may have come after the last confirmation, and its time runs from now on.
+        # The state may have been reserved after the last confirmation, so its allowed time begins now.
         if release.awaits_round:
             self._stop(release)
             self._next_round(release)
 
     def _next_step(self, release: _Release) -> None:
-        """Start some more exchanges, and a timer for the step after them."""
+        """Start the exchanges of the next step, and a timer for the step after it."""
         release.timer, release.awaits_capacity = None, False
         loop = asyncio.get_running_loop()
         if loop.time() - release.started_at >= ABANDONED_AFTER_S:
@@ -183,9 +183,9 @@
             return
         for exchange in release.exchanges:
             exchange.doubt()
-        # Failure: idle connections have all fallen silent, as after an outage of the network. It would show
-        # as a release that no engine gets. New connections show at once whether an engine can be reached, so
-        # every engine is tried again on one.
+        # After a network outage all idle connections may have fallen silent, and no engine would get the
+        # release. A new connection shows at once whether its engine is reachable, so from this step on every
+        # engine is tried again on a new one.
         if release.step == NEW_CONNECTIONS_FROM_STEP:
             release.contacted.clear()
         use_new_connection = release.step >= NEW_CONNECTIONS_FROM_STEP
@@ -197,7 +197,7 @@
         release.timer = loop.call_later(pause_s, self._next_step, release)
 
     def _next_endpoints(self, release: _Release, count: int) -> list[int]:
-        """Return the endpoints to ask next; those asked before once all have been."""
+        """Return the endpoints to ask next; once all have been asked, start again with all."""
         remaining = [endpoint_id for endpoint_id in self._pools if endpoint_id not in release.contacted]
         if not remaining:
             release.contacted.clear()
@@ -205,10 +205,10 @@
         return heapq.nlargest(count, remaining, key=self._rank)
 
     def _rank(self, endpoint_id: int) -> tuple[bool, bool, float, float]:
-        """Return how suitable an endpoint is for an exchange.
+        """Return how suitable an endpoint is for an exchange; the highest rank is asked first.
 
-        First those without a doubt, then those with a connection to spare, then those heard from last, and
-        equal ones at random.
+        Endpoints that are not in doubt rank highest, then those with an idle connection, then those that sent
+        something last. Ties are broken at random.
         """
         pool = self._pools.get(endpoint_id)
         if pool is None:
@@ -230,7 +230,7 @@
 
     def _exchange_ended(self, release: _Release, exchange: Exchange, outcome: How) -> None:
         self._open_exchanges.pop(exchange).cancel()
-        # One that is no longer among those of its release was started before a confirmation or the end.
+        # An exchange that is no longer in the list was started before the release was confirmed or ended.
         if exchange in release.exchanges:
             release.exchanges.remove(exchange)
             if is_confirmed(exchange, outcome):
@@ -267,10 +267,10 @@
         self._next_step(release)
 
     def _hasten_next_step(self, release: _Release) -> None:
-        """Start the next step soon, as all exchanges have failed.
+        """Start the next step soon, since all exchanges have failed.
 
-        The number of hastened steps is bounded by `STEPS`, so that engines that reject connections are not
-        tried without end.
+        Only the first `STEPS` steps are hastened, so that engines which reject connections are not tried
+        rapidly without end.
         """
         if release.timer and release.step < STEPS:
             release.timer.cancel()
@@ -291,7 +291,7 @@
             self._is_idle.set()
 
     def _stop(self, release: _Release) -> None:
-        """Start no further step; one that is sent goes on, one that waits for a connection does not."""
+        """Start no further step. Exchanges that have been sent continue; the others are cancelled."""
         release.awaits_capacity = False
         if release.timer:
             release.timer.cancel()
--- a/tuliptrack/relay/late_releases.py
+++ b/tuliptrack/relay/late_releases.py
@@ -1,12 +1,12 @@
 """Releases at engines that may reserve a KV state after their attempt was cancelled.
 
-A release that another engine confirms covers what is reserved by then. An engine that hangs, or whose machine
-is cut off, may end a prefill later, and may see later that an attempt has ended. So every engine that gave no
-sign on an attempt gets a release of its own once the request is over, and another one a while later, since it
-may process what it had waiting in any order.
+A release that another engine confirms covers only what is reserved by then. An engine that hangs, or whose
+machine is cut off from the network, may finish a prefill later, or notice later that an attempt has ended. So
+every engine that sent nothing about an attempt gets a release of its own once the request is over. It gets
+another one a while later, since it may process the requests in its queue in any order.
 
-Bounds: `MAX_PENDING` releases, past which a new one is dropped and counted; one try at a time to each engine;
-each release is abandoned after `ABANDONED_AFTER_S`, or once its engine is no longer listed.
+Bounds: `MAX_PENDING` releases, beyond which a new one is dropped and counted; one try at a time for each
+engine; each release is abandoned after `ABANDONED_AFTER_S`, or once its engine is no longer listed.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 MAX_PENDING = 4_096
 ROUNDS = 2
-"""Confirmations of each release: an engine may process the first one before the attempt that it follows."""
+"""Confirmations of each release: an engine may process the first release before the attempt itself."""
 
 
 @dataclass(slots=True, eq=False)
@@ -38,47 +38,47 @@
 
     call_id: str
     abandoned_at: float
-    """On the loop's clock, in seconds."""
+    """On the event loop's clock, in seconds."""
     rounds: int = ROUNDS
-    """Confirmations that are still missing."""
+    """Number of confirmations that are still missing."""
     has_failed: bool = False
-    """A try has failed: idle connections may have fallen silent, so further tries use new ones."""
+    """Whether a try has failed. Idle connections may have fallen silent, so further tries use new ones."""
 
 
 @dataclass(slots=True)
 class _EngineQueue:
-    """What is pending at one engine, in the order in which it is due."""
+    """The pending releases at one engine, in the order in which they are due."""
 
     releases: deque[_LateRelease] = field(default_factory=deque)
     open_try: Exchange | None = None
     timer: asyncio.TimerHandle | None = None
-    """When the try is cancelled, or the next one starts."""
+    """Cancels the open try, or starts the next one."""
 
 
 class LateReleases:
     """The pending releases by engine and request. `close` ends every try and timer."""
 
     def __init__(self, pools: EnginePools, release_within_us: int, counters: Counters) -> None:
-        """Release nothing yet.
+        """Create it without pending releases.
 
         Args:
-            pools: The engines.
-            release_within_us: After which a state that no attempt waits for must have been released.
-            counters: Of the node.
+            pools: The pools of all engines.
+            release_within_us: Time within which a state that no attempt waits for must be released.
+            counters: The counters of the node.
         """
         self._pools, self._counters = pools, counters
         self._pause_s = allowed_seconds(release_within_us)
-        """How long a try may take, and the pause between two where one has failed."""
+        """Time limit of a try, and the pause after a failed one."""
         self._queues: dict[int, _EngineQueue] = {}
         self._pending: dict[tuple[int, str], _LateRelease] = {}
-        """By `endpoint_id` and the client's id of the request."""
+        """By `endpoint_id` and call id."""
 
     def __len__(self) -> int:
         """Return how many releases are pending."""
         return len(self._pending)
 
     def start(self, endpoint_id: int, call_id: str) -> None:
-        """Have one engine release all that is reserved for a request that is over."""
+        """Have one engine release everything that is reserved for a request that is over."""
         if (endpoint_id, call_id) in self._pending:
             return
         if len(self._pending) >= MAX_PENDING:
@@ -98,7 +98,7 @@
             self._pending.pop((endpoint_id, call_id), None)
 
     def close(self) -> None:
-        """Give up every release."""
+        """Cancel every release."""
         self._pending.clear()
         for queue in self._queues.values():
             queue.releases.clear()
@@ -112,7 +112,7 @@
         return self._pending.get((endpoint_id, release.call_id)) is release
 
     def _try_next(self, endpoint_id: int, queue: _EngineQueue) -> None:
-        """Try the release that is due first; the queue of an engine without one is removed."""
+        """Try the release that is due first; remove the queue if none is left."""
         queue.timer = None
         now_s = asyncio.get_running_loop().time()
         while queue.releases:
@@ -142,7 +142,7 @@
             queue.timer.cancel()
         queue.open_try, queue.timer = None, None
         if self._queues.get(endpoint_id) is not queue:
-            return  # Closed meanwhile.
+            return  # `close` was called in the meantime.
         if exchange and is_confirmed(exchange, outcome):
             pause_s = self._record_confirmation(endpoint_id, queue)
         else:
@@ -152,13 +152,13 @@
         queue.timer = loop.call_later(pause_s, self._try_next, endpoint_id, queue)
 
     def _record_confirmation(self, endpoint_id: int, queue: _EngineQueue) -> float:
-        """Put the first release at the end for its next round, or end it; return the pause in seconds."""
+        """Move the first release to the end for its next round, or end it; return the pause in seconds."""
         release = queue.releases.popleft()
         release.rounds -= 1
         if release.rounds:
             queue.releases.append(release)
         elif self._is_pending(endpoint_id, release):
             del self._pending[endpoint_id, release.call_id]
-        # Rounds of the same release need a pause between them; first rounds follow each other at once.
+        # Two rounds of the same release need a pause between them; first rounds follow each other at once.
         has_first_round = any(pending.rounds == ROUNDS for pending in queue.releases)
         return 0.0 if has_first_round else self._pause_s / 2
--- a/tuliptrack/relay/load_reports.py
+++ b/tuliptrack/relay/load_reports.py
@@ -1,6 +1,6 @@
-"""Reads the load reports of engines: a JSON object in a header field or in a comment of an event stream.
+"""Parses load reports of engines: a JSON object in a header field or in a comment of an event stream.
 
-A report is advice: one that cannot be used is ignored, and the answer that it came with goes on.
+Reports are advisory: an unusable report is ignored and does not affect the answer that it came with.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 REPORT_FIELD = "x-load-report"
 MAX_REPORTED_VALUE = 1e9
-"""This and greater values are taken for a mistake: counts, shares and seconds stay far below."""
+"""This and greater values are treated as invalid: counts, shares and seconds stay far below."""
 
 
 def parse_load_report(text: str | bytes, names: tuple[str, ...]) -> tuple[float, ...]:
-    """Return the values of a report in the order of `names`; an empty tuple where it cannot be used.
+    """Return the values of a report in the order of `names`; an empty tuple if it cannot be used.
 
     A value that is missing counts as 0.
     """
--- a/tuliptrack/relay/node.py
+++ b/tuliptrack/relay/node.py
@@ -1,4 +1,4 @@
-"""One node on the platform's HTTP: its wiring, its endpoint list, its start and its graceful shutdown."""
+"""One node on the platform's HTTP protocol: wiring, endpoint list, start and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -37,44 +37,45 @@
 
 log = structlog.get_logger("relay")
 SWEEP_INTERVAL_S = 0.25
-"""Between checks of silent streams, stalled clients and idle connections."""
+"""Interval between checks for silent streams, stalled clients and idle connections."""
 LISTEN_RETRY_S = 5.0
-"""How long listening is retried, where the address is not available yet."""
+"""How long listening is retried if the address is not available yet."""
 READY_WITHOUT_LIST_AFTER_S = 2.0
-"""A node without engines waits so long for a list before it reports that it is ready all the same."""
+"""A node that knows no engines waits this long for a list before it reports that it is ready anyway."""
 TOKEN_SILENCE_US = 4_000_000
-"""The platform lets a client wait for 5 s on a stream that has stopped."""
+"""Longest silence of a stream. The platform lets a client wait for 5 s on a stream that has stopped."""
 GRACE_AFTER_SIGTERM_S = 0.6
-"""The platform excuses what fails so soon after SIGTERM; later requests must be answered before SIGKILL."""
+"""The platform excuses failures this soon after SIGTERM; later requests must be answered before SIGKILL."""
 MIGRATE_BEFORE_KILL_S = 1.1
-"""Before SIGKILL may come: when streams are migrated, and new requests rejected."""
+"""How long before the earliest SIGKILL streams are migrated and new requests are rejected."""
 CONCLUDE_BEFORE_KILL_S = 0.5
-"""Before SIGKILL may come: when requests that arrived late are concluded."""
+"""How long before the earliest SIGKILL the open requests that arrived late get their final answers."""
 RESERVED_DESCRIPTORS = 8 + ACCEPTED_AT_ONCE + MAX_CONNECTIONS
-"""For neither clients nor engines: log and standard streams (3), listener, selector and its wake-up (2), the
-settings file, one that an import may need; connections accepted and not handled yet; polls of the list."""
+"""Descriptors for neither clients nor engines: log and standard streams (3), listener, selector and its
+wake-up (2), the settings file, one that an import may need; connections accepted but not handled yet; polls
+of the list."""
 CLIENT_DESCRIPTOR_SHARE = 0.45
-"""At most, of all descriptors."""
+"""Maximum share of all descriptors for client connections."""
 ENGINE_DESCRIPTOR_SHARE = 0.4
-"""At most, of all descriptors."""
+"""Maximum share of all descriptors for engine connections."""
 MAX_BODY_BYTES = 262_144
-"""Of a request or an answer, by the protocol."""
+"""Maximum body of a request or an answer, set by the protocol."""
 MAX_HEAD_BYTES = 16_384
 REQUEST_TIMEOUT_US = 2_500_000
 CLIENT_IDLE_TIMEOUT_US = 30_000_000
 DEFAULT_ENGINE_IDLE_TIMEOUT_US = 15_000_000
 IDLE_MARGIN_US = 2_000_000
-"""Idle connections are closed so long before their engine would do it."""
+"""Idle connections are closed this long before their engine would close them."""
 ANSWER_LEAD_US = 20_000
-"""How long before the client's deadline its answer leaves at the latest."""
+"""How long before the client's deadline its answer is sent at the latest."""
 ARRIVING_MEMORY_DIVISOR = 8
-"""One part of so many of the memory is for bodies that arrive."""
+"""The share of the memory for request bodies that are arriving is 1 / this."""
 BODY_MEMORY_DIVISOR = 6
-"""One part of so many of the memory is for the bodies of open requests."""
+"""The share of the memory for the bodies of open requests is 1 / this."""
 
 
 class RelayNode(Core):
-    """One node. `start`, then `stop`; between them it serves."""
+    """One node; it serves from `start` to `stop`."""
 
     def __init__(self, config: RelayConfig) -> None:
         self.config = config
@@ -105,9 +106,9 @@
             lambda error: self.record_fault("endpoint list", error),
         )
         self._last_rejection = ""
-        """Why the last list was rejected, so that it is logged once."""
+        """Why the last list was rejected, so that a repeated reason is logged once."""
         self._last_update: tuple[UpdateKind, int] | None = None
-        """Kind and version of the last list applied."""
+        """Kind and version of the last list that was accepted."""
         self._sweeper: asyncio.Task[None] | None = None
         self._readiness_timer: asyncio.TimerHandle | None = None
         self._settings_reload = SettingsReload(self._apply_settings)
@@ -115,8 +116,8 @@
     async def start(self) -> str:
         """Serve; return the host:port that the node listens on.
 
-        It is ready once it listens and knows engines, from its settings or from a first list, or has waited
-        for one for `READY_WITHOUT_LIST_AFTER_S`.
+        The node is ready once it listens and knows engines, from its settings or from a first list, or once
+        it has waited for a list for `READY_WITHOUT_LIST_AFTER_S`.
         """
         self.apply_list(self.config.cached_list, is_cached=True)
         self.source.start()
@@ -149,10 +150,11 @@
         """Apply an endpoint list; see `EndpointDirectory.apply`.
 
         Returns:
-            False where it is older than the known one.
+            False if the list is older than the known one.
 
         Raises:
-            InvalidEndpointListError: It cannot be used; a cached list is replaced by an empty one instead.
+            InvalidEndpointListError: The list cannot be used. An unusable cached list does not raise, but
+                counts as empty.
         """
         try:
             update = self.directory.apply(message, is_cached=is_cached, is_new_agent=is_new_agent)
@@ -174,12 +176,12 @@
         return True
 
     def request_removed(self, record: RequestRecord) -> None:
-        """Note a request that has left the table of open requests."""
+        """Record a request that was removed from the table of open requests."""
         if record.state is RequestState.SERVED:
             self.channels.record_served(record)
 
     def counter_values(self) -> dict[str, int]:
-        """Return what the node has counted since its start."""
+        """Return the counters since the node's start."""
         connections = self.pools.connections
         return {
             **super().counter_values(),
@@ -192,19 +194,19 @@
     def reload(self) -> None:
         """Read the settings file again and follow the discovery agent that it names.
 
-        Other changes count from the next start on, as the requests in flight were admitted under the settings
-        of this one.
+        All other changes take effect with the next start, since the requests in flight were admitted under
+        the current settings.
         """
         self._settings_reload.start()
 
     async def stop(self, grace_s: float, kill_after_s: float) -> None:
-        """End, knowing that nothing kills the node for `kill_after_s`.
+        """Shut down gracefully; SIGKILL follows no sooner than after `kill_after_s`.
 
-        Until shortly before, everything goes on: clients keep their connections, and while nodes restart one
-        after another there may be no other node yet. Then streams are migrated while their clients can find
-        another node, since the kill would break them. Requests that arrive from then on are rejected, each
-        answer closing its connection; a connection without a request stays open until the kill is due, as one
-        may be on its way. `grace_s` bounds the end of what is open then.
+        Until shortly before that, the node serves as usual: clients keep their connections, and during a
+        rolling restart there may be no other node yet. Then streams are migrated while their clients can find
+        another node, since the kill would break them. Requests that arrive from then on are rejected, and
+        each answer closes its connection. A connection without a request stays open until the kill is due,
+        since a request may be on its way. `grace_s` bounds how long what is open then may take to end.
         """
         started_at_us = self.now()
         log.info("stopping", open=len(self.table.open))
@@ -228,10 +230,10 @@
                 await self._sweeper
         await self.channels.close()
         log.info("counters", **self.counter_values())
-        log.info("stopped", **{state.value: n for state, n in self.table.end_counts.items()})
+        log.info("stopped", **{state.value: count for state, count in self.table.end_counts.items()})
 
     def _apply_update(self, update: EndpointListUpdate) -> None:
-        # The router goes first: the connections to an endpoint are closed once it sends nothing there.
+        # The router is updated first, so that it sends nothing to an endpoint whose connections are closed.
         self.dispatch(update)
         self.pools.update(self.directory.addresses)
         is_cached = update.kind is UpdateKind.CACHED
@@ -242,14 +244,14 @@
             servers=len(self.directory.addresses),
             changed=[]
             if is_cached
-            else [f"{one.state.value}:{one.id % 1_000_000}" for one in update.endpoints],
+            else [f"{endpoint.state.value}:{endpoint.id % 1_000_000}" for endpoint in update.endpoints],
         )
 
     def _apply_settings(self, config: RelayConfig) -> None:
         self.source.switch_to(config.discovery_address)
 
     def _become_ready(self) -> None:
-        """End the wait for the first list."""
+        """Stop waiting for the first list and report that the node is ready, if it still waits."""
         if self._readiness_timer:
             self._readiness_timer.cancel()
             self._readiness_timer, self.front.is_ready = None, True
--- a/tuliptrack/relay/request_parser.py
+++ b/tuliptrack/relay/request_parser.py
@@ -1,6 +1,6 @@
-"""Reads a client's request: from the header fields of the platform's protocol to a `ClientRequest`.
+"""Parses a client's request: from the header fields of the platform's protocol to a `ClientRequest`.
 
-The names of the header fields appear in this module only. The body is checked to be a JSON object and
+Only this module knows the names of the clients' header fields. The body must be a JSON object and is
 forwarded unchanged.
 """
 
@@ -20,15 +20,15 @@
 __all__ = ["check_body", "parse_call_id", "parse_request"]
 
 MAX_BUDGET_S = 86_400.0
-"""A budget of more than a day is taken for a mistake."""
+"""A budget of more than a day is rejected as invalid."""
 MAX_QUOTED_CHARACTERS = 40
-"""Of a wrong value, in the text of an error."""
+"""How much of a wrong value an error message quotes."""
 MAX_QUOTED_ID_CHARACTERS = 60
 MAX_QUOTED_METHOD_CHARACTERS = 20
 MAX_ERROR_CHARACTERS = 200
 _CALL_ID = re.compile(r"[A-Za-z0-9._~-]{1,128}")
 _SINGLE_FIELDS = ("x-call-id", "x-call-class", "x-caller", "x-budget", "x-call-info")
-"""Fields that may appear once only."""
+"""Fields that may appear only once."""
 _HOP_BY_HOP_FIELDS = frozenset(
     {
         "connection",
@@ -42,17 +42,17 @@
         "proxy-authorization",
     }
 )
-"""Fields that concern one connection only (RFC 9110, section 7.6.1)."""
+"""Fields that apply to one connection only (RFC 9110, section 7.6.1)."""
 _REPLACED_FIELDS = frozenset({"host", "x-call-id", "x-budget", "content-length", "expect", "accept-encoding"})
-"""Fields that the node sets anew for each attempt, or must not forward: it reads an engine's events, so they
-may not arrive compressed."""
+"""Fields that the node sets itself for each attempt or must not forward. It parses the events of engines, so
+these must not arrive compressed."""
 
 
 def parse_call_id(call: HttpCall) -> str:
-    """Return the client's id of a request, once its method and its fields are valid.
+    """Validate the method, the fields that may appear only once, and the call id; return the call id.
 
     Raises:
-        InvalidRequestError: They are not.
+        InvalidRequestError: One of them is invalid.
     """
     if call.method != "POST":
         method = call.method[:MAX_QUOTED_METHOD_CHARACTERS]
@@ -65,7 +65,7 @@
     if not call_id:
         raise InvalidRequestError("x-call-id", "is required")
     if not _CALL_ID.fullmatch(call_id):
-        raise InvalidRequestError("x-call-id", f"{call_id[:MAX_QUOTED_ID_CHARACTERS]!r} can't be an id")
+        raise InvalidRequestError("x-call-id", f"{call_id[:MAX_QUOTED_ID_CHARACTERS]!r} is not a valid id")
     return call_id
 
 
@@ -73,7 +73,7 @@
     """Check that a body is a JSON object.
 
     Raises:
-        InvalidRequestError: It is not.
+        InvalidRequestError: The body is not a JSON object.
     """
     try:
         value = parse_json(body)
@@ -84,7 +84,7 @@
 
 
 def parse_request(call: HttpCall, call_id: str, bytes_per_token: float) -> ClientRequest:
-    """Return the request of a call; the prompt's tokens are estimated where the client does not state them.
+    """Return the request of a call; the prompt's tokens are estimated if the client does not state them.
 
     Raises:
         InvalidRequestError: A field has an invalid value.
@@ -114,7 +114,7 @@
 
 
 def _forwarded_fields(fields: Fields) -> Fields:
-    """Return the fields that engines get: all but those of the connection, as `Connection` names them too."""
+    """Return the fields to forward to engines: no replaced, hop-by-hop or `Connection`-listed ones."""
     named = {
         name.strip().lower() for field, value in fields if field == "connection" for name in value.split(",")
     }
@@ -123,7 +123,7 @@
 
 
 def _parse_call_info(text: str) -> dict[str, str]:
-    """Return the pairs of a list such as `prefix=a,prompt_len=9`; what is no pair is ignored."""
+    """Return the pairs of a list such as `prefix=a,prompt_len=9`; items that are not pairs are ignored."""
     pairs = (item.partition("=") for item in text.split(","))
     return {name.strip(): value.strip() for name, sign, value in pairs if sign}
 
@@ -135,23 +135,25 @@
     value = _parse_float(text)
     if not math.isfinite(value) or value < 0:
         quoted = repr(text[:MAX_QUOTED_CHARACTERS])
-        raise InvalidRequestError(f"x-call-info.{name}", f"must be a number from 0, is {quoted}")
+        raise InvalidRequestError(f"x-call-info.{name}", f"must be a number of at least 0, is {quoted}")
     return int(value)
 
 
 def _parse_budget(text: str | None) -> int | None:
-    """Return when the client's budget in seconds ends, in monotonic microseconds."""
+    """Return when the client's budget, given in seconds, ends, in monotonic microseconds."""
     if text is None:
         return None
     budget_s = _parse_float(text)
     if not 0 < budget_s <= MAX_BUDGET_S:
         quoted = repr(text[:MAX_QUOTED_CHARACTERS])
-        raise InvalidRequestError("x-budget", f"must be seconds above 0, is {quoted}")
+        raise InvalidRequestError(
+            "x-budget", f"must be seconds above 0, up to {MAX_BUDGET_S:.0f}, is {quoted}"
+        )
     return now_us() + int(budget_s * 1e6)
 
 
 def _parse_float(text: str) -> float:
-    """Return the number; NaN where it is none."""
+    """Return the number; NaN if the text is not a number."""
     try:
         return float(text)
     except ValueError:
--- a/tuliptrack/relay/settings_reload.py
+++ b/tuliptrack/relay/settings_reload.py
@@ -1,4 +1,4 @@
-"""Reads the settings file again while the node runs, and retries where it cannot be read at once."""
+"""Reloads the settings file while the node runs, and retries if the file cannot be read at once."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class SettingsReload:
-    """Reads the file at `start`; after `close` it does nothing."""
+    """Reloads the settings at each `start`; after `close` it does nothing."""
 
     def __init__(self, apply: Callable[[RelayConfig], None]) -> None:
         self._apply = apply
@@ -26,14 +26,14 @@
         self._is_closed = False
 
     def start(self) -> None:
-        """Read the file, and retry for `RETRY_FOR_S` where it cannot be read."""
+        """Read the file; retry for up to `RETRY_FOR_S` if it cannot be read."""
         if self._is_closed:
             return
         self._cancel_retry()
         self._read(asyncio.get_running_loop().time() + RETRY_FOR_S, is_retry=False)
 
     def close(self) -> None:
-        """Read the file no more."""
+        """Cancel a pending retry, and ignore further calls of `start`."""
         self._is_closed = True
         self._cancel_retry()
 
@@ -53,8 +53,9 @@
         self._apply(config)
 
     def _handle_error(self, error: RelayConfigError, retry_until_s: float, is_retry: bool) -> None:
-        # Failure: the file is read in the middle of being written. It would show as a new discovery address
-        # that is never used. The file is complete soon, and one that stays unreadable is reported once.
+        # The file may be read in the middle of being written. Without a retry, a new discovery address would
+        # never be used. The file is complete soon; one that stays unreadable is logged at the first failure
+        # and at the last.
         loop = asyncio.get_running_loop()
         may_retry = isinstance(error, RelayConfigUnreadableError) and loop.time() < retry_until_s
         if not (is_retry and may_retry):
