--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -29,10 +29,10 @@
 """How long the start retries to read the settings and to open an event loop."""
 MAX_DEADLINE_BEFORE_KILL_S = 3.0
 KILL_MARGIN_S = 0.7
-"""SIGKILL follows SIGTERM no sooner than this margin after the longest deadline, of which at most
-`MAX_DEADLINE_BEFORE_KILL_S` count."""
+"""SIGKILL follows SIGTERM no sooner than the longest deadline plus this margin; a deadline above
+`MAX_DEADLINE_BEFORE_KILL_S` counts as that maximum."""
 STOP_GRACE_DEADLINES = 4
-"""Requests that are still open at the end may take this many times the longest deadline."""
+"""At the end, open requests get this many times the longest deadline to finish."""
 
 
 async def _run(config: RelayConfig, signals: ProcessSignals) -> None:
@@ -67,7 +67,7 @@
 
 
 def main() -> int:
-    """Run a node until SIGTERM; return 2 where its settings cannot be used or it cannot listen."""
+    """Run a node until SIGTERM; return 2 if its settings cannot be used or it cannot listen."""
     # Signals are recorded before anything else and handled once the node serves. Otherwise a SIGHUP during
     # the start would end the process, or be lost and leave the node polling the former discovery agent.
     signals = ProcessSignals(*STOP_SIGNALS, signal.SIGHUP)
--- a/tuliptrack/relay/agent_polls.py
+++ b/tuliptrack/relay/agent_polls.py
@@ -48,7 +48,7 @@
 """Minimum share of the drain grace between the starts of two polls. After a failure it is the pause
 before the next poll, jittered by 50 % either way."""
 MAX_POLLS_PER_AGENT = 8
-"""Polls open at once, each on a connection of its own."""
+"""Maximum number of polls open at once, each on a connection of its own."""
 MAX_POLL_S = 2.5
 """Maximum duration of a poll: two of them and a backoff fit into the 6 s of the platform."""
 MAX_OLDER_ANSWERS = 3
@@ -112,11 +112,11 @@
         self._poll_timeout_s = (LONG_POLL_GRACE_SHARE + LATE_GRACE_SHARE) * drain_grace_s
         """After this time a poll is late, and the next one starts in parallel."""
         self._needs_full_list = True
-        """The next poll requests the full list."""
+        """Whether the next poll requests the full list."""
         self._is_first_answer = True
         """Whether the next answer is handled as the first one of its agent."""
         self._is_reachable = True
-        """Whether the last poll that ended was answered; each change is logged once."""
+        """False from a failed or late poll until the next usable answer; each change is logged once."""
         self._older_answers = 0
         """Number of consecutive answers that were older than the known list."""
         self._open_polls: list[_Poll] = []
@@ -220,9 +220,10 @@
 
     def _cancel_silent_poll_at_limit(self) -> None:
         """If the maximum of polls is open, cancel the one that has received nothing for longest."""
-        # While the agent's machine is cut off from the network, no open poll ends. Without this, no new poll
-        # could start and the list would stay old after the agent is back. A poll that is late and silent is
-        # replaced; one that still receives data is kept, since it may deliver the list.
+        # While the agent's machine is cut off from the network, no open poll is answered or fails. A new poll
+        # could start only once one of them reaches `MAX_POLL_S`, and the list would stay old after the agent
+        # is back. A poll that is late and silent is replaced; one that still receives data is kept, since it
+        # may deliver the list.
         if len(self._open_polls) < MAX_POLLS_PER_AGENT:
             return
         silent = min(self._open_polls, key=lambda poll: poll.last_received_at)
--- a/tuliptrack/relay/corroboration.py
+++ b/tuliptrack/relay/corroboration.py
@@ -99,7 +99,7 @@
         return [connection for connection in pool.links if connection.opened_at < self._exchange.proven_since]
 
     def _other_pool_to_probe(self) -> Pool | None:
-        """Return the pool, of another engine with an older idle connection, that received data last."""
+        """Return the pool to probe: with an older idle connection to another engine, heard from last."""
         pools = [
             pool
             for pool in self._pools.all()
--- a/tuliptrack/relay/kv_state_releases.py
+++ b/tuliptrack/relay/kv_state_releases.py
@@ -1,12 +1,12 @@
 """Releases KV states: sends a `DELETE` for a request to one engine after another until one confirms it.
 
 Any running engine can release what is reserved for a request, even at another engine. So a release does not
-depend on the engine that holds the state. The first exchange goes to the engine that sent something last,
-among those with an idle connection, since a new connection costs its engine work. Each step asks more engines
-at once, and does not wait for exchanges whose connections are still being established. The pause between two
-steps is a fixed part of the time that the settings allow, and shorter if all exchanges of a step have failed.
-After `STEPS` steps, which are 19 exchanges, the steps continue with the allowed time between them, until an
-engine confirms the release or `ABANDONED_AFTER_S` has passed.
+depend on the engine that holds the state. The first exchange goes to the engine that sent something most
+recently, among those with an idle connection, since a new connection costs its engine work. Each step asks
+more engines at once, and does not wait for exchanges whose connections are still being established. The pause
+between two steps is a fixed part of the time that the settings allow, and shorter if all exchanges of a step
+have failed. After `STEPS` steps, which are 19 exchanges, the steps continue with the allowed time between
+them, until an engine confirms the release or `ABANDONED_AFTER_S` has passed.
 
 An attempt that ended unconfirmed, such as a cancelled prefill, may reach its engine after a release was
 confirmed, and reserve a state that no attempt will use. Its release has `UNCONFIRMED_END_ROUNDS` rounds, half
@@ -208,7 +208,7 @@
         """Return how suitable an endpoint is for an exchange; the highest rank is asked first.
 
         Endpoints that are not in doubt rank highest, then those with an idle connection, then those that sent
-        something last. Ties are broken at random.
+        something most recently. Ties are broken at random.
         """
         pool = self._pools.get(endpoint_id)
         if pool is None:
