--- a/tests/routing/test_idempotency.py
+++ b/tests/routing/test_idempotency.py
@@ -1,7 +1,7 @@
-"""Rejections of requests that may have had their effect: whether the client's repeat can double it.
+"""Rejections of requests that may have executed: whether the client's retry can repeat the effect.
 
-Failure: a client is told that a repeat is harmless, comes back after the deduplication window of its first
-attempt, at any node, and the effect comes twice.
+A rejection tells the client that a retry is safe. The tests guard against a retry that arrives, at any node,
+after the deduplication window of the first attempt, so that the effect occurs twice.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 DEADLINE_US = 5 * S
 MAX_RETRY_AFTER_US = 2 * S
 NEEDED_US = DEADLINE_US + MAX_RETRY_AFTER_US + NODE_STALL_US
-"""From a rejection to the last moment at which its repeat may reach an engine."""
+"""Time from a rejection until the last moment at which the client's retry may reach an engine."""
 KEYED, ALL = Idempotency.WITH_KEY, IdempotencyScope.ALL
 
 
@@ -60,18 +60,18 @@
         (KEYED, IdempotencyScope.CELL, 600 * S, 0, False),
     ],
 )
-def test_what_may_have_executed_is_rejected_only_if_its_repeat_comes_within_the_window(
+def test_a_request_that_may_have_executed_is_rejected_only_if_its_retry_arrives_within_the_window(
     idempotency: Idempotency, scope: IdempotencyScope, window_us: int, elapsed_us: int, expected: bool
 ) -> None:
-    one = request_class(idempotency, scope, window_us)
+    cls = request_class(idempotency, scope, window_us)
     now_us = SENT_AT_US + elapsed_us
-    assert may_reject(one, SENT_AT_US, now_us, MAX_RETRY_AFTER_US) is expected
-    assert may_reject(one, None, now_us, MAX_RETRY_AFTER_US), "nothing has executed"
+    assert may_reject(cls, SENT_AT_US, now_us, MAX_RETRY_AFTER_US) is expected
+    assert may_reject(cls, None, now_us, MAX_RETRY_AFTER_US), "nothing may have executed"
 
 
 def keyed_settings(window_us: int) -> Settings:
     base = settings(KEYED, max_retry_after_us=MAX_RETRY_AFTER_US, max_attempts=2)
-    classes = tuple(replace(one, deduplication_window_us=window_us) for one in base.classes)
+    classes = tuple(replace(cls, deduplication_window_us=window_us) for cls in base.classes)
     return replace(base, classes=classes)
 
 
@@ -84,23 +84,23 @@
     ],
     ids=["window long enough", "execution too long ago", "window shorter than the deadline"],
 )
-def test_a_client_is_told_to_repeat_only_within_the_window_of_what_may_have_executed(
+def test_a_client_is_told_to_retry_only_within_the_window_of_an_attempt_that_may_have_executed(
     window_us: int, after_us: int, answer: type
 ) -> None:
     """The decode attempt's connection breaks, and no attempt is left."""
     world = World(Router(keyed_settings(window_us), 1))
     world.list(*fleet(), kind=UpdateKind.FULL)
-    number, actions = world.ask()
-    actions = world.end(number, only(SendAttempt, actions).endpoint_id, Status.PREFILLED)
+    request_id, actions = world.ask()
+    actions = world.end(request_id, only(SendAttempt, actions).endpoint_id, Status.PREFILLED)
     endpoint_id = only(SendAttempt, actions).endpoint_id
-    only(answer, world.end(number, endpoint_id, Status.RESET, after=after_us))
+    only(answer, world.end(request_id, endpoint_id, Status.RESET, after=after_us))
 
 
-def test_the_window_counts_from_an_execution_that_was_sent_late() -> None:
+def test_the_window_starts_when_the_decode_attempt_is_sent() -> None:
     """The decode attempt was sent 3 s after the request came, as its prefill took so long."""
     world = World(Router(keyed_settings(NEEDED_US + 1 * S), 1))
     world.list(server(10, READ), server(12, WRITE), kind=UpdateKind.FULL)
-    number, actions = world.ask()
-    actions = world.end(number, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=3 * S)
+    request_id, actions = world.ask()
+    actions = world.end(request_id, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=3 * S)
     endpoint_id = only(SendAttempt, actions).endpoint_id
-    only(Reject, world.end(number, endpoint_id, Status.RESET, after=500 * MS))
+    only(Reject, world.end(request_id, endpoint_id, Status.RESET, after=500 * MS))
--- a/tests/routing/test_sequences.py
+++ b/tests/routing/test_sequences.py
@@ -1,4 +1,4 @@
-"""Seeded random legal event sequences: whatever comes, the rules hold; equal events give equal actions."""
+"""Random valid event sequences: the rules hold for each of them, and equal events give equal actions."""
 
 from __future__ import annotations
 
@@ -37,27 +37,29 @@
 from tuliptrack.routing.router import Router
 
 ANSWER_SLACK_US = 16 * MS
-PROVEN = {Status.AT_CAPACITY, Status.CONNECT_FAILED, Status.ABANDONED, Status.PREFILLED}
+"""How late an answer may be after the client's deadline."""
+NOT_EXECUTED = {Status.AT_CAPACITY, Status.CONNECT_FAILED, Status.ABANDONED, Status.PREFILLED}
+"""Statuses that prove that the request did not take effect."""
 
 
-class Life:
-    """What a lawful world knows of one request."""
+class RequestState:
+    """What the simulated environment knows of one request."""
 
-    def __init__(self, due: int) -> None:
-        self.due = due
-        self.out: tuple[int, int] | None = None  # attempt, server
+    def __init__(self, deadline_at_us: int) -> None:
+        self.deadline_at_us = deadline_at_us
+        self.attempt_in_flight: tuple[int, int] | None = None  # number, endpoint id
         self.attempts = 0
-        self.state = False
-        self.started = False
-        self.answered = False
-        self.gone = False
-        self.may_have_run: tuple[int, int] | None = None  # when sent, where
-        self.sent_at = 0
-        self.cancelled = False
+        self.holds_kv_state = False
+        self.is_started = False
+        self.is_answered = False
+        self.is_disconnected = False
+        self.may_have_executed: tuple[int, int] | None = None  # time sent, endpoint id
+        self.sent_at_us = 0
+        self.is_cancelled = False
 
 
-class LawfulWorld:
-    """Plays random events that the interface allows and checks every action against the rules."""
+class RandomWorld:
+    """Generates random events that the interface allows and checks every action against the rules."""
 
     def __init__(self, seed: int, effect: Idempotency, scope: IdempotencyScope) -> None:
         self.random = random.Random(seed)
@@ -65,9 +67,9 @@
         self.effect, self.scope = effect, scope
         self.router = Router(self.settings, seed)
         self.now = 50 * S
-        self.lives: dict[int, Life] = {}
+        self.requests: dict[int, RequestState] = {}
         self.timers: list[tuple[int, int]] = []
-        self.servers = {
+        self.endpoints = {
             s.id: s
             for s in [
                 *fleet(3, 3, 2),
@@ -76,168 +78,215 @@
                 server(32, READ, cell=1),
             ]
         }
-        self.text: list[str] = []
-        self.step([EndpointListUpdate(UpdateKind.CACHED, 1, tuple(self.servers.values()))])
+        self.transcript: list[str] = []
+        self.step([EndpointListUpdate(UpdateKind.CACHED, 1, tuple(self.endpoints.values()))])
 
-    def role(self, number: int) -> int:
-        return self.servers[number].kind
+    def kind(self, endpoint_id: int) -> int:
+        return self.endpoints[endpoint_id].kind
 
     def step(self, events: list[Event]) -> None:
         actions = self.router.handle(self.now, events)
-        self.text.append(repr(actions))
+        self.transcript.append(repr(actions))
         for action in actions:
             self.check(action)
-        for number, life in self.lives.items():
-            assert life.out or life.started or not life.state, f"rule 5: {number} is left holding a state"
-            assert life.answered or life.gone or life.out, f"rule 1: {number} is held with no attempt out"
+        for request_id, state in self.requests.items():
+            assert state.attempt_in_flight or state.is_started or not state.holds_kv_state, (
+                f"rule 5: request {request_id} still holds a KV state"
+            )
+            assert state.is_answered or state.is_disconnected or state.attempt_in_flight, (
+                f"rule 1: request {request_id} is open without an attempt"
+            )
 
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.timers.append((self.now + action.delay_us, action.token))
         elif isinstance(action, SendAttempt):
-            life = self.lives[action.request_id]
-            assert not life.answered and not life.gone, "rule 1: sent after the end"
-            assert life.out is None, "two attempts out"
-            assert life.attempts < self.settings.max_attempts
-            assert self.servers[action.endpoint_id].state is EndpointState.READY, "rule 3: sent to a drain"
-            if life.may_have_run and self.effect is not Idempotency.IDEMPOTENT:
-                assert self.effect is not Idempotency.NOT_IDEMPOTENT, "rule 2: unsafe twice"
-                sent, at = life.may_have_run
-                assert self.now - sent <= self.settings.classes[0].deduplication_window_us, (
-                    "rule 2: after the window"
+            state = self.requests[action.request_id]
+            assert not state.is_answered and not state.is_disconnected, (
+                "rule 1: attempt after the end of the request"
+            )
+            assert state.attempt_in_flight is None, "two attempts in flight"
+            assert state.attempts < self.settings.max_attempts
+            assert self.endpoints[action.endpoint_id].state is EndpointState.READY, (
+                "rule 3: sent to an endpoint that is not ready"
+            )
+            if state.may_have_executed and self.effect is not Idempotency.IDEMPOTENT:
+                assert self.effect is not Idempotency.NOT_IDEMPOTENT, (
+                    "rule 2: second attempt of a request that is not idempotent"
+                )
+                sent_at_us, endpoint_id = state.may_have_executed
+                assert self.now - sent_at_us <= self.settings.classes[0].deduplication_window_us, (
+                    "rule 2: attempt after the deduplication window"
+                )
+                is_same_cell = self.endpoints[action.endpoint_id].cell == self.endpoints[endpoint_id].cell
+                assert is_same_cell or self.scope is not IdempotencyScope.CELL, (
+                    "rule 2: attempt in another cell"
                 )
-                same = self.servers[action.endpoint_id].cell == self.servers[at].cell
-                assert same or self.scope is not IdempotencyScope.CELL, "rule 2: other cell"
-            life.out, life.sent_at = (life.attempts, action.endpoint_id), self.now
-            life.attempts += 1
-            life.cancelled = False
+            state.attempt_in_flight, state.sent_at_us = (state.attempts, action.endpoint_id), self.now
+            state.attempts += 1
+            state.is_cancelled = False
         elif isinstance(action, Reject | Fail):
-            life = self.lives[action.request_id]
-            assert not life.answered and not life.gone, "rule 1: two answers"
-            assert self.now <= life.due + ANSWER_SLACK_US, "rule 1: answered late"
-            if isinstance(action, Reject) and life.may_have_run:
+            state = self.requests[action.request_id]
+            assert not state.is_answered and not state.is_disconnected, "rule 1: two answers"
+            assert self.now <= state.deadline_at_us + ANSWER_SLACK_US, "rule 1: answered late"
+            if isinstance(action, Reject) and state.may_have_executed:
                 assert self.effect is Idempotency.IDEMPOTENT or (
                     self.effect is Idempotency.WITH_KEY and self.scope is IdempotencyScope.ALL
-                ), "rule 2: refused unproved"
-                sent, _ = life.may_have_run
+                ), "rule 2: rejected although it may have executed"
+                sent_at_us, _ = state.may_have_executed
                 cls = self.settings.classes[0]
-                repeated_by = self.now + self.settings.max_retry_after_us + cls.deadline_us
+                retried_by_us = self.now + self.settings.max_retry_after_us + cls.deadline_us
                 assert self.effect is Idempotency.IDEMPOTENT or (
-                    repeated_by <= sent + cls.deduplication_window_us
-                ), "rule 2: refused, and its repeat may come after the window"
-            life.answered = True
+                    retried_by_us <= sent_at_us + cls.deduplication_window_us
+                ), "rule 2: rejected, and its retry may come after the deduplication window"
+            state.is_answered = True
         elif isinstance(action, Release):
-            self.lives[action.request_id].state = False
+            self.requests[action.request_id].holds_kv_state = False
         elif isinstance(action, CancelAttempt):
-            life = self.lives[action.request_id]
-            assert life.out and life.out[0] == action.attempt and not life.started
-            life.cancelled = True
+            state = self.requests[action.request_id]
+            assert (
+                state.attempt_in_flight
+                and state.attempt_in_flight[0] == action.attempt
+                and not state.is_started
+            )
+            state.is_cancelled = True
 
-    def outcome(self, number: int, life: Life) -> list[Event]:
-        assert life.out
-        attempt, at = life.out
-        reader = self.role(at) == READ
-        may_start = not (life.started or life.cancelled or reader or self.now >= life.due)
+    def outcome(self, request_id: int, state: RequestState) -> list[Event]:
+        """Return the next event of the attempt that is in flight: the start of its stream or its end."""
+        assert state.attempt_in_flight
+        attempt, endpoint_id = state.attempt_in_flight
+        is_prefill = self.kind(endpoint_id) == READ
+        may_start = not (
+            state.is_started or state.is_cancelled or is_prefill or self.now >= state.deadline_at_us
+        )
         if may_start and self.random.random() < 0.5:
-            life.started, life.state = True, False
-            return [StreamStarted(number, attempt, at, self.now - life.sent_at)]
-        if life.started:
-            status, over = self.random.choice([Status.OK, Status.OK, Status.RESET]), True
-        elif self.now >= life.due:
-            status, over = Status.TIMEOUT, life.gone
-        elif life.cancelled:
-            late = Status.PREFILLED if reader else Status.ERROR
-            status, over = self.random.choice([Status.CANCELLED, late]), life.gone
+            state.is_started, state.holds_kv_state = True, False
+            return [StreamStarted(request_id, attempt, endpoint_id, self.now - state.sent_at_us)]
+        if state.is_started:
+            status, is_final = self.random.choice([Status.OK, Status.OK, Status.RESET]), True
+        elif self.now >= state.deadline_at_us:
+            status, is_final = Status.TIMEOUT, state.is_disconnected
+        elif state.is_cancelled:
+            late_status = Status.PREFILLED if is_prefill else Status.ERROR
+            status, is_final = self.random.choice([Status.CANCELLED, late_status]), state.is_disconnected
         else:
-            over = life.gone
+            is_final = state.is_disconnected
             failures = [Status.AT_CAPACITY, Status.ERROR, Status.RESET, Status.CONNECT_FAILED, Status.TIMEOUT]
-            status = self.random.choice([Status.PREFILLED] * 6 + failures if reader else failures)
-        lost = status is Status.AT_CAPACITY and not reader and self.random.random() < 0.3
-        if reader:
-            life.state = status is Status.PREFILLED
-        elif lost:
-            life.state = False
-        given_up = status is Status.TIMEOUT  # Even a read that was given up may yet run.
-        if (given_up if reader else not lost and status not in PROVEN) and life.may_have_run is None:
-            life.may_have_run = (life.sent_at, at)
-        life.out = None
-        if over:
-            life.answered = True
+            status = self.random.choice([Status.PREFILLED] * 6 + failures if is_prefill else failures)
+        is_state_lost = status is Status.AT_CAPACITY and not is_prefill and self.random.random() < 0.3
+        if is_prefill:
+            state.holds_kv_state = status is Status.PREFILLED
+        elif is_state_lost:
+            state.holds_kv_state = False
+        is_abandoned = status is Status.TIMEOUT  # Even an abandoned prefill may still execute.
+        if (
+            is_abandoned if is_prefill else not is_state_lost and status not in NOT_EXECUTED
+        ) and state.may_have_executed is None:
+            state.may_have_executed = (state.sent_at_us, endpoint_id)
+        state.attempt_in_flight = None
+        if is_final:
+            state.is_answered = True
         load = (self.random.uniform(0, 20), self.random.random()) if self.random.random() < 0.7 else ()
-        return [AttemptEnded(number, attempt, at, status, self.now - life.sent_at, over, 0, lost, load)]
+        return [
+            AttemptEnded(
+                request_id,
+                attempt,
+                endpoint_id,
+                status,
+                self.now - state.sent_at_us,
+                is_final,
+                0,
+                is_state_lost,
+                load,
+            )
+        ]
 
     def events(self) -> list[Event]:
+        """Return random events for this time. Attempts past their deadline end first."""
         events: list[Event] = []
-        draw = self.random.random()
-        open_lives = [(n, life) for n, life in self.lives.items() if life.out]
-        overdue = [(n, life) for n, life in open_lives if self.now >= life.due and not life.started]
-        for number, life in overdue:
-            events += self.outcome(number, life)
+        choice = self.random.random()
+        open_requests = [(n, state) for n, state in self.requests.items() if state.attempt_in_flight]
+        overdue = [
+            (n, state)
+            for n, state in open_requests
+            if self.now >= state.deadline_at_us and not state.is_started
+        ]
+        for request_id, state in overdue:
+            events += self.outcome(request_id, state)
         if not overdue:
-            if draw < 0.35:
-                number = len(self.lives) + 1
-                left = self.random.choice([5 * S, 1 * S, 200 * MS])
-                self.lives[number] = Life(self.now + left)
+            if choice < 0.35:
+                request_id = len(self.requests) + 1
+                time_left_us = self.random.choice([5 * S, 1 * S, 200 * MS])
+                self.requests[request_id] = RequestState(self.now + time_left_us)
                 events.append(
                     Request(
-                        number,
+                        request_id,
                         self.random.randrange(2),
-                        left,
+                        time_left_us,
                         prompt_tokens=self.random.choice([200.0, 4000.0]),
                         prefix_tokens=100.0,
                         max_tokens=300.0,
-                        session=number // 2 + 1,
+                        session=request_id // 2 + 1,
                         prefix=self.random.randrange(5),
                         tenant=self.random.randrange(2),
                     )
                 )
-            elif draw < 0.85 and open_lives:
-                events += self.outcome(*self.random.choice(open_lives))
-            elif draw < 0.9 and open_lives:
-                number, life = self.random.choice(open_lives)
-                if not life.started and not life.gone:
-                    life.gone = True
-                    events.append(ClientDisconnected(number))
-            elif draw < 0.93:
-                old = self.random.choice(list(self.servers.values()))
-                state = self.random.choice([EndpointState.READY, EndpointState.READY, EndpointState.DRAINING])
+            elif choice < 0.85 and open_requests:
+                events += self.outcome(*self.random.choice(open_requests))
+            elif choice < 0.9 and open_requests:
+                request_id, state = self.random.choice(open_requests)
+                if not state.is_started and not state.is_disconnected:
+                    state.is_disconnected = True
+                    events.append(ClientDisconnected(request_id))
+            elif choice < 0.93:
+                old = self.random.choice(list(self.endpoints.values()))
+                endpoint_state = self.random.choice(
+                    [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING]
+                )
                 new = EndpointInfo(
                     old.id,
                     old.kind,
-                    state,
+                    endpoint_state,
                     old.weight,
                     old.cell,
                     old.zone,
                     self.random.choice([old.started_at_us, self.now - 1]),
                 )
-                self.servers[old.id] = new
+                self.endpoints[old.id] = new
                 events.append(EndpointListUpdate(UpdateKind.DELTA, 2, (new,)))
-        due = [t for t in self.timers if t[0] <= self.now]
+        due_timers = [t for t in self.timers if t[0] <= self.now]
         self.timers = [t for t in self.timers if t[0] > self.now]
-        return events + [TimerFired(token) for _, token in due]
+        return events + [TimerFired(token) for _, token in due_timers]
 
     def play(self, steps: int) -> str:
+        """Run so many random steps, then let all requests end. Returns all actions as text."""
         for _ in range(steps):
             earliest = min(
-                (life.due for life in self.lives.values() if life.out and not life.started),
+                (
+                    state.deadline_at_us
+                    for state in self.requests.values()
+                    if state.attempt_in_flight and not state.is_started
+                ),
                 default=self.now + S,
             )
             self.now = max(self.now + 1, min(self.now + self.random.randrange(40 * MS), earliest))
             self.step(self.events())
         for _ in range(20_000):
-            waiting = [(n, life) for n, life in self.lives.items() if life.out]
-            if not waiting:
+            open_requests = [(n, state) for n, state in self.requests.items() if state.attempt_in_flight]
+            if not open_requests:
                 break
             self.now += 1 * MS
-            number, life = min(waiting, key=lambda item: item[1].due)
-            self.now = max(self.now, min(life.due, self.now + 10 * MS))
-            overdue = [(n, x) for n, x in waiting if self.now >= x.due and not x.started]
-            self.step([e for n, x in overdue for e in self.outcome(n, x)] or self.outcome(number, life))
-        assert all(life.answered or life.gone for life in self.lives.values()), "rule 1: never answered"
-        assert not self.router.in_flight, "entries must end with their requests"
-        for seat in self.router.endpoints.values():
-            assert not seat.waiting and seat.waiting_tokens == 0 and not seat.streams
-        return "\n".join(self.text)
+            request_id, state = min(open_requests, key=lambda item: item[1].deadline_at_us)
+            self.now = max(self.now, min(state.deadline_at_us, self.now + 10 * MS))
+            overdue = [(n, x) for n, x in open_requests if self.now >= x.deadline_at_us and not x.is_started]
+            self.step([e for n, x in overdue for e in self.outcome(n, x)] or self.outcome(request_id, state))
+        assert all(state.is_answered or state.is_disconnected for state in self.requests.values()), (
+            "rule 1: never answered"
+        )
+        assert not self.router.in_flight, "requests must be removed when they end"
+        for endpoint in self.router.endpoints.values():
+            assert not endpoint.waiting and endpoint.waiting_tokens == 0 and not endpoint.streams
+        return "\n".join(self.transcript)
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -250,23 +299,24 @@
         (Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL),
     ],
 )
-def test_random_legal_sequences_keep_the_rules(
+def test_random_valid_sequences_keep_the_rules(
     seed: int, effect: Idempotency, scope: IdempotencyScope
 ) -> None:
-    played = LawfulWorld(seed, effect, scope)
-    played.play(600)
-    assert len(played.lives) > 100 and any(life.started for life in played.lives.values())
+    generated = RandomWorld(seed, effect, scope)
+    generated.play(600)
+    assert len(generated.requests) > 100
+    assert any(state.is_started for state in generated.requests.values())
 
 
 def digest(seed: int) -> str:
     return hashlib.sha256(
-        LawfulWorld(seed, Idempotency.IDEMPOTENT, IdempotencyScope.ALL).play(400).encode()
+        RandomWorld(seed, Idempotency.IDEMPOTENT, IdempotencyScope.ALL).play(400).encode()
     ).hexdigest()
 
 
 def test_equal_events_give_equal_actions_under_any_hash_seed() -> None:
     here = Path(__file__).parent
-    found = {digest(3)}
+    digests = {digest(3)}
     for hash_seed in ("0", "1", "4242"):
         code = "import test_sequences as t; print(t.digest(3))"
         path = os.pathsep.join([str(here), str(here.parent), str(here.parent.parent)])
@@ -277,15 +327,15 @@
             check=True,
             env={**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": path},
         )
-        found.add(done.stdout.strip())
-    assert len(found) == 1
+        digests.add(done.stdout.strip())
+    assert len(digests) == 1
 
 
 def test_routers_in_one_process_do_not_share_anything() -> None:
-    alone = LawfulWorld(5, Idempotency.IDEMPOTENT, IdempotencyScope.ALL).play(300)
+    expected = RandomWorld(5, Idempotency.IDEMPOTENT, IdempotencyScope.ALL).play(300)
     first, other = (
-        LawfulWorld(5, Idempotency.IDEMPOTENT, IdempotencyScope.ALL),
-        LawfulWorld(6, Idempotency.IDEMPOTENT, IdempotencyScope.ALL),
+        RandomWorld(5, Idempotency.IDEMPOTENT, IdempotencyScope.ALL),
+        RandomWorld(6, Idempotency.IDEMPOTENT, IdempotencyScope.ALL),
     )
     other.play(300)
-    assert first.play(300) == alone
+    assert first.play(300) == expected
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,7 +1,7 @@
-"""Rule 4 summed over all nodes: what together they send a cold server, in every window of the rule.
+"""Rule 4 over all nodes: the load that they send together to an endpoint in slow start, in any window.
 
-The servers here answer at once and only count; what they can do is settled below, and the quotas told to
-the nodes are nine tenths of it. Work is told in mean requests.
+The simulated endpoints answer after fixed times and only count attempts. Their capacity is set below, and the
+quotas in the nodes' settings are nine tenths of it. Work is measured in mean requests.
 """
 
 from __future__ import annotations
@@ -35,21 +35,23 @@
 from tuliptrack.routing.router import Router
 
 START = 100 * S
-HEAVY = 3.0  # tokens of the heavy class, prompt and answer, against the plain one's
-MIX = 0.2  # the heavy class's part of the requests for which the quotas are told, whatever comes later
+HEAVY_COST = 3.0
+"""Ratio of the tokens of the heavy class to those of the plain one, for prompts and outputs."""
+HEAVY_SHARE = 0.2
+"""Share of the heavy class in the requests that the quotas are set for, whatever the actual share."""
 
 
 @dataclass(frozen=True)
 class Deployment:
-    """What the settings and the list tell. The first server of each kind has just started."""
+    """The settings and the endpoint list. The first endpoint of each kind has just started."""
 
     kinds: tuple[int, ...] = (READ,) * 10 + (WRITE,) * 12 + (BOTH,) * 8
-    able: tuple[float, float, float] = (8.0, 4.0, 3.5)  # mean requests a second of a warm server, by kind
+    able: tuple[float, float, float] = (8.0, 4.0, 3.5)  # mean requests per second of a warm endpoint, by kind
     window: int = 2 * S
     cold_for: int = 14 * S
     cold_from: float = 0.27
     multiple: float = 3.0
-    told: float = 0.9  # the quotas, against what all writers can do
+    quota_share: float = 0.9  # quotas as a share of the capacity of all endpoints that decode
 
     @property
     def cold(self) -> tuple[int, ...]:
@@ -63,104 +65,120 @@
         ]
 
     @property
-    def young(self) -> list[EndpointInfo]:
+    def started_endpoints(self) -> list[EndpointInfo]:
         return [s for s in self.fleet if s.id in self.cold]
 
     @property
-    def before(self) -> list[EndpointInfo]:
+    def warm_endpoints(self) -> list[EndpointInfo]:
         return [s for s in self.fleet if s.id not in self.cold]
 
     @property
     def quota(self) -> float:
-        return self.told * sum(self.able[kind] for kind in self.kinds if kind != READ)
+        return self.quota_share * sum(self.able[kind] for kind in self.kinds if kind != READ)
 
     def budget(self, number: int, since: int) -> float:
-        """Mean requests that a cold server takes in a window that begins then."""
+        """Return the mean requests that an endpoint in slow start can take in a window that begins then."""
         ramp = self.cold_from + (1 - self.cold_from) * (since - START) / self.cold_for
         return self.multiple * ramp * self.able[self.kinds[number - 1]] * self.window / S
 
 
 USUAL = Deployment()
-QUOTA, KINDS, FLEET, BEFORE, COLD = USUAL.quota, USUAL.kinds, USUAL.fleet, USUAL.before, USUAL.cold
+QUOTA, KINDS, FLEET, WARM_ENDPOINTS, COLD = (
+    USUAL.quota,
+    USUAL.kinds,
+    USUAL.fleet,
+    USUAL.warm_endpoints,
+    USUAL.cold,
+)
 WINDOW, COLD_FOR, ABLE = USUAL.window, USUAL.cold_for, USUAL.able
 
 
 class Service:
-    """Nodes before a fleet: requests come by chance, each attempt ends soon after it was sent. `replicas`: of
-    how many the settings tell, where there are not that many; `late`: seconds within which the list tells
-    each node of the start; `pace`: microseconds to a read's end, to a first token and to an answer's end.
+    """Simulates nodes and a fleet: requests arrive at random, each attempt ends soon after it was sent.
+
+    `replicas` is the number of nodes in the settings, if it differs from the actual one. `late` is the time
+    in seconds within which each node learns of the started endpoints. `latencies_us` are the times to the end
+    of a prefill, to the first token and to the end of the stream.
     """
 
     def __init__(
         self,
         nodes: int,
         rate: float,
-        of: Deployment = USUAL,
+        deployment: Deployment = USUAL,
         seed: int = 0,
         replicas: int = 0,
         uneven: bool = False,
         late: float = 0.0,
-        pace: tuple[int, int, int] = (150 * MS, 100 * MS, 2 * S),
+        latencies_us: tuple[int, int, int] = (150 * MS, 100 * MS, 2 * S),
     ) -> None:
-        self.of, self.pace = of, pace
+        self.deployment, self.latencies_us = deployment, latencies_us
         self.settings = settings(
             replicas=replicas or nodes,
-            slow_start_us=of.cold_for,
-            slow_start_initial_share=of.cold_from,
-            slow_start_overload_factor=of.multiple,
-            slow_start_window_us=of.window,
-            tenants=(Tenant("a", 0.7, 0.7 * of.quota), Tenant("b", 0.3, 0.3 * of.quota)),
+            slow_start_us=deployment.cold_for,
+            slow_start_initial_share=deployment.cold_from,
+            slow_start_overload_factor=deployment.multiple,
+            slow_start_window_us=deployment.window,
+            tenants=(Tenant("a", 0.7, 0.7 * deployment.quota), Tenant("b", 0.3, 0.3 * deployment.quota)),
         )
         self.random = Random(nodes + 1000 * seed)
         self.weights = [self.random.expovariate(1.0) ** 2 if uneven else 1.0 for _ in range(nodes)]
-        self.heavy, self.full = MIX, False
+        self.heavy_share = HEAVY_SHARE
+        self.rejects_half = False
+        """Whether half of the attempts are rejected for lack of capacity."""
         self.classes: dict[int, int] = {}
-        self.sent: dict[int, list[tuple[int, int]]] = {number: [] for number in of.cold}
+        self.sent: dict[int, list[tuple[int, int]]] = {number: [] for number in deployment.cold}
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
-        self.order = count()
+        self.event_numbers = count()
         self.now = START - 12 * S
-        self.gone: set[int] = set()
-        self.lives = [0] * nodes
-        self.nodes = [self.begin(slot, of.before) for slot in range(nodes)]
-        at = float(self.now)
-        while at < START + of.cold_for:
-            at += self.random.expovariate(rate / S)
-            self.at(int(at), lambda: self.ask(self.random.choices(range(nodes), self.weights)[0]))
-        self.list_changes(START + 300 * MS, of.young, late)
-
-    def at(self, when: int, what: Callable[..., None], *given: object) -> None:
-        heapq.heappush(self.queue, (when, next(self.order), lambda: what(*given)))
-
-    def list_changes(self, when: int, servers: list[EndpointInfo], late: float = 0.0) -> None:
-        """Each node is told of it, one after another."""
+        self.removed_ids: set[int] = set()
+        self.start_counts = [0] * nodes
+        self.nodes = [self.new_node(slot, deployment.warm_endpoints) for slot in range(nodes)]
+        arrival_us = float(self.now)
+        while arrival_us < START + deployment.cold_for:
+            arrival_us += self.random.expovariate(rate / S)
+            self.schedule(
+                int(arrival_us), lambda: self.ask(self.random.choices(range(nodes), self.weights)[0])
+            )
+        self.schedule_list_change(START + 300 * MS, deployment.started_endpoints, late)
+
+    def schedule(self, at_us: int, callback: Callable[..., None], *args: object) -> None:
+        heapq.heappush(self.queue, (at_us, next(self.event_numbers), lambda: callback(*args)))
+
+    def schedule_list_change(self, at_us: int, endpoints: list[EndpointInfo], late: float = 0.0) -> None:
+        """Schedule a list change, which reaches one node after another."""
         for slot in range(len(self.nodes)):
-            self.at(when + slot + int(self.random.random() * late * S), self.tell, slot, servers)
-
-    def begin(self, slot: int, servers: list[EndpointInfo]) -> World:
-        """A node that knows nothing but its last list."""
-        self.lives[slot] += 1
-        told = replace(self.settings, replica_index=slot % self.settings.replicas)
-        made = World(Router(told, 1000 * self.lives[slot] + slot), self.now)
-        made.ids = 1_000_000 * (1000 * self.lives[slot] + slot)
-        made.tell(EndpointListUpdate(UpdateKind.CACHED, 1, tuple(servers)))
-        return made
+            self.schedule(
+                at_us + slot + int(self.random.random() * late * S), self.update_list, slot, endpoints
+            )
+
+    def new_node(self, slot: int, endpoints: list[EndpointInfo]) -> World:
+        """Start a node that knows only its last endpoint list."""
+        self.start_counts[slot] += 1
+        node_settings = replace(self.settings, replica_index=slot % self.settings.replicas)
+        node = World(Router(node_settings, 1000 * self.start_counts[slot] + slot), self.now)
+        node.ids = 1_000_000 * (1000 * self.start_counts[slot] + slot)
+        node.tell(EndpointListUpdate(UpdateKind.CACHED, 1, tuple(endpoints)))
+        return node
 
     def restart(self, slot: int) -> None:
-        self.nodes[slot] = self.begin(slot, [s for s in self.of.fleet if s.id not in self.gone])
+        self.nodes[slot] = self.new_node(
+            slot, [s for s in self.deployment.fleet if s.id not in self.removed_ids]
+        )
 
-    def tell(self, slot: int, servers: list[EndpointInfo]) -> None:
+    def update_list(self, slot: int, endpoints: list[EndpointInfo]) -> None:
         node = self.nodes[slot]
         node.now = self.now
-        node.tell(EndpointListUpdate(UpdateKind.DELTA, 2, tuple(servers)))
+        node.tell(EndpointListUpdate(UpdateKind.DELTA, 2, tuple(endpoints)))
 
     def ask(self, slot: int) -> None:
-        cls = int(self.random.random() < self.heavy)
-        size = HEAVY if cls else 1.0
+        cls = int(self.random.random() < self.heavy_share)
+        size = HEAVY_COST if cls else 1.0
         node = self.nodes[slot]
         node.now = self.now
         number = node.ids + 1
         self.classes[number] = cls
-        self.carry_out(
+        self.simulate(
             slot,
             node.ask(
                 class_index=cls,
@@ -172,236 +190,252 @@
             )[1],
         )
 
-    def carry_out(self, slot: int, said: list[Action]) -> None:
+    def simulate(self, slot: int, actions: list[Action]) -> None:
         node = self.nodes[slot]
-        for action in said:
+        for action in actions:
             if not isinstance(action, SendAttempt):
                 continue
             if action.endpoint_id in self.sent:
                 self.sent[action.endpoint_id].append((self.now, self.classes[action.request_id]))
-            kind, attempt = self.of.kinds[action.endpoint_id - 1], node.tries[action.request_id]
-            if self.full and self.random.random() < 0.5:
+            kind, attempt = self.deployment.kinds[action.endpoint_id - 1], node.tries[action.request_id]
+            if self.rejects_half and self.random.random() < 0.5:
                 end = AttemptEnded(action.request_id, attempt, action.endpoint_id, Status.AT_CAPACITY, 1 * MS)
             elif kind == READ:
                 end = AttemptEnded(
-                    action.request_id, attempt, action.endpoint_id, Status.PREFILLED, self.pace[0]
+                    action.request_id, attempt, action.endpoint_id, Status.PREFILLED, self.latencies_us[0]
                 )
             else:
-                _, first, last = self.pace
-                self.later(
-                    slot, node, first, StreamStarted(action.request_id, attempt, action.endpoint_id, first)
+                _, first_token_us, end_us = self.latencies_us
+                self.schedule_event(
+                    slot,
+                    node,
+                    first_token_us,
+                    StreamStarted(action.request_id, attempt, action.endpoint_id, first_token_us),
                 )
                 end = AttemptEnded(
-                    action.request_id, attempt, action.endpoint_id, Status.OK, last, is_final=True
+                    action.request_id, attempt, action.endpoint_id, Status.OK, end_us, is_final=True
                 )
-            self.later(slot, node, end.latency_us, end)
+            self.schedule_event(slot, node, end.latency_us, end)
 
-    def later(self, slot: int, node: World, after: int, event: AttemptEnded | StreamStarted) -> None:
-        def come() -> None:
-            if self.nodes[slot] is node:  # a node that died hears nothing more
+    def schedule_event(self, slot: int, node: World, after: int, event: AttemptEnded | StreamStarted) -> None:
+        def handle() -> None:
+            if self.nodes[slot] is node:  # a restarted node gets no events of its earlier process
                 node.now = self.now
-                self.carry_out(slot, node.tell(event))
+                self.simulate(slot, node.tell(event))
 
-        self.at(self.now + after, come)
+        self.schedule(self.now + after, handle)
 
     def run(self) -> Service:
-        while self.queue and self.queue[0][0] < START + self.of.cold_for:
-            self.now, _, what = heapq.heappop(self.queue)
-            what()
+        while self.queue and self.queue[0][0] < START + self.deployment.cold_for:
+            self.now, _, callback = heapq.heappop(self.queue)
+            callback()
         return self
 
-    def flood(self, since: float, asks: int) -> None:
-        """Every node is asked so often, spread over one window from then on (seconds after the start)."""
+    def flood(self, since: float, count: int) -> None:
+        """Send `count` requests to each node, spread over a window that begins after `since` seconds."""
         for slot in range(len(self.nodes)):
-            for k in range(asks):
-                part = (k + self.random.random()) / asks
-                self.at(START + int(since * S + part * self.of.window), self.ask, slot)
+            for k in range(count):
+                part = (k + self.random.random()) / count
+                self.schedule(START + int(since * S + part * self.deployment.window), self.ask, slot)
 
     def worst(self, number: int, allowed: Callable[[float], float] = lambda budget: budget) -> float:
-        """The most of what the budget allows that any window has used, each send as the mean work of its
-        class.
+        """Return the maximum share of the allowed work that was sent in any window.
+
+        Each attempt counts as the mean work of its class.
         """
-        mean = 1 + MIX * (HEAVY - 1)
-        weights = (1 / mean, HEAVY / mean)
+        mean = 1 + HEAVY_SHARE * (HEAVY_COST - 1)
+        weights = (1 / mean, HEAVY_COST / mean)
         sends, used, work, end = self.sent[number], 0.0, 0.0, 0
         for since, cls in sends:
-            while end < len(sends) and sends[end][0] < since + self.of.window:
+            while end < len(sends) and sends[end][0] < since + self.deployment.window:
                 work += weights[sends[end][1]]
                 end += 1
-            used = max(used, work / allowed(self.of.budget(number, since)))
+            used = max(used, work / allowed(self.deployment.budget(number, since)))
             work -= weights[cls]
         return used
 
-    def kept(self) -> bool:
-        """Whether no cold server was pushed over."""
+    def is_within_budget(self) -> bool:
+        """Whether no endpoint in slow start was overloaded."""
         return all(self.worst(number) < 1 for number in self.sent)
 
 
 @pytest.fixture(params=[(40, 1), (200, 1), (200, 2)], ids=["40 nodes", "200 nodes", "200 nodes, busy"])
 def service(request: pytest.FixtureRequest) -> Service:
-    nodes, busy = request.param
-    return Service(nodes, rate=0.6 * busy * QUOTA)
+    nodes, load = request.param
+    return Service(nodes, rate=0.6 * load * QUOTA)
 
 
-def test_ordinary_load_keeps_within_the_budget_and_starves_no_cold_server(service: Service) -> None:
-    assert service.run().kept()
-    able = sum(ABLE[KINDS[number - 1]] for number in COLD) * (USUAL.cold_from + 1) / 2 * COLD_FOR / S
+def test_ordinary_load_is_within_the_budget_and_starves_no_endpoint_in_slow_start(service: Service) -> None:
+    assert service.run().is_within_budget()
+    capacity = sum(ABLE[KINDS[number - 1]] for number in COLD) * (USUAL.cold_from + 1) / 2 * COLD_FOR / S
     sent = sum(map(len, service.sent.values()))
-    assert sent >= (0.3 if len(service.nodes) == 40 else 0.04) * able, "work comes while they warm up"
+    assert sent >= (0.3 if len(service.nodes) == 40 else 0.04) * capacity, (
+        "endpoints must get requests during slow start"
+    )
 
 
-def test_no_cold_server_takes_the_place_of_peers_that_are_gone(service: Service) -> None:
-    gone = [replace(s, state=EndpointState.REMOVED) for s in BEFORE if s.id not in (2, 12)]
-    service.gone = {s.id for s in gone}
-    service.list_changes(START + 2 * S, gone)
-    assert service.run().kept()
+def test_no_endpoint_in_slow_start_gets_the_load_of_removed_endpoints(service: Service) -> None:
+    removed = [replace(s, state=EndpointState.REMOVED) for s in WARM_ENDPOINTS if s.id not in (2, 12)]
+    service.removed_ids = {s.id for s in removed}
+    service.schedule_list_change(START + 2 * S, removed)
+    assert service.run().is_within_budget()
 
 
-def test_all_peers_gone_leave_a_cold_server_its_own_part_and_no_more(service: Service) -> None:
-    gone = [replace(s, state=EndpointState.REMOVED) for s in BEFORE]
-    service.list_changes(START + 2 * S, gone)
-    assert service.run().kept()
-    assert sum(map(len, service.sent.values())) >= 10, "there is no one else to do it"
+def test_an_endpoint_in_slow_start_gets_no_more_than_its_slots_when_all_others_are_removed(
+    service: Service,
+) -> None:
+    removed = [replace(s, state=EndpointState.REMOVED) for s in WARM_ENDPOINTS]
+    service.schedule_list_change(START + 2 * S, removed)
+    assert service.run().is_within_budget()
+    assert sum(map(len, service.sent.values())) >= 10, "no other endpoint is left"
 
 
-def test_nodes_restarted_in_mid_warm_up_start_no_new_budget(service: Service) -> None:
+def test_nodes_restarted_during_slow_start_begin_no_new_budget(service: Service) -> None:
     for slot in range(len(service.nodes)):
         for wave in (2, 4, 6, 8):
-            service.at(START + wave * S + 700 * MS * slot // len(service.nodes), service.restart, slot)
-    assert service.run().kept()
+            service.schedule(START + wave * S + 700 * MS * slot // len(service.nodes), service.restart, slot)
+    assert service.run().is_within_budget()
 
 
-def test_all_nodes_restarted_at_once_each_with_a_batch_start_no_new_budget(service: Service) -> None:
+def test_all_nodes_restarted_at_once_with_a_burst_begin_no_new_budget(service: Service) -> None:
     for slot in range(len(service.nodes)):
         for wave in (2, 5, 8):
-            service.at(START + wave * S, service.restart, slot)
+            service.schedule(START + wave * S, service.restart, slot)
             for _ in range(5):
-                service.at(START + wave * S + 10 * MS, service.ask, slot)
-    assert service.run().kept()
+                service.schedule(START + wave * S + 10 * MS, service.ask, slot)
+    assert service.run().is_within_budget()
 
 
-def test_a_batch_of_held_states_and_retries_at_every_node_finds_the_turns_only(service: Service) -> None:
-    service.full = True  # half of all attempts are turned away, and tried again at once
+def test_a_burst_of_requests_and_retries_at_every_node_gets_only_the_slots(service: Service) -> None:
+    service.rejects_half = True  # and rejected attempts are retried at once
     for slot in range(len(service.nodes)):
         for _ in range(20):
-            service.at(START + 3 * S, service.ask, slot)
-    assert service.run().kept()
+            service.schedule(START + 3 * S, service.ask, slot)
+    assert service.run().is_within_budget()
 
 
-def test_a_heavy_class_is_counted_by_its_weight(service: Service) -> None:
-    service.at(START, setattr, service, "heavy", 0.9)
-    assert service.run().kept()
+def test_a_heavy_class_counts_by_its_cost(service: Service) -> None:
+    service.schedule(START, setattr, service, "heavy_share", 0.9)
+    assert service.run().is_within_budget()
 
 
-def test_a_server_that_leaves_the_list_and_comes_back_with_its_old_start_keeps_its_used_turns() -> None:
-    servers = [server(1, READ), server(2, WRITE), server(3, WRITE, started_at_us=START)]
+def test_an_endpoint_that_is_removed_and_listed_again_with_its_old_start_time_keeps_its_used_slots() -> None:
+    endpoints = [server(1, READ), server(2, WRITE), server(3, WRITE, started_at_us=START)]
     w = World(Router(replace(Service(1, rate=1.0).settings, tenants=()), 1), START)
-    w.tell(EndpointListUpdate(UpdateKind.FULL, 1, tuple(servers)))
+    w.tell(EndpointListUpdate(UpdateKind.FULL, 1, tuple(endpoints)))
     used: list[int] = []
     for _ in range(20):
-        number, said = w.ask(after=0 if used else 6 * S)
+        number, actions = w.ask(after=0 if used else 6 * S)
         used.append(
             only(
                 SendAttempt,
-                w.end(number, only(SendAttempt, said).endpoint_id, Status.PREFILLED, after=1 * MS),
+                w.end(number, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=1 * MS),
             ).endpoint_id
         )
-        for listed in (servers[:2], servers):
+        for listed in (endpoints[:2], endpoints):
             w.tell(EndpointListUpdate(UpdateKind.FULL, 2, tuple(listed)))
-    assert used.count(3) == 1, "one turn, one send"
+    assert used.count(3) == 1, "one slot is good for one attempt"
 
 
 @pytest.mark.parametrize("since", [1, 4, 8])
-def test_a_flood_at_every_node_after_a_lull_finds_no_turns_saved_up(since: int) -> None:
+def test_a_burst_at_every_node_after_low_load_finds_no_accumulated_slots(since: int) -> None:
     service = Service(40, rate=0.05 * QUOTA)
     for slot in range(40):
         for k in range(40):
-            service.at(START + since * S + 50 * MS * k + slot, service.ask, slot)
-    assert service.run().kept()
+            service.schedule(START + since * S + 50 * MS * k + slot, service.ask, slot)
+    assert service.run().is_within_budget()
     assert sum(map(len, service.sent.values())) >= 10
 
 
-def test_a_turn_at_a_cold_server_is_taken_where_the_role_is_jammed() -> None:
-    reader, writer = server(1, READ), server(11, WRITE)
-    for at, kind in ((START, SendAttempt), (0, Reject)):
+def test_an_open_slot_is_used_when_the_role_is_overloaded() -> None:
+    prefill, decode = server(1, READ), server(11, WRITE)
+    for started_at_us, expected in ((START, SendAttempt), (0, Reject)):
         w = World(Router(Service(1, rate=1.0).settings, 1), START)
-        w.tell(EndpointListUpdate(UpdateKind.CACHED, 1, (replace(reader, started_at_us=at), writer)))
+        w.tell(
+            EndpointListUpdate(UpdateKind.CACHED, 1, (replace(prefill, started_at_us=started_at_us), decode))
+        )
         w.now += 5 * S
         role = w.router.state.statistics[Role.PREFILL, False]
-        role.rejection_share, role.observed_at_us = 1.0, w.now  # what it tried was turned away at once
-        only(kind, w.ask()[1])
+        role.rejection_share, role.observed_at_us = 1.0, w.now  # all its recent attempts were rejected
+        only(expected, w.ask()[1])
 
 
-# The same rule as all processes together keep it: beyond the budget of N calls, 2 x root of N + 2 are chance.
+# The same rule for all processes together: an excess of 2 x sqrt(N) + 2 over the budget of N requests is
+# within random variation.
 
 LARGE = Deployment(
-    kinds=(READ,) * 2 + (WRITE,) * 4, able=(200.0, 100.0, 0.0), multiple=1.5, cold_from=0.5, told=1.0
+    kinds=(READ,) * 2 + (WRITE,) * 4, able=(200.0, 100.0, 0.0), multiple=1.5, cold_from=0.5, quota_share=1.0
 )
-QUICK = (10 * MS, 10 * MS, 30 * MS)
+QUICK_US = (10 * MS, 10 * MS, 30 * MS)
 
 
-def floods(service: Service) -> Service:
-    """After lulls as long as a turn is good for, more requests than there are turns."""
-    turns = service.of.budget(service.of.cold[0], START + service.of.cold_for)
+def with_bursts(service: Service) -> Service:
+    """Add bursts of more requests than there are slots, each after as much low load as a slot is valid."""
+    slots = service.deployment.budget(service.deployment.cold[0], START + service.deployment.cold_for)
     for since in (1.0, 8.0):
-        service.flood(since, math.ceil(1.2 * turns / len(service.nodes)) + 3)
+        service.flood(since, math.ceil(1.2 * slots / len(service.nodes)) + 3)
     return service
 
 
-def large(nodes: int, seed: int = 1, of: Deployment = LARGE, rate: float = 3.0, **more: Any) -> Service:
-    return floods(Service(nodes, rate, of, seed, pace=QUICK, **more))
+def large(
+    nodes: int, seed: int = 1, deployment: Deployment = LARGE, rate: float = 3.0, **more: Any
+) -> Service:
+    return with_bursts(Service(nodes, rate, deployment, seed, latencies_us=QUICK_US, **more))
 
 
-TROUBLES: dict[str, Callable[[int], Service]] = {
+SCENARIOS: dict[str, Callable[[int], Service]] = {
     "uneven traffic": lambda nodes: large(nodes, rate=0.3 * LARGE.quota, uneven=True),
-    "lists late by up to 2 s": lambda nodes: large(nodes, late=2.0),
-    "half as many processes again as told": lambda nodes: large(nodes, replicas=max(nodes * 2 // 3, 1)),
-    "quotas half as much again as the fleet can do": lambda nodes: large(nodes, of=replace(LARGE, told=1.5)),
+    "lists delayed by up to 2 s": lambda nodes: large(nodes, late=2.0),
+    "50 % more processes than replicas": lambda nodes: large(nodes, replicas=max(nodes * 2 // 3, 1)),
+    "quotas 50 % above the capacity": lambda nodes: large(nodes, deployment=replace(LARGE, quota_share=1.5)),
     "two small engines": lambda nodes: large(
-        nodes, of=replace(LARGE, kinds=(READ, WRITE), able=(2.0, 1.5, 0.0))
+        nodes, deployment=replace(LARGE, kinds=(READ, WRITE), able=(2.0, 1.5, 0.0))
     ),
 }
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 20, 30, 200])
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_all_processes_together_leave_a_cold_server_its_budget_and_chance(trouble: str, nodes: int) -> None:
-    service = TROUBLES[trouble](nodes)
-    for slot in service.random.sample(
-        range(nodes), math.ceil(nodes / 3)
-    ):  # They know nothing of their last life.
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_all_processes_together_exceed_the_budget_only_by_random_variation(scenario: str, nodes: int) -> None:
+    service = SCENARIOS[scenario](nodes)
+    # Restarted nodes know nothing of the slots used by their earlier processes.
+    for slot in service.random.sample(range(nodes), math.ceil(nodes / 3)):
         for since in (1.5, 8.5):
-            service.at(START + int(since * S), service.restart, slot)
+            service.schedule(START + int(since * S), service.restart, slot)
     service.run()
     assert max(service.worst(number, lambda n: n + 2 * math.sqrt(n) + 2) for number in service.sent) < 1
     assert any(service.sent.values())
 
 
-@pytest.mark.parametrize(("full", "heavy"), [(True, MIX), (False, 0.9)], ids=["retries", "a heavy class"])
-def test_all_processes_together_keep_the_budget_through_retries_and_heavy_requests(
-    full: bool, heavy: float
+@pytest.mark.parametrize(
+    ("rejects_half", "heavy_share"), [(True, HEAVY_SHARE), (False, 0.9)], ids=["retries", "a heavy class"]
+)
+def test_all_processes_together_keep_the_budget_with_retries_and_heavy_requests(
+    rejects_half: bool, heavy_share: float
 ) -> None:
     service = large(30, 2)
-    service.full = full
-    service.at(START, setattr, service, "heavy", heavy)
+    service.rejects_half = rejects_half
+    service.schedule(START, setattr, service, "heavy_share", heavy_share)
     assert max(service.run().worst(number, lambda n: n + 2 * math.sqrt(n) + 2) for number in service.sent) < 1
 
 
-def turns(nodes: int) -> Callable[[float], float]:
-    """What `routing/slow_start.py` argues for a window: its own turns, a third of the budget (and the ramp's
-    growth meanwhile); of the window before, one for each process, a third at most; chance in the mix of
-    classes.
+def slot_limit(nodes: int) -> Callable[[float], float]:
+    """Return the limit for a window that follows from the docstring of `routing/slow_start.py`.
+
+    It consists of the slots that become due in the window, a third of the budget plus the growth of the ramp
+    meanwhile; unused slots of the previous window, one for each process and at most a third of the budget;
+    and random variation in the mix of classes.
     """
     return lambda n: 1.07 * n / 3 + min(n / 3, nodes) + math.sqrt(n) + 2
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 20, 30, 200])
-@pytest.mark.parametrize("loosened", ["", "a slot for two", "a turn for two"])
-def test_a_flood_after_a_lull_finds_the_turns_argued_and_more_only_where_they_are_loosened(
-    loosened: str, nodes: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("fault", ["", "two nodes per replica index", "slots at twice the rate"])
+def test_a_burst_after_low_load_exceeds_the_slot_limit_only_with_a_fault(
+    fault: str, nodes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    if loosened == "a turn for two":
+    if fault == "slots at twice the rate":
         monkeypatch.setattr(slow_start, "SLOT_RATE_SHARE", 2 / 3)
-    service = large(2 * nodes, replicas=nodes) if loosened == "a slot for two" else large(nodes)
-    worst = max(service.run().worst(number, turns(nodes)) for number in service.sent)
-    assert (worst > 1) == bool(loosened)
+    service = large(2 * nodes, replicas=nodes) if fault == "two nodes per replica index" else large(nodes)
+    worst = max(service.run().worst(number, slot_limit(nodes)) for number in service.sent)
+    assert (worst > 1) == bool(fault)
--- a/tests/routing/test_slow_streams.py
+++ b/tests/routing/test_slow_streams.py
@@ -1,4 +1,4 @@
-"""Writers that begin answers in time and drag them out: told by how few end there, against their peers."""
+"""Decode endpoints that start streams in time but complete fewer of them than their peers."""
 
 from __future__ import annotations
 
@@ -6,109 +6,116 @@
 
 from tuliptrack.interface import MigrateStream, SendAttempt, Status
 
-LENGTH = 2 * S  # of an answer at a healthy writer
+LENGTH_US = 2 * S
+"""Length of a stream at a healthy decode endpoint."""
 
 
 class Streams:
-    """A world with streams under way, twelve requests a second; each answer ends after `LENGTH` times what
-    its writer's slowness says.
+    """A world with open streams and twelve requests per second.
+
+    Each stream takes `LENGTH_US`, times the factor of its decode endpoint if that is slow.
     """
 
-    def __init__(self, writers: int = 4, resume: bool = True) -> None:
-        self.w = world(fleet(writers=writers), may_resume=resume)
-        self.begun: dict[int, tuple[int, int]] = {}
-        """Answers under way, by request: their writer and when they end."""
-        self.heard = 0
+    def __init__(self, decode_endpoints: int = 4, may_resume: bool = True) -> None:
+        self.world = world(fleet(writers=decode_endpoints), may_resume=may_resume)
+        self.open: dict[int, tuple[int, int]] = {}
+        """Open streams by request: the decode endpoint, and when the stream ends."""
+        self.handled_actions = 0
 
     def play(self, seconds: int, slow: dict[int, float]) -> tuple[list[int], dict[int, int]]:
-        """The requests that were handed back in so long, and how many were sent to each server."""
-        w, back, sent = self.w, list[int](), dict[int, int]()
+        """Return the requests migrated in that time, and how many attempts were sent to each endpoint.
+
+        `slow` has the factor by which the streams of each slow endpoint take longer.
+        """
+        w, migrated, sent = self.world, list[int](), dict[int, int]()
         for _ in range(seconds * 12):
             w.tell(after=S // 12)
-            for request, (writer, end) in list(self.begun.items()):
-                if w.now >= end:
-                    del self.begun[request]
-                    w.end(request, writer, Status.OK, after=0, is_final=True)
-            request, actions = w.ask()
-            reader = only(SendAttempt, actions).endpoint_id
-            writer = only(SendAttempt, w.end(request, reader, Status.PREFILLED, after=MS)).endpoint_id
-            w.start(request, writer, after=MS)
-            self.begun[request] = (writer, w.now + int(LENGTH * slow.get(writer, 1.0)))
-            for action in w.said[self.heard :]:
+            for request_id, (decode_id, ends_at_us) in list(self.open.items()):
+                if w.now >= ends_at_us:
+                    del self.open[request_id]
+                    w.end(request_id, decode_id, Status.OK, after=0, is_final=True)
+            request_id, actions = w.ask()
+            prefill_id = only(SendAttempt, actions).endpoint_id
+            decode_id = only(
+                SendAttempt, w.end(request_id, prefill_id, Status.PREFILLED, after=MS)
+            ).endpoint_id
+            w.start(request_id, decode_id, after=MS)
+            self.open[request_id] = (decode_id, w.now + int(LENGTH_US * slow.get(decode_id, 1.0)))
+            for action in w.said[self.handled_actions :]:
                 if isinstance(action, SendAttempt):
                     sent[action.endpoint_id] = sent.get(action.endpoint_id, 0) + 1
                 elif isinstance(action, MigrateStream):
-                    back.append(action.request_id)
+                    migrated.append(action.request_id)
                     w.end(
                         action.request_id,
-                        self.begun.pop(action.request_id)[0],
+                        self.open.pop(action.request_id)[0],
                         Status.CANCELLED,
                         after=0,
                         is_final=True,
                     )
-            self.heard = len(w.said)
-        return back, sent
+            self.handled_actions = len(w.said)
+        return migrated, sent
 
 
-def test_answers_at_a_dragging_writer_are_handed_back_and_hardly_more_go_there() -> None:
-    s = Streams()
-    assert s.play(6, {})[0] == []
-    back, _ = s.play(8, {13: 8.0})
-    assert len(back) > 3
-    _, sent = s.play(6, {13: 8.0})
+def test_streams_of_a_slow_endpoint_are_migrated_and_few_new_ones_are_sent_there() -> None:
+    streams = Streams()
+    assert streams.play(6, {})[0] == []
+    migrated, _ = streams.play(8, {13: 8.0})
+    assert len(migrated) > 3
+    _, sent = streams.play(6, {13: 8.0})
     assert sent.get(13, 0) < min(sent[n] for n in (14, 15, 16)) / 3
-    s.play(20, {})  # it is well again: a trial's answer ends in time
-    _, sent = s.play(6, {})
+    streams.play(20, {})  # it has recovered: the stream of a health check ends in time
+    _, sent = streams.play(6, {})
     assert sent[13] > min(sent[n] for n in (14, 15, 16)) / 2
 
 
-def test_a_slowness_of_all_writers_is_nobodys() -> None:
-    s = Streams()
-    s.play(6, {})
-    assert s.play(12, {n: 4.0 for n in (13, 14, 15, 16)})[0] == []
+def test_no_endpoint_is_ejected_if_all_are_slow() -> None:
+    streams = Streams()
+    streams.play(6, {})
+    assert streams.play(12, {n: 4.0 for n in (13, 14, 15, 16)})[0] == []
 
 
-def test_nothing_is_handed_back_where_streams_cant_be_resumed() -> None:
-    s = Streams(resume=False)
-    s.play(6, {})
-    assert s.play(8, {13: 8.0})[0] == []
-    _, sent = s.play(6, {13: 8.0})
+def test_no_stream_is_migrated_if_streams_cannot_be_resumed() -> None:
+    streams = Streams(may_resume=False)
+    streams.play(6, {})
+    assert streams.play(8, {13: 8.0})[0] == []
+    _, sent = streams.play(6, {13: 8.0})
     assert sent.get(13, 0) < min(sent[n] for n in (14, 15, 16)) / 3
 
 
-def test_a_dragging_writer_is_used_while_this_node_refuses() -> None:
-    s = Streams()
-    s.play(6, {})
-    s.play(8, {13: 8.0})
-    router, endpoint = s.w.router, s.w.router.endpoints[13]
-    request_id, _ = s.w.ask()
+def test_a_slow_endpoint_is_used_while_this_node_sheds_load() -> None:
+    streams = Streams()
+    streams.play(6, {})
+    streams.play(8, {13: 8.0})
+    router, endpoint = streams.world.router, streams.world.router.endpoints[13]
+    request_id, _ = streams.world.ask()
     request = router.in_flight[request_id]
     assert len(endpoint.ejections) == 1
-    next(iter(endpoint.ejections.values())).next_check_at_us = s.w.now + S
+    next(iter(endpoint.ejections.values())).next_check_at_us = streams.world.now + S
     assert not router.eligibility.is_usable(endpoint, request)
-    router.state.shed_at_us = s.w.now  # capacity is short
+    router.state.shed_at_us = streams.world.now  # the node sheds load
     assert router.eligibility.is_usable(endpoint, request)
 
 
-def test_a_short_halt_amid_very_short_answers_is_no_dragging() -> None:
-    """A machine may stand still for some tens of milliseconds: many times as long as answers of a millisecond
-    take.
+def test_a_short_pause_among_very_short_streams_is_not_taken_for_a_slow_endpoint() -> None:
+    """A machine may pause for some tens of milliseconds, many times the length of streams that take one
+    millisecond.
     """
     w = world(fleet(writers=4), may_resume=True)
     for _ in range(300):
-        request, actions = w.ask(after=4 * MS)
-        writer = only(
-            SendAttempt, w.end(request, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=MS)
+        request_id, actions = w.ask(after=4 * MS)
+        decode_id = only(
+            SendAttempt, w.end(request_id, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=MS)
         ).endpoint_id
-        w.start(request, writer, after=MS)
-        w.end(request, writer, Status.OK, after=MS, is_final=True)
-    halted, actions = w.ask()
-    writer = only(
-        SendAttempt, w.end(halted, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=MS)
+        w.start(request_id, decode_id, after=MS)
+        w.end(request_id, decode_id, Status.OK, after=MS, is_final=True)
+    paused_id, actions = w.ask()
+    decode_id = only(
+        SendAttempt, w.end(paused_id, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=MS)
     ).endpoint_id
-    w.start(halted, writer, after=MS)
+    w.start(paused_id, decode_id, after=MS)
     w.tell(after=60 * MS)
-    w.router.slow_streams.checked_at_us = 0  # the next event finds a look due
-    heard = len(w.said)
+    w.router.slow_streams.checked_at_us = 0  # the next event finds a comparison due
+    action_count = len(w.said)
     w.tell(after=MS)
-    assert not [action for action in w.said[heard:] if isinstance(action, MigrateStream)]
+    assert not [action for action in w.said[action_count:] if isinstance(action, MigrateStream)]
