--- a/tests/routing/test_connection_failures.py
+++ b/tests/routing/test_connection_failures.py
@@ -70,8 +70,8 @@
         raise AssertionError("no request was rejected")
 
     assert fill() > 0
-    # Resumed streams are admitted up to 1.6 times the queue limit; above that they could only be late.
-    assert fill(resumed=True) > 0
+    resumed_count = fill(resumed=True)
+    assert resumed_count > 0  # up to 1.6 times the queue limit; above that they could only be late
     assert fill() == 0
 
 
--- a/tests/routing/test_same_decisions.py
+++ b/tests/routing/test_same_decisions.py
@@ -114,8 +114,10 @@
     def __init__(self, case: Case) -> None:
         self.case, self.random, self.now = case, Random(case.seed), 100 * S
         router_settings = case.settings()
-        self.router = Router(router_settings, case.seed)
-        self.oracle = oracle.brain.Router(router_settings, case.seed)
+        self.router, self.oracle = (
+            Router(router_settings, case.seed),
+            oracle.brain.Router(router_settings, case.seed),
+        )
         self.queue: list[tuple[int, int, Event]] = []
         self.event_numbers, self.ids = itertools.count(), itertools.count(1)
         self.version, self.compared, self.rejected = 1, 0, 0
@@ -185,8 +187,7 @@
         )
         if rng.random() < self.case.failure_share:
             status = rng.choice(FAILURES)
-            if status is Status.TIMEOUT and action.timeout_us:
-                latency_us = action.timeout_us
+            latency_us = action.timeout_us if status is Status.TIMEOUT and action.timeout_us else latency_us
             self.schedule(
                 latency_us,
                 replace(
--- a/tests/routing/test_sequences.py
+++ b/tests/routing/test_sequences.py
@@ -304,8 +304,7 @@
 ) -> None:
     generated = RandomWorld(seed, effect, scope)
     generated.play(600)
-    assert len(generated.requests) > 100
-    assert any(state.is_started for state in generated.requests.values())
+    assert len(generated.requests) > 100 and any(state.is_started for state in generated.requests.values())
 
 
 def digest(seed: int) -> str:
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -83,14 +83,14 @@
 
 
 USUAL = Deployment()
-QUOTA, KINDS, FLEET, WARM_ENDPOINTS, COLD = (
+QUOTA, KINDS, FLEET, WARM_ENDPOINTS, SLOW_START_IDS = (
     USUAL.quota,
     USUAL.kinds,
     USUAL.fleet,
     USUAL.warm_endpoints,
     USUAL.cold,
 )
-WINDOW, COLD_FOR, ABLE = USUAL.window, USUAL.cold_for, USUAL.able
+WINDOW, SLOW_START_US, CAPACITY_PER_S = USUAL.window, USUAL.cold_for, USUAL.able
 
 
 class Service:
@@ -123,9 +123,8 @@
         )
         self.random = Random(nodes + 1000 * seed)
         self.weights = [self.random.expovariate(1.0) ** 2 if uneven else 1.0 for _ in range(nodes)]
-        self.heavy_share = HEAVY_SHARE
-        self.rejects_half = False
-        """Whether half of the attempts are rejected for lack of capacity."""
+        # `rejects_half`: whether half of the attempts are rejected for lack of capacity.
+        self.heavy_share, self.rejects_half = HEAVY_SHARE, False
         self.classes: dict[int, int] = {}
         self.sent: dict[int, list[tuple[int, int]]] = {number: [] for number in deployment.cold}
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
@@ -267,7 +266,13 @@
 
 def test_ordinary_load_is_within_the_budget_and_starves_no_endpoint_in_slow_start(service: Service) -> None:
     assert service.run().is_within_budget()
-    capacity = sum(ABLE[KINDS[number - 1]] for number in COLD) * (USUAL.cold_from + 1) / 2 * COLD_FOR / S
+    capacity = (
+        sum(CAPACITY_PER_S[KINDS[number - 1]] for number in SLOW_START_IDS)
+        * (USUAL.cold_from + 1)
+        / 2
+        * SLOW_START_US
+        / S
+    )
     sent = sum(map(len, service.sent.values()))
     assert sent >= (0.3 if len(service.nodes) == 40 else 0.04) * capacity, (
         "endpoints must get requests during slow start"
