--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -46,12 +46,14 @@
     """The settings and the endpoint list. The first endpoint of each kind has just started."""
 
     kinds: tuple[int, ...] = (READ,) * 10 + (WRITE,) * 12 + (BOTH,) * 8
-    able: tuple[float, float, float] = (8.0, 4.0, 3.5)  # mean requests per second of a warm endpoint, by kind
+    able: tuple[float, float, float] = (8.0, 4.0, 3.5)
+    """Mean requests per second of a warm endpoint, by kind."""
     window: int = 2 * S
     cold_for: int = 14 * S
     cold_from: float = 0.27
     multiple: float = 3.0
-    quota_share: float = 0.9  # quotas as a share of the capacity of all endpoints that decode
+    quota_share: float = 0.9
+    """Quotas as a share of the capacity of all endpoints that decode."""
 
     @property
     def cold(self) -> tuple[int, ...]:
