--- a/tests/decisions/test_model_catalog.py
+++ b/tests/decisions/test_model_catalog.py
@@ -5,7 +5,7 @@
 from itertools import pairwise
 
 import pytest
-from helpers import MS, READ, WRITE, S, only, server, settings
+from helpers import DECODE, MS, PREFILL, S, only, server, settings
 from hypothesis import given
 from hypothesis import settings as examples
 from hypothesis import strategies as st
@@ -25,7 +25,7 @@
 
 ROLES = (Role.PREFILL, Role.DECODE, Role.PREFILL_AND_DECODE)
 A, B, B2 = Model("a", "1"), Model("b", "1"), Model("b", "2")
-FLEET = {1: (READ, A), 2: (WRITE, A), 3: (READ, B), 4: (WRITE, B), 5: (READ, B2), 6: (WRITE, B2)}
+FLEET = {1: (PREFILL, A), 2: (DECODE, A), 3: (PREFILL, B), 4: (DECODE, B), 5: (PREFILL, B2), 6: (DECODE, B2)}
 
 
 def change(
@@ -49,7 +49,7 @@
     assert all(c.quota_share == pytest.approx(1 / 3) for c in updates.values())
     assert (
         ModelCatalog(ROLES)
-        .split_update(*change({1: (READ, Model()), 2: (WRITE, Model())}))[Model()]
+        .split_update(*change({1: (PREFILL, Model()), 2: (DECODE, Model())}))[Model()]
         .quota_share
         == 1.0
     )
@@ -57,11 +57,11 @@
 
 def test_an_endpoint_that_changes_its_model_is_removed_at_the_old_router() -> None:
     models = catalog()
-    updates = models.split_update(*change({2: (WRITE, B)}, UpdateKind.DELTA))
+    updates = models.split_update(*change({2: (DECODE, B)}, UpdateKind.DELTA))
     assert [(s.id, s.state) for s in updates[A].endpoints] == [(2, EndpointState.REMOVED)]
     assert [(s.id, s.state) for s in updates[B].endpoints] == [(2, EndpointState.READY)]
     assert not models.ready("a") and models.ready("b", "1")
-    updates = models.split_update(*change({1: (READ, A)}))  # a full list removes what it does not name
+    updates = models.split_update(*change({1: (PREFILL, A)}))  # a full list removes what it does not name
     assert {m: [s.id for s in c.endpoints] for m, c in updates.items()} == {A: [1], B: [], B2: []}
 
 
@@ -71,12 +71,14 @@
         with pytest.raises(NotServedError) as caught:
             models.choose(name, version, "s")
         assert (caught.value.field, caught.value.is_listed) == (field, False)
-    models.split_update(*change({2: (WRITE, A)}, UpdateKind.DELTA, EndpointState.DRAINING))
+    models.split_update(*change({2: (DECODE, A)}, UpdateKind.DELTA, EndpointState.DRAINING))
     with pytest.raises(NotServedError) as caught:
         models.choose("a", "", "s")
     assert caught.value.is_listed
-    assert catalog({1: (READ, A), 2: (WRITE, A)}).choose("", "", "s") == A  # the only model need not be named
-    assert catalog({1: (READ, Model()), 2: (WRITE, Model())}).choose("any", "", "s") == Model()
+    assert (
+        catalog({1: (PREFILL, A), 2: (DECODE, A)}).choose("", "", "s") == A
+    )  # the only model need not be named
+    assert catalog({1: (PREFILL, Model()), 2: (DECODE, Model())}).choose("any", "", "s") == Model()
     assert ModelCatalog(ROLES).choose("any", "", "s") == Model()  # before the first list
 
 
@@ -85,7 +87,7 @@
     versions: list[list[str]] = []
     for new in range(11):
         labels = {
-            n: (READ if n % 2 else WRITE, Model("m", "2" if n <= 2 * new else "1")) for n in range(1, 21)
+            n: (PREFILL if n % 2 else DECODE, Model("m", "2" if n <= 2 * new else "1")) for n in range(1, 21)
         }
         models = catalog(labels)
         versions.append([models.choose("m", "", s).version for s in sessions])
@@ -95,7 +97,7 @@
 
 
 def test_models_over_the_limit_are_not_served_until_others_are_removed() -> None:
-    labels = {n: (READ, Model(f"m{n}")) for n in range(1, MAX_MODELS + 4)}
+    labels = {n: (PREFILL, Model(f"m{n}")) for n in range(1, MAX_MODELS + 4)}
     models = catalog(labels)
     assert len(models.listed()) == MAX_MODELS and models.over_limit == {
         MAX_MODELS + 1,
@@ -112,7 +114,7 @@
     st.lists(
         st.tuples(
             st.integers(1, 6),
-            st.sampled_from([READ, WRITE]),
+            st.sampled_from([PREFILL, DECODE]),
             st.sampled_from([A, B, B2]),
             st.sampled_from(list(EndpointState)),
         ),
@@ -156,7 +158,8 @@
     second = Router(shared, 2, first)
     for router, base in ((first, 10), (second, 20)):
         router.handle(
-            S, [EndpointListUpdate(UpdateKind.FULL, 1, (server(base, READ), server(base + 1, WRITE)), 0.5)]
+            S,
+            [EndpointListUpdate(UpdateKind.FULL, 1, (server(base, PREFILL), server(base + 1, DECODE)), 0.5)],
         )
     assert (
         first.state.fleet_capacity_per_s == second.state.fleet_capacity_per_s == 501.0
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -30,7 +30,7 @@
 
 MS = 1_000
 S = 1_000_000
-READ, WRITE, BOTH = 0, 1, 2
+PREFILL, DECODE, MIXED = 0, 1, 2
 A = TypeVar("A", bound=Action)
 
 
@@ -84,8 +84,8 @@
     return replace(EndpointInfo(number, kind), **changes)  # type: ignore[arg-type]
 
 
-def fleet(readers: int = 3, writers: int = 3, mixed: int = 0) -> list[EndpointInfo]:
-    kinds = [READ] * readers + [WRITE] * writers + [BOTH] * mixed
+def fleet(prefill: int = 3, decode: int = 3, mixed: int = 0) -> list[EndpointInfo]:
+    kinds = [PREFILL] * prefill + [DECODE] * decode + [MIXED] * mixed
     return [server(10 + i, kind) for i, kind in enumerate(kinds)]
 
 
@@ -95,17 +95,17 @@
 
     router: Router
     now: int = 100 * S
-    said: list[Action] = field(default_factory=list)
-    tries: dict[int, int] = field(default_factory=dict)
+    actions: list[Action] = field(default_factory=list)
+    attempt_numbers: dict[int, int] = field(default_factory=dict)
     ids: int = 0
 
     def tell(self, *events: Event, after: int = 0) -> list[Action]:
         self.now += after
         actions = self.router.handle(self.now, list(events))
-        self.said += actions
+        self.actions += actions
         for action in actions:
             if isinstance(action, SendAttempt):
-                self.tries[action.request_id] = self.tries.get(action.request_id, -1) + 1
+                self.attempt_numbers[action.request_id] = self.attempt_numbers.get(action.request_id, -1) + 1
         return actions
 
     def ask(self, after: int = 0, **changes: object) -> tuple[int, list[Action]]:
@@ -126,11 +126,11 @@
     def end(
         self, request: int, at: int, status: Status, after: int = 50 * MS, **more: object
     ) -> list[Action]:
-        outcome = AttemptEnded(request, self.tries[request], at, status, after)
+        outcome = AttemptEnded(request, self.attempt_numbers[request], at, status, after)
         return self.tell(replace(outcome, **more), after=after)  # type: ignore[arg-type]
 
     def start(self, request: int, at: int, after: int = 50 * MS) -> list[Action]:
-        return self.tell(StreamStarted(request, self.tries[request], at, after), after=after)
+        return self.tell(StreamStarted(request, self.attempt_numbers[request], at, after), after=after)
 
     def list(self, *servers: EndpointInfo, kind: UpdateKind = UpdateKind.DELTA) -> list[Action]:
         return self.tell(EndpointListUpdate(kind, 2, servers))
--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from helpers import BOTH, READ, WRITE, settings
+from helpers import DECODE, MIXED, PREFILL, settings
 from hypothesis import HealthCheck, Phase
 from hypothesis import settings as examples
 from hypothesis import strategies as st
@@ -39,11 +39,11 @@
 US_PER_S = 1_000_000
 RELEASE_SLACK_US = 300_000  # what the platform allows past the settings' time for a reserved state
 ENDPOINTS = (
-    io.EndpointInfo(1, READ),
-    io.EndpointInfo(2, READ),
-    io.EndpointInfo(3, WRITE),
-    io.EndpointInfo(4, WRITE),
-    io.EndpointInfo(5, BOTH),
+    io.EndpointInfo(1, PREFILL),
+    io.EndpointInfo(2, PREFILL),
+    io.EndpointInfo(3, DECODE),
+    io.EndpointInfo(4, DECODE),
+    io.EndpointInfo(5, MIXED),
 )
 DEADLINES_US = (300_000, 1_500_000, 4_000_000)
 
--- a/tests/routing/test_connection_failures.py
+++ b/tests/routing/test_connection_failures.py
@@ -26,7 +26,7 @@
 
 
 def test_consecutive_connection_failures_without_a_response_in_between_eject_the_endpoint() -> None:
-    w = world(fleet(readers=1))
+    w = world(fleet(prefill=1))
     endpoint = w.router.endpoints[10]
     for is_answered in (True, False):
         for _ in range(3):
@@ -58,7 +58,7 @@
 
 
 def test_a_resumed_stream_is_admitted_where_a_new_request_is_rejected() -> None:
-    w = world(fleet(readers=1, writers=1), tenants=(Tenant("a", 1.0, 1000.0),))
+    w = world(fleet(prefill=1, decode=1), tenants=(Tenant("a", 1.0, 1000.0),))
     first, actions = w.ask()
     w.end(first, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=50 * MS)
 
@@ -76,7 +76,7 @@
 
 
 def test_a_rejection_for_lack_of_capacity_says_when_to_retry() -> None:
-    w = world(fleet(readers=1, writers=1), tenants=(Tenant("a", 1.0, 1000.0),), max_retry_after_us=500 * MS)
+    w = world(fleet(prefill=1, decode=1), tenants=(Tenant("a", 1.0, 1000.0),), max_retry_after_us=500 * MS)
     first, actions = w.ask()
     w.end(first, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=50 * MS)
     retry_after_us: list[int] = []
@@ -94,7 +94,7 @@
     state was lost.
     """
     for seed in range(20):
-        w = world(fleet(readers=1, writers=4), seed=seed)
+        w = world(fleet(prefill=1, decode=4), seed=seed)
         request_id, actions = w.ask()
         chosen = []
         for _ in range(2):
--- a/tests/routing/test_idempotency.py
+++ b/tests/routing/test_idempotency.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import MS, READ, WRITE, S, World, fleet, only, server, settings
+from helpers import DECODE, MS, PREFILL, S, World, fleet, only, server, settings
 
 from tuliptrack.interface import (
     Fail,
@@ -99,7 +99,7 @@
 def test_the_window_starts_when_the_decode_attempt_is_sent() -> None:
     """The decode attempt was sent 3 s after the request came, as its prefill took so long."""
     world = World(Router(keyed_settings(NEEDED_US + 1 * S), 1))
-    world.list(server(10, READ), server(12, WRITE), kind=UpdateKind.FULL)
+    world.list(server(10, PREFILL), server(12, DECODE), kind=UpdateKind.FULL)
     request_id, actions = world.ask()
     actions = world.end(request_id, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=3 * S)
     endpoint_id = only(SendAttempt, actions).endpoint_id
--- a/tests/routing/test_locality.py
+++ b/tests/routing/test_locality.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any
 
-from helpers import MS, READ, WRITE, S, World, fleet, only, server, world
+from helpers import DECODE, MS, PREFILL, S, World, fleet, only, server, world
 
 from tuliptrack.interface import (
     Action,
@@ -46,7 +46,7 @@
                 actions = w.tell(
                     AttemptEnded(
                         send.request_id,
-                        w.tries[send.request_id],
+                        w.attempt_numbers[send.request_id],
                         send.endpoint_id,
                         Status.PREFILLED,
                         latency_us,
@@ -57,18 +57,22 @@
                 actions = w.tell(
                     AttemptEnded(
                         send.request_id,
-                        w.tries[send.request_id],
+                        w.attempt_numbers[send.request_id],
                         send.endpoint_id,
                         Status.AT_CAPACITY,
                         latency_us,
                     )
                 )
             else:
-                w.tell(StreamStarted(send.request_id, w.tries[send.request_id], send.endpoint_id, latency_us))
+                w.tell(
+                    StreamStarted(
+                        send.request_id, w.attempt_numbers[send.request_id], send.endpoint_id, latency_us
+                    )
+                )
                 actions = w.tell(
                     AttemptEnded(
                         send.request_id,
-                        w.tries[send.request_id],
+                        w.attempt_numbers[send.request_id],
                         send.endpoint_id,
                         Status.OK,
                         latency_us,
@@ -76,7 +80,7 @@
                     )
                 )
             in_flight += [(w.now, a) for a in actions if isinstance(a, SendAttempt)]
-    return w.said
+    return w.actions
 
 
 def test_with_one_zone_a_budget_has_no_effect() -> None:
@@ -96,7 +100,7 @@
         decode = only(SendAttempt, w.end(send.request_id, send.endpoint_id, Status.PREFILLED))
         assert decode.endpoint_id < 50 and decode.cross_zone_cause is None
         w.end(send.request_id, decode.endpoint_id, Status.OK, is_final=True)
-    w.list(*(replace(s, state=type(s.state).REMOVED) for s in near if s.kind == READ))
+    w.list(*(replace(s, state=type(s.state).REMOVED) for s in near if s.kind == PREFILL))
     causes = []
     for _ in range(40):
         _, actions = w.ask(after=20 * MS)
@@ -115,7 +119,7 @@
 
 
 def test_an_empty_budget_does_not_prevent_a_crossing_without_alternative_which_is_counted_as_forced() -> None:
-    far = [server(60, READ, zone=1), server(61, WRITE, zone=1)]
+    far = [server(60, PREFILL, zone=1), server(61, DECODE, zone=1)]
     w = world(far, **{**BUDGET, "zone_budgets": (ZoneBudget(0.0, 50_000.0, 50_000.0),)})
     for _ in range(10):
         _, actions = w.ask(after=200 * MS)
@@ -124,7 +128,7 @@
 
 
 def test_kv_states_stay_in_their_zone_until_its_decode_engines_are_much_fuller() -> None:
-    endpoints = [server(10, READ), server(11, WRITE), server(12, WRITE, zone=1)]
+    endpoints = [server(10, PREFILL), server(11, DECODE), server(12, DECODE, zone=1)]
     for budget, crossing in ((1e6, True), (0.0, False)):
         w = world(endpoints, **{**BUDGET, "zone_budgets": (ZoneBudget(budget, 400_000.0, 50_000.0),)})
         used = set()
@@ -142,7 +146,7 @@
 
 
 def test_decode_engines_of_the_own_zone_are_preferred_to_remote_ones_of_unknown_memory() -> None:
-    endpoints = [server(10, READ), server(11, WRITE), *(server(20 + n, WRITE, zone=1) for n in range(3))]
+    endpoints = [server(10, PREFILL), server(11, DECODE), *(server(20 + n, DECODE, zone=1) for n in range(3))]
     w = world(endpoints, **{**BUDGET, "zone_budgets": (ZoneBudget(0.0, 400_000.0, 50_000.0),)})
     for _ in range(5):
         _, actions = w.ask(after=100 * MS)
@@ -158,10 +162,10 @@
 def test_an_overload_of_the_own_zone_is_not_attributed_to_another_zone() -> None:
     """With many nodes the load of a role is estimated from its last reports, for each zone separately."""
     endpoints = [
-        *(server(10 + n, READ) for n in range(2)),
-        *(server(20 + n, READ, zone=1) for n in range(2)),
-        server(30, WRITE),
-        server(31, WRITE, zone=1),
+        *(server(10 + n, PREFILL) for n in range(2)),
+        *(server(20 + n, PREFILL, zone=1) for n in range(2)),
+        server(30, DECODE),
+        server(31, DECODE, zone=1),
     ]
     w = world(
         endpoints,
@@ -231,11 +235,14 @@
 
 def test_an_endpoints_zone_may_change_while_it_serves() -> None:
     w = world(
-        [server(10, READ), server(11, WRITE), server(20, READ, zone=1), server(21, WRITE, zone=1)], **BUDGET
+        [server(10, PREFILL), server(11, DECODE), server(20, PREFILL, zone=1), server(21, DECODE, zone=1)],
+        **BUDGET,
     )
     _, actions = w.ask(after=S)
     assert only(SendAttempt, actions).endpoint_id == 10
-    w.list(server(10, READ, zone=1), server(20, READ))  # they swap zones while endpoint 10 holds a KV state
+    w.list(
+        server(10, PREFILL, zone=1), server(20, PREFILL)
+    )  # they swap zones while endpoint 10 holds a KV state
     decode = only(SendAttempt, w.end(1, 10, Status.PREFILLED))
     assert decode.cross_zone_cause is not None  # the KV state or the output has to cross now
     w.start(1, decode.endpoint_id)
@@ -249,7 +256,12 @@
 
 def test_no_request_is_rejected_for_the_budget_alone() -> None:
     """The own zone is overloaded and the budget is empty: requests cross as forced and are not rejected."""
-    endpoints = [server(10, READ), server(11, WRITE), server(20, READ, zone=1), server(21, WRITE, zone=1)]
+    endpoints = [
+        server(10, PREFILL),
+        server(11, DECODE),
+        server(20, PREFILL, zone=1),
+        server(21, DECODE, zone=1),
+    ]
     w = world(endpoints, **{**BUDGET, "zone_budgets": (ZoneBudget(0.0, 50_000.0, 50_000.0),)})
     causes = []
     for index in range(30):
@@ -271,7 +283,7 @@
     """Cross-zone bytes of a retry must not be counted as ordinary traffic of the budget. They are if only the
     connection failed, because then the endpoint is not excluded.
     """
-    far = [server(60, READ, zone=1), server(61, WRITE, zone=1)]
+    far = [server(60, PREFILL, zone=1), server(61, DECODE, zone=1)]
     w = world(far, **BUDGET)
     request_id, actions = w.ask(after=S)
     sent = only(SendAttempt, actions)
--- a/tests/routing/test_many_nodes.py
+++ b/tests/routing/test_many_nodes.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import replace
 
-from helpers import BOTH, MS, READ, WRITE, S, World, fleet, none, only, server, world
+from helpers import DECODE, MIXED, MS, PREFILL, S, World, fleet, none, only, server, world
 
 from tuliptrack.interface import (
     ClientDisconnected,
@@ -45,12 +45,12 @@
 
 
 def test_nodes_without_load_information_do_not_all_choose_the_same_decode_endpoint() -> None:
-    used = Counter(run_prefill(w)[2] for w in nodes(fleet(readers=10, writers=20)))
+    used = Counter(run_prefill(w)[2] for w in nodes(fleet(prefill=10, decode=20)))
     assert len(used) == 20 and max(used.values()) <= 3 * NODES / 20, used
 
 
 def test_a_session_has_one_affinity_endpoint_at_all_nodes_and_a_popular_prefix_several() -> None:
-    worlds = nodes(fleet(readers=30, writers=5), 20)
+    worlds = nodes(fleet(prefill=30, decode=5), 20)
     affinity_ids = {
         session: {only(SendAttempt, w.ask(session=session)[1]).endpoint_id for w in worlds}
         for session in range(1, 40)
@@ -63,7 +63,7 @@
     """If it had a share of the endpoints, each of hundreds of prefixes would be prefilled again at twenty of
     them and evict others from their caches.
     """
-    endpoints = fleet(readers=60, writers=5)
+    endpoints = fleet(prefill=60, decode=5)
     affinity_ids: dict[int, set[int]] = {prefix: set() for prefix in range(1, 9)}
     for index, w in enumerate(nodes(endpoints, 30)):
         for prefix, ids in affinity_ids.items():
@@ -85,7 +85,7 @@
         for tokens in (300.0, 3_000.0):
             worlds = [
                 world(
-                    fleet(readers=60, writers=5),
+                    fleet(prefill=60, decode=5),
                     seed=seed,
                     replicas=NODES,
                     classes=(replace(cls, objective_us_per_1000_tokens=objective),),
@@ -127,7 +127,7 @@
 
 def test_few_nodes_use_one_affinity_endpoint() -> None:
     affinity_ids = {
-        only(SendAttempt, world(fleet(readers=8)).ask(session=session)[1]).endpoint_id
+        only(SendAttempt, world(fleet(prefill=8)).ask(session=session)[1]).endpoint_id
         for session in range(1, 40)
     }
     assert len(affinity_ids) == 1
@@ -145,19 +145,19 @@
 
 def test_reported_queues_cause_rejections_although_the_node_has_nothing_in_flight() -> None:
     fields = ("in_flight", "queued", "memory_share", "tokens_waiting_k")
-    w = world(fleet(readers=1, writers=1), replicas=NODES, report_fields=fields)
+    w = world(fleet(prefill=1, decode=1), replicas=NODES, report_fields=fields)
     for _ in range(12):
         request_id, actions = w.ask(class_index=1, after=100 * MS)
         if any(isinstance(a, Reject) for a in actions):
             break
         w.end(request_id, 10, Status.PREFILLED, after=1500 * MS, load_report=(40.0, 30.0, 0.2, 60.0))
-        w.tell(StreamStarted(request_id, w.tries[request_id], 11, 20 * MS))
+        w.tell(StreamStarted(request_id, w.attempt_numbers[request_id], 11, 20 * MS))
         w.end(request_id, 11, Status.OK, is_final=True, load_report=(5.0, 0.0, 0.2, 0.0))
     only(Reject, w.ask()[1])
 
 
 def test_a_short_prompt_that_is_almost_all_prefix_does_not_make_the_role_look_overloaded() -> None:
-    w = world(fleet(readers=1, writers=1), replicas=NODES)
+    w = world(fleet(prefill=1, decode=1), replicas=NODES)
     for tokens in (900.0, 801.0, 2000.0, 801.0):
         request_id, _, decode_id = run_prefill(w, prompt_tokens=tokens)
         w.start(request_id, decode_id)
@@ -166,7 +166,7 @@
 
 
 def test_a_time_out_ejects_the_endpoint_for_the_request_class_only() -> None:
-    w = world(fleet(readers=8), replicas=2)
+    w = world(fleet(prefill=8), replicas=2)
     request_id, actions = w.ask(class_index=0)
     sent = only(SendAttempt, actions)
     w.end(request_id, sent.endpoint_id, Status.TIMEOUT, after=sent.timeout_us)
@@ -175,7 +175,7 @@
 
 
 def test_a_late_capacity_rejection_by_an_endpoint_with_free_capacity_ejects_it_for_the_tenant_only() -> None:
-    w = world(fleet(readers=8), replicas=2)
+    w = world(fleet(prefill=8), replicas=2)
     request_id, actions = w.ask(tenant=1)
     affinity_id = only(SendAttempt, actions).endpoint_id
     w.end(request_id, affinity_id, Status.AT_CAPACITY, after=200 * MS)
@@ -184,7 +184,7 @@
 
 
 def test_if_most_attempts_time_out_none_is_abandoned_as_retries_would_add_to_the_overload() -> None:
-    w = world(fleet(readers=8), replicas=NODES)
+    w = world(fleet(prefill=8), replicas=NODES)
     request_id, actions = w.ask()
     sent = only(SendAttempt, actions)
     for _ in range(4):
@@ -199,7 +199,7 @@
 
 
 def test_a_node_that_sheds_load_abandons_no_attempt_as_retries_would_add_to_the_overload() -> None:
-    w = world(fleet(readers=8), replicas=NODES)
+    w = world(fleet(prefill=8), replicas=NODES)
 
     def attempt_timeout_us(after: int = 0) -> int:
         request_id, actions = w.ask(after=after)
@@ -221,7 +221,7 @@
 
 def test_prefills_overdue_at_several_endpoints_but_not_at_one_cause_rejections_before_any_answer() -> None:
     for silent_count, expected in ((3, Reject), (1, SendAttempt)):
-        w = world(fleet(readers=8), replicas=NODES)
+        w = world(fleet(prefill=8), replicas=NODES)
         prefill_ids = {n: only(SendAttempt, w.ask(session=n, prefix=n)[1]).endpoint_id for n in range(1, 9)}
         assert len(set(prefill_ids.values())) > 4
         silent = list(dict.fromkeys(prefill_ids.values()))[:silent_count]
@@ -239,7 +239,7 @@
 
 
 def test_if_most_attempts_are_rejected_at_once_a_request_is_not_retried_elsewhere() -> None:
-    w = world(fleet(readers=8), replicas=NODES)
+    w = world(fleet(prefill=8), replicas=NODES)
     attempt_counts = []
     for _ in range(6):
         request_id, actions = w.ask(after=2 * S, class_index=1)
@@ -253,7 +253,7 @@
 
 def test_mixed_endpoints_with_prefills_get_no_decode_while_decode_endpoints_have_less_load() -> None:
     w = world(
-        [server(1, READ, weight=9.0), server(2, WRITE, weight=9.0), server(3, BOTH, weight=0.5)],
+        [server(1, PREFILL, weight=9.0), server(2, DECODE, weight=9.0), server(3, MIXED, weight=0.5)],
         replicas=NODES,
     )
     endpoint = w.router.endpoints[3]
@@ -281,7 +281,7 @@
 
 
 def test_a_change_of_hundreds_of_endpoints_and_a_late_partial_load_report_are_valid() -> None:
-    w = world(fleet(readers=300, writers=300), replicas=NODES)
+    w = world(fleet(prefill=300, decode=300), replicas=NODES)
     request_id, _, decode_id = run_prefill(w)
-    w.tell(StreamStarted(request_id, w.tries[request_id], decode_id, 20 * MS))
+    w.tell(StreamStarted(request_id, w.attempt_numbers[request_id], decode_id, 20 * MS))
     none(w.end(request_id, decode_id, Status.OK, is_final=True, load_report=(3.0,)), SendAttempt)
--- a/tests/routing/test_recovery.py
+++ b/tests/routing/test_recovery.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from helpers import MS, READ, WRITE, S, World, fleet, only, server, world
+from helpers import DECODE, MS, PREFILL, S, World, fleet, only, server, world
 
 from tuliptrack.interface import EndpointState, Reject, Role, SendAttempt, Status, StreamStarted
 from tuliptrack.state.endpoint_table import MAX_REMOVED
@@ -23,7 +23,7 @@
     decode_id = only(
         SendAttempt, w.end(request_id, prefill_id, Status.PREFILLED, after=prefill_us, load_report=load)
     ).endpoint_id
-    w.tell(StreamStarted(request_id, w.tries[request_id], decode_id, 20 * MS), after=20 * MS)
+    w.tell(StreamStarted(request_id, w.attempt_numbers[request_id], decode_id, 20 * MS), after=20 * MS)
     w.end(request_id, decode_id, Status.OK, is_final=True, after=100 * MS)
 
 
@@ -31,7 +31,7 @@
     """A cache flush makes all prefills slow at once. A node with one request per second cannot tell that from
     endpoints that do not answer, and its retries made up a third of all prefills.
     """
-    w = world(fleet(readers=8), replicas=NODES)
+    w = world(fleet(prefill=8), replicas=NODES)
     have_timeout = []
     for after in (0, 100 * MS, 3 * S, 100 * MS):
         request_id, actions = w.ask(after=after)
@@ -44,7 +44,7 @@
 
 def test_reported_queues_decay_with_time_and_not_with_the_number_of_answers() -> None:
     """A node that sheds load gets few answers: it assumed an overload for ten seconds after its end."""
-    w = world(fleet(readers=8), replicas=NODES, report_fields=FIELDS)
+    w = world(fleet(prefill=8), replicas=NODES, report_fields=FIELDS)
     for _ in range(8):
         request_id, actions = w.ask(class_index=1, after=100 * MS)
         if any(isinstance(a, Reject) for a in actions):
@@ -62,7 +62,7 @@
     """Requests of clients that gave up after half a second and retried were three quarters of all requests,
     and none of them was served.
     """
-    w = world(fleet(readers=8), replicas=NODES)
+    w = world(fleet(prefill=8), replicas=NODES)
     for _ in range(6):
         request_id, actions = w.ask(after=100 * MS)
         serve(w, request_id, only(SendAttempt, actions).endpoint_id, prefill_us=300 * MS)
@@ -72,7 +72,7 @@
 
 def test_an_open_slot_at_a_prefill_endpoint_in_slow_start_is_used_rather_than_rejecting() -> None:
     w = world(
-        [server(1, READ), server(2, WRITE)],
+        [server(1, PREFILL), server(2, DECODE)],
         replicas=1,
         slow_start_us=12 * S,
         slow_start_initial_share=0.25,
@@ -88,7 +88,7 @@
         serve(w, request_id, 1, prefill_us=900 * MS, waiting_k=60.0)
     only(Reject, w.ask(after=100 * MS)[1])
     for n in range(3, 40):  # Most of them are low in the rendezvous order of the prefix.
-        w.list(server(n, READ, started_at_us=w.now))
+        w.list(server(n, PREFILL, started_at_us=w.now))
     w.now += 2 * S
     statistics = w.router.state.statistics[Role.PREFILL, False]
     statistics.observed_at_us = statistics.answered_at_us = w.now
@@ -97,7 +97,7 @@
 
 def test_a_decode_attempt_has_a_time_out_even_without_recent_answers() -> None:
     """If one of three zones stops answering, a node with few answers still retries its decode attempts."""
-    w = world(fleet(readers=8), replicas=NODES)
+    w = world(fleet(prefill=8), replicas=NODES)
     for after in (0, 3 * S):
         request_id, actions = w.ask(after=after)
         sent = only(
@@ -105,19 +105,21 @@
             w.end(request_id, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=50 * MS),
         )
         assert sent.timeout_us > 0
-        w.tell(StreamStarted(request_id, w.tries[request_id], sent.endpoint_id, 20 * MS), after=20 * MS)
+        w.tell(
+            StreamStarted(request_id, w.attempt_numbers[request_id], sent.endpoint_id, 20 * MS), after=20 * MS
+        )
         w.end(request_id, sent.endpoint_id, Status.OK, is_final=True, after=100 * MS)
 
 
 def test_endpoints_removed_long_ago_are_forgotten_over_two_hundred_rollouts() -> None:
-    w = world([server(1, READ), server(2, WRITE)])
+    w = world([server(1, PREFILL), server(2, DECODE)])
     for n in range(200):
         old, new = (1, 2) if n == 0 else (10 * n, 10 * n + 1), (10 * n + 10, 10 * n + 11)
-        w.list(server(new[0], READ), server(new[1], WRITE))
+        w.list(server(new[0], PREFILL), server(new[1], DECODE))
         w.list(
             *(
                 server(endpoint_id, kind, state=EndpointState.REMOVED)
-                for endpoint_id, kind in zip(old, (READ, WRITE), strict=True)
+                for endpoint_id, kind in zip(old, (PREFILL, DECODE), strict=True)
             )
         )
         request_id, actions = w.ask(after=1 * S)
@@ -134,7 +136,7 @@
     estimated from one of them is ten times too long, and the node shed load for seconds while endpoints were
     idle.
     """
-    w = world(fleet(readers=8), replicas=NODES, report_fields=FIELDS)
+    w = world(fleet(prefill=8), replicas=NODES, report_fields=FIELDS)
     for _ in range(20):
         request_id, actions = w.ask(after=500 * MS)
         serve(w, request_id, only(SendAttempt, actions).endpoint_id, prefill_us=50 * MS, waiting_k=2.0)
@@ -144,7 +146,7 @@
 
 
 def test_an_affinity_endpoint_that_has_just_reported_a_queue_is_not_sent_more() -> None:
-    w = world(fleet(readers=8), replicas=NODES, report_fields=FIELDS)
+    w = world(fleet(prefill=8), replicas=NODES, report_fields=FIELDS)
     for _ in range(4):
         request_id, actions = w.ask(after=500 * MS, prefix=5, session=9)
         affinity_id = only(SendAttempt, actions).endpoint_id
@@ -179,7 +181,7 @@
 
 def idle_world(nodes: int) -> World:
     """Ten idle prefill endpoints with known speed, and a node that sheds no load."""
-    w = world(fleet(readers=10, writers=6), replicas=nodes, report_fields=FIELDS)
+    w = world(fleet(prefill=10, decode=6), replicas=nodes, report_fields=FIELDS)
     for prefix in range(1_000, 1_012):
         request_id, actions = w.ask(after=50 * MS, prefix=prefix)
         serve(w, request_id, only(SendAttempt, actions).endpoint_id, prefill_us=40 * MS)
@@ -202,7 +204,7 @@
 
 def test_a_restarted_endpoint_does_not_keep_its_predecessors_time_per_token() -> None:
     """The time per token of a restarted engine must not be estimated from its earlier, slow process."""
-    w = world(fleet(readers=2, writers=2))
+    w = world(fleet(prefill=2, decode=2))
     for prefix in range(1, 41):
         request_id, actions = w.ask(after=200 * MS, prefix=prefix)
         if not [action for action in actions if isinstance(action, SendAttempt)]:
@@ -215,5 +217,5 @@
     endpoint = w.router.endpoints[10]
     assert endpoint.service_tokens, "endpoint 10 was used"
     assert endpoint.us_per_token(w.now) > 2 * w.router.endpoints[11].us_per_token(w.now)
-    w.list(server(10, READ, started_at_us=w.now))
+    w.list(server(10, PREFILL, started_at_us=w.now))
     assert endpoint.us_per_token(w.now) == endpoint.statistics.us_per_token
--- a/tests/routing/test_rules.py
+++ b/tests/routing/test_rules.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import BOTH, MS, READ, WRITE, S, World, answers, fleet, none, only, server, world
+from helpers import DECODE, MIXED, MS, PREFILL, S, World, answers, fleet, none, only, server, world
 
 from tuliptrack.interface import (
     CancelAttempt,
@@ -49,7 +49,7 @@
 
 
 def test_rule_1_the_request_gets_one_answer_when_no_attempt_is_left() -> None:
-    w = world(fleet(readers=9, writers=1), max_attempts=3)
+    w = world(fleet(prefill=9, decode=1), max_attempts=3)
     request_id, actions = w.ask()
     for _ in range(3):
         actions = w.end(
@@ -147,8 +147,8 @@
 
 
 def test_rule_2_a_request_with_a_key_is_prefilled_again_in_the_cell_that_deduplicates_it() -> None:
-    servers = [server(n, READ, cell=n % 3) for n in range(1, 10)] + [
-        server(n, WRITE, cell=n % 3) for n in range(10, 19)
+    servers = [server(n, PREFILL, cell=n % 3) for n in range(1, 10)] + [
+        server(n, DECODE, cell=n % 3) for n in range(10, 19)
     ]
     for prefix in range(1, 10):
         w = world(servers, effect=Idempotency.WITH_KEY, scope=IdempotencyScope.CELL)
@@ -163,7 +163,7 @@
 
 
 def test_rule_2_a_request_with_a_key_stays_in_the_cell_that_deduplicates_it() -> None:
-    servers = [server(1, READ), *(server(i, WRITE, cell=i // 10) for i in (10, 11, 20, 21))]
+    servers = [server(1, PREFILL), *(server(i, DECODE, cell=i // 10) for i in (10, 11, 20, 21))]
     w = world(servers, effect=Idempotency.WITH_KEY, scope=IdempotencyScope.CELL)
     request_id, endpoint_id = send_to_decode(w)
     retry_id = only(SendAttempt, w.end(request_id, endpoint_id, Status.RESET)).endpoint_id
@@ -181,7 +181,7 @@
 
 
 def test_rule_2_a_request_with_a_key_per_zone_can_be_failed_but_not_rejected() -> None:
-    servers = [server(1, READ), server(2, WRITE, zone=1), server(3, WRITE, zone=2)]
+    servers = [server(1, PREFILL), server(2, DECODE, zone=1), server(3, DECODE, zone=2)]
     w = world(servers, effect=Idempotency.WITH_KEY, scope=IdempotencyScope.ZONE)
     request_id, endpoint_id = send_to_decode(w)
     actions = w.end(request_id, endpoint_id, Status.ERROR)
@@ -191,8 +191,8 @@
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
 def test_rule_3_nothing_new_is_sent_to_draining_or_removed_endpoints(state: EndpointState) -> None:
-    w = world(fleet(readers=2, writers=2))
-    w.list(server(10, READ, state=state), server(12, WRITE, state=state))
+    w = world(fleet(prefill=2, decode=2))
+    w.list(server(10, PREFILL, state=state), server(12, DECODE, state=state))
     for prefix in range(1, 20):
         request_id, actions = w.ask(prefix=prefix, class_index=1)
         for send in [a for a in actions if isinstance(a, SendAttempt)]:
@@ -201,14 +201,14 @@
 
 
 def test_rule_3_nothing_is_sent_to_a_draining_endpoint_even_if_it_is_the_last() -> None:
-    w = world([server(1, READ, state=EndpointState.DRAINING), server(2, WRITE)])
+    w = world([server(1, PREFILL, state=EndpointState.DRAINING), server(2, DECODE)])
     only(Reject, w.ask()[1])
 
 
-@pytest.mark.parametrize("kind", [READ, WRITE, BOTH])
+@pytest.mark.parametrize("kind", [PREFILL, DECODE, MIXED])
 def test_rule_4_an_endpoint_in_slow_start_gets_its_slots_and_no_more_in_a_burst(kind: int) -> None:
     warm = [server(i, kind) for i in (10, 11, 12)]
-    rest = [server(1, READ), server(2, WRITE)]
+    rest = [server(1, PREFILL), server(2, DECODE)]
     w = world([*rest, *warm, server(9, kind, started_at_us=99 * S)], tenants=(Tenant("a", 1.0, 40.0),))
     sent = {endpoint_id: 0 for endpoint_id in (1, 2, 9, 10, 11, 12)}
     for session in range(1, 120):
@@ -218,7 +218,7 @@
             endpoint_id = send.endpoint_id
             for action in (
                 w.end(request_id, endpoint_id, Status.PREFILLED, after=3 * MS)
-                if kind != BOTH or endpoint_id == 1
+                if kind != MIXED or endpoint_id == 1
                 else ()
             ):
                 if isinstance(action, SendAttempt):
@@ -233,7 +233,7 @@
 
 
 def test_rule_4_without_quotas_an_endpoint_in_slow_start_is_assumed_to_serve_one_request_per_window() -> None:
-    servers = [server(1, READ), server(2, WRITE), server(3, WRITE, started_at_us=100 * S)]
+    servers = [server(1, PREFILL), server(2, DECODE), server(3, DECODE, started_at_us=100 * S)]
     w = world(servers, replicas=1, tenants=())
     sent = 0
     while w.now < 109 * S:
@@ -246,7 +246,7 @@
 
 
 def test_rule_5_a_held_kv_state_is_released_with_a_rejection() -> None:
-    w = world(fleet(readers=1, writers=1))
+    w = world(fleet(prefill=1, decode=1))
     request_id, endpoint_id = send_to_decode(w)
     actions = w.end(request_id, endpoint_id, Status.AT_CAPACITY)
     only(Release, actions)
--- a/tests/routing/test_same_decisions.py
+++ b/tests/routing/test_same_decisions.py
@@ -13,7 +13,7 @@
 
 import oracle.brain
 import pytest
-from helpers import BOTH, MS, READ, WRITE, S, settings
+from helpers import DECODE, MIXED, MS, PREFILL, S, settings
 from hypothesis import HealthCheck, given
 from hypothesis import settings as examples
 from hypothesis import strategies as st
@@ -132,7 +132,7 @@
     def endpoint_info(self, number: int, **changes: object) -> EndpointInfo:
         """Return an endpoint of the case, ready and not in slow start."""
         rng = Random(f"{self.case.seed} {number}")
-        kind = BOTH if rng.random() < self.case.mixed_share else READ if number % 3 == 0 else WRITE
+        kind = MIXED if rng.random() < self.case.mixed_share else PREFILL if number % 3 == 0 else DECODE
         info = EndpointInfo(
             number,
             kind,
@@ -395,14 +395,14 @@
 
 def test_a_prefix_with_all_affinity_endpoints_in_slow_start() -> None:
     pair = Pair(Case(12, engines=60, failure_share=0.0))
-    prefill_endpoints = [s for s in pair.endpoints.values() if s.kind == READ]
+    prefill_endpoints = [s for s in pair.endpoints.values() if s.kind == PREFILL]
     pair.update_list([replace(s, started_at_us=pair.now) for s in prefill_endpoints])
     pair.play(400)
 
 
 def test_one_prefill_and_one_decode_endpoint() -> None:
     pair = Pair(Case(13, engines=1, failure_share=0.3))
-    pair.endpoints = {1: EndpointInfo(1, READ), 2: EndpointInfo(2, WRITE)}
+    pair.endpoints = {1: EndpointInfo(1, PREFILL), 2: EndpointInfo(2, DECODE)}
     pair.handle(EndpointListUpdate(UpdateKind.FULL, 2, tuple(pair.endpoints.values())))
     for _ in range(300):
         pair.step()
--- a/tests/routing/test_sequences.py
+++ b/tests/routing/test_sequences.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import BOTH, MS, READ, WRITE, S, fleet, server, settings
+from helpers import DECODE, MIXED, MS, PREFILL, S, fleet, server, settings
 
 from tuliptrack.interface import (
     Action,
@@ -73,9 +73,9 @@
             s.id: s
             for s in [
                 *fleet(3, 3, 2),
-                server(30, BOTH, cell=1, zone=1),
-                server(31, WRITE, cell=1, zone=1),
-                server(32, READ, cell=1),
+                server(30, MIXED, cell=1, zone=1),
+                server(31, DECODE, cell=1, zone=1),
+                server(32, PREFILL, cell=1),
             ]
         }
         self.transcript: list[str] = []
@@ -155,7 +155,7 @@
         """Return the next event of the attempt that is in flight: the start of its stream or its end."""
         assert state.attempt_in_flight
         attempt, endpoint_id = state.attempt_in_flight
-        is_prefill = self.kind(endpoint_id) == READ
+        is_prefill = self.kind(endpoint_id) == PREFILL
         may_start = not (
             state.is_started or state.is_cancelled or is_prefill or self.now >= state.deadline_at_us
         )
--- a/tests/routing/test_short_deadlines.py
+++ b/tests/routing/test_short_deadlines.py
@@ -93,7 +93,7 @@
         node.start(request_id, sent.endpoint_id, after=10 * MS)
         length_us = 16 * S if sent.endpoint_id == SLOW else 2 * S
         streams[request_id] = (sent.endpoint_id, node.now + length_us)
-    assert [action for action in node.said if isinstance(action, MigrateStream)]
+    assert [action for action in node.actions if isinstance(action, MigrateStream)]
 
 
 @pytest.mark.parametrize("time_left_us", [SHORT_DEADLINE_US, 5 * S])
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 import pytest
-from helpers import BOTH, MS, READ, WRITE, S, World, only, server, settings
+from helpers import DECODE, MIXED, MS, PREFILL, S, World, only, server, settings
 
 from tuliptrack.interface import (
     Action,
@@ -45,43 +45,43 @@
 class Deployment:
     """The settings and the endpoint list. The first endpoint of each kind has just started."""
 
-    kinds: tuple[int, ...] = (READ,) * 10 + (WRITE,) * 12 + (BOTH,) * 8
-    able: tuple[float, float, float] = (8.0, 4.0, 3.5)
+    kinds: tuple[int, ...] = (PREFILL,) * 10 + (DECODE,) * 12 + (MIXED,) * 8
+    capacity_per_s: tuple[float, float, float] = (8.0, 4.0, 3.5)
     """Mean requests per second of a warm endpoint, by kind."""
     window: int = 2 * S
-    cold_for: int = 14 * S
-    cold_from: float = 0.27
-    multiple: float = 3.0
+    slow_start_us: int = 14 * S
+    initial_share: float = 0.27
+    overload_factor: float = 3.0
     quota_share: float = 0.9
     """Quotas as a share of the capacity of all endpoints that decode."""
 
     @property
-    def cold(self) -> tuple[int, ...]:
-        return tuple(self.kinds.index(kind) + 1 for kind in (READ, WRITE, BOTH) if kind in self.kinds)
+    def slow_start_ids(self) -> tuple[int, ...]:
+        return tuple(self.kinds.index(kind) + 1 for kind in (PREFILL, DECODE, MIXED) if kind in self.kinds)
 
     @property
     def fleet(self) -> list[EndpointInfo]:
         return [
-            server(i + 1, kind, cell=i % 5, started_at_us=START if i + 1 in self.cold else 0)
+            server(i + 1, kind, cell=i % 5, started_at_us=START if i + 1 in self.slow_start_ids else 0)
             for i, kind in enumerate(self.kinds)
         ]
 
     @property
     def started_endpoints(self) -> list[EndpointInfo]:
-        return [s for s in self.fleet if s.id in self.cold]
+        return [s for s in self.fleet if s.id in self.slow_start_ids]
 
     @property
     def warm_endpoints(self) -> list[EndpointInfo]:
-        return [s for s in self.fleet if s.id not in self.cold]
+        return [s for s in self.fleet if s.id not in self.slow_start_ids]
 
     @property
     def quota(self) -> float:
-        return self.quota_share * sum(self.able[kind] for kind in self.kinds if kind != READ)
+        return self.quota_share * sum(self.capacity_per_s[kind] for kind in self.kinds if kind != PREFILL)
 
     def budget(self, number: int, since: int) -> float:
         """Return the mean requests that an endpoint in slow start can take in a window that begins then."""
-        ramp = self.cold_from + (1 - self.cold_from) * (since - START) / self.cold_for
-        return self.multiple * ramp * self.able[self.kinds[number - 1]] * self.window / S
+        ramp = self.initial_share + (1 - self.initial_share) * (since - START) / self.slow_start_us
+        return self.overload_factor * ramp * self.capacity_per_s[self.kinds[number - 1]] * self.window / S
 
 
 USUAL = Deployment()
@@ -90,9 +90,9 @@
     USUAL.kinds,
     USUAL.fleet,
     USUAL.warm_endpoints,
-    USUAL.cold,
+    USUAL.slow_start_ids,
 )
-WINDOW, SLOW_START_US, CAPACITY_PER_S = USUAL.window, USUAL.cold_for, USUAL.able
+WINDOW, SLOW_START_US, CAPACITY_PER_S = USUAL.window, USUAL.slow_start_us, USUAL.capacity_per_s
 
 
 class Service:
@@ -117,9 +117,9 @@
         self.deployment, self.latencies_us = deployment, latencies_us
         self.settings = settings(
             replicas=replicas or nodes,
-            slow_start_us=deployment.cold_for,
-            slow_start_initial_share=deployment.cold_from,
-            slow_start_overload_factor=deployment.multiple,
+            slow_start_us=deployment.slow_start_us,
+            slow_start_initial_share=deployment.initial_share,
+            slow_start_overload_factor=deployment.overload_factor,
             slow_start_window_us=deployment.window,
             tenants=(Tenant("a", 0.7, 0.7 * deployment.quota), Tenant("b", 0.3, 0.3 * deployment.quota)),
         )
@@ -128,7 +128,7 @@
         # `rejects_half`: whether half of the attempts are rejected for lack of capacity.
         self.heavy_share, self.rejects_half = HEAVY_SHARE, False
         self.classes: dict[int, int] = {}
-        self.sent: dict[int, list[tuple[int, int]]] = {number: [] for number in deployment.cold}
+        self.sent: dict[int, list[tuple[int, int]]] = {number: [] for number in deployment.slow_start_ids}
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.event_numbers = count()
         self.now = START - 12 * S
@@ -136,7 +136,7 @@
         self.start_counts = [0] * nodes
         self.nodes = [self.new_node(slot, deployment.warm_endpoints) for slot in range(nodes)]
         arrival_us = float(self.now)
-        while arrival_us < START + deployment.cold_for:
+        while arrival_us < START + deployment.slow_start_us:
             arrival_us += self.random.expovariate(rate / S)
             self.schedule(
                 int(arrival_us), lambda: self.ask(self.random.choices(range(nodes), self.weights)[0])
@@ -198,10 +198,13 @@
                 continue
             if action.endpoint_id in self.sent:
                 self.sent[action.endpoint_id].append((self.now, self.classes[action.request_id]))
-            kind, attempt = self.deployment.kinds[action.endpoint_id - 1], node.tries[action.request_id]
+            kind, attempt = (
+                self.deployment.kinds[action.endpoint_id - 1],
+                node.attempt_numbers[action.request_id],
+            )
             if self.rejects_half and self.random.random() < 0.5:
                 end = AttemptEnded(action.request_id, attempt, action.endpoint_id, Status.AT_CAPACITY, 1 * MS)
-            elif kind == READ:
+            elif kind == PREFILL:
                 end = AttemptEnded(
                     action.request_id, attempt, action.endpoint_id, Status.PREFILLED, self.latencies_us[0]
                 )
@@ -227,7 +230,7 @@
         self.schedule(self.now + after, handle)
 
     def run(self) -> Service:
-        while self.queue and self.queue[0][0] < START + self.deployment.cold_for:
+        while self.queue and self.queue[0][0] < START + self.deployment.slow_start_us:
             self.now, _, callback = heapq.heappop(self.queue)
             callback()
         return self
@@ -270,7 +273,7 @@
     assert service.run().is_within_budget()
     capacity = (
         sum(CAPACITY_PER_S[KINDS[number - 1]] for number in SLOW_START_IDS)
-        * (USUAL.cold_from + 1)
+        * (USUAL.initial_share + 1)
         / 2
         * SLOW_START_US
         / S
@@ -327,7 +330,7 @@
 
 
 def test_an_endpoint_that_is_removed_and_listed_again_with_its_old_start_time_keeps_its_used_slots() -> None:
-    endpoints = [server(1, READ), server(2, WRITE), server(3, WRITE, started_at_us=START)]
+    endpoints = [server(1, PREFILL), server(2, DECODE), server(3, DECODE, started_at_us=START)]
     w = World(Router(replace(Service(1, rate=1.0).settings, tenants=()), 1), START)
     w.tell(EndpointListUpdate(UpdateKind.FULL, 1, tuple(endpoints)))
     used: list[int] = []
@@ -355,7 +358,7 @@
 
 
 def test_an_open_slot_is_used_when_the_role_is_overloaded() -> None:
-    prefill, decode = server(1, READ), server(11, WRITE)
+    prefill, decode = server(1, PREFILL), server(11, DECODE)
     for started_at_us, expected in ((START, SendAttempt), (0, Reject)):
         w = World(Router(Service(1, rate=1.0).settings, 1), START)
         w.tell(
@@ -371,14 +374,20 @@
 # within random variation.
 
 LARGE = Deployment(
-    kinds=(READ,) * 2 + (WRITE,) * 4, able=(200.0, 100.0, 0.0), multiple=1.5, cold_from=0.5, quota_share=1.0
+    kinds=(PREFILL,) * 2 + (DECODE,) * 4,
+    capacity_per_s=(200.0, 100.0, 0.0),
+    overload_factor=1.5,
+    initial_share=0.5,
+    quota_share=1.0,
 )
 QUICK_US = (10 * MS, 10 * MS, 30 * MS)
 
 
 def with_bursts(service: Service) -> Service:
     """Add bursts of more requests than there are slots, each after as much low load as a slot is valid."""
-    slots = service.deployment.budget(service.deployment.cold[0], START + service.deployment.cold_for)
+    slots = service.deployment.budget(
+        service.deployment.slow_start_ids[0], START + service.deployment.slow_start_us
+    )
     for since in (1.0, 8.0):
         service.flood(since, math.ceil(1.2 * slots / len(service.nodes)) + 3)
     return service
@@ -396,7 +405,7 @@
     "50 % more processes than replicas": lambda nodes: large(nodes, replicas=max(nodes * 2 // 3, 1)),
     "quotas 50 % above the capacity": lambda nodes: large(nodes, deployment=replace(LARGE, quota_share=1.5)),
     "two small engines": lambda nodes: large(
-        nodes, deployment=replace(LARGE, kinds=(READ, WRITE), able=(2.0, 1.5, 0.0))
+        nodes, deployment=replace(LARGE, kinds=(PREFILL, DECODE), capacity_per_s=(2.0, 1.5, 0.0))
     ),
 }
 
--- a/tests/routing/test_slow_streams.py
+++ b/tests/routing/test_slow_streams.py
@@ -17,7 +17,7 @@
     """
 
     def __init__(self, decode_endpoints: int = 4, may_resume: bool = True) -> None:
-        self.world = world(fleet(writers=decode_endpoints), may_resume=may_resume)
+        self.world = world(fleet(decode=decode_endpoints), may_resume=may_resume)
         self.open: dict[int, tuple[int, int]] = {}
         """Open streams by request: the decode endpoint, and when the stream ends."""
         self.handled_actions = 0
@@ -41,7 +41,7 @@
             ).endpoint_id
             w.start(request_id, decode_id, after=MS)
             self.open[request_id] = (decode_id, w.now + int(LENGTH_US * slow.get(decode_id, 1.0)))
-            for action in w.said[self.handled_actions :]:
+            for action in w.actions[self.handled_actions :]:
                 if isinstance(action, SendAttempt):
                     sent[action.endpoint_id] = sent.get(action.endpoint_id, 0) + 1
                 elif isinstance(action, MigrateStream):
@@ -53,7 +53,7 @@
                         after=0,
                         is_final=True,
                     )
-            self.handled_actions = len(w.said)
+            self.handled_actions = len(w.actions)
         return migrated, sent
 
 
@@ -101,7 +101,7 @@
     """A machine may pause for some tens of milliseconds, many times the length of streams that take one
     millisecond.
     """
-    w = world(fleet(writers=4), may_resume=True)
+    w = world(fleet(decode=4), may_resume=True)
     for _ in range(300):
         request_id, actions = w.ask(after=4 * MS)
         decode_id = only(
@@ -116,6 +116,6 @@
     w.start(paused_id, decode_id, after=MS)
     w.tell(after=60 * MS)
     w.router.slow_streams.checked_at_us = 0  # the next event finds a comparison due
-    action_count = len(w.said)
+    action_count = len(w.actions)
     w.tell(after=MS)
-    assert not [action for action in w.said[action_count:] if isinstance(action, MigrateStream)]
+    assert not [action for action in w.actions[action_count:] if isinstance(action, MigrateStream)]
--- a/tests/routing/test_stages.py
+++ b/tests/routing/test_stages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from helpers import BOTH, MS, READ, WRITE, S, World, answers, fleet, none, only, server, settings, world
+from helpers import DECODE, MIXED, MS, PREFILL, S, World, answers, fleet, none, only, server, settings, world
 
 from tuliptrack.interface import (
     EndpointListUpdate,
@@ -45,7 +45,7 @@
     for prefix in range(1, 40):
         before = only(SendAttempt, world().ask(prefix=prefix)[1]).endpoint_id
         w = world()
-        w.list(server(10, READ, state=EndpointState.DRAINING))
+        w.list(server(10, PREFILL, state=EndpointState.DRAINING))
         after = only(SendAttempt, w.ask(prefix=prefix)[1]).endpoint_id
         assert after == before or before == 10
 
@@ -63,7 +63,7 @@
 
 
 def test_an_overload_sheds_by_priority_and_the_lowest_priority_at_half_the_queue_limit() -> None:
-    w = world(fleet(readers=1, writers=1))
+    w = world(fleet(prefill=1, decode=1))
     first, actions = w.ask()
     w.end(first, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=100 * MS)
     w.ask(class_index=1)
@@ -85,7 +85,7 @@
 
 
 def test_the_highest_priority_is_shed_too_once_it_could_only_be_late() -> None:
-    w = world(fleet(readers=1, writers=1))
+    w = world(fleet(prefill=1, decode=1))
     first, actions = w.ask()
     w.end(first, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=100 * MS)
     results = [w.ask(class_index=1)[1] for _ in range(40)]
@@ -93,7 +93,7 @@
 
 
 def test_kv_states_that_wait_for_decode_cause_rejections_before_any_load_report() -> None:
-    w = world(fleet(readers=1, writers=1))
+    w = world(fleet(prefill=1, decode=1))
     for _ in range(12):
         request_id, actions = w.ask(class_index=1)
         w.end(request_id, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=1 * MS)
@@ -103,7 +103,7 @@
 
 
 def test_an_idle_decode_endpoint_that_would_be_left_out_does_not_hide_the_overload() -> None:
-    w = world([server(1, READ), server(2, WRITE), server(3, WRITE), server(4, WRITE)])
+    w = world([server(1, PREFILL), server(2, DECODE), server(3, DECODE), server(4, DECODE)])
     for _ in range(3):
         request_id, _ = w.ask(class_index=1)
         w.end(request_id, 1, Status.PREFILLED, after=10 * MS)
@@ -120,7 +120,7 @@
 
 
 def test_the_decode_endpoint_with_the_fewest_projected_tokens_is_chosen() -> None:
-    w = world(fleet(readers=1, writers=3))
+    w = world(fleet(prefill=1, decode=3))
     used = []
     for _ in range(6):
         request_id, actions = w.ask(max_tokens=4000.0)
@@ -131,7 +131,7 @@
 
 
 def test_a_stream_time_hint_replaces_half_of_max_tokens() -> None:
-    w = world(fleet(readers=1, writers=2))
+    w = world(fleet(prefill=1, decode=2))
     for hint in (3 * 60_000, None):
         request_id, _ = w.ask(stream_time_hint_us=hint, max_tokens=2000.0)
         w.end(request_id, 10, Status.PREFILLED, after=5 * MS)
@@ -143,17 +143,19 @@
     for prefill_id, decode_id in ((1, 3), (4, 2)):
         w = world(
             [
-                server(1, READ, cell=4),
-                server(4, READ, cell=3),
-                server(2, WRITE, cell=3),
-                server(3, WRITE, cell=4),
+                server(1, PREFILL, cell=4),
+                server(4, PREFILL, cell=3),
+                server(2, DECODE, cell=3),
+                server(3, DECODE, cell=4),
             ]
         )
         request_id, actions = w.ask(
             prefix=next(
                 p
                 for p in range(1, 50)
-                if only(SendAttempt, world([server(1, READ), server(4, READ)]).ask(prefix=p)[1]).endpoint_id
+                if only(
+                    SendAttempt, world([server(1, PREFILL), server(4, PREFILL)]).ask(prefix=p)[1]
+                ).endpoint_id
                 == prefill_id
             )
         )
@@ -162,7 +164,7 @@
 
 
 def test_a_decode_endpoint_with_clearly_more_memory_in_use_is_left_out() -> None:
-    w = world([server(1, READ, cell=4), server(2, WRITE), server(3, WRITE), server(4, WRITE, cell=4)])
+    w = world([server(1, PREFILL, cell=4), server(2, DECODE), server(3, DECODE), server(4, DECODE, cell=4)])
     request_id, _ = w.ask()
     w.end(request_id, 1, Status.PREFILLED)
     w.end(request_id, 4, Status.AT_CAPACITY, load_report=(30.0, 0.9))
@@ -171,7 +173,7 @@
 
 
 def test_a_load_report_expires_so_an_overloaded_endpoint_is_used_again() -> None:
-    w = world([server(1, BOTH)])
+    w = world([server(1, MIXED)])
     request_id, actions = w.ask()
     w.start(request_id, 1, after=100 * MS)
     w.end(request_id, 1, Status.OK, is_final=True, load_report=(400.0, 0.5))
@@ -181,7 +183,7 @@
 
 
 def test_a_long_queue_of_tokens_spills_over_although_few_requests_wait() -> None:
-    w = world(fleet(readers=3, writers=3))
+    w = world(fleet(prefill=3, decode=3))
     request_id, actions = w.ask()
     affinity_id = only(SendAttempt, actions).endpoint_id
     w.end(request_id, affinity_id, Status.PREFILLED, after=20 * MS)
@@ -190,7 +192,7 @@
 
 
 def test_the_open_streams_of_a_mixed_endpoint_count_as_its_queue() -> None:
-    w = world([server(1, BOTH)], report_fields=())
+    w = world([server(1, MIXED)], report_fields=())
     for _ in range(12):
         request_id, actions = w.ask(class_index=1)
         only(SendAttempt, actions)
@@ -221,7 +223,7 @@
 
     affinity_id = serve(world(), set(), prefix=3)
     for slow, keeps_prefix in (({affinity_id}, False), ({10, 11, 12}, True)):
-        w = world(fleet(readers=3, writers=3))
+        w = world(fleet(prefill=3, decode=3))
         for prefix in range(1, 60):
             serve(w, slow, prefix=prefix)
         affinity_count = sum(serve(w, slow, prefix=3) == affinity_id for _ in range(20))
@@ -241,7 +243,7 @@
 
 
 def test_an_ejected_endpoint_gets_one_jittered_health_check_at_a_time() -> None:
-    w = world(fleet(readers=2, writers=1))
+    w = world(fleet(prefill=2, decode=1))
     request_id, actions = w.ask()
     affinity_id = only(SendAttempt, actions).endpoint_id
     other = only(SendAttempt, w.end(request_id, affinity_id, Status.CONNECT_FAILED)).endpoint_id
@@ -257,16 +259,16 @@
 
 
 def test_a_condition_is_logged_once_when_it_begins_and_once_when_it_ends() -> None:
-    w = world(fleet(readers=1, writers=1))
+    w = world(fleet(prefill=1, decode=1))
     request_id, actions = w.ask()
     w.end(request_id, only(SendAttempt, actions).endpoint_id, Status.CONNECT_FAILED)
-    assert [a.text for a in w.said if isinstance(a, LogMessage)] == ["endpoint 10 ejected: begins"]
+    assert [a.text for a in w.actions if isinstance(a, LogMessage)] == ["endpoint 10 ejected: begins"]
     for _ in range(3):
         request_id, actions = w.ask(after=2 * S)
         actions = w.end(request_id, only(SendAttempt, actions).endpoint_id, Status.PREFILLED)
         w.start(request_id, 11)
         w.end(request_id, 11, Status.OK, is_final=True)
-    assert [a.text for a in w.said if isinstance(a, LogMessage)] == [
+    assert [a.text for a in w.actions if isinstance(a, LogMessage)] == [
         "endpoint 10 ejected: begins",
         "endpoint 10 ejected: ends",
     ]
@@ -286,15 +288,15 @@
 
 def test_the_endpoint_list_is_subscribed_to_again_after_a_failure() -> None:
     w = world(must_subscribe=True)
-    assert any(isinstance(a, Subscribe) for a in w.said)
+    assert any(isinstance(a, Subscribe) for a in w.actions)
     actions = w.tell(EndpointListUpdate(UpdateKind.FAILED))
     token = only(SetTimer, actions).token
     only(Subscribe, w.tell(TimerFired(token), after=1 * S))
 
 
 def test_a_full_list_removes_the_endpoints_that_it_does_not_contain() -> None:
-    w = world(fleet(readers=2, writers=1))
-    w.list(server(11, READ), server(12, WRITE), kind=UpdateKind.FULL)
+    w = world(fleet(prefill=2, decode=1))
+    w.list(server(11, PREFILL), server(12, DECODE), kind=UpdateKind.FULL)
     for prefix in range(1, 9):
         assert only(SendAttempt, w.ask(prefix=prefix)[1]).endpoint_id == 11
 
--- a/tests/scale/test_zone_back.py
+++ b/tests/scale/test_zone_back.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 import pytest
-from helpers import READ, WRITE, S
+from helpers import DECODE, PREFILL, S
 from test_slow_start import Deployment, Service
 
 from tuliptrack.routing.slow_start import WARM, SlowStart
@@ -20,15 +20,15 @@
 class LostZone(Deployment):
     """A tenth of the target size; every engine of one zone has just started."""
 
-    kinds: tuple[int, ...] = ((READ,) * 3 + (WRITE,) * 9) * 12
-    able: tuple[float, float, float] = (2.9, 1.0, 1.0)
+    kinds: tuple[int, ...] = ((PREFILL,) * 3 + (DECODE,) * 9) * 12
+    capacity_per_s: tuple[float, float, float] = (2.9, 1.0, 1.0)
     window: int = 3 * S
-    cold_for: int = 12 * S
-    cold_from: float = 0.25
-    multiple: float = 2.5
+    slow_start_us: int = 12 * S
+    initial_share: float = 0.25
+    overload_factor: float = 2.5
 
     @property
-    def cold(self) -> tuple[int, ...]:
+    def slow_start_ids(self) -> tuple[int, ...]:
         return tuple(number for number in range(1, len(self.kinds) + 1) if number // 4 % ZONES == 3)
 
 
@@ -43,9 +43,11 @@
     service = Service(NODES, 0.8 * deployment.quota, deployment, late=0.0 if at_once else 1.0)
     service.flood(1.0, 1)
     service.run()
-    assert len(deployment.cold) == 20
-    assert max(service.worst(number, max_sends) for number in deployment.cold) < 1
-    assert sum(bool(sends) for sends in service.sent.values()) > len(deployment.cold) / 2, "and not starved"
+    assert len(deployment.slow_start_ids) == 20
+    assert max(service.worst(number, max_sends) for number in deployment.slow_start_ids) < 1
+    assert sum(bool(sends) for sends in service.sent.values()) > len(deployment.slow_start_ids) / 2, (
+        "and not starved"
+    )
 
 
 def test_without_slow_start_slots_the_nodes_together_exceed_the_budget(
@@ -56,4 +58,4 @@
     service = Service(NODES // 10, 0.8 * deployment.quota, deployment)
     service.flood(1.0, 20)
     service.run()
-    assert max(service.worst(number, max_sends) for number in deployment.cold) > 1
+    assert max(service.worst(number, max_sends) for number in deployment.slow_start_ids) > 1
