--- a/tests/node/test_timers.py
+++ b/tests/node/test_timers.py
@@ -18,17 +18,17 @@
     monkeypatch.setattr(timers, "now_us", iter([5, 3, 8, 20]).__next__)
     clock = NodeClock()
     assert [clock.now_us(), clock.now_us(), clock.now_us()] == [5, 5, 8]
-    clock.put_forward(12)
-    clock.put_forward(10)
+    clock.advance_to(12)
+    clock.advance_to(10)
     assert clock.now_us() == 20
 
 
-def test_clock_that_was_put_forward_waits_for_the_time_to_catch_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clock_that_was_advance_to_waits_for_the_time_to_catch_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """The event loop fires the timer of a deadline a little early. What follows must see the deadline as
     reached, or a request would end as if there were time left."""
     monkeypatch.setattr(timers, "now_us", iter([999, 1_001]).__next__)
     clock = NodeClock()
-    clock.put_forward(1_000)
+    clock.advance_to(1_000)
     assert [clock.now_us(), clock.now_us()] == [1_000, 1_001]
 
 
--- a/tuliptrack/node/__init__.py
+++ b/tuliptrack/node/__init__.py
@@ -1,1 +1,1 @@
-"""The running node: its core, which knows no protocol, and the gRPC node on it."""
+"""The running node: a protocol-independent core, and the gRPC node built on it."""
--- a/tuliptrack/node/admission.py
+++ b/tuliptrack/node/admission.py
@@ -1,4 +1,4 @@
-"""What a node decides on a new request before its router sees it: its router, and whether it is admitted."""
+"""Decisions about a new request before its router sees it: which router it goes to, and its admission."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterChoice:
-    """The router of a request, by the model that it names."""
+    """The router chosen for a request by the model that it names."""
 
     model: Model
     router: Router
     rejection_reason: str = ""
-    """Why the model cannot be served now; empty if it can."""
+    """Why the model can't be served now; empty if it can."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionDecision:
-    """Whether a node admits a request."""
+    """Whether a node admits a request, and if not, why."""
 
     rejection_reason: str = ""
-    """Empty if it is admitted."""
+    """Why the request is rejected; empty if it is admitted."""
     retry_after_us: int = 0
-    """If it is rejected: after how long a retry may be admitted; 0 if that is not known."""
+    """Delay after which a retry of a rejected request may be admitted; 0 if unknown."""
     is_over_budget: bool = False
-    """Its tenant is over the token budget."""
+    """Whether the tenant is over its token budget."""
--- a/tuliptrack/node/attempt_call.py
+++ b/tuliptrack/node/attempt_call.py
@@ -1,4 +1,4 @@
-"""The handle of an attempt in flight, as the protocol that carries it gives it to the core."""
+"""The handle through which the core controls an attempt in flight, implemented by each engine protocol."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
     """An attempt in flight at an engine."""
 
     def cancel(self, status: Status) -> None:
-        """Give the attempt up: the engine sees its connection or stream end.
+        """Cancel the attempt: the engine sees its connection or stream close.
 
-        The core hears of the end, as `status`, at once through `Core.attempt_ended`.
+        The core is notified at once through `Core.attempt_ended`, with `status` as the result.
         """
 
     def delivery(self) -> Delivery:
-        """Return how far the attempt has come, as far as this node can know."""
+        """Return what this node knows about the delivery of the attempt."""
 
     def confirm_arrival(self) -> None:
-        """Find out whether the attempt has arrived, since the lease of its KV state ends soon."""
+        """Check whether the attempt has arrived, because the lease of its KV state expires soon."""
 
     def mark_doubtful(self) -> None:
-        """Do not rely on its connection and its host, silent for too long, until they answer."""
+        """Treat its connection and its host, silent for too long, as unreliable until they answer."""
 
     def pause(self) -> None:
-        """Read no more of the answer for now."""
+        """Stop reading the answer until `resume` is called."""
 
     def resume(self) -> None:
-        """Read the answer again."""
+        """Resume reading the answer."""
--- a/tuliptrack/node/attempt_end.py
+++ b/tuliptrack/node/attempt_end.py
@@ -1,7 +1,8 @@
-"""Handles the end of an attempt: the next state of its request, its lease, and what the router hears of it.
+"""Handles the end of an attempt: updates the request state and the lease, and notifies the router.
 
-The status that an engine client reports is that of one call. The router needs that of the stage: a prefill
-that ended well without a KV state is an error, and so is a decode that ended well without its last token.
+An engine client reports the status of one call. The router needs the status of the stage: a prefill call that
+succeeded without leaving a KV state is an error, and so is a decode call that succeeded without its last
+token.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 __all__ = ["AttemptEndHandler"]
 
 MAY_HAVE_PREFILLED = (io.Status.CANCELLED, io.Status.TIMEOUT, io.Status.RESET)
-"""Ends of a prefill that tell nothing of whether it has left a KV state."""
+"""Statuses of a prefill that do not show whether it has left a KV state."""
 
 
 @dataclass(frozen=True, slots=True)
 class StageResult:
-    """How a stage of a request ended, as the router hears it."""
+    """The result of a stage of a request, as reported to the router."""
 
     status: io.Status
     is_state_lost: bool
@@ -83,7 +84,7 @@
         )
 
     def _conclude_stage(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> StageResult:
-        """Bring the state of the request up to the end of its attempt."""
+        """Update the state of the request after the end of its attempt."""
         if ended.is_invalid_request:
             self._answers.fail(record, Failure.INVALID, ended.reason)
             return StageResult(ended.status, ended.is_state_lost)
@@ -99,7 +100,10 @@
     def _conclude_after_final_answer(
         record: RequestRecord, attempt: Attempt, ended: AttemptResult
     ) -> StageResult:
-        """The request had its final answer first. A prefill that ended well has left a state to release."""
+        """Conclude an attempt that ended after its request had its final answer.
+
+        A prefill that succeeded has left a state that is still to be released.
+        """
         has_left_state = (
             record.kv_state is not None
             and record.kv_state.endpoint_id == attempt.endpoint_id
@@ -122,7 +126,10 @@
     def _conclude_decode_without_token(
         self, record: RequestRecord, attempt: Attempt, ended: AttemptResult
     ) -> StageResult:
-        """No token has come: the state stays reserved, or the prompt has to be prefilled again."""
+        """Conclude a decode that ended before its first token.
+
+        Either the KV state stays reserved, or the prompt has to be prefilled again.
+        """
         is_state_lost = self._core.leases.handle_decode_without_token(record, attempt, ended)
         record.enter(RequestState.PREFILLED if record.kv_state else RequestState.ACCEPTED)
         return StageResult(_unless_complete(ended.status), is_state_lost)
@@ -139,5 +146,5 @@
 
 
 def _unless_complete(status: io.Status) -> io.Status:
-    """Return the status of a stage that is not complete: `OK` of its call is an error of the stage."""
+    """Return the status of an incomplete stage: if its call ended with `OK`, the stage is an error."""
     return io.Status.ERROR if status is io.Status.OK else status
--- a/tuliptrack/node/attempt_start.py
+++ b/tuliptrack/node/attempt_start.py
@@ -1,6 +1,6 @@
-"""Starts attempts: whether one may begin now, by when it needs its connection, and when it times out.
+"""Starts attempts: checks whether one may begin now, and sets its connection deadline and its timeout.
 
-An attempt never outlives the deadline of its client, unless it has begun to answer.
+An attempt never runs past the client's deadline unless its answer has begun.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 __all__ = ["AttemptStarter"]
 
 ROUTER_FAULTS = (Verdict.ATTEMPT_IN_FLIGHT, Verdict.MAY_HAVE_EXECUTED)
-"""Verdicts that no `SendAttempt` of a router should meet: each is counted as a violated invariant."""
+"""Verdicts that a `SendAttempt` of a correct router never gets: each is counted as a violated invariant."""
 
 
 class AttemptStarter:
-    """Carries out `SendAttempt`, and ends attempts that time out."""
+    """Carries out `SendAttempt` actions, and ends attempts that time out."""
 
     def __init__(self, core: CoreState) -> None:
         self._core = core
@@ -34,7 +34,7 @@
         record.attempt_count += 1
         endpoint = record.router.endpoints.get(action.endpoint_id)
         has_address = self._core.engines.has_address(action.endpoint_id)
-        record.pending_events += 1  # Keeps the record while the disconnection of its client is handled.
+        record.pending_events += 1  # Keeps the record in the table while `check` handles a client disconnect.
         verdict = self.check(record, action.endpoint_id, is_in_flight=record.attempt is not None)
         record.pending_events -= 1
         if verdict and has_address and endpoint:
@@ -45,8 +45,8 @@
     def check(self, record: RequestRecord, endpoint_id: int, is_in_flight: bool) -> Verdict:
         """Decide whether an attempt may begin at an endpoint now.
 
-        The operating system may know that the client has left before the event loop does: the core is told
-        then.
+        The operating system may know that the client has disconnected before the event loop does. In that
+        case the core is notified here.
         """
         endpoint = record.router.endpoints.get(endpoint_id)
         verdict = may_send(
@@ -70,11 +70,11 @@
         return verdict
 
     def expire(self, record: RequestRecord, attempt: Attempt) -> None:
-        """The time-out of an attempt is over."""
+        """Handle the timeout of an attempt."""
         if not attempt.call or record.attempt is not attempt or record.state is RequestState.STREAMING:
             return
         if attempt.ends_at_deadline:
-            self._core.clock.put_forward(record.deadline_us)
+            self._core.clock.advance_to(record.deadline_us)
         attempt.call.cancel(io.Status.TIMEOUT)
 
     def _count_not_sent(self, record: RequestRecord, endpoint_id: int, verdict: Verdict) -> None:
@@ -98,12 +98,12 @@
     def _start(
         self, record: RequestRecord, attempt: Attempt, endpoint: Endpoint, action: io.SendAttempt
     ) -> None:
-        left_us = record.deadline_us - attempt.sent_at_us
+        time_left_us = record.deadline_us - attempt.sent_at_us
         attempt.connect_by_us = self._connect_by_us(record)
         if record.kv_state:
             attempt.state_endpoint_id = record.kv_state.endpoint_id
-        attempt.ends_at_deadline = not action.timeout_us or action.timeout_us >= left_us
-        timeout_us = max(left_us if attempt.ends_at_deadline else action.timeout_us, 1)
+        attempt.ends_at_deadline = not action.timeout_us or action.timeout_us >= time_left_us
+        timeout_us = max(time_left_us if attempt.ends_at_deadline else action.timeout_us, 1)
         attempt.is_prefill = endpoint.role is io.Role.PREFILL
         record.attempt = attempt
         record.endpoint_ids.append(action.endpoint_id)
@@ -115,15 +115,15 @@
         self._core.attempt_sent(record, attempt, action)
 
     def _connect_by_us(self, record: RequestRecord) -> int:
-        """By when an attempt needs its connection; 0: at any time.
+        """Return the time by which an attempt needs its connection; 0 if there is no limit.
 
-        Later the lease of its KV state is over, or an engine would take a retry for another request: its
-        deduplication window counts from the earliest moment at which an attempt may have executed.
+        After that time the lease of its KV state has expired, or an engine would treat a retry as a new
+        request: its deduplication window counts from the earliest time at which an attempt may have executed.
         """
         request_class = self._core.class_of(record)
-        lease_over_us = self._core.leases.connect_by_us(record)
-        window_over_us = retry_by_us(
+        lease_end_us = self._core.leases.connect_by_us(record)
+        window_end_us = retry_by_us(
             request_class.idempotency, record.executed_at_us, request_class.deduplication_window_us
         )
-        moments_us = [moment_us for moment_us in (lease_over_us, window_over_us) if moment_us]
-        return min(moments_us, default=0)
+        limits_us = [limit_us for limit_us in (lease_end_us, window_end_us) if limit_us]
+        return min(limits_us, default=0)
--- a/tuliptrack/node/attempt_state.py
+++ b/tuliptrack/node/attempt_state.py
@@ -1,18 +1,19 @@
-"""Decides what the state of an attempt allows now: to send, to retry, to release.
+"""Decides what the state of an attempt allows now: sending, retrying, releasing.
 
-It is asked after the router has decided: before each attempt is written, and before each release. Whether a
-request may be rejected is decided in `routing/idempotency.py`, for the router and for the end of a node.
+These checks run after the router has decided: before each attempt is written, and before each release.
+Whether a request may be rejected is decided in `routing/idempotency.py`, for the router and for the shutdown
+of a node.
 
     NOT_SENT ──▶ POSSIBLE ──▶ (CORROBORATED ──▶) CONFIRMED ──▶ ended
 
-Two questions are asked of an attempt, and their safe answers are opposite. *May it have executed?* is yes as
-soon as its last byte was written, since that byte may have arrived. *Has it arrived?* is yes only by what
-engines themselves send: on that connection after the attempt, or on others where no different explanation is
-left (`relay/corroboration.py`). What the kernel reports of the connection says nothing of the process behind
-it: a host, a proxy or a middlebox may acknowledge bytes that nobody ever reads. Nothing else may answer
-either question.
+Two questions are asked about an attempt, and their safe answers are opposite. *May it have executed?* is yes
+as soon as its last byte was written, because that byte may have arrived. *Has it arrived?* is yes only on the
+evidence of what engines themselves send: on the same connection after the attempt, or on other connections
+if no other explanation is left (`relay/corroboration.py`). What the kernel reports about the connection
+proves nothing about the process behind it: a host, a proxy or a middlebox may acknowledge bytes that nobody
+ever reads. No other evidence may be used to answer either question.
 
-All times are monotonic microseconds; the value 0 stands for "never".
+All times are in microseconds on the monotonic clock; 0 means "never".
 """
 
 from __future__ import annotations
@@ -34,20 +35,21 @@
 
 
 class Delivery(Enum):
-    """How far an attempt has come, as far as this node can know."""
+    """What this node knows about the delivery of an attempt to its engine."""
 
     NOT_SENT = "not sent"
-    """Its last byte was not written: it has not executed, and if it ends now it never will."""
+    """Its last byte was not written: it has not executed, and never will if it ends now."""
     POSSIBLE = "possible"
-    """Its last byte was written. It may have arrived, may still arrive, or never."""
+    """Its last byte was written. It may have arrived, may still arrive, or may never arrive."""
     CORROBORATED = "corroborated"
-    """Its connection was proven right before, and its engine has answered on other connections since."""
+    """Its connection answered a probe right before it was written, and its engine has answered on other
+    connections since."""
     CONFIRMED = "confirmed"
-    """The engine has answered on that connection since."""
+    """The engine has answered on the same connection since."""
 
 
 class Verdict(Enum):
-    """`ALLOWED`, or why a step may not be taken now."""
+    """Whether a step may be taken now: `ALLOWED`, or the reason against it."""
 
     ALLOWED = "allowed"
     REQUEST_CONCLUDED = "the request has its final answer"
@@ -68,7 +70,7 @@
 
 
 def has_arrived(delivery: Delivery) -> bool:
-    """Return whether the engine surely has the attempt: only this stops the lease of a KV state."""
+    """Return whether the engine is known to have the attempt: only this stops the lease of a KV state."""
     return delivery in (Delivery.CORROBORATED, Delivery.CONFIRMED)
 
 
@@ -85,7 +87,7 @@
         is_concluded: the request has its final answer.
         is_client_disconnected: its client has closed the connection.
         is_in_flight: whether another attempt of the request is in flight.
-        endpoint_state: the state of the endpoint; None where it is not on the list.
+        endpoint_state: the state of the endpoint; None if it is not on the list.
     """
     if is_concluded:
         return Verdict.REQUEST_CONCLUDED
@@ -104,10 +106,10 @@
     """Decide whether a further attempt may be written now.
 
     Args:
-        idempotency: what a repetition of the request does.
+        idempotency: the effect of repeating the request.
         executed_at_us: the earliest time at which an attempt may have executed; 0: none can have.
         window_us: the deduplication window of its idempotency key.
-        now_us: the time now.
+        now_us: the current time.
     """
     if not executed_at_us or idempotency is Idempotency.IDEMPOTENT:
         return Verdict.ALLOWED
@@ -119,7 +121,7 @@
 
 
 def retry_by_us(idempotency: Idempotency, executed_at_us: int, window_us: int) -> int:
-    """Return by when a retry has to be written to arrive within its deduplication window; 0: at any time.
+    """Return the time by which a retry has to be written to arrive in its deduplication window; 0: no limit.
 
     The arguments are those of `may_retry`.
     """
--- a/tuliptrack/node/billing.py
+++ b/tuliptrack/node/billing.py
@@ -1,9 +1,9 @@
 """Token budgets and bills of a running node.
 
-Turns the life of a request into calls of the budgets (`decisions/token_budget.py`) and of the usage recorder.
-A request is checked against its tenant's budgets before it is admitted; what it is expected to use is
-reserved when it is admitted and settled when it ends. Budgets count in tenths of a token of weight 1. Times
-are microseconds on the node's clock.
+Updates the budgets (`decisions/token_budget.py`) and the usage recorder over the life cycle of a request. A
+request is checked against its tenant's budgets before it is admitted; its expected usage is reserved when it
+is admitted and settled when it ends. Budgets count in tenths of a token of weight 1. Times are in
+microseconds on the node's clock.
 """
 
 from __future__ import annotations
@@ -37,33 +37,33 @@
 
 BUDGET_LOG_INTERVAL_S = 60.0
 UNITS_PER_TOKEN = 10
-"""Units of a budget to a token of weight 1."""
+"""Budget units per token of weight 1."""
 LOGGED_TENANTS = 5
-"""Tenants of heaviest use in the log line."""
+"""Number of tenants with the highest usage that the log line names."""
 
 
 class Billing:
-    """Budgets and bills of one node. `open` first; `close` commits what is left."""
+    """Budgets and bills of one node. Call `open` first; `close` commits what is left."""
 
     def __init__(self, options: BillingOptions, settings: Settings, instance: str, now: int) -> None:
         """Set up the budgets; the ledger is opened by `open`.
 
         Args:
             options: Budgets, prices and the ledger.
-            settings: The node's place in the fleet, and the offset of its clock.
-            instance: Names this incarnation of the node in the ledger.
-            now: The present time.
+            settings: The replica count, the node's replica index, and the offset of its clock.
+            instance: Identifies this incarnation of the node in the ledger.
+            now: The current time.
         """
         self.options = options
         self.epoch_offset_us = settings.epoch_offset_us
-        """Added to the node's clock it gives microseconds since 1970; taken once."""
+        """Offset from the node's clock to microseconds since 1970; taken once."""
         self.budgets = TokenBudgets(_budget_settings(options, settings), now) if options.windows else None
         self.recorder = UsageRecorder(options, instance, self.epoch_offset_us)
         self._task: asyncio.Task[None] | None = None
         self._logged_at_s = time.monotonic()
 
     async def open(self, now: int) -> None:
-        """Open the ledger, and begin to commit and to log.
+        """Open the ledger, and start the periodic commits and log lines.
 
         Raises:
             LedgerError: The ledger can't be opened.
@@ -74,7 +74,7 @@
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _recover_usage(self, now: int) -> None:
-        """Count what the ledger has of the calendar windows that are open, as after a restart they go on."""
+        """Restore the usage of the open calendar windows from the ledger: they continue after a restart."""
         calendar_lengths = [
             window.length_us
             for windows in self.options.windows.values()
@@ -89,7 +89,7 @@
             self.budgets.restore_usage(now, bill.tenant, units)
 
     async def close(self) -> None:
-        """End the commits, after a last one."""
+        """Stop the periodic commits, after a last one."""
         if self._task:
             self._task.cancel()
             await asyncio.wait([self._task])
@@ -109,19 +109,19 @@
     def request_admitted(
         self, now: int, record: RequestRecord, class_index: int, verdict: BudgetVerdict
     ) -> None:
-        """Fix the price of an admitted request, and reserve what it is expected to use."""
+        """Set the price of an admitted request, and reserve its expected usage."""
         record.price = self._price_at(now + self.epoch_offset_us)
         if self.budgets:
             self.budgets.reserve(now, record.id, _budget_request(record, class_index), verdict)
 
     def _price_at(self, wall_time_us: int) -> TokenPrice:
-        """Return the price in force; prices are in the order of the times from which they hold."""
+        """Return the price in force; prices are sorted by the times from which they apply."""
         starts = [start for start, _ in self.options.prices]
         index = bisect_right(starts, wall_time_us)
         return self.options.prices[index - 1][1] if index else TokenPrice()
 
     def stream_started(self, record: RequestRecord) -> None:
-        """Record the usage of a request that has its first token also while it streams."""
+        """Record the usage of a request also while it streams, from its first token on."""
         self.recorder.stream_started(record)
 
     def request_ended(self, now: int, record: RequestRecord) -> None:
@@ -134,7 +134,7 @@
         self.recorder.request_ended(record)
 
     async def _run(self) -> None:
-        """Commit and log, until cancelled."""
+        """Commit and log periodically, until cancelled."""
         await run_periodically("bills", self.options.commit / 1e6, self._commit_and_log)
 
     async def _commit_and_log(self) -> None:
@@ -144,9 +144,9 @@
         await self.recorder.commit_interval()
 
     def log_budgets(self) -> None:
-        """Log who uses most, and by what share the reservations differ from what was used.
+        """Log the tenants with the highest usage, and how much reservations differ from the actual usage.
 
-        Amounts are tokens of weight 1.
+        Amounts are in tokens of weight 1; the difference is a share of the actual usage.
         """
         if self.budgets is None:
             return
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -1,12 +1,12 @@
-"""The core of every node: requests of clients become events of the router, its actions attempts at engines.
+"""The core of every node: turns client requests into router events, and router actions into attempts.
 
-Nothing about routing is decided here, and no protocol is known. Fronts come in through `fronts/port.py`,
-engines are behind `node/port.py`. `Core` assembles the parts and holds what lies between them: a slow client
-pauses its own stream and nothing else, and a request is removed once it has its final state and no attempt is
-out.
+It makes no routing decisions and depends on no protocol. Fronts call it through `fronts/port.py`; engines are
+reached through `node/port.py`. `Core` assembles the parts and handles what involves several of them: a slow
+client pauses its own stream and nothing else, and a request is removed once it has its final state and no
+attempt is in flight.
 
 The parts: `event_dispatch.py` (events in, actions out), `attempt_start.py`, `attempt_end.py`,
-`final_answers.py`, `kv_state_leases.py`, `request_log.py`, and what they share, `core_state.py`.
+`final_answers.py`, `kv_state_leases.py`, `request_log.py`, and `core_state.py` for the state that they share.
 """
 
 from __future__ import annotations
@@ -37,29 +37,29 @@
 log = structlog.get_logger("node")
 
 LATE_ANSWER_US = 500_000
-"""How long after the deadline of its client a rejection or failure counts as late."""
+"""How long after the client's deadline a rejection or failure counts as late."""
 
-SHUTTING_DOWN = "this node shuts down"
+SHUTTING_DOWN = "this node is shutting down"
 
 
 @dataclass(slots=True)
 class RequestHandle:
-    """What a front holds of one request, to report on its client."""
+    """A front's handle on one request, to report events of its client."""
 
     core: Core
     record: RequestRecord
 
     def disconnected(self, reason: str) -> None:
-        """The client has left, or its connection has."""
+        """Report that the client has disconnected."""
         self.core.client_disconnected(self.record, reason)
 
     def writable(self) -> None:
-        """The client has read what waited for it."""
+        """Report that the client has read the output that was waiting for it."""
         self.core.client_can_receive(self.record)
 
 
 class Core(CoreState):
-    """What a node does with requests, between its fronts and its engines."""
+    """Handles the requests of a node, between its fronts and its engines."""
 
     def __init__(
         self,
@@ -98,7 +98,7 @@
             }
         )
 
-    # -- between the parts
+    # Coordination of the parts.
 
     def dispatch(self, event: io.Event, router: Router | None = None) -> None:
         """Hand an event to its router and carry out the actions that follow."""
@@ -126,13 +126,13 @@
             self.concurrency.release(now_us, client_request.tenant, client_request.connection)
         log_request(record, now_us)
 
-    # -- what fronts report
+    # Called by fronts.
 
     def submit(self, client_request: ClientRequest, response: ResponseWriter) -> RequestHandle:
         """Accept a request from a front.
 
         Raises:
-            InvalidRequestError: it can't be a request; nothing was done for it.
+            InvalidRequestError: the request is invalid; nothing was done for it.
         """
         now_us = self.now()
         request = self.requests.read(client_request, now_us)
@@ -153,81 +153,87 @@
         self.dispatch(replace(request, request_id=record.id, is_over_token_budget=is_over_budget))
         return RequestHandle(self, record)
 
-    def _decide_admission(self, record: RequestRecord, class_index: int, reason: str) -> AdmissionDecision:
-        """Decide whether a request is admitted; `reason` is why its model can't be served, if so."""
+    def _decide_admission(
+        self, record: RequestRecord, class_index: int, model_rejection: str
+    ) -> AdmissionDecision:
+        """Decide whether to admit a request.
+
+        `model_rejection` is why its model can't be served, or empty.
+        """
         if self.stopping:
             return AdmissionDecision(SHUTTING_DOWN)
-        if reason:
-            return AdmissionDecision(reason)
+        if model_rejection:
+            return AdmissionDecision(model_rejection)
         client_request = record.client_request
         if limit := self.concurrency.acquire(client_request.tenant, client_request.connection):
             retry_after_us = self.concurrency.retry_after_us(client_request.tenant)
-            return AdmissionDecision(limit.value, self.advised_retry_after(retry_after_us))
+            return AdmissionDecision(limit.value, self.cap_retry_after(retry_after_us))
         record.has_concurrency_slot = True
         return self.admit(record.accepted_at_us, record, class_index)
 
     def overload(self) -> tuple[str, int]:
-        """Return why requests are rejected unseen (empty: they are not), and when to retry."""
+        """Return why requests are rejected unread (empty if they are not), and the advised retry delay."""
         if self.stopping:
             return SHUTTING_DOWN, 0
         if self.concurrency.is_full():
-            retry_after_us = self.advised_retry_after(self.concurrency.retry_after_us(""))
+            retry_after_us = self.cap_retry_after(self.concurrency.retry_after_us(""))
             return ExceededLimit.NODE.value, retry_after_us
         return "", 0
 
     def _handle_deadline(self, record: RequestRecord) -> None:
-        """The client's deadline for the whole call is about to pass: a stream is ended in time.
+        """End a stream shortly before the client's deadline for the whole call.
 
-        What has not begun is the router's to end, by the time-out of its attempt.
+        A request whose answer has not begun is ended by the router, through the timeout of its attempt.
         """
         record.deadline_timer = None
         if record.state is RequestState.STREAMING:
-            if record.client_request.deadline_us is not None:  # Else only the first token had a deadline.
-                reason = "the client's deadline came in mid-stream"
+            if record.client_request.deadline_us is not None:  # Else only the first token had one.
+                reason = "the client's deadline expired mid-stream"
                 self.answers.break_stream(record, Failure.DEADLINE, reason, io.Status.TIMEOUT)
         elif not record.is_concluded and record.attempt is None:
             log.error("request unanswered at its deadline", request=record.id, state=record.state.value)
             self.answers.fail_after_internal_error(record.id)
 
     def client_disconnected(self, record: RequestRecord, reason: str) -> None:
-        """The client has left, or its connection has."""
+        """Handle the disconnection of a client."""
         was_streaming = record.state is RequestState.STREAMING
         if not record.conclude(RequestState.DISCONNECTED, reason):
             return
         self.dispatch(io.ClientDisconnected(record.id))
         call = record.attempt.call if record.attempt else None
-        # A stream that nobody reads ends, and what was not sent never is. The router cancels the rest, if it
-        # may.
+        # End a stream that nobody reads, and an attempt that was not sent. The router cancels other attempts
+        # if the settings allow it.
         if call and (was_streaming or not may_have_executed(call.delivery())):
             call.cancel(io.Status.CANCELLED)
         self.settle(record)
 
     def client_can_receive(self, record: RequestRecord) -> None:
-        """The client has read what waited for it: its stream goes on."""
+        """Resume the stream of a client that has read the output that was waiting for it."""
         if record.paused_at_us and record.attempt and record.attempt.call:
             record.paused_at_us = 0
             record.last_output_at_us = self.now()
             record.attempt.call.resume()
 
-    # -- what engines report and ask
+    # Called by engine clients.
 
     def may_still_begin(self, record: RequestRecord, endpoint_id: int) -> bool:
         """Return whether an attempt may still begin, now that its connection is up.
 
-        Its client may have left, and the endpoint may have begun to drain, since the attempt was decided.
+        Since the router decided on the attempt, the client may have disconnected and the endpoint may have
+        begun to drain.
         """
         return bool(self.attempt_starter.check(record, endpoint_id, is_in_flight=False))
 
     def prefill_finished(
         self, record: RequestRecord, attempt: Attempt, kv_state: KvStateLocation, cached_tokens: int
     ) -> None:
-        """The prompt is prefilled and `kv_state` reserved; `cached_tokens` of it needed no prefill."""
+        """Handle a prefill that has reserved `kv_state`; `cached_tokens` of the prompt needed no prefill."""
         record.cached_tokens = max(0, min(cached_tokens, record.client_request.prompt_tokens))
         record.trace.add(self.now(), f"KV state at {kv_state.endpoint_id}")
         self.leases.start(record, kv_state)
 
     def output_arrived(self, record: RequestRecord, attempt: Attempt) -> bool:
-        """A part of the answer has come; return whether to forward it. The first one begins the stream."""
+        """Handle a part of the answer; return whether to forward it. The first part begins the stream."""
         if record.attempt is not attempt or record.is_concluded:
             return False
         now_us = record.last_output_at_us = self.now()
@@ -246,7 +252,7 @@
         self.dispatch(io.StreamStarted(record.id, attempt.number, attempt.endpoint_id, latency_us))
 
     def output_forwarded(self, record: RequestRecord, attempt: Attempt, may_continue: bool) -> None:
-        """A part of the answer was given to the front, which may want no more for now."""
+        """Pause the attempt if the front, after this part of the answer, accepts no more for now."""
         if not may_continue and attempt.call and record.attempt is attempt:
             record.paused_at_us = record.paused_at_us or self.now()
             attempt.call.pause()
@@ -254,15 +260,15 @@
     def reservation_answered(
         self, record: RequestRecord, attempt: Attempt, endpoint_id: int, is_reserved: bool
     ) -> None:
-        """An endpoint has answered whether it reserves capacity."""
+        """Handle the answer of an endpoint that was asked to reserve capacity."""
         if record.attempt is attempt:
             self.dispatch(io.ReservationResult(record.id, attempt.number, endpoint_id, is_reserved))
 
     def attempt_ended(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> None:
-        """An attempt has ended: the router is told, and the client where its stream ends with it."""
+        """Handle the end of an attempt: notify the router, and the client if its stream ends too."""
         self.attempt_ends.handle(record, attempt, ended)
 
-    # -- actions of the router
+    # Actions of the router.
 
     def _cancel_attempt(self, action: io.CancelAttempt) -> None:
         record = self.table.open.get(action.request_id)
@@ -273,7 +279,7 @@
             attempt.call.cancel(io.Status.CANCELLED)
 
     def release(self, action: io.Release) -> None:
-        """Carry out a `Release`: of the KV state and of reserved capacity."""
+        """Carry out a `Release` of the KV state and of reserved capacity."""
         record = self.table.open.get(action.request_id)
         if record is None:
             return
@@ -289,46 +295,46 @@
             record.reserved_endpoint_id = action.endpoint_id
             self.engines.reserve(action.endpoint_id, record, record.attempt)
 
-    # -- counters, sweeps and shutdown
+    # Counters, sweeps and shutdown.
 
     def counter_values(self) -> dict[str, int]:
-        """Return what was counted since the start, by name."""
+        """Return the counters since the start, by name."""
         return self.counters.as_dict()
 
     def sweep(self) -> None:
-        """End streams that stand still; to be called several times a second."""
+        """End stalled streams; to be called several times a second."""
         now_us = self.now()
         for record in list(self.table.open.values()):
             if record.state is not RequestState.STREAMING:
                 continue
             if record.paused_at_us:
                 if now_us - record.paused_at_us > self.limits.max_client_stall_us:
-                    reason = "the client leaves its answer unread"
+                    reason = "the client has stopped reading its answer"
                     self.answers.break_stream(record, Failure.STALLED, reason, io.Status.CANCELLED)
             elif now_us - record.last_output_at_us > self.limits.max_token_silence_us:
-                reason = "the engine has gone silent in mid-stream"
+                reason = "the engine fell silent mid-stream"
                 self.answers.break_stream(record, Failure.BROKEN, reason, io.Status.RESET)
 
     def conclude_open_requests(self, accepted_since_us: int = 0) -> None:
-        """The drain grace is over: give open requests their final answers.
+        """Give open requests their final answers, once the grace period of the drain is over.
 
         Args:
-            accepted_since_us: a monotonic time.
+            accepted_since_us: only requests accepted at or after this monotonic time.
         """
         for record in list(self.table.open.values()):
             if record.accepted_at_us >= accepted_since_us:
                 self.answers.conclude_at_shutdown(record)
 
     def migrate_streams(self) -> None:
-        """Send streams that have begun back to their clients, to be resumed at another node."""
+        """Hand streams that have begun back to their clients, to be resumed at another node."""
         for record in list(self.table.open.values()):
             self.answers.handle_migrate(io.MigrateStream(record.id))
 
     def close(self) -> None:
-        """End every request and timer; the clients are gone."""
+        """End every request and timer; all clients have disconnected."""
         for record in list(self.table.open.values()):
             self.client_disconnected(record, "node stopped")
-            if record.attempt and record.attempt.call:  # Also where the settings let nothing be cancelled.
+            if record.attempt and record.attempt.call:  # Even if the settings forbid cancelling.
                 record.attempt.call.cancel(io.Status.CANCELLED)
             self.leases.stop(record)
         self.timers.close()
--- a/tuliptrack/node/core_state.py
+++ b/tuliptrack/node/core_state.py
@@ -1,7 +1,7 @@
-"""What the parts of a core share: settings, tables, clock and timers, and the hooks of a node.
+"""The state that the parts of a core share: settings, tables, clock and timers, and the hooks of a node.
 
-`Core` (in `core.py`) assembles the parts. Each part takes a `CoreState` and asks it for everything at the
-moment of use, so that a node can set `engines` and `source` after the core is made.
+`Core` (in `core.py`) assembles the parts. Each part takes a `CoreState` and reads its attributes only when it
+uses them, so that a node can set `engines` and `source` after the core is created.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 
 class CoreState(ABC):
-    """The state of a core, and the steps that its parts ask of each other."""
+    """The state of a core, and the operations that its parts call on each other."""
 
     engines: EngineClient
-    """What carries out attempts; set by the node."""
+    """The engine client, which carries out attempts; set by the node."""
     source: Any
-    """Where the endpoint list comes from; set by the node."""
+    """The source of the endpoint list; set by the node."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
             settings: the settings of the routers.
             seed: the seed of their random choices.
             instance: a name unique to this incarnation of the node.
-            limits: bounds and times of the node.
+            limits: size and time limits of the node.
             concurrency_limits: how many requests may be in flight.
         """
         self.settings = settings
@@ -56,7 +56,7 @@
         self.instance = instance
         self.router = Router(settings, seed)
         """The router of endpoints without a model label; it also keeps the subscription to the endpoint list,
-        and what the routers of all models share."""
+        and the state that the routers of all models share."""
         self.table = RequestTable(instance)
         self.concurrency = ConcurrencyLimiter(concurrency_limits)
         self.counters = Counters()
@@ -65,9 +65,9 @@
         self.timers = TimerSet()
         self.leases = KvStateLeases(settings.release_within_us, lambda: self.engines, self.now, self.counters)
         self.stopping = False
-        """New requests are rejected."""
+        """Whether the node is shutting down, so that new requests are rejected."""
         self.decisions = 0
-        """Events that routers have handled."""
+        """Number of events that routers have handled."""
 
     def now(self) -> int:
         """Return the monotonic time in microseconds."""
@@ -78,17 +78,17 @@
         return self.requests.class_of(record.client_request)
 
     def record_fault(self, where: str, error: Exception) -> None:
-        """Count and log an error that only a fault of this program can raise."""
+        """Count and log an error that only a bug in this program can raise."""
         log_fault(error)
         self.counters.violated(
             "no_unexpected_error", where=where, type=type(error).__name__, reason=str(error)
         )
 
-    def advised_retry_after(self, retry_after_us: int) -> int:
-        """Cut advice that is an estimate to what the settings allow."""
+    def cap_retry_after(self, retry_after_us: int) -> int:
+        """Limit an estimated retry delay to the maximum that the settings allow."""
         return min(retry_after_us, self.settings.max_retry_after_us)
 
-    # What parts ask of the core.
+    # Operations that the parts call on the core.
 
     @abstractmethod
     def dispatch(self, event: io.Event, router: Router | None = None) -> None:
@@ -100,13 +100,13 @@
 
     @abstractmethod
     def client_disconnected(self, record: RequestRecord, reason: str) -> None:
-        """The client of a request has left, or its connection has."""
+        """Handle the disconnection of a request's client."""
 
     @abstractmethod
     def settle(self, record: RequestRecord) -> None:
         """Remove a request if it has its final state and no attempt in flight."""
 
-    # What a node may add.
+    # Hooks that a node may override.
 
     def choose(self, client_request: ClientRequest) -> RouterChoice:
         """Return the model and router of a request, and why it is rejected if it is.
@@ -121,16 +121,16 @@
         return AdmissionDecision()
 
     def stream_began(self, record: RequestRecord) -> None:  # noqa: B027  # Overriding is optional.
-        """The first token of a request has come."""
+        """Called when the first token of a request has arrived."""
 
     def attempt_sent(  # noqa: B027  # Overriding is optional.
         self, record: RequestRecord, attempt: Attempt, action: io.SendAttempt
     ) -> None:
-        """An attempt has started."""
+        """Called when an attempt has started."""
 
     def cross_zone_bytes(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> float:
-        """Return the bytes that an attempt has moved between zones."""
+        """Return the bytes that an attempt has transferred between zones."""
         return 0.0
 
     def request_removed(self, record: RequestRecord) -> None:  # noqa: B027  # Overriding is optional.
-        """A request has left the table."""
+        """Called when a request has been removed from the table."""
--- a/tuliptrack/node/counters.py
+++ b/tuliptrack/node/counters.py
@@ -1,4 +1,4 @@
-"""What a node counts of itself: events by name, and violated invariants with the request's steps."""
+"""Counters of a node: events by name, and violated invariants with the steps of the request concerned."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 log = structlog.get_logger("invariants")
 
 MAX_TRACE_STEPS = 48
-"""Steps of one request that are recorded; beyond it the oldest are left out."""
+"""Maximum number of recorded steps per request; beyond it the oldest are dropped."""
 
 MAX_RECORDED_VIOLATIONS = 64
-"""Violated invariants that are recorded; beyond it the oldest are left out."""
+"""Maximum number of recorded violations; beyond it the oldest are dropped."""
 
 
 class InvariantError(AssertionError):
@@ -26,7 +26,7 @@
 
 
 class RequestTrace:
-    """The steps of one request, each with the milliseconds since it came. Bound: `MAX_TRACE_STEPS`."""
+    """The steps of one request, each with the milliseconds since its arrival; at most `MAX_TRACE_STEPS`."""
 
     __slots__ = ("_began_at_us", "_steps")
 
@@ -44,17 +44,17 @@
 
 
 class Counters:
-    """Counts by name. Names are few and fixed in the code, so they need no bound."""
+    """Counters by name. Their number needs no bound, because names are few and fixed in the code."""
 
     strict: bool = False
-    """Raise where an invariant is violated."""
-    watchers: list[Callable[[str], None]] = []  # noqa: RUF012  # Shared by design: tests look at every node of a process.
-    """Called with each violated invariant."""
+    """Whether to raise `InvariantError` when an invariant is violated."""
+    watchers: list[Callable[[str], None]] = []  # noqa: RUF012  # Shared by design: tests watch every node of a process.
+    """Called with the text of each violated invariant."""
 
     def __init__(self) -> None:
         """Start at zero."""
         self.violations: deque[str] = deque(maxlen=MAX_RECORDED_VIOLATIONS)
-        """The latest violated invariants, each with its facts."""
+        """The latest violated invariants, each with the fields that were logged."""
         self._values: Counter[str] = Counter()
 
     def add(self, name: str, count: int = 1) -> None:
@@ -62,15 +62,15 @@
         self._values[name] += count
 
     def violated(self, invariant: str, trace: RequestTrace | None = None, **facts: Any) -> None:
-        """Count and log that an invariant does not hold.
+        """Count and log a violated invariant.
 
         Args:
             invariant: its name.
             trace: the steps of the request concerned.
-            **facts: what else is known, for the log.
+            **facts: further fields for the log.
 
         Raises:
-            InvariantError: where `strict` is set.
+            InvariantError: if `strict` is set.
         """
         self.add(f"violations_{invariant}")
         log.error("invariant violated", invariant=invariant, steps=str(trace or ""), **facts)
--- a/tuliptrack/node/cross_zone_account.py
+++ b/tuliptrack/node/cross_zone_account.py
@@ -1,14 +1,15 @@
 """Accounts for the bytes that cross zones, by interval, and appends them to a report file.
 
-They are counted at the node's own sockets; of transfers between engines, they are what the engines report.
+Bytes are counted at the node's own sockets; for transfers between engines, the engines report them.
 
-A transfer is counted while it runs and for `LATE_BYTES_US` after its call has ended, as the counters of a
-connection go on counting what was under way when the node reset its call. So its last bytes are booked in an
-interval after that end. The rows of one interval are bounded by the number of (class, tenant, stage, pair of
-zones, cause): beyond `MAX_KEYS`, what comes is booked under `other`. An interval that can't be written goes
-into the file with the next one that can.
+A transfer is counted while it runs and for `LATE_BYTES_US` after its call has ended, because the counters of
+a connection still include bytes that were in flight when the node reset its call. So its last bytes are
+booked in an interval after that end. The rows of one interval are bounded by the number of combinations of
+class, tenant, stage, pair of zones and cause: beyond `MAX_KEYS`, further combinations are booked under
+`other`. An interval that can't be written is written together with the next one that can.
 
-Sizes are bytes, times are microseconds on the monotonic clock; only the report's `t` is seconds since 1970.
+Sizes are in bytes, times in microseconds on the monotonic clock; only the report's `t` is in seconds since
+1970.
 """
 
 from __future__ import annotations
@@ -32,15 +33,15 @@
 log = structlog.get_logger("zones")
 
 MAX_KEYS = 50_000
-"""Rows of one account, without `other`."""
+"""Maximum number of rows of one account, not counting `other`."""
 MAX_TRANSFERS = 200_000
-"""Transfers that are tracked at a time; beyond, the oldest is booked as it stands and no longer tracked."""
+"""Maximum number of tracked transfers; beyond it, the oldest is booked as it is and no longer tracked."""
 LATE_BYTES_US = 2_000_000
-"""How long after the end of its call the bytes that were under way may still come."""
+"""How long after the end of its call the bytes of a transfer that were in flight may still arrive."""
 
 
 class TransferStage(Enum):
-    """What is transferred; the values stand in the report."""
+    """What is transferred; the values appear in the report."""
 
     PROMPT = "prompt"
     KV_STATE = "state"
@@ -48,7 +49,7 @@
 
 
 class TransferKey(NamedTuple):
-    """What one row of the account is about; zones by name. The order is that of the report's rows."""
+    """Identifies a row of the account, with zones by name. Rows of the report are sorted by these fields."""
 
     request_class: str
     tenant: str
@@ -63,17 +64,17 @@
 
 @dataclass(slots=True)
 class TransferTotals:
-    """What the transfers of one row come to."""
+    """The totals of the transfers of one row."""
 
     size_bytes: int = 0
     tokens: float = 0.0
     transfers: int = 0
 
-    def add(self, more: TransferTotals) -> None:
+    def add(self, other: TransferTotals) -> None:
         """Add the totals of other transfers."""
-        self.size_bytes += more.size_bytes
-        self.tokens += more.tokens
-        self.transfers += more.transfers
+        self.size_bytes += other.size_bytes
+        self.tokens += other.tokens
+        self.transfers += other.transfers
 
 
 Totals = dict[TransferKey, TransferTotals]
@@ -81,7 +82,7 @@
 
 @dataclass(slots=True)
 class Transfer:
-    """One prompt, KV state or output that crosses zones; zones by number."""
+    """One prompt, KV state or output that crosses zones, with zones by number."""
 
     request_class: str
     tenant: str
@@ -90,36 +91,36 @@
     target: int
     cause: CrossZoneCause
     count_bytes: Callable[[], int]
-    """Returns the bytes so far."""
+    """Returns the bytes transferred so far."""
     tokens: float = 0.0
     booked_bytes: int = 0
-    """Bytes that are in the account already."""
+    """Bytes that the account already contains."""
     has_ended: bool = False
-    """Its call has ended: what is still under way is counted for `LATE_BYTES_US`."""
+    """Whether its call has ended: bytes still in flight are counted for `LATE_BYTES_US`."""
     tracked_until_us: int = 0
-    """When it is no longer tracked; 0 until the end of its call is seen."""
+    """When its tracking ends; 0 until the end of its call is seen."""
 
 
-def _add(totals: Totals, key: TransferKey, more: TransferTotals) -> None:
-    """Add to the row of a key, or to `other` where there are too many rows."""
+def _add(totals: Totals, key: TransferKey, added: TransferTotals) -> None:
+    """Add to the row of a key, or to `other` if there are too many rows."""
     if key not in totals and len(totals) >= MAX_KEYS:
         key = _OTHER
-    totals.setdefault(key, TransferTotals()).add(more)
+    totals.setdefault(key, TransferTotals()).add(added)
 
 
 class CrossZoneAccount:
-    """The account of one node: `track` a transfer, `close_interval`, `write` the interval to the report."""
+    """The account of one node: `track` transfers, `close_interval`, then `write` it to the report."""
 
     def __init__(
         self, zone_names: tuple[str, ...], path: str, max_report_bytes: int, replica_index: int
     ) -> None:
-        """Begin an empty account.
+        """Create an empty account.
 
         Args:
             zone_names: The names of the zones, by number.
-            path: The report file; empty: none is written.
+            path: The report file; empty: no report is written.
             max_report_bytes: Size beyond which the report is rotated to `path` with `.1` added.
-            replica_index: The node's number in the report.
+            replica_index: The replica index of the node, which identifies it in the report.
         """
         self.zone_names, self.path = zone_names, path
         self.max_report_bytes, self.replica_index = max_report_bytes, replica_index
@@ -129,40 +130,44 @@
         self.unwritten: Totals = {}
         """Intervals that could not be written yet."""
         self._interval: Totals = {}
-        """Of the open interval, from transfers that are no longer tracked."""
+        """The part of the open interval that comes from transfers that are no longer tracked."""
 
     def zone_name(self, zone: int) -> str:
         """Return the name of a zone, or its number where it has none."""
         return self.zone_names[zone] if zone < len(self.zone_names) else str(zone)
 
     def track(self, transfer: Transfer) -> Transfer:
-        """Count a transfer that begins."""
+        """Start counting a transfer."""
         if len(self.transfers) >= MAX_TRANSFERS:
             self._book(self.transfers.pop(0), self._interval)
         self.transfers.append(transfer)
         return transfer
 
     def close_interval(self) -> Totals:
-        """Return what the transfers have come to since the last interval was closed."""
+        """Return the totals of all transfers since the last interval was closed."""
         interval, self._interval = self._interval, {}
         now = now_us()
         for transfer in self.transfers:
             self._book(transfer, interval)
             if transfer.has_ended and not transfer.tracked_until_us:
                 transfer.tracked_until_us = now + LATE_BYTES_US
-        self.transfers = [one for one in self.transfers if not one.has_ended or now < one.tracked_until_us]
+        self.transfers = [
+            transfer
+            for transfer in self.transfers
+            if not transfer.has_ended or now < transfer.tracked_until_us
+        ]
         return interval
 
     def _book(self, transfer: Transfer, interval: Totals) -> None:
-        """Add what a transfer has come to since it was last booked."""
+        """Add what a transfer has moved since it was last booked."""
         size_bytes = transfer.count_bytes()
         if size_bytes <= transfer.booked_bytes:
             return
-        more = TransferTotals(size_bytes - transfer.booked_bytes)
+        added = TransferTotals(size_bytes - transfer.booked_bytes)
         if not transfer.booked_bytes:
-            more.tokens, more.transfers = transfer.tokens, 1
+            added.tokens, added.transfers = transfer.tokens, 1
         for totals in (interval, self.total):
-            _add(totals, self._key(transfer), more)
+            _add(totals, self._key(transfer), added)
         transfer.booked_bytes = size_bytes
 
     def _key(self, transfer: Transfer) -> TransferKey:
@@ -178,7 +183,7 @@
     def write(self, interval: Totals) -> None:
         """Append an interval to the report.
 
-        A failure is logged and does not disturb serving; the interval is written with the next one.
+        A failure is logged and does not affect serving; the interval is written with the next one.
         """
         if not self.path:
             return
@@ -202,7 +207,7 @@
         line_file.append(path, text)
 
     def _report_lines(self, rows: Iterable[tuple[TransferKey, TransferTotals]]) -> str:
-        """Return the rows as JSON, one a line; its keys are those that `tuliptrack report` reads."""
+        """Return the rows as JSON, one per line, with the keys that `tuliptrack report` reads."""
         written_at_s = round(wall_us() / 1e6, 3)
         return "".join(
             json.dumps(
--- a/tuliptrack/node/endpoint_list_cache.py
+++ b/tuliptrack/node/endpoint_list_cache.py
@@ -1,6 +1,6 @@
-"""Saves the last endpoint list to disk, for a start of the node while its source can't be reached.
+"""Saves the last endpoint list to disk, so that the node can start while its source is unreachable.
 
-One save runs at a time, in a thread. Lists that come meanwhile are saved together by one more.
+One save runs at a time, in a thread. If lists arrive meanwhile, one further save covers them all.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 class EndpointListCache:
-    """The file of one node."""
+    """The cached endpoint list of one node."""
 
     def __init__(self, path: str, current_list: Callable[[], fleet_pb2.ServerList]) -> None:
-        """Prepare.
+        """Create the cache without accessing the file.
 
         Args:
             path: The file; empty: nothing is saved.
@@ -30,11 +30,11 @@
         """
         self.path, self.current_list = path, current_list
         self.task: asyncio.Task[None] | None = None
-        """The last save."""
+        """The latest save, running or done."""
         self._is_save_due = False
 
     def save(self) -> None:
-        """Save the list as it is now, or as it is once a save that runs has ended."""
+        """Save the list as it is now, or, if a save is running, as it is when that has ended."""
         if not self.path:
             return
         self._is_save_due = True
@@ -50,6 +50,6 @@
                 log.warning("endpoint list not cached", reason=str(error))
 
     async def close(self) -> None:
-        """Wait for the last save: its thread can't be interrupted, and half a file would be of no use."""
+        """Wait for the running save: its thread can't be interrupted, and half a file would be of no use."""
         if self.task:
             await self.task
--- a/tuliptrack/node/engine_channels.py
+++ b/tuliptrack/node/engine_channels.py
@@ -1,7 +1,7 @@
-"""The gRPC channels to the engines: one for each endpoint of the list, made at its first call.
+"""The gRPC channels to the engines: one for each endpoint of the list, created at its first call.
 
-An endpoint that has left the list, or has a new address, is given no new calls on its old channel; that is
-closed once its last call has ended.
+An endpoint that was removed from the list, or has a new address, gets no new calls on its old channel, which
+is closed once its last call has ended.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 __all__ = ["EngineChannels"]
 
 MAX_HEADER_BYTES = 65_536
-"""Of an engine's response."""
+"""Maximum size of the headers of an engine's response."""
 
 
 class EngineChannels:
     """The channels of one node, by endpoint."""
 
     def __init__(self, options: EngineOptions, max_message_bytes: int) -> None:
-        """Prepare; nothing is connected yet.
+        """Set the options; nothing is connected yet.
 
         Args:
-            options: Time-outs, keepalive and the number of connections to an endpoint.
-            max_message_bytes: Size of the largest message that an engine may send.
+            options: Timeouts, keepalive and the number of connections per endpoint.
+            max_message_bytes: Maximum size of a message from an engine.
         """
         self.idle_timeout_us = options.idle
         self.options = Options(
@@ -41,11 +41,11 @@
         self.addresses: dict[int, str] = {}
         """host:port of each endpoint of the list."""
         self._retired: list[Channel] = []
-        """No longer given calls, but with calls that run."""
+        """Channels that get no new calls but still have running ones."""
         self._closing: set[asyncio.Task[None]] = set()
 
     def update(self, addresses: Mapping[int, str], removed: Iterable[int]) -> None:
-        """Apply an endpoint list: the addresses that it gives, and the endpoints that have left it."""
+        """Apply an endpoint list: the addresses that it gives, and the endpoints removed from it."""
         for endpoint_id, address in addresses.items():
             if self.addresses.get(endpoint_id) != address:
                 self._retire(endpoint_id)
@@ -60,7 +60,7 @@
             self.close_idle()
 
     def close_idle(self) -> None:
-        """Close connections that were idle for too long, and retired channels without calls."""
+        """Close connections that have been idle for too long, and retired channels without calls."""
         for channel in self.channels.values():
             channel.close_idle(self.idle_timeout_us)
         in_use = []
@@ -78,14 +78,14 @@
         task.add_done_callback(self._closing.discard)
 
     def channel(self, endpoint_id: int) -> Channel | None:
-        """Return the channel to an endpoint, or None where it is not listed."""
+        """Return the channel to an endpoint, or None if it is not listed."""
         channel = self.channels.get(endpoint_id)
         if channel is None and (address := self.addresses.get(endpoint_id)):
             channel = self.channels[endpoint_id] = Channel(address, self.options)
         return channel
 
     async def close(self) -> None:
-        """Close all channels, also those with calls."""
+        """Close all channels, including those with running calls."""
         for channel in [*self.channels.values(), *self._retired]:
             await channel.close()
         self.channels.clear()
--- a/tuliptrack/node/event_dispatch.py
+++ b/tuliptrack/node/event_dispatch.py
@@ -1,8 +1,8 @@
-"""Hands events to routers and carries out their actions, one event after the other.
+"""Passes events to routers and carries out their actions, one event at a time.
 
 Actions may cause further events at once, such as the end of an attempt that could not start. These are
-queued: each event is handled and its actions are carried out before the next, so that a router never sees an
-event while its own actions are half done.
+queued: each event is handled and all its actions are carried out before the next event, so that a router
+never sees an event while its own actions are only partly carried out.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 
 
 class EventDispatcher:
-    """The one way in for events of a node. Bound: the queue holds what one event causes."""
+    """The only entry point for events of a node. The queue is bounded by what one event causes."""
 
     def __init__(self, core: CoreState, on_router_failure: Callable[[int], None]) -> None:
         """Start with an empty queue.
 
         Args:
             core: the core whose events these are.
-            on_router_failure: called with the id of a request (0: none) on which its router has raised.
+            on_router_failure: called when a router raises, with the id of the request concerned (0: none).
         """
         self.action_handlers: dict[type, Callable[[Any], None]] = {}
-        """What carries out each type of action."""
+        """The handler of each type of action."""
         self.is_running = False
-        """An event is being handled."""
+        """Whether an event is being handled."""
         self.active_router = core.router
         """The router whose actions are being carried out."""
         self._core = core
@@ -45,8 +45,8 @@
     def dispatch(self, event: io.Event, router: Router | None = None) -> None:
         """Handle an event, now or after the one that is being handled.
 
-        An event of a request goes to the router of that request. Any other goes to the named router, by
-        default to the one that keeps the subscription.
+        An event of a request goes to the router of that request. Any other goes to `router`, by default to
+        the one that keeps the subscription to the endpoint list.
         """
         self.defer(event, router)
         if self.is_running:
@@ -67,8 +67,8 @@
         self._core.decisions += 1
         record = self._core.table.open.get(request_id)
         self.active_router = record.router if record else router or self._core.router
-        actions = self._ask_router(event, request_id)
-        record = self._core.table.open.get(request_id)  # The failure of a router may have removed it.
+        actions = self._actions_of_router(event, request_id)
+        record = self._core.table.open.get(request_id)  # Removed if its router failed.
         if record and isinstance(event, io.AttemptEnded):
             record.pending_events -= 1
         for action in actions:
@@ -76,10 +76,10 @@
         if record:
             self._core.settle(record)
 
-    def _ask_router(self, event: io.Event, request_id: int) -> list[io.Action]:
-        """Return the actions that follow an event; none where the router raises.
+    def _actions_of_router(self, event: io.Event, request_id: int) -> list[io.Action]:
+        """Return the actions that follow an event; none if the router raises.
 
-        A router that raises is a fault of this program. Only the request concerned fails: the node goes on
+        A router that raises is a bug in this program. Only the request concerned fails: the node continues
         with all the others.
         """
         try:
--- a/tuliptrack/node/final_answers.py
+++ b/tuliptrack/node/final_answers.py
@@ -1,8 +1,8 @@
-"""Gives requests their final answers: rejected, failed, broken off, or migrated.
+"""Gives requests their final answers: rejection, failure, a broken stream or its migration.
 
-A request is rejected only where a retry by the client is harmless; everything else fails. One rule decides
-it (`routing/idempotency.py`): the router asks it for its own `Reject`, and this module at shutdown.
-`RequestRecord.conclude` sees to it that each request gets one final answer.
+A request is rejected only if a retry by the client is harmless; otherwise it fails. A single rule decides
+this (`routing/idempotency.py`): the router applies it before its own `Reject`, and this module at shutdown.
+`RequestRecord.conclude` ensures that each request gets only one final answer.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 
 
 class FinalAnswers:
-    """The final answers of one node. It carries out `Reject`, `Fail` and `MigrateStream`."""
+    """Gives the final answers of one node, and carries out `Reject`, `Fail` and `MigrateStream`."""
 
     def __init__(self, core: CoreState) -> None:
         self._core = core
 
     def reject(self, record: RequestRecord, reason: str, retry_after_us: int) -> None:
-        """Answer that a retry is harmless, unless the request has its final answer."""
+        """Reject the request, which means that a retry is harmless, unless it has its final answer."""
         if record.conclude(RequestState.REJECTED, reason):
             record.response.rejected(reason, retry_after_us)
 
     def fail(self, record: RequestRecord, failure: Failure, reason: str) -> None:
-        """Answer that the request failed, unless it has its final answer."""
+        """Fail the request, unless it has its final answer."""
         if record.conclude(RequestState.FAILED, reason):
             record.response.failed(failure, reason, record.next_index)
 
     def break_stream(self, record: RequestRecord, failure: Failure, reason: str, status: io.Status) -> None:
-        """End a stream that has begun, from this side; its attempt ends with `status`."""
+        """Fail a request whose stream has begun, and cancel its attempt with `status`."""
         attempt = record.attempt
         self.fail(record, failure, reason)
         if attempt and attempt.call:
@@ -45,7 +45,7 @@
         """Carry out a `Reject` of a router."""
         if record := self._core.table.open.get(action.request_id):
             reason = "no attempt was possible in time" if record.attempt_count else "overload"
-            self.reject(record, reason, self._core.advised_retry_after(action.retry_after_us))
+            self.reject(record, reason, self._core.cap_retry_after(action.retry_after_us))
 
     def handle_fail(self, action: io.Fail) -> None:
         """Carry out a `Fail` of a router."""
@@ -62,50 +62,50 @@
             self.break_stream(record, Failure.MIGRATED, reason, io.Status.CANCELLED)
 
     def fail_after_internal_error(self, request_id: int) -> None:
-        """Fail a request on which its router has raised: nothing more is known of it."""
+        """Fail a request after an error such as an exception of its router: its state is unknown."""
         record = self._core.table.open.get(request_id)
         if record is None or not record.conclude(RequestState.FAILED, "internal"):
             return
         record.response.failed(Failure.LOST, "internal", record.next_index)
         self._core.leases.release(record)
-        # The router forgets the request, if it still can.
+        # Makes the router drop the request, if it still can.
         self._core.dispatch(io.ClientDisconnected(request_id), record.router)
         if record.attempt and record.attempt.call:
             record.attempt.call.cancel(io.Status.CANCELLED)
         self._core.settle(record)
 
     def conclude_at_shutdown(self, record: RequestRecord) -> None:
-        """Give an open request its final answer, as the node ends.
+        """Give an open request its final answer when the node shuts down.
 
-        It is rejected only where a repeat by its client is harmless.
+        It is rejected only if a retry by its client is harmless.
         """
         reason = "this node has shut down"
         if record.state is RequestState.STREAMING:
             self.break_stream(record, Failure.BROKEN, reason, io.Status.CANCELLED)
             return
-        is_repeat_harmless = may_reject(
+        is_retry_harmless = may_reject(
             self._core.class_of(record),
             self._executed_at_us(record),
             self._core.now(),
             self._core.settings.max_retry_after_us,
         )
-        if is_repeat_harmless:
+        if is_retry_harmless:
             self.reject(record, reason, 0)
         else:
             self.fail(record, Failure.LOST, reason)
-        # The router owes the request nothing more; it cancels the attempt in flight.
+        # The router has nothing more to do for the request; on this event it cancels the attempt in flight.
         self._core.dispatch(io.ClientDisconnected(record.id))
         self._core.settle(record)
 
     def _executed_at_us(self, record: RequestRecord) -> int | None:
-        """When the first attempt was sent that may have had an effect; None: none may have."""
+        """Return when the first attempt that may have had an effect was sent; None if there is none."""
         if record.executed_at_us:
             return record.executed_at_us
         attempt = record.attempt
         return attempt.sent_at_us if attempt and self._may_have_executed(attempt) else None
 
     def _may_have_executed(self, attempt: Attempt) -> bool:
-        """Whether an attempt that is cancelled now may have had an effect, or may still have one."""
+        """Return whether an attempt that is cancelled now may have had an effect, or may still have one."""
         if attempt.is_prefill and self._core.engines.prefills_have_no_effect:
             return False
         return attempt.call is None or may_have_executed(attempt.call.delivery())
--- a/tuliptrack/node/grpc_engine_client.py
+++ b/tuliptrack/node/grpc_engine_client.py
@@ -1,8 +1,8 @@
 """Carries out the core's attempts at engines that speak `tuliptrack.v1.Engine` over gRPC.
 
-A prefill is a call of its own (`Read`), a decode another (`Write`), which fetches the KV state from the
-engine that has it. Times are microseconds. The methods are those of `EngineClient` and `AttemptCall` in
-`node/port.py`, which says when each is called.
+A prefill is one call (`Read`) and a decode another (`Write`), which fetches the KV state from the engine that
+has it. Times are in microseconds. The methods are those of `EngineClient` (`node/port.py`) and `AttemptCall`
+(`node/attempt_call.py`), which document when each is called.
 """
 
 from __future__ import annotations
@@ -31,11 +31,12 @@
 
 ENGINE_SERVICE_PATH = "/tuliptrack.v1.Engine/"
 SHORT_CALL_TIMEOUT_US = 1_000_000
-"""Of Release, Hold and Probe, which engines answer without queueing."""
+"""Timeout of Release, Hold and Probe calls, which engines answer without queueing."""
 RELEASE_TIMEOUTS_US = (250_000, SHORT_CALL_TIMEOUT_US)
-"""Of each attempt at a release: by the second one a silent connection is doubtful and another one is used."""
+"""Timeouts of the attempts to send a release: when the second one is sent, a silent connection counts as
+doubtful, so another one is used."""
 RELEASE_TRANSIT_US = 60_000
-"""How long a release takes at most to its engine, on a busy machine too."""
+"""Maximum time that a release takes to reach its engine, even on a busy machine."""
 
 _FINISH_REASONS = {generation_pb2.STOP: FinishReason.STOP, generation_pb2.LENGTH: FinishReason.LENGTH}
 _END_BY_STATUS = {io.Status.TIMEOUT: How.TIMEOUT, io.Status.RESET: How.RESET}
@@ -54,16 +55,16 @@
         self.call.cancel(_END_BY_STATUS.get(status, How.CANCELLED))
 
     def delivery(self) -> Delivery:
-        """Return how far the request has come, as far as the connection knows."""
+        """Return what the connection knows about the delivery of the request."""
         if self.call.link is None:
             return Delivery.NOT_SENT
         return Delivery.CONFIRMED if self.call.arrived else Delivery.POSSIBLE
 
     def confirm_arrival(self) -> None:
-        """Do nothing: the connection itself looks for proofs of arrival (`rpc/arrival.py`)."""
+        """Do nothing: the connection itself checks for proof of arrival (`rpc/arrival.py`)."""
 
     def mark_doubtful(self) -> None:
-        """Do nothing: the connection itself finds out that it is silent (`rpc/arrival.py`)."""
+        """Do nothing: the connection itself detects that it is silent (`rpc/arrival.py`)."""
 
     def pause(self) -> None:
         """Stop reading the engine's stream."""
@@ -75,7 +76,7 @@
 
 
 class GrpcEngineClient:
-    """The engine client of the node that speaks gRPC."""
+    """The engine client of the gRPC node."""
 
     prefills_have_no_effect = True
     releases_are_global = False
@@ -107,7 +108,7 @@
         on_message: Callable[[RequestRecord, Attempt, bytes], None],
     ) -> GrpcCall:
         channel = self.channels.channel(attempt.endpoint_id)
-        assert channel  # The core has asked `has_address`.
+        assert channel  # The core has checked `has_address`.
         connect_within = attempt.connect_by_us - self.core.now() if attempt.connect_by_us else None
         return GrpcCall(
             channel.call(
@@ -145,7 +146,7 @@
         self.core.prefill_finished(record, attempt, location, response.kept_tokens)
 
     def _handle_engine_fault(self, record: RequestRecord, attempt: Attempt, reason: str) -> None:
-        """End an attempt whose engine breaks the protocol, as if its stream had been reset."""
+        """End an attempt whose engine violates the protocol, as if its stream had been reset."""
         log.warning("engine fault", request=record.id, endpoint=attempt.endpoint_id, reason=reason)
         if attempt.call:
             attempt.call.cancel(io.Status.RESET)
@@ -179,11 +180,11 @@
         self.core.output_forwarded(record, attempt, may_send_more)
 
     def release(self, endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
-        """Release what an engine reserves for a request; once more where there was no answer."""
+        """Release what an engine reserves for a request; retry once if there was no answer."""
         self._release(endpoint_id, record, RELEASE_TIMEOUTS_US)
 
     def _release(self, endpoint_id: int, record: RequestRecord, timeouts_us: tuple[int, ...]) -> None:
-        """Send a release with the first of these time-outs; the others are for the attempts that follow."""
+        """Send a release with the first of these timeouts; the others are for the retries."""
         channel = self.channels.channel(endpoint_id)
         if channel is None:
             return
@@ -202,13 +203,13 @@
         )
 
     def release_later(self, endpoint_id: int, record: RequestRecord) -> None:
-        """Do nothing: what the engine may come to reserve ends by its own lease."""
+        """Do nothing: anything that the engine may still reserve expires by the engine's own lease."""
 
     def cancel_release(self, record: RequestRecord) -> None:
-        """Do nothing: a release in flight names the request, not a state, and is left to its end."""
+        """Do nothing: a release in flight names the request, not a state, and is allowed to complete."""
 
     def reserve(self, endpoint_id: int, record: RequestRecord, attempt: Attempt) -> None:
-        """Ask an engine to reserve a place; its answer goes to `Core.reservation_answered`."""
+        """Ask an engine to reserve capacity; its answer goes to `Core.reservation_answered`."""
         channel = self.channels.channel(endpoint_id)
         if channel is None:
             return
@@ -255,7 +256,7 @@
 
 
 def _is_reserved(data: bytes) -> bool:
-    """Return whether an engine has reserved a place; an answer that cannot be read says no."""
+    """Return whether an engine has reserved capacity; an answer that can't be parsed counts as no."""
     try:
         return engine_pb2.HoldResponse.FromString(data).held
     except DecodeError:
@@ -263,12 +264,12 @@
 
 
 def _is_next_token(record: RequestRecord, message: generation_pb2.GenerateResponse) -> bool:
-    """Return whether this is the next token: none reaches a client twice, out of order or after the last."""
+    """Return whether this token comes next: none may reach a client twice, out of order or after the last."""
     return message.index == record.next_index and not record.finish_reason
 
 
 def _work(record: RequestRecord, attempt: Attempt) -> engine_pb2.Work:
-    """Return what engines are told of a request, the same for each of its calls."""
+    """Return the description of a request that all its calls to engines have in common."""
     request = record.client_request
     work = engine_pb2.Work(
         request_id=record.name,
--- a/tuliptrack/node/grpc_outcome.py
+++ b/tuliptrack/node/grpc_outcome.py
@@ -1,4 +1,4 @@
-"""Translates the end of a gRPC call to an engine into the terms of the router: its status and load report."""
+"""Translates the end of a gRPC call to an engine into the router's status and load report."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 LOAD_REPORT_TRAILER = "endpoint-load-metrics-bin"
 MAX_REPORTED_VALUE = 1e9
-"""Values from here on are not believed."""
+"""Reports with a value at or above this are ignored as implausible."""
 
 _STATUS_BY_CODE = {
     Code.OK: Status.OK,
@@ -31,7 +31,7 @@
 
 
 def status_of(end: End) -> Status:
-    """Return the status of a call; one that the engine never looked at counts as not connected."""
+    """Return the status of a call; one that the engine did not process counts as a failed connection."""
     if end.how is How.CONNECT or (end.unprocessed and end.how is How.RESET):
         return Status.CONNECT_FAILED
     if end.how is How.STATUS:
@@ -42,7 +42,7 @@
 def load_report_of(end: End, endpoint_id: int) -> tuple[float, ...]:
     """Return the values of `REPORT_FIELDS` from the ORCA report in the trailers.
 
-    Returns nothing where there is no report; a malformed one is logged and ignored.
+    Returns an empty tuple if there is no report; a malformed one is logged and ignored.
     """
     trailers = (value for key, value in end.metadata if key == LOAD_REPORT_TRAILER)
     data = next((value for value in trailers if isinstance(value, bytes)), None)
--- a/tuliptrack/node/line_file.py
+++ b/tuliptrack/node/line_file.py
@@ -1,7 +1,7 @@
-"""A file of complete lines that grows at its end and is on disk when an append returns.
+"""Appends complete lines to a file; they are synced to disk when `append` returns.
 
-An append that fails leaves the file as it was, so that it can be retried. Where a process was killed during
-an append, the incomplete line that it left is cut off by the next append.
+An append that fails leaves the file as it was, so that it can be retried. If a process is killed during an
+append, the next append truncates the incomplete line that it left.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 __all__ = ["append"]
 
 BLOCK_BYTES = 65_536
-"""How much is read at a time to find the end of the last complete line."""
+"""Bytes read at a time when searching for the end of the last complete line."""
 
 FILE_MODE = 0o644
 
@@ -22,7 +22,7 @@
     """Append complete lines and sync them to disk.
 
     Raises:
-        OSError: the file is without them.
+        OSError: the lines were not appended.
     """
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT, FILE_MODE)
     try:
@@ -32,20 +32,20 @@
 
 
 def _append_at(descriptor: int, data: bytes, offset: int) -> None:
-    """Replace all from an offset by `data`; undo it where that fails."""
+    """Replace everything from an offset on by `data`, and undo this on failure."""
     try:
         os.ftruncate(descriptor, offset)
         _write_all(descriptor, data, offset)
         os.fsync(descriptor)
     except OSError:
-        # Where this fails too, the next append cuts off what is no complete line.
+        # If this fails too, the next append truncates the incomplete line.
         with contextlib.suppress(OSError):
             os.ftruncate(descriptor, offset)
         raise
 
 
 def _write_all(descriptor: int, data: bytes, offset: int) -> None:
-    """Write all of `data`; one system call may write only a part."""
+    """Write all of `data`; one system call may write only part of it."""
     written = 0
     while written < len(data):
         written += os.pwrite(descriptor, data[written:], offset + written)
--- a/tuliptrack/node/log_output.py
+++ b/tuliptrack/node/log_output.py
@@ -1,7 +1,7 @@
-"""Where log lines go: a descriptor that may fail, or block, without harm to the process that logs.
+"""Writes log lines to a descriptor that may fail or block, without affecting the process that logs.
 
-A full disk, and a reader that has gone or reads no more, must cost no request. A line that can't be written
-at once is dropped and counted; the next line that is written comes after the count.
+A full disk, or a reader that has exited or stopped reading, must not affect any request. A line that can't be
+written at once is dropped and counted; the count is written ahead of the next line that can be.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 __all__ = ["LogOutput"]
 
 ATOMIC_WRITE_BYTES = select.PIPE_BUF
-"""How much a pipe that polls as writable takes without blocking."""
+"""Bytes that a pipe that polls as writable accepts without blocking."""
 
 CLOSED = -1
 """Stands for a descriptor that is not open."""
@@ -23,18 +23,19 @@
     """Writes text lines to a descriptor. `write` neither raises nor blocks, and nothing is buffered."""
 
     def __init__(self, descriptor: int) -> None:
-        """Prepare for a descriptor.
+        """Prepare for writing to a descriptor.
 
-        One that is not open is never written to, also where its number stands for something else later.
+        A descriptor that is not open now is never written to, even if its number is reused later.
         """
         self.lost = 0
         """Lines that were dropped."""
         self._descriptor = descriptor
         self._poll: select.poll | None = None
-        """Asked before each write, where a write may block."""
+        """Polled before each write if a write may block; else None."""
         self._unreported = 0
-        """Dropped lines that no line of the log reports yet."""
-        self._is_in_mid_line = False
+        """Dropped lines that were not yet reported in the log."""
+        self._has_partial_line = False
+        """Whether the last line written was cut."""
         try:
             mode = os.fstat(descriptor).st_mode
         except OSError:
@@ -46,22 +47,22 @@
 
     def write(self, text: str) -> None:
         """Write complete lines, or drop what can't be written now."""
-        start = "\n" if self._is_in_mid_line else ""
+        start = "\n" if self._has_partial_line else ""
         if self._unreported:
             start += f"{self._unreported} lines of this log were dropped\n"
         data = (start + text).encode(errors="backslashreplace")
         written = self._write_at_once(data)
         if written == len(data):
             self._unreported = 0
-            self._is_in_mid_line = False
+            self._has_partial_line = False
             return
         self.lost += 1
         self._unreported += 1
         if written:
-            self._is_in_mid_line = data[written - 1 : written] != b"\n"
+            self._has_partial_line = data[written - 1 : written] != b"\n"
 
     def flush(self) -> None:
-        """Do nothing, since nothing is buffered; files have this method."""
+        """Do nothing, because nothing is buffered; text streams have this method."""
 
     def _write_at_once(self, data: bytes) -> int:
         """Write what can be written without blocking, and return how many bytes that was."""
@@ -71,7 +72,7 @@
                 part = data[written : written + ATOMIC_WRITE_BYTES] if self._poll else data[written:]
                 written += os.write(self._descriptor, part)
         except OSError:
-            pass  # A disk that is full, or a reader that has gone: what is left of the line is dropped.
+            pass  # The disk is full or the reader has exited: the rest of the line is dropped.
         return written
 
     def _is_writable(self) -> bool:
--- a/tuliptrack/node/logs.py
+++ b/tuliptrack/node/logs.py
@@ -1,4 +1,4 @@
-"""Structured logging on standard error, as JSON lines or as text for people."""
+"""Structured logging on standard error, as JSON lines or as human-readable text."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 STANDARD_ERROR = 2
 
 _outputs: list[LogOutput] = []
-"""The output that `set_up` made last, if it made one."""
+"""The output that `set_up` created last, if any."""
 
 
 def set_up(json_lines: bool, quiet: bool = False, colours: bool | None = None) -> None:
     """Configure structlog for the process.
 
     Args:
-        json_lines: log JSON, one object a line; else text.
+        json_lines: log JSON, one object per line; otherwise text.
         quiet: log warnings and errors only.
-        colours: of text; None: on a terminal.
+        colours: whether text has colours; None: only on a terminal.
     """
     processors: list[structlog.typing.Processor] = [
         structlog.processors.add_log_level,
@@ -53,7 +53,7 @@
 
 
 def _output() -> TextIO:
-    """Standard error by its descriptor, or what has replaced it in this process."""
+    """Return a writer on the descriptor of standard error, or the stream that has replaced it."""
     if sys.stderr is not None and sys.stderr is not sys.__stderr__:
         return sys.stderr
     output = LogOutput(STANDARD_ERROR if sys.stderr else CLOSED)
--- a/tuliptrack/node/model_routers.py
+++ b/tuliptrack/node/model_routers.py
@@ -1,6 +1,6 @@
-"""One router for each model and version, as the endpoint list labels its endpoints.
+"""One router for each model and version with which the endpoint list labels its endpoints.
 
-Endpoints without a label belong to the default router, which also has the subscription to the endpoint list
+Endpoints without a label belong to the default router, which also keeps the subscription to the endpoint list
 and the state that the routers share.
 """
 
@@ -27,13 +27,13 @@
     """The routers of one node."""
 
     def __init__(self, settings: Settings, seed: int, default: Router, dispatch: Dispatch) -> None:
-        """Begin with the default router alone.
+        """Start with only the default router.
 
         Args:
-            settings: Those of every router.
-            seed: That of the default router; each further one gets the next number.
+            settings: The settings of every router.
+            seed: The seed of the default router; each further router gets the next number.
             default: The router of endpoints without a label.
-            dispatch: Hands an event to a router, by way of the core.
+            dispatch: Passes an event to a router through the core.
         """
         self.settings, self.default, self.dispatch = settings, default, dispatch
         self.catalog = ModelCatalog(settings.roles)
@@ -41,10 +41,10 @@
         self._last_seed = seed
 
     def update(self, update: EndpointListUpdate, labels: Mapping[int, Model]) -> None:
-        """Hand an update of the endpoint list to the routers that it concerns.
+        """Pass an update of the endpoint list to the routers that it concerns.
 
         Args:
-            update: The update, of the endpoints of all models.
+            update: The update, for the endpoints of all models.
             labels: The model of each endpoint of the update.
         """
         if update.kind is UpdateKind.FAILED:
@@ -54,8 +54,8 @@
         if update.kind is UpdateKind.CACHED:  # The default router waits for it, even if it has no endpoints.
             updates.setdefault(Model(), EndpointListUpdate(update.kind, update.version))
         listed = set(self.catalog.listed())
-        for model, part in updates.items():
-            self.dispatch(part, self._router_for(model))
+        for model, model_update in updates.items():
+            self.dispatch(model_update, self._router_for(model))
         self._remove_unused(listed)
         if self.catalog.over_limit:
             log.warning("engines of too many models", left_out=len(self.catalog.over_limit), max=MAX_MODELS)
@@ -69,7 +69,7 @@
     def _remove_unused(self, listed: set[Model]) -> None:
         """Remove the routers of models that are no longer listed.
 
-        One with requests in flight is looked at again with the next list.
+        A router with requests in flight is checked again with the next list.
         """
         for model in self.routers.keys() - listed - {Model()}:
             if not self.routers[model].in_flight:
@@ -81,7 +81,7 @@
         Raises:
             InvalidRequestError: The request names a model that isn't known here.
         """
-        # Requests of a session go to one version, so that what is cached of it is found again.
+        # All requests of a session go to one version, so that what is cached for it is found again.
         session = f"{request.tenant}\0{request.session or request.prompt}"
         try:
             model = self.catalog.choose(request.model, request.model_version, session)
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -1,8 +1,8 @@
-"""The node that speaks gRPC: its parts put together, its life cycle, and what it adds to the core.
+"""The gRPC node: assembles its parts, runs its life cycle, and extends the core.
 
-To the core (`node/core.py`) it adds fronts and engines on gRPC, the source of the endpoint list, a router for
-each model, token budgets and bills, the account of what crosses zones, and gossip with its peers. Each of
-these is a module of its own; this one connects them.
+It extends the core (`node/core.py`) with fronts and engines on gRPC, the source of the endpoint list, a
+router for each model, token budgets and bills, the account of cross-zone transfers, and gossip with its
+peers. Each of these is a module of its own; this one connects them.
 """
 
 from __future__ import annotations
@@ -56,23 +56,23 @@
 log = structlog.get_logger("node")
 
 MAX_LOGGED_ENTRIES = 5
-"""Of the entries of one list that are left out."""
+"""How many of the entries left out of one endpoint list are logged with their reason."""
 SWEEP_INTERVAL_S = 0.25
-"""Between looks at silent streams, stalled clients and idle connections."""
+"""Interval between checks for silent streams, stalled clients and idle connections."""
 
 
 class Node(Core):
-    """One node. `start`, then `stop`; between them it serves."""
+    """One node, which serves between `start` and `stop`."""
 
     def __init__(self, config: NodeConfig, source: EndpointListSource | None = None) -> None:
-        """Put a node together; nothing is opened or connected yet.
+        """Assemble a node; nothing is opened or connected yet.
 
         Args:
             config: All settings.
-            source: Where the endpoint list comes from; None: as the settings say.
+            source: The source of the endpoint list; None: as configured.
         """
         self.config = config
-        # The nodes share wall time. The offset is taken once, so that a clock that is set changes nothing.
+        # Nodes share wall time. The offset is taken once, so that setting the clock later has no effect.
         settings = replace(config.settings, epoch_offset_us=wall_us() - now_us())
         seed = config.seed or secrets.randbits(63)
         super().__init__(
@@ -104,8 +104,8 @@
         self.bodies = ByteBudget(limits.body_bytes)
         self.server = Server(_server_limits(limits), limits.connections, self.bodies)
         self.server.outlook = self.overload
-        made = [make(self, self.config, self.bodies) for make in LISTENERS]
-        self.listeners = [listener for listener in made if listener]
+        listeners = [create(self, self.config, self.bodies) for create in LISTENERS]
+        self.listeners = [listener for listener in listeners if listener]
         self.health: health.HealthService
 
     def _add_accounts(self) -> None:
@@ -125,10 +125,10 @@
             return FileSource(options.file, options.poll)
         return FeedSource(options.feed, str(self.settings.replica_index), self.config.engines.connect_timeout)
 
-    # -- Life cycle
+    # Life cycle.
 
     async def start(self) -> str:
-        """Start to serve; returns host:port of the gRPC server.
+        """Start serving; return host:port of the gRPC server.
 
         Raises:
             LedgerError: The ledger can't be opened.
@@ -160,10 +160,10 @@
             return fleet_pb2.ServerList()
 
     async def stop(self, grace: float | None = None) -> None:
-        """Drain, then end what is still open, and write what is left to write.
+        """Drain, then end the requests that are still open, and write pending data.
 
         Args:
-            grace: Seconds that open requests have; None: as the settings say.
+            grace: Seconds that open requests have to finish; None: as configured.
         """
         self.health.set(False)
         grace_s = self.config.shutdown_grace / 1e6 if grace is None else grace
@@ -173,7 +173,7 @@
         await asyncio.gather(self.server.stop(grace_s), *listeners)
         await self.source.close()
         self.close()
-        await asyncio.sleep(0)  # Releases of reserved KV states go out with this turn of the loop.
+        await asyncio.sleep(0)  # Lets the event loop send the releases of reserved KV states.
         await self.channels.close()
         await self.gossip.close()
         if self._sweeper:
@@ -186,7 +186,7 @@
         log.info("stopped", **{state.value: count for state, count in self.table.end_counts.items()})
 
     async def _sweep(self) -> None:
-        """Look at times that need no timer of their own, until cancelled."""
+        """Run the periodic checks that need no timer of their own, until cancelled."""
         await run_periodically("sweep", SWEEP_INTERVAL_S, self._sweep_once, self.record_fault)
 
     async def _sweep_once(self) -> None:
@@ -202,16 +202,16 @@
         """Return whether requests are accepted: the node has started and is not draining."""
         return bool(self.server.address) and not self.server.stopping
 
-    # -- Endpoint list and gossip
+    # Endpoint list and gossip.
 
     def handle_list(self, message: fleet_pb2.ServerList, kind: io.UpdateKind | None = None) -> None:
         """Apply a list or a change of it; an invalid one is logged and ignored.
 
         Args:
             message: The list, as its source sent it.
-            kind: What it is, where the message itself doesn't say.
+            kind: The kind of update, if the message itself doesn't give it.
         """
-        before = set(self.endpoint_list.entries)
+        previous_ids = set(self.endpoint_list.entries)
         try:
             listing: ListedUpdate = self.endpoint_list.apply(message, self.now(), kind)
         except InvalidListError as error:
@@ -220,10 +220,10 @@
         if listing.left_out:
             reasons = listing.left_out[:MAX_LOGGED_ENTRIES]
             log.warning("endpoint list entries left out", count=len(listing.left_out), reasons=reasons)
-        # First the routers stop sending to an endpoint, then its channel may be retired.
+        # The routers must stop sending to an endpoint before its channel is retired.
         labels = {entry.id: Model(entry.model, entry.model_version) for entry in listing.entries}
         self.model_routers.update(listing.update, labels)
-        self.channels.update(listing.addresses, before - set(self.endpoint_list.entries))
+        self.channels.update(listing.addresses, previous_ids - set(self.endpoint_list.entries))
         if listing.update.kind in (io.UpdateKind.FULL, io.UpdateKind.DELTA):
             self._handle_applied(listing.update)
 
@@ -243,7 +243,7 @@
         for router in self.model_routers.routers.values():
             self.dispatch(event, router)
 
-    # -- What the core asks of a node
+    # Hooks that the core calls.
 
     def choose(self, client_request: ClientRequest) -> RouterChoice:
         """Return the model and router of a request, and why it is rejected if it is.
@@ -260,14 +260,14 @@
         verdict = self.billing.check_budget(now_us, record, class_index)
         if verdict.is_over and record.client_request.request_class in self.config.billing.refuse_over:
             reason = f"the tenant's token budget of {verdict.window_us / 1e6:g} s is used up"
-            # Unlike other waits it is not limited: a retry before the window's end would be rejected too.
+            # Unlike other retry delays this one is not capped: an earlier retry would be rejected too.
             return AdmissionDecision(reason, verdict.retry_after_us or 0, is_over_budget=True)
         record.is_billed = True
         self.billing.request_admitted(now_us, record, class_index, verdict)
         return AdmissionDecision(is_over_budget=verdict.is_over)
 
     def stream_began(self, record: RequestRecord) -> None:
-        """Begin to bill a stream."""
+        """Start billing a stream."""
         self.billing.stream_started(record)
 
     def request_removed(self, record: RequestRecord) -> None:
@@ -277,7 +277,7 @@
             self.billing.request_ended(self.now(), record)
 
     def attempt_sent(self, record: RequestRecord, attempt: Attempt, action: io.SendAttempt) -> None:
-        """Begin to count what an attempt transfers between zones."""
+        """Start counting the bytes that an attempt transfers between zones."""
         self.transfers.attempt_sent(record, attempt, action)
 
     def cross_zone_bytes(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> float:
--- a/tuliptrack/node/peer_gossip.py
+++ b/tuliptrack/node/peer_gossip.py
@@ -1,6 +1,6 @@
-"""Gossip between the nodes of the fleet: the routers' bytes, carried over gRPC as they are.
+"""Gossip between the nodes of the fleet: opaque messages of the routers, carried over gRPC.
 
-A message is sent once and its answer is not waited for: the routers repeat what they have to say.
+A message is sent once without waiting for its answer, because the routers repeat their messages.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
     """Sends and receives the gossip of one node."""
 
     def __init__(self, addresses: Sequence[str], replica_index: int, options: Options) -> None:
-        """Prepare; nothing is connected yet.
+        """Create the channels; nothing is connected yet.
 
         Args:
-            addresses: host:port of every node by replica index, this one's too; empty: no gossip.
-            replica_index: This node's place among them.
-            options: Time-outs and bounds of the connections.
+            addresses: host:port of every node by replica index, including this one; empty: no gossip.
+            replica_index: The replica index of this node.
+            options: Timeouts and limits of the connections.
         """
         self.replica_index = replica_index
         self.channels = [Channel(address, options) for address in addresses]
 
     def send(self, action: SendGossip) -> None:
-        """Send gossip to the peer that it is for, or to all."""
+        """Send gossip to the peer that it is addressed to, or to all peers."""
         message = fleet_pb2.PeerBytes(sender=self.replica_index, data=action.data).SerializeToString()
         for index, channel in enumerate(self.channels):
             if index != self.replica_index and action.peer in (None, index):
                 channel.call(f"/{PEERS_SERVICE}/Tell", message=message, timeout=GOSSIP_TIMEOUT_US)
 
     def install(self, server: Server, receive: Callable[[GossipReceived], None]) -> None:
-        """Serve the peers' messages: each is answered, then given to `receive`."""
+        """Serve the peers' messages: each is acknowledged, then passed to `receive`."""
 
         def handle(call: ServerCall, message: fleet_pb2.PeerBytes) -> None:
             call.send(b"")
--- a/tuliptrack/node/request_log.py
+++ b/tuliptrack/node/request_log.py
@@ -1,4 +1,4 @@
-"""The line that a node logs for each request when it leaves the table."""
+"""The line that a node logs for each request when the request is removed from the table."""
 
 from __future__ import annotations
 
--- a/tuliptrack/node/request_reader.py
+++ b/tuliptrack/node/request_reader.py
@@ -1,6 +1,7 @@
-"""Turns what a client asks into a request of the router, and names the field of what can't be one.
+"""Converts client requests into router requests, and reports which field makes a request invalid.
 
-What the client left open is filled in: the tokens of its prompt, the maximum of its answer, its deadline.
+Values that the client left open are filled in: the token count of its prompt, the maximum length of its
+answer, its deadline.
 """
 
 from __future__ import annotations
@@ -23,51 +24,53 @@
 """The token counts of a `ClientRequest`, and the names by which clients know them."""
 
 DEADLINE_OBJECTIVE_FACTOR = 2
-"""A client is taken to wait for a long prompt by so many times what its latency objective grows with it."""
+"""How many times the growth of its latency objective with the prompt length a client is assumed to wait."""
 MAX_QUOTED_CHARACTERS = 60
-"""How much of a client's own text an error quotes."""
+"""Maximum number of characters of the client's own text that an error quotes."""
 
 
 def key(text: str) -> int:
-    """Return a 64-bit key that is the same at every node; 0 for no text."""
+    """Return a 64-bit key that is the same at every node; 0 for an empty text."""
     return (xxhash.xxh3_64_intdigest(text.encode()) or 1) if text else 0
 
 
 @dataclass(frozen=True, slots=True)
 class CoreLimits:
-    """Bounds and times of a node, for all protocols."""
+    """Size and time limits of a node, for all protocols."""
 
     max_tokens: int = 1_048_576
-    """Of one prompt or answer."""
+    """Maximum number of tokens of one prompt or answer."""
     bytes_per_token: float = 4.0
-    """To estimate the tokens of a prompt where they are not given."""
+    """For estimating the tokens of a prompt if the client does not give them."""
     answer_lead_us: int = 50_000
-    """How long before the deadline of its client the last answer leaves."""
+    """How long before the client's deadline an answer is sent at the latest."""
     max_client_stall_us: int = 30_000_000
     """How long a client may leave its answer unread."""
     max_token_silence_us: int = 15_000_000
-    """How long a stream that has begun may bring nothing."""
+    """How long a stream that has begun may produce no output."""
 
 
 class RequestReader:
-    """Turns requests of clients into those of the router."""
+    """Converts client requests into router requests."""
 
     def __init__(self, settings: io.Settings, limits: CoreLimits) -> None:
         """Index the classes and tenants of the settings by name."""
         self._settings = settings
         self._limits = limits
-        self._class_indices = {one.name: index for index, one in enumerate(settings.classes)}
-        self._tenant_indices = {one.name: index for index, one in enumerate(settings.tenants)}
+        self._class_indices = {
+            request_class.name: index for index, request_class in enumerate(settings.classes)
+        }
+        self._tenant_indices = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
 
     def class_of(self, client_request: ClientRequest) -> io.RequestClass:
         """Return the class of a request that was read."""
         return self._settings.classes[self._class_indices[client_request.request_class]]
 
     def read(self, client_request: ClientRequest, now_us: int) -> io.Request:
-        """Return the request of the router, still with the id 0; fill in `client_request`.
+        """Return the router request, with the id still 0, and fill in `client_request`.
 
         Raises:
-            InvalidRequestError: a field can't be accepted.
+            InvalidRequestError: a field is invalid.
         """
         class_index = self._class_index(client_request)
         tenant_index = self._tenant_index(client_request)
@@ -93,7 +96,7 @@
         )
 
     def answer_by_us(self, client_request: ClientRequest) -> int | None:
-        """Return by when an answer has to leave for the client's own deadline; None: it has none."""
+        """Return by when an answer has to be sent to meet the client's own deadline; None if it has none."""
         deadline_us = client_request.first_token_deadline_us
         if deadline_us is None:
             deadline_us = client_request.deadline_us
@@ -141,7 +144,7 @@
             raise InvalidRequestError("resume.next_index", f"{resume_index} is past max_tokens {max_tokens}")
 
     def _time_left_us(self, client_request: ClientRequest, now_us: int) -> int:
-        """The time for a first token, by the client's deadline, else by class and length of prompt."""
+        """Return the time left for a first token: by the client's deadline, else by class and prompt."""
         answer_by_us = self.answer_by_us(client_request)
         if answer_by_us is not None:
             return max(answer_by_us - now_us, 1)
--- a/tuliptrack/node/request_state.py
+++ b/tuliptrack/node/request_state.py
@@ -1,4 +1,4 @@
-"""The states of a request and the one table of transitions between them.
+"""The states of a request and the table of the transitions between them.
 
     ACCEPTED ──▶ PREFILLING ──▶ PREFILLED ──▶ DECODING ──▶ STREAMING ──▶ SERVED
        │            │   ▲          │            │   ▲          │
@@ -6,8 +6,8 @@
        │          between attempts (ACCEPTED or PREFILLED)     │
        └────────────┴──────────────┴────────────┴──────────────┴──▶ REJECTED, FAILED, DISCONNECTED
 
-The last four states are final. A stream that has begun can no longer be rejected, since its tokens are with
-the client. The values appear in logs (`end=`) and in the names of counters (`requests_served`).
+The last four states are final. A stream that has begun can no longer be rejected, because the client already
+has tokens of it. The values appear in logs (`end=`) and in the names of counters (`requests_served`).
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class RequestState(Enum):
-    """Where a request is between its arrival and its final answer."""
+    """The state of a request, from its arrival to its final answer."""
 
     ACCEPTED = "accepted"
     """No attempt is in flight and no KV state is reserved."""
@@ -29,7 +29,7 @@
     DECODING = "decoding"
     """An attempt at an endpoint that decodes is in flight and has not answered."""
     STREAMING = "streaming"
-    """The first token has come."""
+    """The first token has arrived."""
     SERVED = "served"
     """Final: the client has the complete answer."""
     REJECTED = "rejected"
@@ -37,23 +37,23 @@
     FAILED = "failed"
     """Final: an attempt may have had an effect, or the stream broke."""
     DISCONNECTED = "disconnected"
-    """Final: the client has left, or its connection has."""
+    """Final: the client has disconnected."""
 
 
 class IllegalTransitionError(RuntimeError):
-    """A request was to enter a state that may not follow its present one: a fault of this program."""
+    """A request was about to enter a state that may not follow its current one: a bug in this program."""
 
 
-_CUT_SHORT = frozenset({RequestState.REJECTED, RequestState.FAILED, RequestState.DISCONNECTED})
+_NOT_SERVED = frozenset({RequestState.REJECTED, RequestState.FAILED, RequestState.DISCONNECTED})
 
-FINAL_STATES = _CUT_SHORT | {RequestState.SERVED}
+FINAL_STATES = _NOT_SERVED | {RequestState.SERVED}
 
 TRANSITIONS: dict[RequestState, frozenset[RequestState]] = {
-    RequestState.ACCEPTED: frozenset({RequestState.PREFILLING, RequestState.DECODING}) | _CUT_SHORT,
-    RequestState.PREFILLING: frozenset({RequestState.ACCEPTED, RequestState.PREFILLED}) | _CUT_SHORT,
-    RequestState.PREFILLED: frozenset({RequestState.PREFILLING, RequestState.DECODING}) | _CUT_SHORT,
+    RequestState.ACCEPTED: frozenset({RequestState.PREFILLING, RequestState.DECODING}) | _NOT_SERVED,
+    RequestState.PREFILLING: frozenset({RequestState.ACCEPTED, RequestState.PREFILLED}) | _NOT_SERVED,
+    RequestState.PREFILLED: frozenset({RequestState.PREFILLING, RequestState.DECODING}) | _NOT_SERVED,
     RequestState.DECODING: (
-        frozenset({RequestState.ACCEPTED, RequestState.PREFILLED, RequestState.STREAMING}) | _CUT_SHORT
+        frozenset({RequestState.ACCEPTED, RequestState.PREFILLED, RequestState.STREAMING}) | _NOT_SERVED
     ),
     RequestState.STREAMING: FINAL_STATES - {RequestState.REJECTED},
     RequestState.SERVED: frozenset(),
--- a/tuliptrack/node/requests.py
+++ b/tuliptrack/node/requests.py
@@ -1,10 +1,10 @@
-"""The node's table of requests: what is known of each from its arrival until nothing of it is left.
+"""The node's table of requests: a record of each, from its arrival until its last attempt has been handled.
 
-The states of a request and their transitions are in `request_state.py`. `RequestRecord.conclude` is the one
+The states of a request and their transitions are in `request_state.py`. `RequestRecord.conclude` is the only
 place where a request gets its final state: it does so once, and returns whether it did. An attempt may still
-be out then; the record stays until the router has handled the end of that attempt.
+be in flight then; the record stays until the router has handled the end of that attempt.
 
-All times are monotonic microseconds; 0 stands for "never" where a field says so.
+All times are in microseconds on the monotonic clock; 0 means "never" where a field says so.
 """
 
 from __future__ import annotations
@@ -34,21 +34,21 @@
     sent_at_us: int
     call: AttemptCall | None = None
     is_prefill: bool = False
-    """It was sent to a prefill endpoint."""
+    """Whether it was sent to a prefill endpoint."""
     ends_at_deadline: bool = False
-    """Its time-out is the deadline of the client, not one that the router chose."""
+    """Whether its timeout is the client's deadline, not one that the router chose."""
     timer: asyncio.TimerHandle | None = None
     cross_zone_cause: CrossZoneCause | None = None
-    """Why it may cross zones; None where it does not."""
+    """Why it may cross zones; None if it does not."""
     transfers: list[Transfer] = field(default_factory=list)
-    """What it transfers between zones."""
+    """Its transfers between zones."""
     state_endpoint_id: int = 0
     """The endpoint whose KV state it fetches; 0: none."""
     state_bytes: int = 0
-    """How much of that state has come."""
+    """How many bytes of that state were transferred."""
     connect_by_us: int = 0
-    """By when it needs its connection: later the lease of its KV state, or the deduplication window, is over;
-    0: at any time."""
+    """The time by which it needs its connection, because then the lease of its KV state or the deduplication
+    window ends; 0 if there is no limit."""
 
 
 @dataclass(slots=True)
@@ -57,9 +57,9 @@
 
     endpoint_id: int
     state_id: str
-    """How the engine identifies the state."""
+    """The engine's identifier of the state."""
     address: str
-    """Where a decode endpoint fetches it."""
+    """The address from which a decode endpoint fetches it."""
 
 
 @dataclass(slots=True)
@@ -68,40 +68,40 @@
 
     id: int
     name: str
-    """Its name at engines and in bills: unique over all nodes and all incarnations of this one."""
+    """Its name at engines and in bills: unique across all nodes and all incarnations of this one."""
     client_request: ClientRequest
     response: ResponseWriter
     deadline_us: int
-    """By when a first token, or a final answer, is owed."""
+    """When its first token, or a final answer, is due."""
     accepted_at_us: int
     router: Router
     """The router of its model."""
     model: Model
     has_concurrency_slot: bool = False
-    """It occupies a slot of the concurrency limit."""
+    """Whether it occupies a slot of the concurrency limit."""
     is_billed: bool = False
-    """It is settled with the budgets of its tenant, and billed."""
+    """Whether it has to be settled with the budgets of its tenant, and billed."""
     price: TokenPrice = field(default_factory=TokenPrice)
-    """The price in force when it came."""
+    """The price in force when it arrived."""
     prefills: int = 0
-    """Attempts that have prefilled its prompt."""
+    """Number of attempts that have prefilled its prompt."""
     state: RequestState = RequestState.ACCEPTED
     attempt_count: int = 0
     attempt: Attempt | None = None
     kv_state: KvStateLocation | None = None
     possible_kv_state_endpoint_id: int | None = None
-    """The endpoint at which a prefill broke off: it may have reserved a state all the same."""
+    """The endpoint at which a prefill was interrupted, and which may nevertheless have reserved a state."""
     lease_began_at_us: int = 0
     """Since when the state may have been reserved with no attempt at an engine: the end of its prefill, or of
-    the last attempt that had surely arrived."""
+    the last attempt that is known to have arrived."""
     was_release_sent: bool = False
-    """A release was sent since, in case the attempt in flight never reaches its engine."""
+    """Whether a release was sent since then, in case the attempt in flight never reaches its engine."""
     needs_second_release: bool = False
-    """A decode attempt ended unconfirmed: a release may reach the engine before that end does, so one release
-    is not enough."""
+    """Whether a decode attempt ended unconfirmed: a release may reach the engine before that end does, so one
+    release is not enough."""
     unconfirmed_endpoints: set[int] = field(default_factory=set)
-    """Endpoints at which an attempt of two stages ended unconfirmed: they may still come to reserve
-    something."""
+    """Endpoints at which a prefill, or a decode that fetches a KV state, ended unconfirmed: they may still
+    reserve something later."""
     executed_at_us: int = 0
     """The earliest time at which an attempt may have had an effect; 0: none can have."""
     lease_timer: asyncio.TimerHandle | None = None
@@ -109,18 +109,18 @@
     deadline_timer: asyncio.TimerHandle | None = None
     """The timer of the client's deadline for the whole call."""
     reserved_endpoint_id: int | None = None
-    """The endpoint at which capacity was asked for."""
+    """The endpoint that was asked to reserve capacity."""
     pending_events: int = 0
-    """Ends of attempts that the router has yet to handle: it may still act on them, so the record stays."""
+    """Number of attempt ends that the router has yet to handle: it may act on them, so the record stays."""
     next_index: int = 0
-    """The index of the output token that comes next."""
+    """The index of the next output token."""
     cached_tokens: int = 0
     finish_reason: FinishReason | None = None
     first_token_at_us: int = 0
     last_output_at_us: int = 0
-    """When the last part of the answer came."""
+    """When the last part of the answer arrived."""
     paused_at_us: int = 0
-    """Since when the client reads no more; 0: it reads."""
+    """When the client stopped reading; 0: it reads."""
     reason: str = ""
     """Why it has its final state, for the log."""
     trace: RequestTrace = field(init=False)
@@ -144,7 +144,7 @@
         return self.kv_state is not None or self.possible_kv_state_endpoint_id is not None
 
     def enter(self, state: RequestState) -> None:
-        """Enter a state; `IllegalTransitionError` where it may not follow the present one."""
+        """Enter a state; raise `IllegalTransitionError` if it may not follow the current one."""
         if state not in TRANSITIONS[self.state]:
             raise IllegalTransitionError(
                 f"request {self.id}: {self.state.value} may not be followed by {state.value}"
@@ -152,7 +152,7 @@
         self.state = state
 
     def conclude(self, state: RequestState, reason: str) -> bool:
-        """Enter a final state; return False where the request already has one."""
+        """Enter a final state; return False if the request already has one."""
         if self.is_concluded:
             return False
         self.enter(state)
@@ -161,16 +161,16 @@
 
 
 class RequestTable:
-    """Every request of the node.
+    """All requests of the node.
 
-    Bound: the slots of the concurrency limit; requests beyond them are rejected and removed at once.
+    Bounded by the slots of the concurrency limit; requests beyond them are rejected and removed at once.
     """
 
     def __init__(self, instance: str) -> None:
         """Start empty; `instance` makes the names of requests unique."""
         self.instance = instance
         self.open: dict[int, RequestRecord] = {}
-        """Requests without a final state, or with an attempt that is still out, by id."""
+        """Requests without a final state, or with an attempt still in flight, by id."""
         self.end_counts: dict[RequestState, int] = dict.fromkeys(FINAL_STATES, 0)
         self._next_id = 1
 
@@ -183,7 +183,7 @@
         router: Router,
         model: Model,
     ) -> RequestRecord:
-        """Add a request that has just come."""
+        """Add a request that has just arrived."""
         record = RequestRecord(
             id=self._next_id,
             name=f"{self.instance}-{self._next_id}",
@@ -200,7 +200,7 @@
         return record
 
     def remove_if_finished(self, record: RequestRecord) -> bool:
-        """Remove a request that has its final state and no attempt out; return whether it was removed now."""
+        """Remove a request if it has its final state and no attempt in flight; return whether it did."""
         is_finished = record.is_concluded and record.attempt is None and not record.pending_events
         if not is_finished or record.id not in self.open:
             return False
--- a/tuliptrack/node/timers.py
+++ b/tuliptrack/node/timers.py
@@ -1,4 +1,4 @@
-"""The time of a node: its monotonic clock, and timers that all end when the node does."""
+"""The monotonic clock of a node, and timers that are all cancelled when the node stops."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class NodeClock:
-    """A monotonic clock in microseconds that can be put forward to a moment that a timer stands for."""
+    """A monotonic clock in microseconds that can be advanced to the due time of a timer."""
 
     def __init__(self) -> None:
-        """Start at no time."""
+        """Start at time 0."""
         self._latest_us = 0
 
     def now_us(self) -> int:
@@ -28,9 +28,9 @@
         self._latest_us = max(self._latest_us, now_us())
         return self._latest_us
 
-    def put_forward(self, moment_us: int) -> None:
-        """It is at least this late: the event loop may fire a timer a little early."""
-        self._latest_us = max(self._latest_us, moment_us)
+    def advance_to(self, time_us: int) -> None:
+        """Make the time at least `time_us`, because the event loop may fire a timer a little early."""
+        self._latest_us = max(self._latest_us, time_us)
 
 
 class TimerSet:
@@ -46,7 +46,7 @@
     def call_later(
         self, delay_us: int, callback: Callable[[*Arguments], None], *arguments: *Arguments
     ) -> asyncio.TimerHandle:
-        """Call back after a delay in microseconds, at once where it is negative."""
+        """Call `callback` after a delay in microseconds, at once if the delay is negative."""
 
         def fire() -> None:
             self._handles.discard(handle)
@@ -57,7 +57,7 @@
         return handle
 
     def cancel(self, handle: asyncio.TimerHandle | None) -> None:
-        """Cancel a timer; one that has fired, or None, is left alone."""
+        """Cancel a timer; no effect on one that has fired, or on None."""
         if handle:
             handle.cancel()
             self._handles.discard(handle)
--- a/tuliptrack/node/transfer_accounting.py
+++ b/tuliptrack/node/transfer_accounting.py
@@ -1,8 +1,8 @@
 """Accounts for what each attempt transfers between zones: its prompt, its output and its KV state.
 
 Prompt and output are counted at the node's own connection. The KV state goes from engine to engine: its size
-is what the decode engine reports at the end of its call. Where it reports nothing, the prefill engine is
-asked afterwards; where that doesn't answer either, the whole state is taken to have been transferred.
+is what the decode engine reports at the end of its call. If it reports nothing, the prefill engine is asked
+afterwards; if that doesn't answer either, the whole state is assumed to have been transferred.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 STATE_BYTES_TRAILER = "tuliptrack-state-bytes"
 USAGE_TIMEOUT_US = 10_000_000
-"""Of the question to a prefill engine, for which no request waits."""
+"""Timeout of the usage query to a prefill engine; no request waits for it."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Direction:
-    """What is transferred, and between which zones."""
+    """What is transferred, and from which zone to which."""
 
     stage: TransferStage
     source: int
@@ -36,14 +36,14 @@
 
 
 class TransferAccounting:
-    """Enters the transfers of one node's attempts into its account."""
+    """Records the transfers of one node's attempts in the node's account."""
 
     def __init__(self, settings: Settings, account: CrossZoneAccount, channels: EngineChannels) -> None:
-        """Account for the attempts of the node that these belong to."""
+        """Account for the attempts of the node to which the arguments belong."""
         self.settings, self.account, self.channels = settings, account, channels
 
     def attempt_sent(self, record: RequestRecord, attempt: Attempt, action: SendAttempt) -> None:
-        """Begin to count the transfers of an attempt that crosses zones."""
+        """Start counting the transfers of an attempt that crosses zones."""
         if not action.cross_zone_cause or not isinstance(attempt.call, GrpcCall):
             return
         attempt.cross_zone_cause = action.cross_zone_cause
@@ -88,7 +88,7 @@
         Args:
             record: The request.
             attempt: Its attempt.
-            end: How its call ended, where there was one.
+            end: How its call ended, if there was one.
 
         Returns:
             The bytes that the attempt has transferred between zones, as far as they are known now.
@@ -100,7 +100,10 @@
         return float(sum(transfer.count_bytes() for transfer in attempt.transfers))
 
     def _account_state(self, record: RequestRecord, attempt: Attempt, end: End) -> None:
-        state = next((one for one in attempt.transfers if one.stage is TransferStage.KV_STATE), None)
+        state_transfers = (
+            transfer for transfer in attempt.transfers if transfer.stage is TransferStage.KV_STATE
+        )
+        state = next(state_transfers, None)
         if state is None:
             return
         reported = next((value for key, value in end.metadata if key == STATE_BYTES_TRAILER), "")
@@ -110,13 +113,13 @@
             self._ask_prefill_engine(record, attempt, state)
 
     def _ask_prefill_engine(self, record: RequestRecord, attempt: Attempt, state: Transfer) -> None:
-        """Ask how much of the request's KV states was fetched; `state` stays open for the answer."""
+        """Ask how much of the request's KV states was fetched; `state` is counted until the answer."""
         channel = self.channels.channel(attempt.state_endpoint_id)
         if channel is None:
             return
         state.has_ended = False
         responses: list[bytes] = []
-        # The engine answers with all that it has sent of this request's states, also for earlier attempts.
+        # The engine reports all that it has sent of this request's states, including for earlier attempts.
         booked_before = record.state_bytes_moved.get(attempt.state_endpoint_id, 0)
 
         def handle_end(end: End) -> None:
--- a/tuliptrack/node/usage_recorder.py
+++ b/tuliptrack/node/usage_recorder.py
@@ -1,8 +1,9 @@
-"""Records what requests have used in the ledger, from which bills are made.
+"""Records the usage of requests in the ledger, from which bills are computed.
 
 The usage of a request is recorded when it ends and, while it streams, with each commit, so that a killed node
 loses at most what was sent since the last commit. Commits run in a thread, one at a time. While they fail,
-records wait in memory, up to the ledger's bound; beyond it requests go unbilled, which is counted and logged.
+records wait in memory, up to the ledger's bound; beyond it requests are not billed, which is counted and
+logged.
 """
 
 from __future__ import annotations
@@ -30,34 +31,34 @@
 
 @dataclass(slots=True)
 class _Stream:
-    """A request that streams, and the token up to which the ledger has it."""
+    """A request that streams, and the token index up to which the ledger has recorded it."""
 
     record: RequestRecord
     recorded_index: int
 
 
 class UsageRecorder:
-    """Records the usage of one node's requests. `open` first; `close` commits what is left."""
+    """Records the usage of one node's requests. Call `open` first; `close` commits what is left."""
 
     def __init__(self, options: BillingOptions, instance: str, epoch_offset_us: int) -> None:
-        """Prepare; nothing is opened yet.
+        """Set the options; nothing is opened yet.
 
         Args:
-            options: Where the ledger is, its bounds and its retention.
-            instance: Names this incarnation of the node in the ledger.
-            epoch_offset_us: Added to the node's clock it gives microseconds since 1970.
+            options: The path of the ledger, its bounds and its retention.
+            instance: Identifies this incarnation of the node in the ledger.
+            epoch_offset_us: Offset from the node's clock to microseconds since 1970.
         """
         self.options, self.instance, self.epoch_offset_us = options, instance, epoch_offset_us
         self.ledger: Ledger | None = None
         self.commit_error = ""
-        """Why the last commit failed; empty where it did not."""
+        """Why the last commit failed; empty if it succeeded."""
         self.unbilled_count = 0
-        """Records that were lost because the ledger could take no more."""
+        """Number of records that were lost because the ledger was full."""
         self._streams: dict[int, _Stream] = {}
         self._compacted_at_s = time.monotonic()
 
     async def open(self) -> None:
-        """Open the ledger, where the settings name one.
+        """Open the ledger, if the settings name one.
 
         Raises:
             LedgerError: The ledger can't be opened.
@@ -76,7 +77,7 @@
         )
 
     async def usage_since(self, wall_time_us: int) -> list[Bill]:
-        """Return what was used since a time, microseconds since 1970; nothing where there is no ledger."""
+        """Return the usage since a time, in microseconds since 1970; empty if there is no ledger."""
         if self.ledger is None:
             return []
         return list(compute_bills(await asyncio.to_thread(self.ledger.used_since, wall_time_us)))
@@ -111,12 +112,12 @@
         self._add(self.ledger, self._usage_record(record, outcome))
 
     async def commit_interval(self) -> None:
-        """Commit the usage of this interval, and compact the ledger where that is due."""
+        """Commit the usage of this interval, and compact the ledger if that is due."""
         if self.ledger is None:
             return
         self._record_streams(self.ledger)
         await self._commit()
-        # Compaction frees space, so after a failed commit it is not waited for.
+        # Compaction frees space, so after a failed commit it runs at once.
         if time.monotonic() - self._compacted_at_s > COMPACTION_INTERVAL_S or self.commit_error:
             self._compacted_at_s = time.monotonic()
             await self._compact()
@@ -156,7 +157,7 @@
             return
         self.unbilled_count += 1
         is_power_of_two = self.unbilled_count & (self.unbilled_count - 1) == 0
-        if is_power_of_two:  # A full ledger loses every record: a line for each would flood the log.
+        if is_power_of_two:  # A full ledger loses every record: one line for each would flood the log.
             log.error("served unbilled", parts=self.unbilled_count)
 
     async def _commit(self) -> None:
@@ -179,5 +180,5 @@
             batches = await asyncio.to_thread(self.ledger.compact, before_us)
             if batches:
                 log.info("ledger compacted", batches=batches)
-        except Exception as error:  # A full file has no space for a compaction either; serving goes on.
+        except Exception as error:  # A full file has no space for compaction either; serving continues.
             log.warning("ledger not compacted", reason=str(error))
--- a/tuliptrack/node/zone_coverage.py
+++ b/tuliptrack/node/zone_coverage.py
@@ -1,4 +1,4 @@
-"""Warns of zones without a ready prefill or decode endpoint, from which every request has to cross."""
+"""Warns about zones without a ready prefill or decode endpoint: every request there has to cross zones."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 
 class ZoneCoverage:
-    """What each zone lacks, as of the last endpoint list."""
+    """Tracks which roles each zone lacks, as of the last endpoint list."""
 
     def __init__(self, zones: Iterable[int], zone_name: Callable[[int], str]) -> None:
-        """Begin without warnings.
+        """Start with no zone known to lack a role.
 
         Args:
-            zones: Zones that are looked at even if no endpoint stands there.
+            zones: Zones that are checked even if they have no endpoint.
             zone_name: Returns the name of a zone, for the log.
         """
         self.zones, self.zone_name = frozenset(zones), zone_name
         self._missing: set[tuple[str, str]] = set()
-        """Zone and role, by name, that were missing when last looked at."""
+        """Zones and their missing roles, by name, at the last check."""
 
     def check(self, endpoints: Iterable[Endpoint]) -> None:
-        """Log the zones that lack a role now and did not before."""
-        ready = [one for one in endpoints if one.info.state is EndpointState.READY]
-        served = {(one.info.zone, role) for one in ready for role in _roles_of(one)}
-        zones = self.zones | {one.info.zone for one in ready}
+        """Log the zones that lack a role now but did not at the last check."""
+        ready = [endpoint for endpoint in endpoints if endpoint.info.state is EndpointState.READY]
+        served = {(endpoint.info.zone, role) for endpoint in ready for role in _roles_of(endpoint)}
+        zones = self.zones | {endpoint.info.zone for endpoint in ready}
         missing = {
             (self.zone_name(zone), role.value)
             for zone in zones
