--- a/tests/node/test_attempt_state.py
+++ b/tests/node/test_attempt_state.py
@@ -1,4 +1,4 @@
-"""What the state of an attempt allows, question by question."""
+"""What the state of an attempt allows: sending, retrying, releasing."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 WINDOW_US = 2_000_000
 
 
-def test_execution_and_arrival_are_different_questions() -> None:
+def test_written_attempt_may_have_executed_but_has_arrived_only_on_evidence() -> None:
     assert [may_have_executed(state) for state in Delivery] == [False, True, True, True]
     assert [has_arrived(state) for state in Delivery] == [False, False, True, True]
 
 
-def test_attempt_begins_only_for_a_waiting_request_at_a_ready_endpoint() -> None:
+def test_attempt_begins_only_for_an_open_request_at_a_ready_endpoint() -> None:
     assert may_send(
         is_concluded=False,
         is_client_disconnected=False,
@@ -65,7 +65,7 @@
     assert may_retry(idempotency, 0, WINDOW_US, 1_000 + elapsed_us) is Verdict.ALLOWED, "nothing has executed"
 
 
-def test_retry_leaves_time_for_a_stalled_node() -> None:
+def test_retry_deadline_leaves_a_margin_for_a_stalled_node() -> None:
     assert retry_by_us(Idempotency.WITH_KEY, 1_000, WINDOW_US) == 1_000 + WINDOW_US - NODE_STALL_US
     assert retry_by_us(Idempotency.WITH_KEY, 1_000, 100_000) == 51_000, (
         "a short window is not used up by the margin"
--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -1,9 +1,9 @@
-"""Every order of ends against the core: clients that leave, attempts that end in all ways, draining
-endpoints, releases, cancellations and the shutdown of the node, each also twice.
+"""Plays events against the core in every order: clients disconnect, attempts end in all ways, endpoints drain,
+reservations are released, attempts are cancelled, the node shuts down; each event may also come twice.
 
-Hypothesis plays them on a clock of its own. A model of the engines knows which KV states are really reserved
-and which attempts have really executed, and checks the five rules. A core without one of its guards must
-break a rule."""
+Hypothesis plays them on a virtual clock. A model of the engines knows which KV states are really reserved and
+which attempts have really executed, and checks the five rules. A core without one of its guards must break a
+rule."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
 
 US_PER_S = 1_000_000
-RELEASE_SLACK_US = 300_000  # what the platform allows past the settings' time for a reserved state
+RELEASE_SLACK_US = 300_000  # allowed by the platform beyond the `release_within_us` of the settings
 ENDPOINTS = (
     io.EndpointInfo(1, READ),
     io.EndpointInfo(2, READ),
@@ -49,7 +49,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time only passes in `advance`."""
+    """An event loop whose time passes only in `advance`."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -59,56 +59,56 @@
         return self.moment
 
     def spin(self) -> None:
-        """Run what is ready and due."""
+        """Run the callbacks that are ready or due."""
         for _ in range(4):
             self.call_soon(self.stop)
             self.run_forever()
 
-    def advance(self, seconds: float, look: Callable[[], None]) -> None:
-        """Let time pass, from one timer to the next; `look` is called after each."""
+    def advance(self, seconds: float, check: Callable[[], None]) -> None:
+        """Let time pass, from one timer to the next; `check` is called after each."""
         until = self.moment + seconds
         while True:
             waiting = [handle.when() for handle in self._scheduled if not handle.cancelled()]  # type: ignore[attr-defined]
-            following = min([until, *waiting])
-            self.moment = max(self.moment, min(following, until))
+            next_time = min([until, *waiting])
+            self.moment = max(self.moment, min(next_time, until))
             self.spin()
-            look()
+            check()
             if self.moment >= until:
                 return
 
 
 @dataclass(eq=False)
 class Call:
-    """An attempt that is out, as `AttemptCall`."""
+    """An attempt in flight; implements `AttemptCall`."""
 
     engines: Engines
     record: RequestRecord
     attempt: Attempt
     sent_at_us: int = 0
-    """When its last byte was written; 0: it was not."""
+    """When its last byte was written; 0: not written."""
     has_arrived: bool = False
-    """Its engine has it."""
-    streams: bool = False
-    over: bool = False
+    """Whether its engine has it."""
+    is_streaming: bool = False
+    is_over: bool = False
 
     def cancel(self, status: io.Status) -> None:
         if self.sent_at_us:
             self.end(AttemptResult(status, "given up"))
         else:
-            late = status is io.Status.TIMEOUT
+            is_late = status is io.Status.TIMEOUT
             self.end(
                 AttemptResult(
-                    io.Status.CONNECT_FAILED if late else io.Status.ABANDONED,
+                    io.Status.CONNECT_FAILED if is_late else io.Status.ABANDONED,
                     "never sent",
-                    is_connection_only=late,
+                    is_connection_only=is_late,
                 )
             )
 
     def delivery(self) -> Delivery:
-        """What a node can know: `has_arrived` is the engines' own knowledge until the first token."""
+        """What a node can know: until the first token, only the engine knows `has_arrived`."""
         if not self.sent_at_us:
             return Delivery.NOT_SENT
-        return Delivery.CONFIRMED if self.streams else Delivery.POSSIBLE
+        return Delivery.CONFIRMED if self.is_streaming else Delivery.POSSIBLE
 
     def confirm_arrival(self) -> None: ...
 
@@ -120,15 +120,15 @@
 
     def end(self, ended: AttemptResult) -> None:
         """End once; the model of the engines is updated first."""
-        if not self.over:
-            self.over = True
+        if not self.is_over:
+            self.is_over = True
             self.engines.ended(self, ended)
             self.engines.core.attempt_ended(self.record, self.attempt, ended)
 
 
 @dataclass(eq=False)
 class ObservedRequest:
-    """One request, as its client and the engines see it."""
+    """A request as its client and the engines see it."""
 
     answer: Answer
     effect: io.Idempotency
@@ -143,7 +143,7 @@
 
 @dataclass(eq=False)
 class Answer:
-    """The response that the client gets."""
+    """Records the response that the client gets."""
 
     ends: list[str] = field(default_factory=list)
     begun: bool = False
@@ -166,7 +166,7 @@
 
 
 class Engines:
-    """An `EngineClient`, and the model of what its engines really have."""
+    """An `EngineClient`, and the model of what its engines have really reserved and executed."""
 
     prefills_have_no_effect = False
     releases_are_global = True
@@ -186,7 +186,7 @@
         return True
 
     def start(self, record: RequestRecord, attempt: Attempt, timeout: int) -> Call:
-        assert not any(call.record is record and not call.over for call in self.calls), (
+        assert not any(call.record is record and not call.is_over for call in self.calls), (
             "rule 2: two attempts at once"
         )
         assert timeout <= max(record.deadline_us - self.now, 1), "an attempt outlives its client's deadline"
@@ -203,18 +203,20 @@
             call.end(AttemptResult(io.Status.CONNECT_FAILED, "connect", is_connection_only=True))
 
     def send(self, call: Call, has_arrived: bool) -> None:
-        """Its connection is up: it is written, unless it isn't wanted any more."""
-        if call.over or call.sent_at_us:
+        """Write the attempt now that its connection is up, unless the core no longer wants it."""
+        if call.is_over or call.sent_at_us:
             return
         if not self.core.may_still_begin(call.record, call.attempt.endpoint_id):
             call.end(AttemptResult(io.Status.CONNECT_FAILED, "not wanted", is_connection_only=True))
             return
         observed = self.observed[call.record.id]
-        assert not observed.left_at_us, "sent for a client that has left"
+        assert not observed.left_at_us, "sent for a client that has disconnected"
         assert not observed.answer.ends, "rule 1: sent after the end"
         assert call.attempt.endpoint_id not in self.draining_since_us, "rule 3: sent to a draining endpoint"
         if observed.executed_at_us and observed.effect is not io.Idempotency.IDEMPOTENT:
-            assert observed.effect is io.Idempotency.WITH_KEY, "rule 2: sent again though it may have run"
+            assert observed.effect is io.Idempotency.WITH_KEY, (
+                "rule 2: sent again though it may have executed"
+            )
             window = self.core.settings.classes[0].deduplication_window_us
             assert self.now - observed.executed_at_us <= window + 1_000, "rule 2: sent again after its window"
         call.sent_at_us, call.has_arrived = self.now, has_arrived
@@ -224,22 +226,22 @@
     def ended(self, call: Call, ended: AttemptResult) -> None:
         """Update the model at the end of an attempt."""
         observed = self.observed[call.record.id]
-        if observed.is_reserved and call.has_arrived and not call.streams:
+        if observed.is_reserved and call.has_arrived and not call.is_streaming:
             observed.reserved_since_us = self.now
-        proven = ended.status in (io.Status.CONNECT_FAILED, io.Status.ABANDONED, io.Status.AT_CAPACITY)
-        may_run = ended.status is io.Status.TIMEOUT if call.attempt.is_prefill else not proven
-        if call.sent_at_us and may_run and not observed.executed_at_us:
+        is_unexecuted = ended.status in (io.Status.CONNECT_FAILED, io.Status.ABANDONED, io.Status.AT_CAPACITY)
+        may_have_run = ended.status is io.Status.TIMEOUT if call.attempt.is_prefill else not is_unexecuted
+        if call.sent_at_us and may_have_run and not observed.executed_at_us:
             observed.executed_at_us = call.sent_at_us
 
     def leave_state(self, call: Call) -> None:
-        """A prefill has ended well at its engine."""
+        """A prefill has succeeded at its engine and left a KV state."""
         observed = self.observed[call.record.id]
         observed.is_reserved, observed.reserved_since_us = True, self.now
 
     def is_awaited(self, request: int) -> bool:
         """Whether a decode attempt waits for the KV state of the request."""
         return any(
-            not call.over and call.has_arrived and not call.attempt.is_prefill
+            not call.is_over and call.has_arrived and not call.attempt.is_prefill
             for call in self.calls
             if call.record.id == request
         )
@@ -267,7 +269,7 @@
 
 
 class Source:
-    """No list but what the machine tells."""
+    """An endpoint list source that sends nothing: the machine dispatches the lists itself."""
 
     def subscribe(self, on: bool) -> None: ...
 
@@ -275,7 +277,7 @@
 
 
 class CoreMachine(RuleBasedStateMachine):
-    """The core between clients and engines that do what they like."""
+    """The core between clients and engines that act in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -288,7 +290,7 @@
         self.patch.setattr(timers, "now_us", lambda: round(self.loop.moment * US_PER_S))
 
     def remove_guard(self, core: Core) -> None:
-        """Overridden where the core is to lack one of its guards."""
+        """Overridden to remove one of the guards of the core."""
 
     @initialize(
         effect=st.sampled_from(list(io.Idempotency)),
@@ -303,7 +305,9 @@
             release_within_us=300_000,
             report_fields=(),
         )
-        classes = tuple(replace(one, deduplication_window_us=200_000) for one in base.classes)
+        classes = tuple(
+            replace(request_class, deduplication_window_us=200_000) for request_class in base.classes
+        )
         self.core = Core(
             replace(base, classes=classes),
             7,
@@ -315,10 +319,10 @@
         self.core.engines, self.core.source = self.engines, Source()
         self.handles: dict[int, RequestHandle] = {}
         self.remove_guard(self.core)
-        self.do(self.core.dispatch, io.EndpointListUpdate(io.UpdateKind.FULL, 1, ENDPOINTS))
+        self.run_on_loop(self.core.dispatch, io.EndpointListUpdate(io.UpdateKind.FULL, 1, ENDPOINTS))
 
-    def do(self, what: Callable[..., Any], *arguments: Any) -> None:
-        self.loop.call_soon(what, *arguments)
+    def run_on_loop(self, callback: Callable[..., Any], *arguments: Any) -> None:
+        self.loop.call_soon(callback, *arguments)
         self.loop.spin()
         self.raise_errors()
 
@@ -333,9 +337,9 @@
     def pick(self, number: int, among: list[Any]) -> Any:
         return among[number % len(among)]
 
-    def calls_out(self, **wanted: bool) -> list[Call]:
-        """Attempts that are out, with these properties."""
-        calls = [call for call in self.engines.calls if not call.over]
+    def calls_in_flight(self, **wanted: bool) -> list[Call]:
+        """Attempts in flight with these properties."""
+        calls = [call for call in self.engines.calls if not call.is_over]
         if "is_sent" in wanted:
             calls = [call for call in calls if bool(call.sent_at_us) is wanted["is_sent"]]
         if "has_arrived" in wanted:
@@ -345,7 +349,7 @@
         return calls
 
     def awaited_requests(self) -> list[int]:
-        """Requests whose clients still wait, or read."""
+        """Requests whose clients still wait for an answer or read it."""
         return [
             n
             for n, observed in self.engines.observed.items()
@@ -359,7 +363,7 @@
             number = self.core.table._next_id
             observed = ObservedRequest(answer, self.core.settings.classes[0].idempotency, now + deadline_us)
             self.engines.observed[number] = observed
-            ask = ClientRequest(
+            client_request = ClientRequest(
                 "plain",
                 "prompt",
                 "a",
@@ -372,9 +376,9 @@
                 payload=object(),
                 is_disconnected=lambda: bool(observed.left_at_us),
             )
-            self.handles[number] = self.core.submit(ask, answer)
+            self.handles[number] = self.core.submit(client_request, answer)
 
-        self.do(submit)
+        self.run_on_loop(submit)
 
     @rule(deadline_us=st.sampled_from(DEADLINES_US[1:]), prefix=st.integers(1, 3))
     def submit_and_prefill(self, deadline_us: int, prefix: int) -> None:
@@ -383,26 +387,26 @@
         call = next(
             (
                 call
-                for call in self.calls_out(is_sent=False, is_prefill=True)
+                for call in self.calls_in_flight(is_sent=False, is_prefill=True)
                 if call.record.id == max(self.engines.observed)
             ),
             None,
         )
         if call:
-            self.do(self.engines.send, call, True)
+            self.run_on_loop(self.engines.send, call, True)
             self.end_prefill(call, False)
 
     @rule(prefix=st.integers(1, 3))
     def prefill_breaks_and_the_next_connection_is_late(self, prefix: int) -> None:
-        """What may have run is tried anew, on a connection that comes up when the window for repeats is
-        over.
+        """An attempt that may have executed is retried on a connection that comes up after the deduplication
+        window.
         """
         self.submit_request(DEADLINES_US[-1], prefix)
         for breaks in (True, False):
             call = next(
                 (
                     call
-                    for call in self.calls_out(is_sent=False)
+                    for call in self.calls_in_flight(is_sent=False)
                     if call.record.id == max(self.engines.observed)
                 ),
                 None,
@@ -411,64 +415,66 @@
                 return
             if not breaks:
                 self.time_passes(0.21)
-            self.do(self.engines.send, call, True)
+            self.run_on_loop(self.engines.send, call, True)
             if breaks:
-                self.do(call.end, AttemptResult(io.Status.RESET, "failed"))
+                self.run_on_loop(call.end, AttemptResult(io.Status.RESET, "failed"))
 
     @precondition(lambda self: self.awaited_requests())
     @rule(number=st.integers(0, 9), unread=st.booleans())
     def client_leaves(self, number: int, unread: bool) -> None:
-        """Its end is read at once, or only found when the next attempt would begin."""
+        """The disconnection is reported at once, or found only when the next attempt is about to begin."""
         request = self.pick(number, self.awaited_requests())
         self.engines.observed[request].left_at_us = self.core.now()
         if not unread:
-            self.do(self.handles[request].disconnected, "left")
+            self.run_on_loop(self.handles[request].disconnected, "left")
 
     @precondition(lambda self: self.engines.observed)
     @rule(number=st.integers(0, 9))
     def ends_are_reported_again(self, number: int) -> None:
-        """Releases, cancels and ends that come twice, in any order."""
+        """Releases, cancellations and ends are repeated, in any order."""
         request = self.pick(number, list(self.engines.observed))
         observed = self.engines.observed[request]
         if observed.left_at_us:
-            self.do(self.handles[request].disconnected, "left once more")
+            self.run_on_loop(self.handles[request].disconnected, "left once more")
         for call in self.engines.calls:
-            if call.over and call.record.id == request:
-                self.do(call.cancel, io.Status.CANCELLED)
-                self.do(
+            if call.is_over and call.record.id == request:
+                self.run_on_loop(call.cancel, io.Status.CANCELLED)
+                self.run_on_loop(
                     self.core.attempt_ended,
                     call.record,
                     call.attempt,
                     AttemptResult(io.Status.RESET, "once more"),
                 )
         if observed.answer.ends or observed.left_at_us:
-            self.do(self.core.release, io.Release(request))
+            self.run_on_loop(self.core.release, io.Release(request))
 
-    @precondition(lambda self: self.calls_out(is_sent=False))
+    @precondition(lambda self: self.calls_in_flight(is_sent=False))
     @rule(number=st.integers(0, 9), has_arrived=st.sampled_from([True, True, False]))
     def connection_comes_up(self, number: int, has_arrived: bool) -> None:
-        self.do(self.engines.send, self.pick(number, self.calls_out(is_sent=False)), has_arrived)
+        self.run_on_loop(
+            self.engines.send, self.pick(number, self.calls_in_flight(is_sent=False)), has_arrived
+        )
 
-    @precondition(lambda self: self.calls_out(is_sent=False))
+    @precondition(lambda self: self.calls_in_flight(is_sent=False))
     @rule(number=st.integers(0, 9))
     def connection_comes_up_late(self, number: int) -> None:
-        call = self.pick(number, self.calls_out(is_sent=False))
+        call = self.pick(number, self.calls_in_flight(is_sent=False))
         self.time_passes(0.21)
-        self.do(self.engines.send, call, True)
+        self.run_on_loop(self.engines.send, call, True)
 
-    @precondition(lambda self: self.calls_out(is_sent=False))
+    @precondition(lambda self: self.calls_in_flight(is_sent=False))
     @rule(number=st.integers(0, 9))
     def connection_is_refused(self, number: int) -> None:
-        self.do(
-            self.pick(number, self.calls_out(is_sent=False)).end,
+        self.run_on_loop(
+            self.pick(number, self.calls_in_flight(is_sent=False)).end,
             AttemptResult(io.Status.CONNECT_FAILED, "refused"),
         )
 
-    @precondition(lambda self: self.calls_out(has_arrived=True, is_prefill=True))
+    @precondition(lambda self: self.calls_in_flight(has_arrived=True, is_prefill=True))
     @rule(number=st.integers(0, 9), broke=st.booleans())
     def prefill_ends(self, number: int, broke: bool) -> None:
-        """Well, and reported; or well, just as its connection breaks."""
-        self.end_prefill(self.pick(number, self.calls_out(has_arrived=True, is_prefill=True)), broke)
+        """A prefill succeeds, and either reports it or loses its connection at that moment."""
+        self.end_prefill(self.pick(number, self.calls_in_flight(has_arrived=True, is_prefill=True)), broke)
 
     def end_prefill(self, call: Call, broke: bool) -> None:
         def end() -> None:
@@ -481,41 +487,43 @@
                 )
                 call.end(AttemptResult(io.Status.OK, is_confirmed=True))
 
-        self.do(end)
+        self.run_on_loop(end)
 
-    @precondition(lambda self: self.calls_out(is_sent=True))
+    @precondition(lambda self: self.calls_in_flight(is_sent=True))
     @rule(
         number=st.integers(0, 9),
         status=st.sampled_from([io.Status.RESET, io.Status.ERROR, io.Status.AT_CAPACITY]),
         is_state_lost=st.booleans(),
     )
     def attempt_fails(self, number: int, status: io.Status, is_state_lost: bool) -> None:
-        call = self.pick(number, self.calls_out(is_sent=True))
-        if call.streams and status is io.Status.AT_CAPACITY:
+        call = self.pick(number, self.calls_in_flight(is_sent=True))
+        if call.is_streaming and status is io.Status.AT_CAPACITY:
             return
         if status is not io.Status.RESET and not call.has_arrived:
             return
         lost = is_state_lost and status is io.Status.AT_CAPACITY and not call.attempt.is_prefill
         if lost:
-            self.engines.observed[call.record.id].is_reserved = False  # The engine reports the truth.
-        self.do(call.end, AttemptResult(status, "failed", lost, is_confirmed=status is not io.Status.RESET))
+            self.engines.observed[call.record.id].is_reserved = False  # The model agrees with the report.
+        self.run_on_loop(
+            call.end, AttemptResult(status, "failed", lost, is_confirmed=status is not io.Status.RESET)
+        )
 
-    @precondition(lambda self: self.calls_out(has_arrived=True, is_prefill=False))
+    @precondition(lambda self: self.calls_in_flight(has_arrived=True, is_prefill=False))
     @rule(number=st.integers(0, 9), last=st.booleans())
     def stream_continues(self, number: int, last: bool) -> None:
-        call = self.pick(number, self.calls_out(has_arrived=True, is_prefill=False))
+        call = self.pick(number, self.calls_in_flight(has_arrived=True, is_prefill=False))
         observed = self.engines.observed[call.record.id]
 
         def go() -> None:
-            call.streams = True
+            call.is_streaming = True
             observed.is_reserved, observed.reserved_since_us = False, 0
             if self.core.output_arrived(call.record, call.attempt):
                 observed.answer.events()
-            if last and not call.over:
+            if last and not call.is_over:
                 call.record.finish_reason = FinishReason.STOP
                 call.end(AttemptResult(io.Status.OK, is_confirmed=True))
 
-        self.do(go)
+        self.run_on_loop(go)
 
     @rule(seconds=st.sampled_from([0.01, 0.15, 0.3, 0.3, 0.7, 2.5]))
     def time_passes(self, seconds: float) -> None:
@@ -524,7 +532,7 @@
 
     @rule(endpoint_id=st.integers(1, 15), ready=st.booleans())
     def endpoint_list_changes(self, endpoint_id: int, ready: bool) -> None:
-        if endpoint_id > len(ENDPOINTS):  # Rarely, lest no request come far.
+        if endpoint_id > len(ENDPOINTS):  # Changes are rare, so that requests can progress.
             return
         info = ENDPOINTS[endpoint_id - 1]
         if ready:
@@ -532,15 +540,15 @@
         else:
             self.engines.draining_since_us.setdefault(endpoint_id, self.core.now())
         state = io.EndpointState.READY if ready else io.EndpointState.DRAINING
-        self.do(
+        self.run_on_loop(
             self.core.dispatch, io.EndpointListUpdate(io.UpdateKind.DELTA, 2, (replace(info, state=state),))
         )
 
     @rule(chance=st.integers(0, 9))
     def node_shuts_down(self, chance: int) -> None:
-        """Rarely: its streams are handed back, or its grace is over."""
+        """Rarely: streams are handed back to their clients, or the grace period ends."""
         if chance < 2:
-            self.do((self.core.migrate_streams, self.core.conclude_open_requests)[chance])
+            self.run_on_loop((self.core.migrate_streams, self.core.conclude_open_requests)[chance])
 
     @invariant()
     def each_request_has_one_end(self) -> None:
@@ -574,15 +582,15 @@
                     assert observed.answer.ends or observed.left_at_us or observed.answer.begun, (
                         f"rule 1: {number} has no answer"
                     )
-                self.do(self.core.close)
-                self.do(self.core.close)
+                self.run_on_loop(self.core.close)
+                self.run_on_loop(self.core.close)
                 self.loop.advance(1.0, self.check_no_state_is_reserved_too_long)
                 self.raise_errors()
                 assert not self.core.table.open and not self.core.router.in_flight, "requests left"
                 assert len(self.core.timers) == 0, "timers left"
                 assert not any(
-                    seat.waiting or seat.streams for seat in self.core.router.endpoints.values()
-                ), "books left open"
+                    endpoint.waiting or endpoint.streams for endpoint in self.core.router.endpoints.values()
+                ), "waiting requests or streams left at endpoints"
                 assert not any(observed.is_reserved for observed in self.engines.observed.values()), (
                     "states left"
                 )
@@ -614,7 +622,7 @@
 
 
 def with_write_as_arrival(core: Core) -> None:
-    """Bytes that were written stop the lease, though nobody may ever read them."""
+    """Written bytes stop the lease, though the engine may never read them."""
     expire = core.leases.expire
 
     def unless_written(record: RequestRecord) -> None:
@@ -675,11 +683,11 @@
         run_state_machine_as_test(Unguarded, settings=thorough)
 
 
-def test_release_is_repeated_when_the_attempt_that_the_state_was_spared_for_ends() -> None:
-    """A client leaves while a decode attempt waits for the KV state of its request. The release that follows
-    spares the state, since an attempt waits for it. When that attempt ended too, nobody knew of the state any
-    more, and the memory of the engine stayed reserved for good. So the core must release once more when the
-    attempt ends."""
+def test_release_is_repeated_when_the_attempt_that_kept_the_state_reserved_ends() -> None:
+    """A client disconnects while a decode attempt waits for the KV state of its request. The release that
+    follows does not free the state, because an attempt waits for it. When that attempt ended too, nothing
+    released the state any more, and the memory of the engine stayed reserved forever. So the core must send
+    another release when the attempt ends."""
     machine = CoreMachine()
     machine.start(io.Idempotency.IDEMPOTENT, may_cancel=False, connect_timeout=250_000)
     machine.submit_and_prefill(1_500_000, 1)
--- a/tests/node/test_cross_zone_account.py
+++ b/tests/node/test_cross_zone_account.py
@@ -1,4 +1,4 @@
-"""A node's account of what has crossed zones: what can't be written down now is written down later, once."""
+"""A node's account of cross-zone transfers: each byte is reported once, also after failed writes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("call", ["pwrite", "fsync", "open"])
-def test_an_interval_that_can_not_be_written_goes_with_the_next(
+def test_interval_that_can_not_be_written_is_written_with_the_next(
     call: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "report"
@@ -47,11 +47,11 @@
     transfer(account, 100)
     account.write(account.close_interval())
 
-    def fails(*_: object) -> None:
+    def fail(*_: object) -> None:
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     with monkeypatch.context() as patch:
-        patch.setattr(os, call, fails)
+        patch.setattr(os, call, fail)
         for size in (200, 300):
             transfer(account, size)
             account.write(account.close_interval())
@@ -61,20 +61,20 @@
     assert rows(path) == [("question", 100, 1), ("question", 500, 2), ("summary", 7, 1)]
 
 
-def test_half_a_line_of_a_killed_node_does_not_spoil_the_report(tmp_path: Path) -> None:
+def test_incomplete_line_of_a_killed_node_does_not_corrupt_the_report(tmp_path: Path) -> None:
     path = tmp_path / "report"
     account = new_account(path)
     transfer(account, 100)
     account.write(account.close_interval())
     with path.open("a") as file:
         file.write(json.dumps({"t": 1})[:5])
-    again = new_account(path)
-    transfer(again, 50)
-    again.write(again.close_interval())
+    restarted = new_account(path)
+    transfer(restarted, 50)
+    restarted.write(restarted.close_interval())
     assert [size for _, size, _ in rows(path)] == [100, 50]
 
 
-def test_what_waits_to_be_written_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_number_of_unwritten_rows_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(cross_zone_account, "MAX_KEYS", 3)
     account = new_account(tmp_path / "no folder" / "report")
     for number in range(6):
@@ -84,8 +84,8 @@
     assert sum(row.size_bytes for row in account.unwritten.values()) == 60
 
 
-def test_what_comes_after_a_call_has_ended_is_counted_however_often_intervals_end(tmp_path: Path) -> None:
-    """A reset of ours crosses tokens that are under way: they come up to a round trip later."""
+def test_bytes_that_arrive_after_the_end_of_a_call_are_counted_in_later_intervals(tmp_path: Path) -> None:
+    """Tokens that are in flight when the node resets a call arrive up to a round trip later."""
     account, size = new_account(tmp_path / "report"), [100]
     account.track(
         Transfer("question", "a", TransferStage.OUTPUT, 1, 0, CrossZoneCause.BUDGET, lambda: size[0])
@@ -97,7 +97,7 @@
     assert sum(row.size_bytes for row in account.total.values()) == 142
 
 
-def test_a_transfer_that_is_displaced_by_another_is_booked_as_it_stands(
+def test_transfer_that_exceeds_the_tracking_limit_is_booked_with_its_current_size(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(cross_zone_account, "MAX_TRANSFERS", 2)
--- a/tests/node/test_kv_state_leases.py
+++ b/tests/node/test_kv_state_leases.py
@@ -1,4 +1,4 @@
-"""Leases of KV states whose attempts arrive and end in every way: each lease expires in the end."""
+"""Leases of KV states: each lease expires in the end, however the attempts on the state end."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class CorroboratedCall:
-    """An attempt that is out and has arrived, as the engine and its other connections show."""
+    """An attempt in flight whose arrival is corroborated by other connections of its engine."""
 
     def delivery(self) -> Delivery:
         return Delivery.CORROBORATED
@@ -61,10 +61,10 @@
 )
 @pytest.mark.parametrize("is_prefill", [True, False], ids=["prefill", "decode"])
 def test_lease_stopped_by_an_arrival_restarts_when_the_attempt_ends(status: Status, is_prefill: bool) -> None:
-    """The arrival of an attempt stops the lease of the state. The attempt then ends without using the state,
-    and nobody else knows of it: the engine's memory would stay reserved for good. So the lease has to begin
-    anew, for a prefill (a state that an earlier one may have left) as for a decode (the state that the
-    prefill left).
+    """The arrival of an attempt stops the lease of the state. If the attempt then ends without using the
+    state, nothing else would release it, and the engine's memory would stay reserved forever. So the lease
+    has to restart, both for a prefill (the state that an earlier prefill may have left) and for a decode (the
+    state that the prefill left).
     """
 
     async def scenario() -> None:
@@ -86,7 +86,7 @@
         )
         record.attempt = attempt
         await asyncio.sleep(2 * RELEASE_WITHIN_S)
-        assert not engines.released_at, "the attempt is still out at its engine"
+        assert not engines.released_at, "the attempt is still in flight at its engine"
         record.attempt, ended_at = None, now_us()
         ended = AttemptResult(status, is_corroborated=True)
         leases.handle_attempt_ended(record, attempt, ended)
--- a/tests/node/test_line_file.py
+++ b/tests/node/test_line_file.py
@@ -1,5 +1,5 @@
-"""A file of complete lines: no incomplete line stays, whatever fails or is killed, and what was reported is
-there."""
+"""Appending complete lines to a file: after a failure or a kill no incomplete line remains, and every append
+that was reported as done is in the file."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 
 def test_killed_writer_has_left_every_line_that_it_reported(tmp_path: Path) -> None:
     """The node is killed while it appends to a report. Lines that it had reported as written must be
-    complete, and an incomplete last line must not spoil what the next node appends."""
+    complete, and an incomplete last line must not corrupt what the next node appends."""
     random, path = Random(3), tmp_path / "report"
     for _ in range(8):
         child = subprocess.Popen(
--- a/tests/node/test_log_output.py
+++ b/tests/node/test_log_output.py
@@ -1,4 +1,4 @@
-"""Log lines on a descriptor that blocks for a while."""
+"""Log lines written to a descriptor that blocks for a while."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     return os.read(descriptor, 4 * PIPE_BYTES).decode().splitlines()
 
 
-def test_lines_that_a_full_pipe_does_not_take_are_dropped_and_the_next_line_reports_how_many() -> None:
-    """The process behind standard error stops to read. Log lines must not block the node's event loop, on
-    which every request waits; the operator sees from the log itself that lines are missing."""
+def test_lines_that_do_not_fit_into_a_full_pipe_are_dropped_and_reported_with_the_next_line() -> None:
+    """The process that reads standard error stops reading. Log lines must not block the node's event loop,
+    which would delay every request; the log itself tells the operator that lines are missing."""
     read_end, write_end = os.pipe()
     output, line = LogOutput(write_end), "x" * 999 + "\n"
-    for _ in range(200):  # More than the pipe takes: nobody reads, and nothing blocks.
+    for _ in range(200):  # More than the pipe accepts while nobody reads; no write blocks.
         output.write(line)
     first = read_all(read_end)
     assert 0 < output.lost < 200 and len(first) == 200 - output.lost
@@ -30,7 +30,7 @@
     os.close(read_end)
 
 
-def test_line_longer_than_a_pipe_takes_is_cut_and_the_next_begins_on_its_own() -> None:
+def test_line_longer_than_a_pipe_accepts_is_cut_and_the_next_starts_on_a_new_line() -> None:
     read_end, write_end = os.pipe()
     output = LogOutput(write_end)
     output.write("y" * 2 * PIPE_BYTES + "\n")
--- a/tests/node/test_node_counters.py
+++ b/tests/node/test_node_counters.py
@@ -1,4 +1,4 @@
-"""What a node counts of itself: violated invariants, and the steps of a request."""
+"""Counters of a node: violated invariants, and the recorded steps of a request."""
 
 from __future__ import annotations
 
--- a/tests/node/test_request_reader.py
+++ b/tests/node/test_request_reader.py
@@ -1,4 +1,4 @@
-"""What a client asks as a request of the router: what is filled in, and which field can't be accepted."""
+"""Conversion of client requests to router requests: values that are filled in, and invalid fields."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     assert (request.prompt_tokens, request.max_tokens) == (3.0, 1_000.0)
 
 
-def test_a_resumed_request_has_its_first_tokens_in_the_prompt() -> None:
+def test_tokens_of_a_resumed_request_that_were_sent_before_count_as_prompt() -> None:
     request = make_reader().read(replace(ASKED, prompt_tokens=10, max_tokens=50, resume_index=20), NOW_US)
     assert (request.prompt_tokens, request.max_tokens, request.is_resumed) == (30.0, 30.0, True)
 
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize(
     ("first_token_s", "whole_s", "left_s"), [(1, None, 1), (None, 3, 3), (1, 3, 1), (-1, None, 0)]
 )
-def test_the_answer_leaves_ahead_of_the_clients_deadline(
+def test_time_left_ends_ahead_of_the_clients_deadline(
     first_token_s: int | None, whole_s: int | None, left_s: int
 ) -> None:
     asked = replace(
@@ -44,7 +44,7 @@
     assert time_left_us == max(left_s * 1_000_000 - LIMITS.answer_lead_us, 1)
 
 
-def test_without_a_deadline_of_the_client_that_of_its_class_holds() -> None:
+def test_without_a_client_deadline_the_deadline_of_the_class_applies() -> None:
     reader = make_reader()
     asked = replace(ASKED, prompt_tokens=500)
     request_class = reader.class_of(asked)
@@ -66,13 +66,13 @@
         ({"max_tokens": 5, "resume_index": 5}, "resume.next_index"),
     ],
 )
-def test_the_error_names_the_field_as_clients_know_it(change: dict[str, str | int], field: str) -> None:
+def test_error_gives_the_field_name_that_clients_use(change: dict[str, str | int], field: str) -> None:
     with pytest.raises(InvalidRequestError) as caught:
         make_reader().read(replace(ASKED, **change), NOW_US)  # type: ignore[arg-type]
     assert caught.value.field == field
 
 
-def test_a_stream_is_not_resumed_where_the_settings_do_not_allow_it() -> None:
+def test_resuming_a_stream_is_rejected_if_the_settings_do_not_allow_it() -> None:
     with pytest.raises(InvalidRequestError) as caught:
         make_reader(may_resume=False).read(replace(ASKED, resume_index=1), NOW_US)
     assert caught.value.field == "resume"
--- a/tests/node/test_silent_connections_on_grpc.py
+++ b/tests/node/test_silent_connections_on_grpc.py
@@ -1,5 +1,5 @@
-"""Connections to engines of the gRPC node that fall silent with no error: states are let go in time, requests
-are served.
+"""Connections of the gRPC node to engines that fall silent without an error: KV states are released in time
+and requests are served.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @asynccontextmanager
 async def proxied(engines: str, settings: str) -> AsyncIterator[tuple[World, Proxies]]:
-    """A world with a proxy before each engine, and connections to all of them."""
+    """A node and engines with a proxy in front of each, and open connections to all of them."""
     async with world(engines, settings=settings) as w:
         proxies = {
             name: await FaultProxy(engine.server.address).start() for name, engine in w.engines.items()
@@ -32,8 +32,8 @@
         try:
             await w.list_at({name: proxy.address for name, proxy in proxies.items()})
             for _ in range(20):
-                warm = [w.ask() for _ in range(8)]
-                await asyncio.gather(*(one.wait() for one in warm))
+                warm_up = [w.ask() for _ in range(8)]
+                await asyncio.gather(*(request.wait() for request in warm_up))
                 if all(proxy.open_connections for proxy in proxies.values()):
                     break
             yield w, proxies
@@ -43,7 +43,7 @@
 
 
 def silence_open(roles: str) -> Callable[[Proxies], None]:
-    """The connections to engines of these roles that are open now swallow everything; new ones work."""
+    """The open connections to engines of these roles discard all data; new ones work."""
 
     def begin(proxies: Proxies) -> None:
         for name, proxy in proxies.items():
@@ -54,24 +54,24 @@
 
 
 def silence_machine(name: str) -> Callable[[Proxies], None]:
-    """All connections to an engine swallow everything, new ones too."""
+    """All connections to an engine discard all data, including new ones."""
     return lambda proxies: proxies[name].fail_machine(Fault.DISCARD)
 
 
 SILENCES: dict[str, Callable[[Proxies], object]] = {
-    "a writer": silence_machine("w0"),
-    "a reader": silence_machine("r0"),
+    "a decode engine": silence_machine("w0"),
+    "a prefill engine": silence_machine("r0"),
     "open connections": silence_open("rw"),
 }
 
 
-def longest_held(w: World, since: int) -> int:
-    """For how many microseconds a state was held at most, of those read since a moment: until it was let go,
-    or an attempt that came for it had reached a writer.
+def longest_reserved_us(w: World, since: int) -> int:
+    """The longest time in microseconds for which a KV state prefilled since then was reserved: until it was
+    released, or an attempt that fetches it had reached a decode engine.
     """
     rows = [row for row in w.seen() if row["t"] >= since]
 
-    def settled(kept: dict[str, Any]) -> int:
+    def released_or_fetched_at(kept: dict[str, Any]) -> int:
         ends = [
             row["t"]
             for row in rows
@@ -83,19 +83,19 @@
         ]
         return min(ends, default=NEVER)
 
-    return max((settled(row) - row["t"] for row in rows if row["what"] == "kept"), default=0)
+    return max((released_or_fetched_at(row) - row["t"] for row in rows if row["what"] == "kept"), default=0)
 
 
 @pytest.mark.parametrize("silence", SILENCES)
-def test_what_falls_silent_holds_no_state_and_loses_no_request(silence: str) -> None:
-    async def go() -> None:
+def test_states_are_released_and_requests_served_while_connections_are_silent(silence: str) -> None:
+    async def scenario() -> None:
         async with proxied("r0 r1 r2 w0 w1 w2 w3", "") as (w, proxies):
             SILENCES[silence](proxies)
             since = max(row["t"] for row in w.seen())
-            asked = [w.ask(timeout=4) for _ in range(REQUESTS)]
-            ends = [await one.wait() for one in asked]
+            requests = [w.ask(timeout=4) for _ in range(REQUESTS)]
+            ends = [await request.wait() for request in requests]
             await until(lambda: not w.node.table.open)
             assert sum(end.status.code is Code.OK for end in ends) >= 0.9 * REQUESTS
-            assert longest_held(w, since) <= RELEASE_WITHIN_US
+            assert longest_reserved_us(w, since) <= RELEASE_WITHIN_US
 
-    run(go, virtual=True)
+    run(scenario, virtual=True)
--- a/tests/node/test_timers.py
+++ b/tests/node/test_timers.py
@@ -23,9 +23,9 @@
     assert clock.now_us() == 20
 
 
-def test_clock_that_was_advance_to_waits_for_the_time_to_catch_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The event loop fires the timer of a deadline a little early. What follows must see the deadline as
-    reached, or a request would end as if there were time left."""
+def test_clock_that_was_advanced_stands_until_the_time_catches_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The event loop may fire the timer of a deadline a little early. The code that follows must see the
+    deadline as reached, or a request would end as if there were time left."""
     monkeypatch.setattr(timers, "now_us", iter([999, 1_001]).__next__)
     clock = NodeClock()
     clock.advance_to(1_000)
--- a/tuliptrack/node/attempt_end.py
+++ b/tuliptrack/node/attempt_end.py
@@ -38,7 +38,7 @@
         self._core = core
         self._answers = answers
 
-    def handle(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> None:
+    def handle(self, record: RequestRecord, attempt: Attempt, attempt_result: AttemptResult) -> None:
         """Handle the end of an attempt; one that is no longer the request's attempt is ignored."""
         if record.attempt is not attempt:
             return
@@ -47,58 +47,64 @@
         record.attempt = None
         record.pending_events += 1
         latency_us = core.now() - attempt.sent_at_us
-        core.leases.handle_attempt_ended(record, attempt, ended)
-        result = self._conclude_stage(record, attempt, ended)
-        reason = f" ({ended.reason})" if ended.reason else ""
-        record.trace.add(core.now(), f"{result.status.value} {attempt.number}{reason}")
-        if not record.executed_at_us and result.status.may_have_executed(attempt.is_prefill):
+        core.leases.handle_attempt_ended(record, attempt, attempt_result)
+        stage_result = self._conclude_stage(record, attempt, attempt_result)
+        reason = f" ({attempt_result.reason})" if attempt_result.reason else ""
+        record.trace.add(core.now(), f"{stage_result.status.value} {attempt.number}{reason}")
+        if not record.executed_at_us and stage_result.status.may_have_executed(attempt.is_prefill):
             record.executed_at_us = attempt.sent_at_us
-        cross_zone_bytes = core.cross_zone_bytes(record, attempt, ended)
-        if attempt.is_prefill and record.kv_state is None and result.status in MAY_HAVE_PREFILLED:
+        cross_zone_bytes = core.cross_zone_bytes(record, attempt, attempt_result)
+        if attempt.is_prefill and record.kv_state is None and stage_result.status in MAY_HAVE_PREFILLED:
             core.leases.handle_broken_prefill(record, attempt)
-        core.dispatch(self._event(record, attempt, ended, result, latency_us, cross_zone_bytes))
+        core.dispatch(
+            self._attempt_ended_event(
+                record, attempt, attempt_result, stage_result, latency_us, cross_zone_bytes
+            )
+        )
         core.settle(record)
 
     @staticmethod
-    def _event(
+    def _attempt_ended_event(
         record: RequestRecord,
         attempt: Attempt,
-        ended: AttemptResult,
-        result: StageResult,
+        attempt_result: AttemptResult,
+        stage_result: StageResult,
         latency_us: int,
         cross_zone_bytes: float,
     ) -> io.AttemptEnded:
-        has_succeeded = result.status in (io.Status.OK, io.Status.PREFILLED)
+        has_succeeded = stage_result.status in (io.Status.OK, io.Status.PREFILLED)
         return io.AttemptEnded(
             record.id,
             attempt.number,
             attempt.endpoint_id,
-            result.status,
+            stage_result.status,
             latency_us,
             is_final=record.is_concluded,
             cached_tokens=record.cached_tokens if has_succeeded else 0,
-            is_state_lost=result.is_state_lost,
-            load_report=ended.load_report,
+            is_state_lost=stage_result.is_state_lost,
+            load_report=attempt_result.load_report,
             cross_zone_bytes=cross_zone_bytes,
-            is_connection_only=ended.is_connection_only,
+            is_connection_only=attempt_result.is_connection_only,
         )
 
-    def _conclude_stage(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> StageResult:
+    def _conclude_stage(
+        self, record: RequestRecord, attempt: Attempt, attempt_result: AttemptResult
+    ) -> StageResult:
         """Update the state of the request after the end of its attempt."""
-        if ended.is_invalid_request:
-            self._answers.fail(record, Failure.INVALID, ended.reason)
-            return StageResult(ended.status, ended.is_state_lost)
+        if attempt_result.is_invalid_request:
+            self._answers.fail(record, Failure.INVALID, attempt_result.reason)
+            return StageResult(attempt_result.status, attempt_result.is_state_lost)
         if record.is_concluded:
-            return self._conclude_after_final_answer(record, attempt, ended)
+            return self._conclude_after_final_answer(record, attempt, attempt_result)
         if attempt.is_prefill:
-            return self._conclude_prefill(record, ended)
+            return self._conclude_prefill(record, attempt_result)
         if record.state is RequestState.DECODING:
-            return self._conclude_decode_without_token(record, attempt, ended)
-        return self._conclude_stream(record, ended)
+            return self._conclude_decode_without_token(record, attempt, attempt_result)
+        return self._conclude_stream(record, attempt_result)
 
     @staticmethod
     def _conclude_after_final_answer(
-        record: RequestRecord, attempt: Attempt, ended: AttemptResult
+        record: RequestRecord, attempt: Attempt, attempt_result: AttemptResult
     ) -> StageResult:
         """Conclude an attempt that ended after its request had its final answer.
 
@@ -107,13 +113,15 @@
         has_left_state = (
             record.kv_state is not None
             and record.kv_state.endpoint_id == attempt.endpoint_id
-            and ended.status is io.Status.OK
+            and attempt_result.status is io.Status.OK
+        )
+        return StageResult(
+            io.Status.PREFILLED if has_left_state else attempt_result.status, attempt_result.is_state_lost
         )
-        return StageResult(io.Status.PREFILLED if has_left_state else ended.status, ended.is_state_lost)
 
     @staticmethod
-    def _conclude_prefill(record: RequestRecord, ended: AttemptResult) -> StageResult:
-        status = ended.status
+    def _conclude_prefill(record: RequestRecord, attempt_result: AttemptResult) -> StageResult:
+        status = attempt_result.status
         if status is io.Status.OK:
             status = io.Status.PREFILLED if record.kv_state else io.Status.ERROR
         if status is io.Status.PREFILLED:
@@ -121,28 +129,28 @@
             record.enter(RequestState.PREFILLED)
         else:
             record.enter(RequestState.ACCEPTED)
-        return StageResult(status, ended.is_state_lost)
+        return StageResult(status, attempt_result.is_state_lost)
 
     def _conclude_decode_without_token(
-        self, record: RequestRecord, attempt: Attempt, ended: AttemptResult
+        self, record: RequestRecord, attempt: Attempt, attempt_result: AttemptResult
     ) -> StageResult:
         """Conclude a decode that ended before its first token.
 
         Either the KV state stays reserved, or the prompt has to be prefilled again.
         """
-        is_state_lost = self._core.leases.handle_decode_without_token(record, attempt, ended)
+        is_state_lost = self._core.leases.handle_decode_without_token(record, attempt, attempt_result)
         record.enter(RequestState.PREFILLED if record.kv_state else RequestState.ACCEPTED)
-        return StageResult(_unless_complete(ended.status), is_state_lost)
+        return StageResult(_unless_complete(attempt_result.status), is_state_lost)
 
-    def _conclude_stream(self, record: RequestRecord, ended: AttemptResult) -> StageResult:
+    def _conclude_stream(self, record: RequestRecord, attempt_result: AttemptResult) -> StageResult:
         if record.finish_reason:
             if record.conclude(RequestState.SERVED, record.finish_reason.value):
                 record.response.served()
-            return StageResult(io.Status.OK, ended.is_state_lost)
-        status = _unless_complete(ended.status)
-        reason = f"the stream broke: {ended.reason or status.value}"
+            return StageResult(io.Status.OK, attempt_result.is_state_lost)
+        status = _unless_complete(attempt_result.status)
+        reason = f"the stream broke: {attempt_result.reason or status.value}"
         self._answers.fail(record, Failure.BROKEN, reason)
-        return StageResult(status, ended.is_state_lost)
+        return StageResult(status, attempt_result.is_state_lost)
 
 
 def _unless_complete(status: io.Status) -> io.Status:
--- a/tuliptrack/node/attempt_start.py
+++ b/tuliptrack/node/attempt_start.py
@@ -90,10 +90,10 @@
         is_address_missing = not has_address and not record.is_concluded
         status = io.Status.CONNECT_FAILED if is_address_missing else io.Status.ABANDONED
         record.pending_events += 1
-        ended = io.AttemptEnded(
+        event = io.AttemptEnded(
             record.id, attempt.number, attempt.endpoint_id, status, 0, record.is_concluded
         )
-        self._core.defer(ended)
+        self._core.defer(event)
 
     def _start(
         self, record: RequestRecord, attempt: Attempt, endpoint: Endpoint, action: io.SendAttempt
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -264,9 +264,9 @@
         if record.attempt is attempt:
             self.dispatch(io.ReservationResult(record.id, attempt.number, endpoint_id, is_reserved))
 
-    def attempt_ended(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> None:
+    def attempt_ended(self, record: RequestRecord, attempt: Attempt, attempt_result: AttemptResult) -> None:
         """Handle the end of an attempt: notify the router, and the client if its stream ends too."""
-        self.attempt_ends.handle(record, attempt, ended)
+        self.attempt_ends.handle(record, attempt, attempt_result)
 
     # Actions of the router.
 
--- a/tuliptrack/node/core_state.py
+++ b/tuliptrack/node/core_state.py
@@ -128,7 +128,9 @@
     ) -> None:
         """Called when an attempt has started."""
 
-    def cross_zone_bytes(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> float:
+    def cross_zone_bytes(
+        self, record: RequestRecord, attempt: Attempt, attempt_result: AttemptResult
+    ) -> float:
         """Return the bytes that an attempt has transferred between zones."""
         return 0.0
 
--- a/tuliptrack/node/kv_state_leases.py
+++ b/tuliptrack/node/kv_state_leases.py
@@ -142,7 +142,9 @@
         else:
             self._engines().release(attempt.endpoint_id, record)
 
-    def handle_attempt_ended(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> None:
+    def handle_attempt_ended(
+        self, record: RequestRecord, attempt: Attempt, attempt_result: AttemptResult
+    ) -> None:
         """Handle the end of an attempt: begin anew a lease that its arrival had stopped.
 
         If a decode attempt ended unconfirmed, its engine may see that end only after a release has reached
@@ -150,8 +152,8 @@
         """
         if self._was_lease_stopped(record):
             self.restart(record)
-        was_sent = ended.status not in (io.Status.CONNECT_FAILED, io.Status.ABANDONED)
-        if not was_sent or ended.is_confirmed:
+        was_sent = attempt_result.status not in (io.Status.CONNECT_FAILED, io.Status.ABANDONED)
+        if not was_sent or attempt_result.is_confirmed:
             return
         if not attempt.is_prefill:
             record.needs_second_release = True
@@ -159,7 +161,7 @@
             record.unconfirmed_endpoints.add(attempt.endpoint_id)
 
     def handle_decode_without_token(
-        self, record: RequestRecord, attempt: Attempt, ended: AttemptResult
+        self, record: RequestRecord, attempt: Attempt, attempt_result: AttemptResult
     ) -> bool:
         """Handle a decode attempt that ended before its first token: keep its state reserved, or give it up.
 
@@ -169,26 +171,26 @@
         Returns:
             Whether the state is lost, so that the prompt has to be prefilled again.
         """
-        if self._is_state_lost(record, attempt, ended):
+        if self._is_state_lost(record, attempt, attempt_result):
             self.release(record)  # Even if an engine reports it as lost: the report may be wrong.
             return True
-        has_arrived_at_engine = ended.is_confirmed or ended.is_corroborated
+        has_arrived_at_engine = attempt_result.is_confirmed or attempt_result.is_corroborated
         if has_arrived_at_engine and record.has_reserved_state:
             self.restart(record)
         return False
 
-    def _is_state_lost(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> bool:
+    def _is_state_lost(self, record: RequestRecord, attempt: Attempt, attempt_result: AttemptResult) -> bool:
         """Return whether a decode attempt that ended without a token leaves no state to decode from.
 
         If a release was sent while the attempt was in flight, and the attempt was never answered, the state
         is most likely gone: trying it elsewhere costs more than a new prefill.
         """
         was_not_connected_in_time = (
-            ended.status is io.Status.CONNECT_FAILED
+            attempt_result.status is io.Status.CONNECT_FAILED
             and 0 < attempt.connect_by_us <= self._now_us() + TIMER_TOLERANCE_US
         )
-        was_released_unconfirmed = record.was_release_sent and not ended.is_confirmed
-        return ended.is_state_lost or was_not_connected_in_time or was_released_unconfirmed
+        was_released_unconfirmed = record.was_release_sent and not attempt_result.is_confirmed
+        return attempt_result.is_state_lost or was_not_connected_in_time or was_released_unconfirmed
 
     def _confirm_arrival(self, record: RequestRecord) -> None:
         """Check whether the attempt in flight has arrived, shortly before the lease expires."""
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -280,9 +280,11 @@
         """Start counting the bytes that an attempt transfers between zones."""
         self.transfers.attempt_sent(record, attempt, action)
 
-    def cross_zone_bytes(self, record: RequestRecord, attempt: Attempt, ended: AttemptResult) -> float:
+    def cross_zone_bytes(
+        self, record: RequestRecord, attempt: Attempt, attempt_result: AttemptResult
+    ) -> float:
         """Return the bytes that an attempt has transferred between zones."""
-        return self.transfers.attempt_ended(record, attempt, ended.detail)
+        return self.transfers.attempt_ended(record, attempt, attempt_result.detail)
 
 
 def _core_limits(limits: NodeLimits, engines: EngineOptions) -> CoreLimits:
