--- a/tests/node/test_node_counters.py
+++ b/tests/node/test_node_counters.py
@@ -12,12 +12,12 @@
 ) -> None:
     counters, trace = Counters(), RequestTrace(1_000)
     trace.add(3_500, "prefill 0 at 7")
-    counters.violated("attempt_in_flight", trace, request=5)
+    counters.record_violation("attempt_in_flight", trace, request=5)
     assert counters.as_dict() == {"violations_attempt_in_flight": 1}
     assert "2.5 prefill 0 at 7" in counters.violations[0] and "5" in counters.violations[0]
     monkeypatch.setattr(Counters, "strict", True)
     with pytest.raises(InvariantError):
-        counters.violated("attempt_in_flight")
+        counters.record_violation("attempt_in_flight")
     assert len(no_invariant_is_violated) == 2
     no_invariant_is_violated.clear()
 
--- a/tuliptrack/node/attempt_end.py
+++ b/tuliptrack/node/attempt_end.py
@@ -61,7 +61,7 @@
                 record, attempt, attempt_result, stage_result, latency_us, cross_zone_bytes
             )
         )
-        core.settle(record)
+        core.remove_if_finished(record)
 
     @staticmethod
     def _attempt_ended_event(
--- a/tuliptrack/node/attempt_start.py
+++ b/tuliptrack/node/attempt_start.py
@@ -84,7 +84,7 @@
         core.counters.add(f"not_sent_{name}")
         if verdict in ROUTER_FAULTS:
             call_id = record.client_request.call_id
-            core.counters.violated(name, record.trace, request=record.id, call_id=call_id)
+            core.counters.record_violation(name, record.trace, request=record.id, call_id=call_id)
 
     def _report_not_sent(self, record: RequestRecord, attempt: Attempt, has_address: bool) -> None:
         is_address_missing = not has_address and not record.is_concluded
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -101,14 +101,14 @@
     # Coordination of the parts.
 
     def dispatch(self, event: io.Event, router: Router | None = None) -> None:
-        """Hand an event to its router and carry out the actions that follow."""
+        """Pass an event to its router and carry out the actions that follow."""
         self.dispatcher.dispatch(event, router)
 
     def defer(self, event: io.Event, router: Router | None = None) -> None:
         """Queue an event behind the one that is being handled."""
         self.dispatcher.defer(event, router)
 
-    def settle(self, record: RequestRecord) -> None:
+    def remove_if_finished(self, record: RequestRecord) -> None:
         """Remove a request if it has its final state and no attempt in flight, and log it."""
         if not self.table.remove_if_finished(record):
             return
@@ -135,16 +135,16 @@
             InvalidRequestError: the request is invalid; nothing was done for it.
         """
         now_us = self.now()
-        request = self.requests.read(client_request, now_us)
-        choice = self.choose(client_request)
+        request = self.request_reader.read(client_request, now_us)
+        choice = self.choose_router(client_request)
         deadline_us = now_us + request.time_left_us
         record = self.table.add(client_request, response, deadline_us, now_us, choice.router, choice.model)
         admission = self._decide_admission(record, request.class_index, choice.rejection_reason)
         if admission.rejection_reason:
             self.answers.reject(record, admission.rejection_reason, admission.retry_after_us)
-            self.settle(record)
+            self.remove_if_finished(record)
             return RequestHandle(self, record)
-        answer_by_us = self.requests.answer_by_us(client_request)
+        answer_by_us = self.request_reader.answer_by_us(client_request)
         if answer_by_us is not None:
             record.deadline_timer = self.timers.call_later(
                 answer_by_us - now_us, self._handle_deadline, record
@@ -167,7 +167,7 @@
         client_request = record.client_request
         if limit := self.concurrency.acquire(client_request.tenant, client_request.connection):
             retry_after_us = self.concurrency.retry_after_us(client_request.tenant)
-            return AdmissionDecision(limit.value, self.cap_retry_after(retry_after_us))
+            return AdmissionDecision(limit.value, self.cap_retry_after_us(retry_after_us))
         record.has_concurrency_slot = True
         return self.admit(record.accepted_at_us, record, class_index)
 
@@ -176,7 +176,7 @@
         if self.stopping:
             return SHUTTING_DOWN, 0
         if self.concurrency.is_full():
-            retry_after_us = self.cap_retry_after(self.concurrency.retry_after_us(""))
+            retry_after_us = self.cap_retry_after_us(self.concurrency.retry_after_us(""))
             return ExceededLimit.NODE.value, retry_after_us
         return "", 0
 
@@ -205,7 +205,7 @@
         # if the settings allow it.
         if call and (was_streaming or not may_have_executed(call.delivery())):
             call.cancel(io.Status.CANCELLED)
-        self.settle(record)
+        self.remove_if_finished(record)
 
     def client_can_receive(self, record: RequestRecord) -> None:
         """Resume the stream of a client that has read the output that was waiting for it."""
@@ -247,7 +247,7 @@
         record.trace.add(now_us, "first token")
         self.leases.handle_first_token(record)
         record.first_token_at_us = now_us
-        self.stream_began(record)
+        self.stream_started(record)
         latency_us = now_us - attempt.sent_at_us
         self.dispatch(io.StreamStarted(record.id, attempt.number, attempt.endpoint_id, latency_us))
 
--- a/tuliptrack/node/core_state.py
+++ b/tuliptrack/node/core_state.py
@@ -60,7 +60,7 @@
         self.table = RequestTable(instance)
         self.concurrency = ConcurrencyLimiter(concurrency_limits)
         self.counters = Counters()
-        self.requests = RequestReader(settings, limits)
+        self.request_reader = RequestReader(settings, limits)
         self.clock = NodeClock()
         self.timers = TimerSet()
         self.leases = KvStateLeases(settings.release_within_us, lambda: self.engines, self.now, self.counters)
@@ -75,16 +75,16 @@
 
     def class_of(self, record: RequestRecord) -> io.RequestClass:
         """Return the class of a request."""
-        return self.requests.class_of(record.client_request)
+        return self.request_reader.class_of(record.client_request)
 
     def record_fault(self, where: str, error: Exception) -> None:
         """Count and log an error that only a bug in this program can raise."""
         log_fault(error)
-        self.counters.violated(
+        self.counters.record_violation(
             "no_unexpected_error", where=where, type=type(error).__name__, reason=str(error)
         )
 
-    def cap_retry_after(self, retry_after_us: int) -> int:
+    def cap_retry_after_us(self, retry_after_us: int) -> int:
         """Limit an estimated retry delay to the maximum that the settings allow."""
         return min(retry_after_us, self.settings.max_retry_after_us)
 
@@ -92,7 +92,7 @@
 
     @abstractmethod
     def dispatch(self, event: io.Event, router: Router | None = None) -> None:
-        """Hand an event to its router and carry out the actions that follow."""
+        """Pass an event to its router and carry out the actions that follow."""
 
     @abstractmethod
     def defer(self, event: io.Event, router: Router | None = None) -> None:
@@ -103,12 +103,12 @@
         """Handle the disconnection of a request's client."""
 
     @abstractmethod
-    def settle(self, record: RequestRecord) -> None:
+    def remove_if_finished(self, record: RequestRecord) -> None:
         """Remove a request if it has its final state and no attempt in flight."""
 
     # Hooks that a node may override.
 
-    def choose(self, client_request: ClientRequest) -> RouterChoice:
+    def choose_router(self, client_request: ClientRequest) -> RouterChoice:
         """Return the model and router of a request, and why it is rejected if it is.
 
         Raises:
@@ -120,7 +120,7 @@
         """Decide whether a request is admitted."""
         return AdmissionDecision()
 
-    def stream_began(self, record: RequestRecord) -> None:  # noqa: B027  # Overriding is optional.
+    def stream_started(self, record: RequestRecord) -> None:  # noqa: B027  # Overriding is optional.
         """Called when the first token of a request has arrived."""
 
     def attempt_sent(  # noqa: B027  # Overriding is optional.
--- a/tuliptrack/node/counters.py
+++ b/tuliptrack/node/counters.py
@@ -22,7 +22,7 @@
 
 
 class InvariantError(AssertionError):
-    """An invariant was violated; raised only where `Counters.strict` asks for it, as tests do."""
+    """An invariant was violated; raised only if `Counters.strict` is set, as tests do."""
 
 
 class RequestTrace:
@@ -61,7 +61,7 @@
         """Count an event."""
         self._values[name] += count
 
-    def violated(self, invariant: str, trace: RequestTrace | None = None, **facts: Any) -> None:
+    def record_violation(self, invariant: str, trace: RequestTrace | None = None, **facts: Any) -> None:
         """Count and log a violated invariant.
 
         Args:
--- a/tuliptrack/node/event_dispatch.py
+++ b/tuliptrack/node/event_dispatch.py
@@ -74,7 +74,7 @@
         for action in actions:
             self.action_handlers[type(action)](action)
         if record:
-            self._core.settle(record)
+            self._core.remove_if_finished(record)
 
     def _actions_of_router(self, event: io.Event, request_id: int) -> list[io.Action]:
         """Return the actions that follow an event; none if the router raises.
--- a/tuliptrack/node/final_answers.py
+++ b/tuliptrack/node/final_answers.py
@@ -45,7 +45,7 @@
         """Carry out a `Reject` of a router."""
         if record := self._core.table.open.get(action.request_id):
             reason = "no attempt was possible in time" if record.attempt_count else "overload"
-            self.reject(record, reason, self._core.cap_retry_after(action.retry_after_us))
+            self.reject(record, reason, self._core.cap_retry_after_us(action.retry_after_us))
 
     def handle_fail(self, action: io.Fail) -> None:
         """Carry out a `Fail` of a router."""
@@ -72,7 +72,7 @@
         self._core.dispatch(io.ClientDisconnected(request_id), record.router)
         if record.attempt and record.attempt.call:
             record.attempt.call.cancel(io.Status.CANCELLED)
-        self._core.settle(record)
+        self._core.remove_if_finished(record)
 
     def conclude_at_shutdown(self, record: RequestRecord) -> None:
         """Give an open request its final answer when the node shuts down.
@@ -95,7 +95,7 @@
             self.fail(record, Failure.LOST, reason)
         # The router has nothing more to do for the request; on this event it cancels the attempt in flight.
         self._core.dispatch(io.ClientDisconnected(record.id))
-        self._core.settle(record)
+        self._core.remove_if_finished(record)
 
     def _executed_at_us(self, record: RequestRecord) -> int | None:
         """Return when the first attempt that may have had an effect was sent; None if there is none."""
--- a/tuliptrack/node/kv_state_leases.py
+++ b/tuliptrack/node/kv_state_leases.py
@@ -210,8 +210,8 @@
         if endpoint_id is None:
             return
         record.trace.add(self._now_us(), "release")
-        is_unsure = record.possible_kv_state_endpoint_id is not None or record.needs_second_release
-        self._engines().release(endpoint_id, record, unsure=is_unsure)
+        is_unconfirmed = record.possible_kv_state_endpoint_id is not None or record.needs_second_release
+        self._engines().release(endpoint_id, record, unsure=is_unconfirmed)
 
     def _forget(self, record: RequestRecord) -> None:
         """Record that nothing is reserved for the request any more, as far as this node is concerned."""
--- a/tuliptrack/node/model_routers.py
+++ b/tuliptrack/node/model_routers.py
@@ -75,7 +75,7 @@
             if not self.routers[model].in_flight:
                 del self.routers[model]
 
-    def choose(self, request: ClientRequest) -> RouterChoice:
+    def choose_router(self, request: ClientRequest) -> RouterChoice:
         """Return the model and router of a request, and why it is rejected if it is.
 
         Raises:
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -245,13 +245,13 @@
 
     # Hooks that the core calls.
 
-    def choose(self, client_request: ClientRequest) -> RouterChoice:
+    def choose_router(self, client_request: ClientRequest) -> RouterChoice:
         """Return the model and router of a request, and why it is rejected if it is.
 
         Raises:
             InvalidRequestError: The request names a model that isn't known here.
         """
-        choice = self.model_routers.choose(client_request)
+        choice = self.model_routers.choose_router(client_request)
         reason = choice.rejection_reason or self.billing.rejection_reason()
         return replace(choice, rejection_reason=reason)
 
@@ -266,7 +266,7 @@
         self.billing.request_admitted(now_us, record, class_index, verdict)
         return AdmissionDecision(is_over_budget=verdict.is_over)
 
-    def stream_began(self, record: RequestRecord) -> None:
+    def stream_started(self, record: RequestRecord) -> None:
         """Start billing a stream."""
         self.billing.stream_started(record)
 
