--- a/tuliptrack/node/port.py
+++ b/tuliptrack/node/port.py
@@ -68,8 +68,9 @@
     def release(self, endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
         """Release what is reserved for a request, except what an attempt waits for.
 
-        The endpoint is asked again until the engine was reached. With `unsure`, an attempt ended
-        unconfirmed and may still make the engine reserve a state, so a single release may come too early.
+        The endpoint is asked again until the engine was reached. If `unsure`, some attempt
+        ended unconfirmed and may still make the engine reserve a state, so a single release may come too
+        early.
         """
 
     def release_later(self, endpoint_id: int, record: RequestRecord) -> None:
