--- a/tuliptrack/node/transfer_accounting.py
+++ b/tuliptrack/node/transfer_accounting.py
@@ -100,10 +100,9 @@
         return float(sum(transfer.count_bytes() for transfer in attempt.transfers))
 
     def _account_state(self, record: RequestRecord, attempt: Attempt, end: End) -> None:
-        state_transfers = (
-            transfer for transfer in attempt.transfers if transfer.stage is TransferStage.KV_STATE
+        state = next(
+            (transfer for transfer in attempt.transfers if transfer.stage is TransferStage.KV_STATE), None
         )
-        state = next(state_transfers, None)
         if state is None:
             return
         reported = next((value for key, value in end.metadata if key == STATE_BYTES_TRAILER), "")
