--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -251,9 +251,9 @@
         if not self.is_awaited(request):
             observed.is_reserved, observed.reserved_since_us = False, 0
 
-    def release(self, endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
+    def release(self, endpoint_id: int, record: RequestRecord, has_unconfirmed_attempt: bool = False) -> None:
         self.free(record.id)
-        if unsure:
+        if has_unconfirmed_attempt:
             after = self.core.settings.release_within_us / 2 / US_PER_S
             asyncio.get_running_loop().call_later(after, self.free, record.id)
 
@@ -644,8 +644,10 @@
 def without_release_of_broken_prefills(core: Core) -> None:
     release = core.engines.release
 
-    def release_if_sure(endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
-        if not unsure:
+    def release_if_sure(
+        endpoint_id: int, record: RequestRecord, has_unconfirmed_attempt: bool = False
+    ) -> None:
+        if not has_unconfirmed_attempt:
             release(endpoint_id, record)
 
     core.engines.release = release_if_sure  # type: ignore[method-assign]
--- a/tests/node/test_kv_state_leases.py
+++ b/tests/node/test_kv_state_leases.py
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         self.released_at: list[int] = []
 
-    def release(self, endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
+    def release(self, endpoint_id: int, record: RequestRecord, has_unconfirmed_attempt: bool = False) -> None:
         self.released_at.append(now_us())
 
     def cancel_release(self, record: RequestRecord) -> None: ...
--- a/tests/relay/test_kv_state_releases.py
+++ b/tests/relay/test_kv_state_releases.py
@@ -84,7 +84,7 @@
 def release(p: Platform, call_id: str, engine: str, may_end_later: bool = False) -> None:
     """Release what one engine has reserved for a request that has ended."""
     record = SimpleNamespace(client_request=SimpleNamespace(call_id=call_id))
-    p.relay.channels.release(key(engine), cast(RequestRecord, record), unsure=may_end_later)
+    p.relay.channels.release(key(engine), cast(RequestRecord, record), has_unconfirmed_attempt=may_end_later)
 
 
 def test_a_release_between_two_rounds_of_an_earlier_one_starts_at_once() -> None:
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -123,7 +123,7 @@
 
 
 def releases_dropped(w: World, patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(w.node.engines, "release", lambda server, record, unsure=False: None)
+    patch.setattr(w.node.engines, "release", lambda server, record, has_unconfirmed_attempt=False: None)
 
 
 def tokens_not_counted(w: World, patch: pytest.MonkeyPatch) -> None:
--- a/tuliptrack/node/grpc_engine_client.py
+++ b/tuliptrack/node/grpc_engine_client.py
@@ -179,7 +179,7 @@
         may_send_more = record.response.token(message.index, message.text, record.finish_reason, usage)
         self.core.output_forwarded(record, attempt, may_send_more)
 
-    def release(self, endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
+    def release(self, endpoint_id: int, record: RequestRecord, has_unconfirmed_attempt: bool = False) -> None:
         """Release what an engine reserves for a request; retry once if there was no answer."""
         self._release(endpoint_id, record, RELEASE_TIMEOUTS_US)
 
--- a/tuliptrack/node/kv_state_leases.py
+++ b/tuliptrack/node/kv_state_leases.py
@@ -211,7 +211,7 @@
             return
         record.trace.add(self._now_us(), "release")
         is_unconfirmed = record.possible_kv_state_endpoint_id is not None or record.needs_second_release
-        self._engines().release(endpoint_id, record, unsure=is_unconfirmed)
+        self._engines().release(endpoint_id, record, has_unconfirmed_attempt=is_unconfirmed)
 
     def _forget(self, record: RequestRecord) -> None:
         """Record that nothing is reserved for the request any more, as far as this node is concerned."""
--- a/tuliptrack/node/port.py
+++ b/tuliptrack/node/port.py
@@ -65,10 +65,10 @@
     def start(self, record: RequestRecord, attempt: Attempt, timeout_us: int) -> AttemptCall:
         """Start an attempt, for which the node will wait `timeout_us`."""
 
-    def release(self, endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
+    def release(self, endpoint_id: int, record: RequestRecord, has_unconfirmed_attempt: bool = False) -> None:
         """Release what is reserved for a request, except what an attempt waits for.
 
-        The endpoint is asked again until the engine was reached. If `unsure`, some attempt
+        The endpoint is asked again until the engine was reached. If `has_unconfirmed_attempt`, some attempt
         ended unconfirmed and may still make the engine reserve a state, so a single release may come too
         early.
         """
--- a/tuliptrack/relay/engine_client.py
+++ b/tuliptrack/relay/engine_client.py
@@ -81,9 +81,11 @@
         pool.send(exchange)
         return call
 
-    def release(self, endpoint_id: int, record: RequestRecord, unsure: bool = False) -> None:
+    def release(self, endpoint_id: int, record: RequestRecord, has_unconfirmed_attempt: bool = False) -> None:
         """Release everything that is reserved for a request, at any engine."""
-        self.releases.start(record.client_request.call_id, UNCONFIRMED_END_ROUNDS if unsure else 1)
+        self.releases.start(
+            record.client_request.call_id, UNCONFIRMED_END_ROUNDS if has_unconfirmed_attempt else 1
+        )
 
     def cancel_release(self, record: RequestRecord) -> None:
         """Stop the releases of a request."""
