--- a/tests/rpc/test_arrival.py
+++ b/tests/rpc/test_arrival.py
@@ -83,7 +83,7 @@
     def unsent(self, stream: int) -> int:
         return int(stream in self.waiting)
 
-    def doubted(self, looks: int) -> None:
+    def doubted(self, checks: int) -> None:
         self.doubts += 1
 
     def close(self, reason: str) -> None:
--- a/tests/rpc/test_core.py
+++ b/tests/rpc/test_core.py
@@ -257,7 +257,7 @@
     server.drain()
     crossing = client.start("/x.Y/Z")  # on its way while the server says that it goes away
     here, there = exchange()
-    assert [e for e in here if isinstance(e, GoAway)] and client.room() == 0
+    assert [e for e in here if isinstance(e, GoAway)] and client.available_streams() == 0
     assert any(
         isinstance(e, CallStarted) and e.stream == crossing for e in there
     )  # the first step allows for it
--- a/tests/rpc/test_core_fuzz.py
+++ b/tests/rpc/test_core_fuzz.py
@@ -49,7 +49,7 @@
 
     for op, *args in ops:
         stream = streams[args[0] % len(streams)] if streams and isinstance(args[0], int) else 0
-        if op == "start" and client.room() > 0:
+        if op == "start" and client.available_streams() > 0:
             streams.append(client.start("/x.Y/Z", (("a-bin", b"\0\xff"), ("b", "c")), 5_000_000, args[0]))
         elif op == "send":
             client.send(stream, args[1] * (1 + args[2]))
--- a/tests/rpc/test_failing_calls.py
+++ b/tests/rpc/test_failing_calls.py
@@ -35,8 +35,8 @@
     errno.ENOMEM,
     errno.EPERM,
 )
-OWN_LACK = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
-OWN_NETWORK = (errno.EADDRNOTAVAIL, errno.ENETUNREACH)
+LOCAL_RESOURCE_ERRORS = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
+LOCAL_NETWORK_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH)
 HTTP2_PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + bytes(3) + b"\x04" + bytes(5)
 """What a client says first: the preface, and settings that are all as usual."""
 TAKES_UP_S = 0.05
@@ -181,8 +181,8 @@
     return how, exchange.lone, faults.failed
 
 
-OPENING = [("create", number) for number in OWN_LACK] + [
-    ("connect", number) for number in (*OWN_LACK, *OWN_NETWORK)
+OPENING = [("create", number) for number in LOCAL_RESOURCE_ERRORS] + [
+    ("connect", number) for number in (*LOCAL_RESOURCE_ERRORS, *LOCAL_NETWORK_ERRORS)
 ]
 
 
@@ -199,10 +199,10 @@
         assert how is How.ANSWER and 1 <= tries < 20
         pool.close_idle()
         how, lone, _ = await exchange_while(pool, faults, call, number, 1.0)
-        assert how is (How.NO_ROOM if number in OWN_LACK else How.CONNECT)
+        assert how is (How.NO_ROOM if number in LOCAL_RESOURCE_ERRORS else How.CONNECT)
         assert how is How.NO_ROOM or lone, "it speaks against the engine"
         await pool.close()
-        assert pool.connections.held == 0
+        assert pool.connections.open_count == 0
         await server.stop()
 
     run(go)
@@ -248,7 +248,7 @@
             assert await ended is How.ANSWER
             pool.close_idle()
         await until(lambda: not server.links and not pool.links)
-        assert pool.connections.held == 0 and faults.failed >= 6
+        assert pool.connections.open_count == 0 and faults.failed >= 6
         await pool.close()
         await server.stop()
         faults.share = 0.0
@@ -272,7 +272,7 @@
             exchange.on_end = lambda how, reason, ended=ended: ended.set_result(how)  # type: ignore[misc]
             pool.send(exchange)
             assert await asyncio.wait_for(ended, 5) is How.CONNECT
-        await until(lambda: pool.connections.held == 0, 2)
+        await until(lambda: pool.connections.open_count == 0, 2)
         faults.share = 0.0
         await pool.close()
         await nobody.stop()
--- a/tests/rpc/test_http1.py
+++ b/tests/rpc/test_http1.py
@@ -47,7 +47,7 @@
 gone: list[str] = []
 
 
-def early(call: HttpCall) -> Refusal | None:
+def reject_early(call: HttpCall) -> Refusal | None:
     return Refusal(503, "no") if call.target == "/never" else None
 
 
@@ -82,7 +82,7 @@
 def test_answers_do_not_depend_on_how_the_bytes_come(places: list[int]) -> None:
     async def go() -> None:
         meter = ByteBudget(10_000)
-        server = HttpServer(echo, early, HttpLimits(), meter)
+        server = HttpServer(echo, reject_early, HttpLimits(), meter)
         await server.listen()
         whole = without_dates(await talk(server, [REQUESTS]))
         assert (
@@ -104,7 +104,7 @@
     async def go() -> None:
         meter = ByteBudget(10_000)
         server = HttpServer(
-            echo, early, HttpLimits(body_bytes=3_000, header_bytes=500, request_within=300_000), meter
+            echo, reject_early, HttpLimits(body_bytes=3_000, header_bytes=500, request_within=300_000), meter
         )
         await server.listen()
         await talk(server, cut(REQUESTS[:at] + junk + REQUESTS[at:], places))
@@ -118,7 +118,7 @@
 
 def test_what_is_refused_early_and_who_leaves_while_waiting() -> None:
     async def go() -> None:
-        server = HttpServer(echo, early, HttpLimits(connections=2, header_bytes=500))
+        server = HttpServer(echo, reject_early, HttpLimits(connections=2, header_bytes=500))
         await server.listen()
         told = await talk(
             server,
@@ -153,7 +153,7 @@
             order.append(call.target)
             call.respond(200, b"")
 
-        server = HttpServer(handle, early)
+        server = HttpServer(handle, reject_early)
         await server.listen()
         host, _, port = server.address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -212,7 +212,7 @@
         (call.abort if call.target == "/cut" else call.end)()
 
     async def go() -> None:
-        server = HttpServer(handle, early, HttpLimits())
+        server = HttpServer(handle, reject_early, HttpLimits())
         await server.listen()
         sock = await dial(server)
         writing = asyncio.ensure_future(asyncio.get_running_loop().sock_sendall(sock, CLOSES[name]))
@@ -244,7 +244,7 @@
         call.respond(200, b"{}")
 
     async def go() -> None:
-        server = HttpServer(handle, early, HttpLimits())
+        server = HttpServer(handle, reject_early, HttpLimits())
         await server.listen()
         loop = asyncio.get_running_loop()
         resting, silent, flood = [await dial(server) for _ in range(3)]
@@ -252,7 +252,7 @@
             await loop.sock_sendall(sock, b"GET /once HTTP/1.1\r\nhost: x\r\n\r\n")
             assert (await loop.sock_recv(sock, 65_536)).startswith(b"HTTP/1.1 200")
         await until(lambda: len(server.links) == 3)
-        server.close_free()
+        server.close_idle_connections()
         for sock in (resting, silent):
             await loop.sock_sendall(sock, b"GET /late HTTP/1.1\r\nhost: x\r\n\r\n")
         with contextlib.suppress(OSError):  # Who sends without an end is not listened to without one.
@@ -273,15 +273,15 @@
     calls: list[HttpCall] = []
 
     async def go() -> None:
-        server = HttpServer(calls.append, early, HttpLimits())
+        server = HttpServer(calls.append, reject_early, HttpLimits())
         await server.listen()
         loop, sock = asyncio.get_running_loop(), await dial(server)
         heads = [b"POST /%d HTTP/1.1\r\nhost: x\r\ncontent-length: 1000\r\n\r\n" % n for n in range(3_000)]
-        ahead = b"".join(head + b"z" * 1_000 for head in heads)
-        await asyncio.wait_for(loop.sock_sendall(sock, ahead), 10)
+        pipelined = b"".join(head + b"z" * 1_000 for head in heads)
+        await asyncio.wait_for(loop.sock_sendall(sock, pipelined), 10)
         (link,) = server.links
         assert (
-            link.side.ahead < 65_536 + 262_144 + 1_100
+            link.side.buffered_bytes < 65_536 + 262_144 + 1_100
         )  # the bound, and what one read from the socket brings
         answered = 0
         while server.links and answered < 3_000:
@@ -300,7 +300,7 @@
 
 def test_silent_connections_make_room_for_each_other_before_clients_that_were_served() -> None:
     async def go() -> None:
-        server = HttpServer(echo, early, HttpLimits(connections=4))
+        server = HttpServer(echo, reject_early, HttpLimits(connections=4))
         await server.listen()
         loop = asyncio.get_running_loop()
         served = [await dial(server) for _ in range(2)]
@@ -309,7 +309,7 @@
                 await loop.sock_sendall(sock, b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n")
                 assert (await loop.sock_recv(sock, 65_536)).startswith(b"HTTP/1.1 200")
             flood = [await dial(server) for _ in range(10)]
-            await until(lambda: server.made_room >= 8)
+            await until(lambda: server.evictions >= 8)
             for sock in flood:
                 sock.close()
         for sock in served:
@@ -327,7 +327,7 @@
     """
 
     async def go() -> None:
-        server = HttpServer(echo, early, HttpLimits(connections=2))
+        server = HttpServer(echo, reject_early, HttpLimits(connections=2))
         await server.listen()
         loop = asyncio.get_running_loop()
         served = [await dial(server) for _ in range(2)]
@@ -335,16 +335,16 @@
         for sock in served:
             await loop.sock_sendall(sock, ask)
             assert (await loop.sock_recv(sock, 65_536)).startswith(b"HTTP/1.1 200")
-        takes = server.takes
+        admit = server.admit
 
         def crossing(link: Any) -> bool:
             served[0].send(ask)
-            return takes(link)
+            return admit(link)
 
-        monkeypatch.setattr(server, "takes", crossing)
+        monkeypatch.setattr(server, "admit", crossing)
         late = await dial(server)
         assert (await asyncio.wait_for(loop.sock_recv(served[0], 65_536), 5)).startswith(b"HTTP/1.1 200")
-        assert server.made_room == 1
+        assert server.evictions == 1
         with contextlib.suppress(ConnectionResetError):  # The other one made room.
             assert not await asyncio.wait_for(loop.sock_recv(served[1], 65_536), 5)
         for sock in (*served, late):
@@ -358,23 +358,25 @@
     """Its client has sent many requests at once; a new connection comes while some of them wait in the
     node.
     """
-    asks, spares = 40, []
+    asks, evictables = 40, []
 
     async def go() -> None:
         def handle(call: HttpCall) -> None:
             call.respond(200, b"{}")
-            asyncio.get_running_loop().call_soon(lambda: spares.append(server._spare()))
+            asyncio.get_running_loop().call_soon(lambda: evictables.append(server._find_evictable()))
 
-        server = HttpServer(handle, early, HttpLimits(connections=2))
+        server = HttpServer(handle, reject_early, HttpLimits(connections=2))
         await server.listen()
         loop, sock = asyncio.get_running_loop(), await dial(server)
         await loop.sock_sendall(sock, b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n" * asks)
         got = b""
         while got.count(b"HTTP/1.1 200") < asks:
             got += await asyncio.wait_for(loop.sock_recv(sock, 65_536), 5)
-        assert len(spares) == asks
-        assert all(spare is None for spare in spares[: asks - 8]), "requests were read: the connection stays"
-        assert server._spare() is not None, "none is left: it may make room"
+        assert len(evictables) == asks
+        assert all(evictable is None for evictable in evictables[: asks - 8]), (
+            "requests were read: the connection stays"
+        )
+        assert server._find_evictable() is not None, "none is left: it may make room"
         sock.close()
         await server.stop()
 
--- a/tuliptrack/rpc/arrival.py
+++ b/tuliptrack/rpc/arrival.py
@@ -17,7 +17,7 @@
 
 ARRIVED_PING = b"arrived?"
 """The data of pings for proofs."""
-_DOUBT_LOOKS = 6
+_CHECKS_BEFORE_DOUBT = 6
 """Looks for a missing answer before a connection is doubted: a loop that is late itself makes each of them
 late."""
 
@@ -40,7 +40,7 @@
     def unsent(self, stream: int) -> int:
         """Bytes of a call that are not written yet."""
 
-    def doubted(self, looks: int) -> None:
+    def doubted(self, checks: int) -> None:
         """Nothing comes on it; told at each look that finds so, with their number."""
 
     def close(self, reason: str) -> None:
@@ -63,7 +63,7 @@
         """Those that the ping under way proves."""
         self._pinged_at = 0
         """When that ping was sent, or its connection was last heard since; 0: none is under way."""
-        self.looks = 0
+        self.checks = 0
         """Looks for that ping's answer, while nothing at all came."""
         self._timer: asyncio.TimerHandle | None = None
         self._closed = False
@@ -71,14 +71,14 @@
     @property
     def doubtful(self) -> bool:
         """Whether a ping has had no answer for too long, and nothing else has come."""
-        return self.looks >= _DOUBT_LOOKS and self._link.heard_at <= self._pinged_at
+        return self.checks >= _CHECKS_BEFORE_DOUBT and self._link.heard_at <= self._pinged_at
 
     def sent(self, stream: int, call: ProvenCall, within: int | None) -> None:
         """A call has gone out; its proof is looked for after the usual time, or within so many microseconds
         if that is sooner.
         """
         self._unproven[stream] = call
-        self._look(within)
+        self._schedule_check(within)
 
     def heard(self, stream: int, call: ProvenCall) -> None:
         """The peer has said something on a call."""
@@ -91,15 +91,15 @@
         for call in self._to_prove:
             call.arrived = True
         self._forget_settled()
-        self._to_prove, self._pinged_at, self.looks = [], 0, 0
+        self._to_prove, self._pinged_at, self.checks = [], 0, 0
         if self._unproven:
-            self._look()
+            self._schedule_check()
 
     def ping(self) -> None:
         """Ask for a proof now."""
-        self._pinged_at, self.looks = now_us(), 0
+        self._pinged_at, self.checks = now_us(), 0
         self._link.ping(ARRIVED_PING)
-        self._look(self._prove_after // _DOUBT_LOOKS)
+        self._schedule_check(self._prove_after // _CHECKS_BEFORE_DOUBT)
 
     def close(self) -> None:
         """Look for nothing any more."""
@@ -108,7 +108,7 @@
             self._timer.cancel()
             self._timer = None
 
-    def _look(self, within: int | None = None) -> None:
+    def _schedule_check(self, within: int | None = None) -> None:
         """Look after the usual time, or within so many microseconds where that is sooner."""
         wait = self._prove_after if within is None else min(max(within, 0), self._prove_after)
         due = self._loop.time() + wait / 1e6
@@ -116,16 +116,16 @@
             return
         if self._timer:
             self._timer.cancel()
-        self._timer = self._loop.call_at(due, self._look_now)
+        self._timer = self._loop.call_at(due, self._check)
 
-    def _look_now(self) -> None:
+    def _check(self) -> None:
         self._timer = None
         if self._pinged_at:
-            self._miss_answer()
+            self._check_answer()
         else:
-            self._prove()
+            self._ping_unproven()
 
-    def _prove(self) -> None:
+    def _ping_unproven(self) -> None:
         """Ping for what has gone out and brought no word. Each ping follows at least one call: stock servers
         end connections on which pings come with nothing between.
         """
@@ -134,7 +134,7 @@
         if self._to_prove:
             self.ping()
         elif self._unproven:
-            self._look()
+            self._schedule_check()
 
     def _forget_settled(self) -> None:
         """Leave out the calls that have ended or are proven."""
@@ -142,14 +142,14 @@
             stream: call for stream, call in self._unproven.items() if call.open and not call.arrived
         }
 
-    def _miss_answer(self) -> None:
+    def _check_answer(self) -> None:
         """The ping's answer has not come yet."""
         if self._link.heard_at > self._pinged_at:
-            self._pinged_at, self.looks = self._link.heard_at, 0
-        self.looks += 1
+            self._pinged_at, self.checks = self._link.heard_at, 0
+        self.checks += 1
         if self.doubtful and now_us() - self._pinged_at >= self._timeout:
             self._link.close("a ping after calls had no answer")
             return
-        self._look(self._prove_after // _DOUBT_LOOKS)
+        self._schedule_check(self._prove_after // _CHECKS_BEFORE_DOUBT)
         if self.doubtful:
-            self._link.doubted(self.looks)
+            self._link.doubted(self.checks)
--- a/tuliptrack/rpc/channel.py
+++ b/tuliptrack/rpc/channel.py
@@ -80,11 +80,11 @@
 
 
 _ALIVE_PING = b"alive?"
-_LOOKS_BESIDE_A_NEW_ONE = 3
+_CHECKS_BEFORE_CLOSE = 3
 """That find a connection silent beside a newer one that works, before it is closed."""
 
 
-def _nothing(*_: Any) -> None:
+def _noop(*_: Any) -> None:
     pass
 
 
@@ -115,10 +115,10 @@
 
     def __init__(self, method: str, metadata: Metadata, timeout: int | None, compress: bool) -> None:
         self.method, self.metadata, self.timeout, self.compress = method, metadata, timeout, compress
-        self.on_message: Callable[[bytes], None] = _nothing
-        self.on_headers: Callable[[Metadata], None] = _nothing
-        self.on_end: Callable[[End], None] = _nothing
-        self.on_writable: Callable[[], None] = _nothing
+        self.on_message: Callable[[bytes], None] = _noop
+        self.on_headers: Callable[[Metadata], None] = _noop
+        self.on_end: Callable[[End], None] = _noop
+        self.on_writable: Callable[[], None] = _noop
         self.link: _ClientLink | None = None
         self.stream = 0
         self.traffic = Traffic()
@@ -180,7 +180,7 @@
         self._timer = self._connect_timer = None
         if self.link:
             self.link.calls.pop(self.stream, None)
-            self.link.channel.freed(self.link)
+            self.link.channel.serve_waiting(self.link)
         self.on_end(end)
 
     def start_timer(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -189,9 +189,9 @@
 
     def limit_connect(self, loop: asyncio.AbstractEventLoop, within: int) -> None:
         """End the call where no connection has taken it in so many microseconds."""
-        self._connect_timer = loop.call_later(max(within, 0) / 1e6, self._connect_late)
+        self._connect_timer = loop.call_later(max(within, 0) / 1e6, self._connect_timed_out)
 
-    def _connect_late(self) -> None:
+    def _connect_timed_out(self) -> None:
         if self.link is None:
             self.ended(
                 End(
@@ -210,7 +210,7 @@
         self.idle_since = self.opened_at = now_us()
         self.outlived_by = 0
         """When a newer connection was opened that works; 0: there is none."""
-        self._close_at_look = 0
+        self._close_at_check = 0
         """The look for its proof that closes it, if it is still silent then."""
         super().__init__(
             reader,
@@ -249,20 +249,20 @@
         """Bytes of a call that are not written yet."""
         return self.core.pending(stream)
 
-    def outlive(self, opened_at: int) -> None:
+    def mark_outlived(self, opened_at: int) -> None:
         """A newer connection works: what comes late on this one may still come for some looks."""
         if not self.outlived:
             self.outlived_by = opened_at
-            self._close_at_look = self.proofs.looks + _LOOKS_BESIDE_A_NEW_ONE
+            self._close_at_check = self.proofs.checks + _CHECKS_BEFORE_CLOSE
 
     @property
     def outlived(self) -> bool:
         """Whether it was silent while a newer connection worked."""
         return self.heard_at < self.outlived_by
 
-    def doubted(self, looks: int) -> None:
+    def doubted(self, checks: int) -> None:
         """Nothing comes on it: another connection is to show whether the peer is there."""
-        if self.outlived and looks >= self._close_at_look:
+        if self.outlived and checks >= self._close_at_check:
             self.close("silent while a new connection works")
         else:
             self.channel.doubt(self)
@@ -284,12 +284,12 @@
             if call := self.calls.get(event.stream):
                 call.on_writable()
         elif isinstance(event, GoAway):
-            self.channel.freed(self)
+            self.channel.serve_waiting(self)
         elif isinstance(event, Pong):
             self.pinged_at = 0
             if event.data == ARRIVED_PING:
                 self.proofs.answered()
-                self.channel.works(self)
+                self.channel.confirm_working(self)
 
     def check(self, now: int) -> None:
         """Keepalive: ping after silence with calls open, give up after silence that follows it."""
@@ -316,7 +316,7 @@
     @property
     def takes_calls(self) -> bool:
         """Whether a call may go out on it now."""
-        return not self.closed and not self.proofs.doubtful and self.core.room() > 0
+        return not self.closed and not self.proofs.doubtful and self.core.available_streams() > 0
 
 
 class Channel:
@@ -343,8 +343,8 @@
         timeout: int | None = None,
         compress: bool = False,
         connect_within: int | None = None,
-        on_message: Callable[[bytes], None] = _nothing,
-        on_end: Callable[[End], None] = _nothing,
+        on_message: Callable[[bytes], None] = _noop,
+        on_end: Callable[[End], None] = _noop,
         message: bytes | None = None,
     ) -> ClientCall:
         """Start a call; with `message` its request is that one alone. Where `connect_within` is given, it
@@ -372,14 +372,14 @@
             self.waiting.append(call)
             if connect_within is not None:
                 call.limit_connect(loop, connect_within)
-            self._more()
+            self._connect_if_needed()
         return call
 
-    def _more(self) -> None:
+    def _connect_if_needed(self) -> None:
         """Connect once more where calls wait that no connection to come has room for."""
         live = sum(1 for link in self.links if not link.core.draining and not link.proofs.doubtful)
-        room = live < self.options.max_links and len(self.links) < 2 * self.options.max_links
-        if (self.waiting or self._doubted) and not self._connecting and room and not self._closed:
+        has_capacity = live < self.options.max_links and len(self.links) < 2 * self.options.max_links
+        if (self.waiting or self._doubted) and not self._connecting and has_capacity and not self._closed:
             self._connecting += 1
             self.connects += 1
             task = asyncio.get_running_loop().create_task(self._run())
@@ -410,14 +410,14 @@
             self._doubted = False
             link.proofs.ping()
         self._start_watch()
-        self.freed(link)
+        self.serve_waiting(link)
         try:
             await link.run()
         finally:
             self.links.remove(link)
-            self._more()
+            self._connect_if_needed()
 
-    def freed(self, link: _ClientLink) -> None:
+    def serve_waiting(self, link: _ClientLink) -> None:
         """A connection has room, or takes no more: serve who waits, close what has drained."""
         while self.waiting and link.takes_calls:
             call = self.waiting.popleft()
@@ -427,20 +427,20 @@
             link.idle_since = now_us()
             if link.core.draining:
                 link.loop.call_soon(link.close, "drained")
-        self._more()
+        self._connect_if_needed()
 
     def doubt(self, link: _ClientLink) -> None:
         """A connection has fallen silent: try a new one, unless one was tried since."""
         self._doubted = not any(other.opened_at > link.heard_at for other in self.links if other is not link)
-        self._more()
+        self._connect_if_needed()
 
-    def works(self, working: _ClientLink) -> None:
+    def confirm_working(self, working: _ClientLink) -> None:
         """A connection has shown that it works: those on which nothing has come since it was opened are
         closed soon.
         """
         for link in self.links:
             if link.proofs.doubtful and link.heard_at < working.opened_at:
-                link.outlive(working.opened_at)
+                link.mark_outlived(working.opened_at)
 
     def _start_watch(self) -> None:
         if self._watch is None and self.links:
--- a/tuliptrack/rpc/core.py
+++ b/tuliptrack/rpc/core.py
@@ -62,8 +62,10 @@
 
 _LAST_STREAM = 2**31 - 1
 _PREFIX = 5  # bytes before each message: a flag and a length
-_MOST_GHOSTS = 512
-_BODIES_WAIT = 100_000  # microseconds after which a client may try again that found no room for its body
+_MAX_RESET_CALLS = 512
+_BODIES_RETRY_AFTER_US = (
+    100_000  # microseconds after which a client may try again that found no room for its body
+)
 _DRAIN_PING = b"drained?"
 
 
@@ -125,7 +127,7 @@
         "encoder",
         "ending",
         "got_headers",
-        "high",
+        "is_over_high",
         "local_done",
         "metadata",
         "out",
@@ -145,9 +147,9 @@
         self.out: deque[bytes] = deque()
         self.out_bytes = 0
         self.unacked = self.reserved = 0
-        self.paused = self.high = self.local_done = self.remote_done = self.answered = self.got_headers = (
-            False
-        )
+        self.paused = self.is_over_high = self.local_done = self.remote_done = self.answered = (
+            self.got_headers
+        ) = False
         self.ending: list[tuple[bytes, bytes]] | None = None
         self.decoder = self.encoder = ""
         self.metadata: Metadata = ()
@@ -193,7 +195,7 @@
             self.h2.increment_flow_control_window(lim.connection_window - 65_535)
         self.calls: dict[int, _Call] = {}
         self.dead = False
-        self._rest = b""
+        self._partial_frame = b""
         """The beginning of a frame; shorter than the largest frame allowed."""
         self._preface = b"" if client else b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
         """What the client must still send before its first frame."""
@@ -201,12 +203,12 @@
         """We have told the peer, or it has told us, that no new calls are taken."""
         self._final_goaway: int | None = None
         self._unacked = 0
-        self._ghosts: dict[int, Traffic] = {}
-        """Calls that we have reset while the peer may still send; the last `_MOST_GHOSTS`."""
-        self._dirty: dict[int, None] = {}
+        self._reset_calls: dict[int, Traffic] = {}
+        """Calls that we have reset while the peer may still send; the last `_MAX_RESET_CALLS`."""
+        self._sendable: dict[int, None] = {}
         """Calls with something to send, in the order in which they got it."""
-        self._late: list[Event] = []
-        self._extra = bytearray()
+        self._send_events: list[Event] = []
+        self._extra_frames = bytearray()
         self._control = TokenBucket(lim.control_burst, lim.control_per_s, now)
         self._resets = TokenBucket(lim.reset_burst, lim.reset_per_s, now)
         self._handlers: dict[type, Callable[[Any, list[Event]], None]] = {
@@ -249,14 +251,14 @@
                     handler(event, events)
         except h2.exceptions.ProtocolError as error:  # h2 has its own GOAWAY ready
             code = getattr(error, "error_code", ErrorCodes.PROTOCOL_ERROR)
-            return self._break(events, code, str(error) or type(error).__name__, told=True)
+            return self._break(events, code, str(error) or type(error).__name__, is_goaway_sent=True)
         except _FrameTooLarge as error:
             return self._break(events, ErrorCodes.FRAME_SIZE_ERROR, str(error))
         except Exception as error:  # h2 and hpack let some of Python's own out on garbage
             return self._break(events, ErrorCodes.PROTOCOL_ERROR, f"{type(error).__name__}: {error}")
-        if self._late:
-            events += self._late
-            self._late = []
+        if self._send_events:
+            events += self._send_events
+            self._send_events = []
         return events
 
     def _frames(self, data: bytes, events: list[Event]) -> Iterator[Any]:
@@ -266,8 +268,8 @@
             self._preface = self._preface[size:] if data[:size] == self._preface[:size] else b""
             yield from self.h2.receive_data(data[:size])
             data = data[size:]
-        if self._rest:
-            data = self._rest + data
+        if self._partial_frame:
+            data = self._partial_frame + data
         at = passed = 0
         end = len(data)
         while end - at >= 9:
@@ -281,35 +283,37 @@
             if not data[at + 3]:
                 stream = int.from_bytes(data[at + 5 : at + 9], "big")
                 call = self.calls.get(stream)
-                if call is None and stream in self._ghosts:
-                    self._ghosts[stream].received += size
+                if call is None and stream in self._reset_calls:
+                    self._reset_calls[stream].received += size
                 if size and call and call.got_headers and not data[at + 4]:
                     if passed < at:
                         yield from self.h2.receive_data(data[passed:at])
                         passed = at
                     # Asked only now: what went before may have changed the stream.
                     if self.calls.get(stream) is call and self.h2.take_data(stream, size):
-                        self._bytes(call, data[at + 9 : after], size, events)
+                        self._receive_data(call, data[at + 9 : after], size, events)
                         passed = after
             at = after
-        self._rest = data[at:]
+        self._partial_frame = data[at:]
         if passed < at:
             yield from self.h2.receive_data(data[passed:at])
 
     def lost(self, reason: str) -> list[Event]:
         """The socket has closed or is given up: every open call ends."""
-        return [] if self.dead else self._break([], ErrorCodes.NO_ERROR, reason, told=True)
+        return [] if self.dead else self._break([], ErrorCodes.NO_ERROR, reason, is_goaway_sent=True)
 
-    def _break(self, events: list[Event], code: int, reason: str, told: bool = False) -> list[Event]:
+    def _break(
+        self, events: list[Event], code: int, reason: str, is_goaway_sent: bool = False
+    ) -> list[Event]:
         self.dead = True
-        if not told:
+        if not is_goaway_sent:
             frame = GoAwayFrame(
                 0,
                 last_stream_id=self.h2.highest_inbound_stream_id,
                 error_code=int(code),
                 additional_data=reason.encode()[:200],
             )
-            self._extra += frame.serialize()
+            self._extra_frames += frame.serialize()
         for call in list(self.calls.values()):
             self._drop(call)
             if self.client:
@@ -326,14 +330,14 @@
             self.bodies.release(call.reserved)
             call.reserved = 0
         self.calls.pop(call.stream, None)
-        self._dirty.pop(call.stream, None)
+        self._sendable.pop(call.stream, None)
 
     def _data(self, event: h2.events.DataReceived, events: list[Event]) -> None:
-        self._bytes(
+        self._receive_data(
             self.calls.get(event.stream_id or 0), event.data or b"", event.flow_controlled_length or 0, events
         )
 
-    def _bytes(self, call: _Call | None, data: bytes, size: int, events: list[Event]) -> None:
+    def _receive_data(self, call: _Call | None, data: bytes, size: int, events: list[Event]) -> None:
         """Data of a call has come; `size` is what it takes of the windows."""
         self._unacked += size
         if self._unacked * 2 >= self.limits.connection_window:
@@ -347,7 +351,7 @@
         try:
             self._messages(call, events)
         except _Fault as fault:
-            self._refuse_call(call, fault.status, events)
+            self._reject_call(call, fault.status, events)
             return
         if not call.paused:
             self._acknowledge(call)
@@ -365,15 +369,15 @@
         while len(buffer) - at >= _PREFIX:
             flag, size = buffer[at], int.from_bytes(buffer[at + 1 : at + _PREFIX], "big")
             if size > self.limits.max_message_bytes:
-                most = self.limits.max_message_bytes
-                raise _Fault(Code.RESOURCE_EXHAUSTED, f"message of {size} bytes, {most} allowed")
+                limit = self.limits.max_message_bytes
+                raise _Fault(Code.RESOURCE_EXHAUSTED, f"message of {size} bytes, {limit} allowed")
             if len(buffer) - at - _PREFIX < size:
                 if self.bodies and size > call.reserved:  # Room for the whole of it, or none of it is taken.
                     if not self.bodies.acquire(size - call.reserved):
                         raise _Fault(
                             Code.UNAVAILABLE,
                             rejection_text(BODIES_FULL),
-                            *refusal_details("REFUSED", _BODIES_WAIT, reason="bodies"),
+                            *refusal_details("REFUSED", _BODIES_RETRY_AFTER_US, reason="bodies"),
                         )
                     call.reserved = size
                 break
@@ -388,19 +392,19 @@
     def _expand(self, call: _Call, flag: int, data: bytes) -> bytes:
         if flag != 1 or not call.decoder:
             raise _Fault(Code.INTERNAL, "message is marked compressed, but no grpc-encoding was told")
-        most = self.limits.max_message_bytes
+        limit = self.limits.max_message_bytes
         machine = zlib.decompressobj(31 if call.decoder == "gzip" else 15)
         try:
-            whole = machine.decompress(data, most + 1)
+            whole = machine.decompress(data, limit + 1)
         except zlib.error as error:
             raise _Fault(Code.INTERNAL, f"message does not decompress: {error}") from None
-        if len(whole) > most:
-            raise _Fault(Code.RESOURCE_EXHAUSTED, f"message is over {most} bytes when decompressed")
+        if len(whole) > limit:
+            raise _Fault(Code.RESOURCE_EXHAUSTED, f"message is over {limit} bytes when decompressed")
         if not machine.eof:
             raise _Fault(Code.INTERNAL, "compressed message ends early")
         return whole
 
-    def _refuse_call(self, call: _Call, status: Status, events: list[Event]) -> None:
+    def _reject_call(self, call: _Call, status: Status, events: list[Event]) -> None:
         """End a call for the peer's fault in it."""
         if self.client:
             self.reset(call.stream, ErrorCodes.CANCEL)
@@ -475,12 +479,12 @@
         call.decoder = raw.get(b"grpc-encoding", b"identity").decode("latin-1").replace("identity", "")
         if call.decoder not in ("", "gzip", "deflate"):
             fault = Status(Code.INTERNAL, f"grpc-encoding: {call.decoder[:40]!r} was never offered")
-            self._refuse_call(call, fault, events)
+            self._reject_call(call, fault, events)
             return
         try:
             events.append(CallHeaders(call.stream, read_metadata(event.headers or ())))
         except ValueError as error:
-            self._refuse_call(call, Status(Code.INTERNAL, str(error)), events)
+            self._reject_call(call, Status(Code.INTERNAL, str(error)), events)
 
     def _trailers(self, event: h2.events.TrailersReceived, events: list[Event]) -> None:
         call = self.calls.get(event.stream_id or 0)
@@ -496,7 +500,7 @@
         done = call.local_done and call.ending is None and not call.out
         self._drop(call)
         if not done:  # The server needed no more of the request.
-            self._quiet_reset(call.stream, ErrorCodes.NO_ERROR)
+            self._reset_stream(call.stream, ErrorCodes.NO_ERROR)
         number = raw.get(b"grpc-status", b"")
         code = (
             Code(int(number)) if number.isdigit() and int(number) in Code._value2member_map_ else Code.UNKNOWN
@@ -526,7 +530,7 @@
             events.append(CallEnded(call.stream, status, reset=True))
         elif call.buffer:
             fault = f"the request ended inside a message ({len(call.buffer)} bytes)"
-            self._refuse_call(call, Status(Code.INVALID_ARGUMENT, fault), events)
+            self._reject_call(call, Status(Code.INVALID_ARGUMENT, fault), events)
         else:
             events.append(HalfClosed(call.stream))
 
@@ -551,24 +555,24 @@
     def _window(self, event: h2.events.WindowUpdated, events: list[Event]) -> None:
         if event.stream_id:
             if event.stream_id in self.calls:
-                self._dirty[event.stream_id] = None
+                self._sendable[event.stream_id] = None
         else:
-            self._all_dirty()
+            self._mark_all_sendable()
 
-    def _all_dirty(self) -> None:
+    def _mark_all_sendable(self) -> None:
         for stream, call in self.calls.items():
             if call.out or call.ending is not None or call.local_done:
-                self._dirty[stream] = None
+                self._sendable[stream] = None
 
     def _settings(self, event: h2.events.RemoteSettingsChanged, events: list[Event]) -> None:
         if SettingCodes.INITIAL_WINDOW_SIZE in (event.changed_settings or {}):
-            self._all_dirty()
+            self._mark_all_sendable()
 
     def _pong(self, event: h2.events.PingAckReceived, events: list[Event]) -> None:
         data = event.ping_data or b""
         if data == _DRAIN_PING and self.draining and not self.client:
             self._final_goaway = self.h2.highest_inbound_stream_id
-            self._extra += GoAwayFrame(0, last_stream_id=self._final_goaway).serialize()
+            self._extra_frames += GoAwayFrame(0, last_stream_id=self._final_goaway).serialize()
         else:
             events.append(Pong(data))
 
@@ -586,7 +590,7 @@
 
     # -- out
 
-    def room(self) -> int:
+    def available_streams(self) -> int:
         """Calls that may still be opened towards the peer, by its settings."""
         return (
             0
@@ -633,10 +637,10 @@
             flag, data = 1, machine.compress(data) + machine.flush()
         call.out.append(flag.to_bytes(1, "big") + len(data).to_bytes(4, "big") + data)
         call.out_bytes += _PREFIX + len(data)
-        self._dirty[stream] = None
+        self._sendable[stream] = None
         if call.out_bytes > self.limits.pending_high:
-            call.high = True
-        return not call.high
+            call.is_over_high = True
+        return not call.is_over_high
 
     def _answer(self, call: _Call) -> None:
         headers = [
@@ -662,7 +666,7 @@
         if call and not call.local_done:
             call.local_done = True
             call.ending = []
-            self._dirty[stream] = None
+            self._sendable[stream] = None
 
     def finish(self, stream: int, status: Status, metadata: Metadata = ()) -> bool:
         """Server: end a call once what was sent has gone out; False where it had ended."""
@@ -683,7 +687,7 @@
             ]
         call.ending = trailers
         call.buffer.clear()
-        self._dirty[stream] = None
+        self._sendable[stream] = None
         return True
 
     def reset(self, stream: int, error: int = ErrorCodes.CANCEL) -> bool:
@@ -692,13 +696,13 @@
         if call is None:
             return False
         self._drop(call)
-        self._ghosts[stream] = call.traffic
-        if len(self._ghosts) > _MOST_GHOSTS:
-            del self._ghosts[next(iter(self._ghosts))]
-        self._quiet_reset(stream, error)
+        self._reset_calls[stream] = call.traffic
+        if len(self._reset_calls) > _MAX_RESET_CALLS:
+            del self._reset_calls[next(iter(self._reset_calls))]
+        self._reset_stream(stream, error)
         return True
 
-    def _quiet_reset(self, stream: int, error: int) -> None:
+    def _reset_stream(self, stream: int, error: int) -> None:
         try:
             self.h2.reset_stream(stream, error)
         except h2.exceptions.ProtocolError:
@@ -727,7 +731,7 @@
 
     def ping(self, data: bytes) -> None:
         if not self.dead:
-            self._extra += PingFrame(0, opaque_data=data[:8].ljust(8, b"\0")).serialize()
+            self._extra_frames += PingFrame(0, opaque_data=data[:8].ljust(8, b"\0")).serialize()
 
     def drain(self) -> None:
         """Server: take no new calls, let the open ones end; the peer is told in two steps, as RFC 9113 has
@@ -735,48 +739,48 @@
         """
         if not self.draining and not self.dead:
             self.draining = True
-            self._extra += GoAwayFrame(0, last_stream_id=_LAST_STREAM).serialize()
+            self._extra_frames += GoAwayFrame(0, last_stream_id=_LAST_STREAM).serialize()
             self.ping(_DRAIN_PING)
 
     def take(self) -> bytes:
         """What is to be written now. Calls with much to send take turns, a frame each."""
         if not self.dead:
-            while self._dirty:
+            while self._sendable:
                 again: dict[int, None] = {}
-                for stream in list(self._dirty):
+                for stream in list(self._sendable):
                     call = self.calls.get(stream)
                     if call and self._pump(call):
                         again[stream] = None
-                self._dirty = again
+                self._sendable = again
         data = self.h2.data_to_send() if not self.dead or self.h2._data_to_send else b""
-        if self._extra:
-            data += bytes(self._extra)
-            self._extra.clear()
+        if self._extra_frames:
+            data += bytes(self._extra_frames)
+            self._extra_frames.clear()
         return data
 
     def events(self) -> list[Event]:
         """Events that sending has caused (`Writable`)."""
-        late, self._late = self._late, []
+        late, self._send_events = self._send_events, []
         return late
 
     def _pump(self, call: _Call) -> bool:
         """Send up to one frame of a call; True where more could go at once."""
         out = call.out
         if out:
-            room = min(self.h2.local_flow_control_window(call.stream), self.h2.max_outbound_frame_size)
-            if room <= 0:
+            window = min(self.h2.local_flow_control_window(call.stream), self.h2.max_outbound_frame_size)
+            if window <= 0:
                 return False
             data = out.popleft()
-            if out and len(data) < room:
+            if out and len(data) < window:
                 parts, size = [data], len(data)
-                while out and size + len(out[0]) <= room:
+                while out and size + len(out[0]) <= window:
                     data = out.popleft()
                     parts.append(data)
                     size += len(data)
                 data = b"".join(parts)
-            if len(data) > room:
-                out.appendleft(data[room:])
-                data = data[:room]
+            if len(data) > window:
+                out.appendleft(data[window:])
+                data = data[:window]
             call.out_bytes -= len(data)
             call.traffic.sent += len(data)
             last = not out and call.ending is not None and self.client
@@ -784,9 +788,9 @@
                 self.h2.send_data(call.stream, data, end_stream=True)
             else:
                 self.h2.give_data(call.stream, data)
-            if call.high and call.out_bytes <= self.limits.pending_low:
-                call.high = False
-                self._late.append(Writable(call.stream))
+            if call.is_over_high and call.out_bytes <= self.limits.pending_low:
+                call.is_over_high = False
+                self._send_events.append(Writable(call.stream))
             if out:
                 return True
             if last:
@@ -801,5 +805,5 @@
             self.h2.send_headers(call.stream, call.ending, end_stream=True)
             self._drop(call)
             if not call.remote_done:
-                self._quiet_reset(call.stream, ErrorCodes.NO_ERROR)
+                self._reset_stream(call.stream, ErrorCodes.NO_ERROR)
         return False
--- a/tuliptrack/rpc/dial.py
+++ b/tuliptrack/rpc/dial.py
@@ -15,10 +15,10 @@
     """What `opening`, which begins an `open_connection` or a `create_connection`, gives; OSError where it
     fails, TimeoutError where it takes longer.
     """
-    return await asyncio.wait_for(_cancelled_as_told(opening), within_s)
+    return await asyncio.wait_for(_open_cancellable(opening), within_s)
 
 
-async def _cancelled_as_told(opening: Callable[[], Awaitable[Opened]]) -> Opened:
+async def _open_cancellable(opening: Callable[[], Awaitable[Opened]]) -> Opened:
     """Where the close of its socket fails as it is cancelled, asyncio takes that for a failed try of which it
     has noted no error, and raises IndexError: the cancellation has to go on.
     """
--- a/tuliptrack/rpc/h1.py
+++ b/tuliptrack/rpc/h1.py
@@ -11,10 +11,20 @@
 
 import h11
 
-__all__ = ["Answer", "Body", "ClientSide", "Done", "Fields", "Head", "Part", "ProtocolError", "ServerSide"]
+__all__ = [
+    "Answer",
+    "BodyPart",
+    "ClientSide",
+    "Fields",
+    "ProtocolError",
+    "RequestBody",
+    "RequestHead",
+    "ResponseEnd",
+    "ServerSide",
+]
 
 Fields = list[tuple[str, str]]
-_MOST_INFORMATIONAL = 8  # 1xx answers before one that counts
+_MAX_INFORMATIONAL = 8  # 1xx answers before one that counts
 
 
 class ProtocolError(Exception):
@@ -26,25 +36,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
-    """A request's head has come; a `Body` follows. Names of fields are in lower case."""
+class RequestHead:
+    """A request's head has come; a `RequestBody` follows. Names of fields are in lower case."""
 
     method: str
     target: str
     fields: Fields
-    told: int
+    content_length: int
     """Bytes of body that it announces; 0 where it announces none, or chunks."""
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class BodyPart:
     """A part of a body."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Body:
+class RequestBody:
     """A request's whole body has come."""
 
     data: bytes
@@ -59,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class ResponseEnd:
     """The answer's last byte has come."""
 
 
@@ -83,19 +93,19 @@
             self.http.receive_data(data)
 
     @property
-    def begun(self) -> bool:
+    def is_mid_request(self) -> bool:
         """Whether a part of a request has come that isn't whole."""
         return self.http.their_state is h11.SEND_BODY or (
             self.http.their_state is h11.IDLE and bool(self.http.trailing_data[0])
         )
 
     @property
-    def ahead(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes that wait here."""
         return len(self.http.trailing_data[0])
 
-    def next(self) -> Head | Body | Part | None:
-        """What has come; None where more bytes are needed, or an answer is owed first. `Part` tells how much
+    def next(self) -> RequestHead | RequestBody | BodyPart | None:
+        """What has come; None where more bytes are needed, or an answer is owed first. `BodyPart` tells how much
         of a body has come beyond what its head announced. Raises `ProtocolError`.
         """
         try:
@@ -107,42 +117,44 @@
             names = [name for name, _ in fields]
             if "content-length" in names and "transfer-encoding" in names:
                 raise ProtocolError(400, "request: both Content-Length and Transfer-Encoding")
-            told = int(next((value for name, value in fields if name == "content-length"), "0"))
-            if told > self.body_bytes:
-                raise ProtocolError(413, f"body: {told} bytes, {self.body_bytes} allowed")
+            content_length = int(next((value for name, value in fields if name == "content-length"), "0"))
+            if content_length > self.body_bytes:
+                raise ProtocolError(413, f"body: {content_length} bytes, {self.body_bytes} allowed")
             self._parts, self._size, self._chunked = [], 0, "transfer-encoding" in names
-            return Head(event.method.decode("ascii"), event.target.decode("latin-1"), fields, told)
+            return RequestHead(
+                event.method.decode("ascii"), event.target.decode("latin-1"), fields, content_length
+            )
         if isinstance(event, h11.Data):
             self._size += len(event.data)
             if self._size > self.body_bytes:
                 raise ProtocolError(413, f"body: more than {self.body_bytes} bytes")
             self._parts.append(bytes(event.data))
-            return Part(self._parts[-1] if self._chunked else b"")
+            return BodyPart(self._parts[-1] if self._chunked else b"")
         if isinstance(event, h11.EndOfMessage):
             body, self._parts = b"".join(self._parts), []
-            return Body(body)
+            return RequestBody(body)
         return None
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """No further request can come on this connection."""
         return self.http.their_state in (h11.CLOSED, h11.MUST_CLOSE, h11.ERROR)
 
-    def again(self) -> bool:
+    def start_next_cycle(self) -> bool:
         """An answer is complete: get ready for the next request; False where there can be none."""
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
             return False
         self.http.start_next_cycle()
         return True
 
-    def owes(self) -> bool:
+    def can_respond(self) -> bool:
         """Whether an answer can be begun."""
         return self.http.our_state in (h11.SEND_RESPONSE, h11.IDLE)
 
     def wants_continue(self) -> bool:
         return self.http.they_are_waiting_for_100_continue
 
-    def go_on(self) -> bytes:
+    def send_continue(self) -> bytes:
         """100 Continue."""
         return self._send(h11.InformationalResponse(status_code=100, headers=[]))
 
@@ -159,7 +171,7 @@
         return self._send(h11.EndOfMessage())
 
     @property
-    def may_frame(self) -> bool:
+    def may_frame_chunks(self) -> bool:
         """Whether an open answer's chunks may be framed by the caller: through h11 each costs 7 us."""
         return self.http.their_http_version == b"1.1" and self.http.our_state is h11.SEND_BODY
 
@@ -207,14 +219,14 @@
         if not self.http.trailing_data[1]:
             self.http.receive_data(data)
 
-    def next(self) -> Answer | Part | Done | None:
+    def next(self) -> Answer | BodyPart | ResponseEnd | None:
         """What has come; None where more is needed. Raises `ProtocolError` where it can't be read."""
         try:
             while True:
                 event: Any = self.http.next_event()
                 if isinstance(event, h11.InformationalResponse):
                     self._informational += 1
-                    if self._informational > _MOST_INFORMATIONAL:
+                    if self._informational > _MAX_INFORMATIONAL:
                         raise ProtocolError(502, "answer: no end of 1xx")
                     continue
                 break
@@ -222,18 +234,18 @@
             raise ProtocolError(502, f"answer: {error}") from None
         if isinstance(event, h11.Response):
             fields = _fields(event.headers)
-            told = next((value for name, value in fields if name == "content-length"), "0")
-            if int(told) > self.body_bytes:
-                raise ProtocolError(502, f"answer: {told} bytes, {self.body_bytes} allowed")
+            content_length = next((value for name, value in fields if name == "content-length"), "0")
+            if int(content_length) > self.body_bytes:
+                raise ProtocolError(502, f"answer: {content_length} bytes, {self.body_bytes} allowed")
             return Answer(event.status_code, fields)
         if isinstance(event, h11.Data):
             self._size += len(event.data)
             if self._size > self.body_bytes:
                 raise ProtocolError(502, f"answer: more than {self.body_bytes} bytes")
-            return Part(bytes(event.data))
-        return Done() if isinstance(event, h11.EndOfMessage) else None
+            return BodyPart(bytes(event.data))
+        return ResponseEnd() if isinstance(event, h11.EndOfMessage) else None
 
-    def again(self) -> bool:
+    def start_next_cycle(self) -> bool:
         """An answer is complete: get ready for the next request; False where the connection can't have one,
         or more has come than was asked for.
         """
--- a/tuliptrack/rpc/http1.py
+++ b/tuliptrack/rpc/http1.py
@@ -17,7 +17,7 @@
 bytes that nobody has read would reset the connection, and take along what the client has not read yet. A
 request that comes in that time is never acted on: its client sees the end without an answer, and may send it
 once more. A client that has ended its sending has left. Its end is seen whatever it sent before: past
-`_MOST_AHEAD` further requests are thrown away, and the connection ends after those kept.
+`_MAX_PIPELINED_BYTES` further requests are thrown away, and the connection ends after those kept.
 """
 
 from __future__ import annotations
@@ -33,22 +33,22 @@
 import structlog
 
 from tuliptrack.decisions.concurrency_limit import BODIES_FULL, ByteBudget, rejection_text
-from tuliptrack.rpc.h1 import Body, Fields, Head, Part, ProtocolError, ServerSide
+from tuliptrack.rpc.h1 import BodyPart, Fields, ProtocolError, RequestBody, RequestHead, ServerSide
 from tuliptrack.rpc.listener import Listener
-from tuliptrack.rpc.tcp import ended_by_peer, has_unread, send_at_once
+from tuliptrack.rpc.tcp import has_unread, is_closed_by_peer, set_nodelay
 
 __all__ = ["HttpCall", "HttpLimits", "HttpServer", "Refusal"]
 
 log = structlog.get_logger("rpc.http1")
 _SEND_BUFFER = 65_536  # bytes that the kernel keeps for a reader that is slow
-_MOST_A_TURN = 4  # requests of one connection that are answered before others get their turn
-_MOST_AHEAD = 65_536  # bytes of further requests kept while one is answered
+_MAX_REQUESTS_PER_ITERATION = 4  # requests of one connection that are answered before others get their turn
+_MAX_PIPELINED_BYTES = 65_536  # bytes of further requests kept while one is answered
 _LINGER_S, _LINGER_BYTES = (
     1.0,
     1_048_576,
 )  # after our end: how long the client's is waited for, and what it may send
-_LOOKED_AT = 16  # connections of each kind that are looked at when room is wanted
-_LINGER_MOST_S = 30.0  # the same, while a slow reader still takes what waits for it
+_MAX_EVICTION_CANDIDATES = 16  # connections of each kind that are looked at when room is wanted
+_MAX_LINGER_S = 30.0  # the same, while a slow reader still takes what waits for it
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,10 +74,10 @@
     headers: tuple[tuple[str, str], ...] = ()
 
 
-_NO_ROOM = Refusal(503, rejection_text(BODIES_FULL), (("retry-after", "1"),))
+_BODY_BUDGET_FULL = Refusal(503, rejection_text(BODIES_FULL), (("retry-after", "1"),))
 
 
-def _nothing(*_: Any) -> None:
+def _noop(*_: Any) -> None:
     pass
 
 
@@ -103,8 +103,8 @@
         self.headers = dict(fields)
         self.body = b""
         self.open, self.started = True, False
-        self.on_gone: Callable[[str], None] = _nothing
-        self.on_writable: Callable[[], None] = _nothing
+        self.on_gone: Callable[[str], None] = _noop
+        self.on_writable: Callable[[], None] = _noop
 
     @property
     def connection(self) -> object:
@@ -116,7 +116,7 @@
         """The whole answer at once."""
         if self.open and not self.started:
             self.started, self.open = True, False
-            self._link.whole(
+            self._link.send_response(
                 status, [("content-type", kind), ("content-length", str(len(body))), *(headers or [])], body
             )
 
@@ -126,7 +126,7 @@
 
     def start(self, status: int, kind: str, headers: Fields | None = None) -> None:
         if self.open and not self.started:
-            self._link.begin(
+            self._link.start_response(
                 status, [("content-type", kind), ("cache-control", "no-store"), *(headers or [])]
             )
             self.started = True
@@ -138,15 +138,15 @@
     def end(self) -> None:
         if self.open:
             self.open = False
-            self._link.finish()
+            self._link.end_response()
 
     def abort(self) -> None:
         """End the connection in mid-answer, so that the client knows it isn't whole."""
         if self.open:
             self.open = False
-            self._link.cut()
+            self._link.abort_response()
 
-    def gone(self, reason: str) -> None:
+    def cancel(self, reason: str) -> None:
         if self.open:
             self.open = False
             self.on_gone(reason)
@@ -155,7 +155,7 @@
         """Whether the client has ended its sending or reset the connection, though that may not have been
         read yet.
         """
-        return self.open and (self._link.transport.is_closing() or ended_by_peer(self._link.transport))
+        return self.open and (self._link.transport.is_closing() or is_closed_by_peer(self._link.transport))
 
 
 class _HttpLink(asyncio.Protocol):
@@ -167,23 +167,23 @@
         self.transport: asyncio.Transport
         self.call: HttpCall | None = None
         """The request that is answered."""
-        self._coming: HttpCall | None = None
+        self._receiving: HttpCall | None = None
         """The request whose body is coming."""
-        self.held = 0
+        self.reserved_bytes = 0
         """Bytes of the meter's that its body has."""
         self.closing = self.chunked = self.served = False
         """`closing`: nothing of it is acted on any more."""
-        self._advancing = self._stopped = self._ended = False
-        self._overrun = False
+        self._advancing = self._is_write_paused = self._is_eof_received = False
+        self._is_over_limit = False
         """More has come ahead than is kept: nothing more is read of it."""
-        self._lingers = False
+        self._is_lingering = False
         """Our sending has ended; the client's end is waited for."""
-        self._thrown = 0
+        self._discarded_bytes = 0
         """Bytes that came since."""
-        self._linger_till = 0.0
+        self._linger_deadline = 0.0
         self._timer: asyncio.TimerHandle | None = None
-        self._begun = False
-        self._turn = 0
+        self._was_mid_request = False
+        self._requests_left = 0
         """Requests that may still be answered in this turn of the loop."""
 
     # -- the transport's calls
@@ -192,33 +192,33 @@
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.connected = self.loop.time()
-        if not self.server.takes(self):
+        if not self.server.admit(self):
             transport.abort()
             return
-        send_at_once(transport)
+        set_nodelay(transport)
         transport.set_write_buffer_limits(high=self.server.limits.pending_high)
         if (sock := transport.get_extra_info("socket")) is not None:  # The kernel's part is bounded too.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, _SEND_BUFFER)
-        self._watch()
+        self._start_timer()
 
     def data_received(self, data: bytes) -> None:
-        if self._lingers:
-            self._thrown += len(data)
-            if self._thrown > _LINGER_BYTES:
+        if self._is_lingering:
+            self._discarded_bytes += len(data)
+            if self._discarded_bytes > _LINGER_BYTES:
                 self.transport.close()
-        elif not self._overrun and not (self.closing and self.call is None):
+        elif not self._is_over_limit and not (self.closing and self.call is None):
             self.side.receive(data)
             self._advance()
-            self._overrun = self.call is not None and self.side.ahead > _MOST_AHEAD
+            self._is_over_limit = self.call is not None and self.side.buffered_bytes > _MAX_PIPELINED_BYTES
 
     def eof_received(self) -> bool:
-        if self._lingers:
+        if self._is_lingering:
             return False
         self.side.receive(b"")
-        self._ended = True
+        self._is_eof_received = True
         if self.call:
             self.closing = True
-            self.call.gone("the client has closed its connection")
+            self.call.cancel("the client has closed its connection")
             return False
         self._advance()
         return False
@@ -227,17 +227,17 @@
         self.closing = True
         if self._timer:
             self._timer.cancel()
-        self.let_go()
-        call, self.call, self._coming = self.call, None, None
-        self.server.left(self)
+        self.release_body()
+        call, self.call, self._receiving = self.call, None, None
+        self.server.remove(self)
         if call:
-            call.gone("the connection has ended")
+            call.cancel("the connection has ended")
 
     def pause_writing(self) -> None:
-        self._stopped = True
+        self._is_write_paused = True
 
     def resume_writing(self) -> None:
-        self._stopped = False
+        self._is_write_paused = False
         if self.call and self.call.open:
             self.call.on_writable()
 
@@ -250,23 +250,25 @@
         if self._advancing:
             return
         self._advancing = True
-        self._turn = _MOST_A_TURN
+        self._requests_left = _MAX_REQUESTS_PER_ITERATION
         try:
-            while self.call is None and not self.closing and self._turn and self._step():
+            while self.call is None and not self.closing and self._requests_left and self._step():
                 pass
         except ProtocolError as error:
-            self.refuse(Refusal(error.status, error.reason))
+            self.reject(Refusal(error.status, error.reason))
         finally:
             self._advancing = False
-        if self.call is None and (self.closing or self.side.over or (self._overrun and self._turn)):
-            self.shut()
-        elif not self._turn and self.call is None:
+        if self.call is None and (
+            self.closing or self.side.is_over or (self._is_over_limit and self._requests_left)
+        ):
+            self.close_gracefully()
+        elif not self._requests_left and self.call is None:
             self.transport.pause_reading()
-            self.loop.call_soon(self._go_on)
-        elif self.call is None and (self._timer is None or self.side.begun != self._begun):
-            self._watch()
+            self.loop.call_soon(self._resume_advancing)
+        elif self.call is None and (self._timer is None or self.side.is_mid_request != self._was_mid_request):
+            self._start_timer()
 
-    def _go_on(self) -> None:
+    def _resume_advancing(self) -> None:
         """The next turn, after others had theirs."""
         if not self.closing and self.call is None:
             self.transport.resume_reading()
@@ -277,35 +279,35 @@
         event = self.side.next()
         if event is None:
             return False
-        if isinstance(event, Head):
+        if isinstance(event, RequestHead):
             return self._head(event)
-        coming = self._coming
-        assert coming
-        if isinstance(event, Part):
-            if event.data and not self._hold(len(event.data)):
-                self.refuse(_NO_ROOM)
-        elif isinstance(event, Body):
-            coming.body, self._coming = event.data, None
-            self._whole(coming)
+        receiving = self._receiving
+        assert receiving
+        if isinstance(event, BodyPart):
+            if event.data and not self._reserve_body(len(event.data)):
+                self.reject(_BODY_BUDGET_FULL)
+        elif isinstance(event, RequestBody):
+            receiving.body, self._receiving = event.data, None
+            self._handle_request(receiving)
         return True
 
-    def _head(self, head: Head) -> bool:
+    def _head(self, head: RequestHead) -> bool:
         call = HttpCall(self, head.method, head.target, head.fields)
-        refusal = self.server.early(call)
-        if refusal is None and head.told and not self._hold(head.told):
-            refusal = _NO_ROOM
+        refusal = self.server.reject_early(call)
+        if refusal is None and head.content_length and not self._reserve_body(head.content_length):
+            refusal = _BODY_BUDGET_FULL
         if refusal:
-            self.refuse(refusal)
+            self.reject(refusal)
             return False
         if self.side.wants_continue():
-            self.transport.write(self.side.go_on())
-        self._coming = call
+            self.transport.write(self.side.send_continue())
+        self._receiving = call
         return True
 
-    def _whole(self, call: HttpCall) -> None:
+    def _handle_request(self, call: HttpCall) -> None:
         self.call, self.served = call, True
-        self._turn -= 1
-        self.server.busy(self)
+        self._requests_left -= 1
+        self.server.mark_busy(self)
         if self._timer:
             self._timer.cancel()
             self._timer = None
@@ -314,93 +316,93 @@
         except Exception:
             log.exception("handler failed", target=call.target[:200])
             call.error(500, "the handler failed")
-        self.let_go()
+        self.release_body()
 
-    def _hold(self, size: int) -> bool:
+    def _reserve_body(self, size: int) -> bool:
         if not self.server.bodies.acquire(size):
             return False
-        self.held += size
+        self.reserved_bytes += size
         return True
 
-    def let_go(self) -> None:
-        self.server.bodies.release(self.held)
-        self.held = 0
+    def release_body(self) -> None:
+        self.server.bodies.release(self.reserved_bytes)
+        self.reserved_bytes = 0
 
     # -- out
 
-    def begin(self, status: int, headers: Fields) -> None:
-        self._out(self._first(status, headers))
+    def start_response(self, status: int, headers: Fields) -> None:
+        self._write(self._response_head(status, headers))
 
-    def _first(self, status: int, headers: Fields) -> bytes:
-        if self.server.last or self.closing or self._ended:
+    def _response_head(self, status: int, headers: Fields) -> bytes:
+        if self.server.last or self.closing or self._is_eof_received:
             headers = [*headers, ("connection", "close")]
         self.chunked = all(name != "content-length" for name, _ in headers)
         try:
             data = self.side.head(status, headers)
         except ProtocolError as error:
-            return self._broke(error)
-        self.chunked = self.chunked and self.side.may_frame
+            return self._fail_response(error)
+        self.chunked = self.chunked and self.side.may_frame_chunks
         return data
 
-    def _broke(self, error: ProtocolError) -> bytes:
+    def _fail_response(self, error: ProtocolError) -> bytes:
         log.info("answer not sent", reason=error.reason)
         self.transport.abort()
         return b""
 
-    def _out(self, data: bytes) -> None:
-        if data and not self._lingers and not self.transport.is_closing():
+    def _write(self, data: bytes) -> None:
+        if data and not self._is_lingering and not self.transport.is_closing():
             self.transport.write(data)
 
     def write(self, data: bytes) -> bool:
         if data and self.chunked:
-            self._out(b"%x\r\n%b\r\n" % (len(data), data))
+            self._write(b"%x\r\n%b\r\n" % (len(data), data))
         elif data:
             try:
-                self._out(self.side.part(data))
+                self._write(self.side.part(data))
             except ProtocolError as error:
-                self._broke(error)
-        return not self._stopped
+                self._fail_response(error)
+        return not self._is_write_paused
 
-    def whole(self, status: int, headers: Fields, body: bytes) -> None:
+    def send_response(self, status: int, headers: Fields, body: bytes) -> None:
         """An answer in one write."""
-        head = self._first(status, headers)
+        head = self._response_head(status, headers)
         if head:
             try:
-                self._out(
+                self._write(
                     head
                     + (self.side.part(body) if body and self.call and self.call.method != "HEAD" else b"")
                 )
             except ProtocolError as error:
-                self._broke(error)
-        self.finish()
+                self._fail_response(error)
+        self.end_response()
 
-    def finish(self) -> None:
+    def end_response(self) -> None:
         try:
-            self._out(self.side.end())
+            self._write(self.side.end())
         except ProtocolError as error:
-            self._broke(error)
+            self._fail_response(error)
         self.call = None
-        self.server.idle(self)
-        if self.server.last or self._ended or self.closing or not self.side.again():
-            self.shut()
+        self.server.mark_idle(self)
+        if self.server.last or self._is_eof_received or self.closing or not self.side.start_next_cycle():
+            self.close_gracefully()
             return
         if not self._advancing:  # Else `_advance` sets the timer, once for all that it has dealt with.
-            self._watch()
+            self._start_timer()
             self.loop.call_soon(self._advance)
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """End the connection in mid-answer; what was sent of it still goes out."""
         self.call = None
-        self.shut()
+        self.close_gracefully()
 
-    def refuse(self, refusal: Refusal) -> None:
+    def reject(self, refusal: Refusal) -> None:
         """Answer without having read the request, and close."""
         self.closing = True
-        self.let_go()
-        if self.side.owes():
+        self.release_body()
+        if self.side.can_respond():
             body = json.dumps({"error": refusal.error}).encode()
-            self._out(
-                self._first(
+            self._write(
+                self._response_head(
                     refusal.status,
                     [
                         ("content-type", "application/json"),
@@ -410,21 +412,21 @@
                 )
             )
             try:
-                self._out(self.side.part(body) + self.side.end())
+                self._write(self.side.part(body) + self.side.end())
             except ProtocolError as error:
-                self._broke(error)
-        self.shut()
+                self._fail_response(error)
+        self.close_gracefully()
 
-    def shut(self) -> None:
+    def close_gracefully(self) -> None:
         """Close in the order that the module's text tells."""
         self.closing = True
-        if self._lingers or self.transport.is_closing():
+        if self._is_lingering or self.transport.is_closing():
             return
-        if self._ended:
+        if self._is_eof_received:
             self.transport.close()  # Nothing more can come; what waits unsent still goes out.
             return
-        self._lingers = True
-        self.server.lingers(self)
+        self._is_lingering = True
+        self.server.mark_lingering(self)
         if self._timer:
             self._timer.cancel()
         try:
@@ -433,61 +435,61 @@
         except OSError:  # It was reset meanwhile.
             self.transport.abort()
             return
-        self._linger_till = self.loop.time() + _LINGER_MOST_S
+        self._linger_deadline = self.loop.time() + _MAX_LINGER_S
         self._timer = self.loop.call_later(_LINGER_S, self._linger, self.transport.get_write_buffer_size())
 
     def _linger(self, waiting: int) -> None:
         """The client's end has been waited for; a reader that still takes what waits for it is given more
         time.
         """
-        left = self.transport.get_write_buffer_size()
-        if 0 < left < waiting and self.loop.time() < self._linger_till:
-            self._timer = self.loop.call_later(_LINGER_S, self._linger, left)
+        remaining = self.transport.get_write_buffer_size()
+        if 0 < remaining < waiting and self.loop.time() < self._linger_deadline:
+            self._timer = self.loop.call_later(_LINGER_S, self._linger, remaining)
         else:
             self.transport.abort()
 
     # -- times
 
-    def _watch(self) -> None:
+    def _start_timer(self) -> None:
         """Set the timer for what is to come next: a request's start, or its end."""
         limits = self.server.limits
-        self._begun = self.side.begun
-        if self._lingers:
+        self._was_mid_request = self.side.is_mid_request
+        if self._is_lingering:
             return
         if self._timer:
             self._timer.cancel()
         now = self.loop.time()
-        at = now + (limits.request_within if self._begun else limits.idle) / 1e6
+        at = now + (limits.request_within if self._was_mid_request else limits.idle) / 1e6
         if limits.first_within and not self.served:
             at = min(at, self.connected + limits.first_within / 1e6)
-        self._timer = self.loop.call_later(max(at - now, 0), self._late)
+        self._timer = self.loop.call_later(max(at - now, 0), self._timed_out)
 
-    def _late(self) -> None:
+    def _timed_out(self) -> None:
         self._timer = None
         if self.call:
             return
-        if self.side.begun:
+        if self.side.is_mid_request:
             within = self.server.limits.request_within / 1e6
-            self.refuse(Refusal(408, f"request: not sent whole within {within:g} s"))
+            self.reject(Refusal(408, f"request: not sent whole within {within:g} s"))
         else:
-            self.shut()
+            self.close_gracefully()
 
 
 class HttpServer:
-    """Listens on one address. `handle` gets each whole request; `early` may answer from the headers alone."""
+    """Listens on one address. `handle` gets each whole request; `reject_early` may answer from the headers alone."""
 
     def __init__(
         self,
         handle: Callable[[HttpCall], None],
-        early: Callable[[HttpCall], Refusal | None],
+        reject_early: Callable[[HttpCall], Refusal | None],
         limits: HttpLimits | None = None,
         bodies: ByteBudget | None = None,
     ) -> None:
-        self.handle, self.early, self.limits = handle, early, limits or HttpLimits()
+        self.handle, self.reject_early, self.limits = handle, reject_early, limits or HttpLimits()
         self.bodies = bodies or ByteBudget(2**40)
         self.links: dict[_HttpLink, None] = {}
         """Every connection."""
-        self._free: dict[_HttpLink, None] = {}
+        self._idle: dict[_HttpLink, None] = {}
         """Those without a request that had one before, the longest without one first."""
         self._new: dict[_HttpLink, None] = {}
         """Those that have not sent a whole request yet, the oldest first."""
@@ -495,37 +497,41 @@
         """Those on which our sending has ended, the first one first."""
         self.last = self.stopping = False
         """`last`: each connection closes with its next answer."""
-        self.turned_away = self.made_room = 0
+        self.rejected_connections = self.evictions = 0
         self.loop: asyncio.AbstractEventLoop
         self._listener: Listener | None = None
-        self._empty: asyncio.Event | None = None
+        self._all_closed: asyncio.Event | None = None
         self.address = ""
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> str:
         """Start; returns host:port, with the kernel's choice for port 0."""
         self.loop = asyncio.get_running_loop()
-        self._empty = asyncio.Event()
+        self._all_closed = asyncio.Event()
         self._listener = Listener(self.loop, lambda: _HttpLink(self))
         self.address = self._listener.start(host, port)
         return self.address
 
     # -- what its connections tell
 
-    def takes(self, link: _HttpLink) -> bool:
+    def admit(self, link: _HttpLink) -> bool:
         """Whether a new connection has room, made if need be; it is one of ours if so."""
-        if len(self.links) >= self.limits.connections and not self.stopping and (spare := self._spare()):
-            self.made_room += 1
-            spare.closing = True
-            self.left(spare)
-            spare.transport.abort()
+        if (
+            len(self.links) >= self.limits.connections
+            and not self.stopping
+            and (evictable := self._find_evictable())
+        ):
+            self.evictions += 1
+            evictable.closing = True
+            self.remove(evictable)
+            evictable.transport.abort()
         if len(self.links) >= self.limits.connections or self.stopping:
-            self.turned_away += 1
+            self.rejected_connections += 1
             link.closing = True
             return False
         self.links[link] = self._new[link] = None
         return True
 
-    def _spare(self) -> _HttpLink | None:
+    def _find_evictable(self) -> _HttpLink | None:
         """The connection that makes room for a new one. Who has ended goes first, then who has asked for
         nothing yet, so that a flood of such connections makes room for itself and not in place of clients.
         One with bytes that were not read stays if it can: they may be a request. Of clients that were served
@@ -533,50 +539,52 @@
         """
         if lingering := next(iter(self._lingering), None):
             return lingering
-        silent = (link for link in self._new if not link.side.begun)
+        silent = (link for link in self._new if not link.side.is_mid_request)
         # A kept connection may have brought requests that were read and wait for their turn: it is not closed
         # over them.
-        resting = (link for link in self._free if not link.side.begun)
+        resting = (link for link in self._idle if not link.side.is_mid_request)
         for links in (silent, self._new, resting):
-            if found := next((k for k in islice(links, _LOOKED_AT) if not has_unread(k.transport)), None):
+            if found := next(
+                (k for k in islice(links, _MAX_EVICTION_CANDIDATES) if not has_unread(k.transport)), None
+            ):
                 return found
             if links is self._new and self._new:
                 return next(iter(self._new))
         return None
 
-    def busy(self, link: _HttpLink) -> None:
-        self._free.pop(link, None)
+    def mark_busy(self, link: _HttpLink) -> None:
+        self._idle.pop(link, None)
         self._new.pop(link, None)
 
-    def lingers(self, link: _HttpLink) -> None:
-        self.busy(link)
+    def mark_lingering(self, link: _HttpLink) -> None:
+        self.mark_busy(link)
         if link in self.links:
             self._lingering[link] = None
 
-    def idle(self, link: _HttpLink) -> None:
+    def mark_idle(self, link: _HttpLink) -> None:
         if link in self.links:
-            self._free[link] = None
+            self._idle[link] = None
 
-    def left(self, link: _HttpLink) -> None:
+    def remove(self, link: _HttpLink) -> None:
         self.links.pop(link, None)
-        self.busy(link)
+        self.mark_busy(link)
         self._lingering.pop(link, None)
-        if not self.links and self._empty:
-            self._empty.set()
+        if not self.links and self._all_closed:
+            self._all_closed.set()
 
     # -- the end
 
-    def close_free(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the connections that have no request."""
-        for link in [*self._free, *self._new]:
-            if not link.side.begun:
-                link.shut()
+        for link in [*self._idle, *self._new]:
+            if not link.side.is_mid_request:
+                link.close_gracefully()
 
     def cut_short(self) -> None:
         """End what is open: its connections close."""
         for link in list(self.links):
             if link.call:
-                link.call.gone("server stopped")
+                link.call.cancel("server stopped")
             link.closing = True
             link.transport.abort()
 
@@ -585,15 +593,15 @@
         self.stopping = self.last = True
         if self._listener:
             await self._listener.close()
-        self.close_free()
-        assert self._empty
+        self.close_idle_connections()
+        assert self._all_closed
         if self.links and grace > 0:
-            self._empty.clear()
+            self._all_closed.clear()
             try:
-                await asyncio.wait_for(self._empty.wait(), grace)
+                await asyncio.wait_for(self._all_closed.wait(), grace)
             except TimeoutError:
                 pass
         self.cut_short()
         if self.links:
-            self._empty.clear()
-            await self._empty.wait()
+            self._all_closed.clear()
+            await self._all_closed.wait()
--- a/tuliptrack/rpc/http1_client.py
+++ b/tuliptrack/rpc/http1_client.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from tuliptrack.rpc.h1 import Answer, ClientSide, Done, Part, ProtocolError
+from tuliptrack.rpc.h1 import Answer, BodyPart, ClientSide, ProtocolError, ResponseEnd
 from tuliptrack.rpc.http1_exchange import Exchange, How
-from tuliptrack.rpc.tcp import ended_by_peer, send_at_once, stands
+from tuliptrack.rpc.tcp import is_closed_by_peer, is_established, set_nodelay
 
 __all__ = ["ClientConnection", "ClientOptions", "Owner"]
 
@@ -37,19 +37,19 @@
     options: ClientOptions
     loop: asyncio.AbstractEventLoop
 
-    def heard(self) -> None:
+    def mark_heard(self) -> None:
         """Something has come from the peer."""
 
     def doubt(self, since: float) -> None:
         """Nothing has come on one of its connections since then, though it should have."""
 
-    def rests(self, connection: ClientConnection) -> None:
+    def return_to_pool(self, connection: ClientConnection) -> None:
         """A connection has no exchange now."""
 
-    def lost(self, connection: ClientConnection) -> None:
+    def remove_connection(self, connection: ClientConnection) -> None:
         """A connection has ended."""
 
-    def any_stands(self) -> bool:
+    def any_established(self) -> bool:
         """Whether the kernel holds any of its connections to be up."""
 
 
@@ -67,13 +67,13 @@
         self.idle_since = 0.0
         self.opened_at = self.heard_at = 0.0
         """When it came up, and when something last came on it, on the loop's clock."""
-        self._kept = False
+        self._is_reused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport, self.connected = transport, True
         self.opened_at = self.owner.loop.time()
-        send_at_once(transport)
+        set_nodelay(transport)
         transport.set_write_buffer_limits(high=0)  # `resume_writing` then tells that all is written.
 
     def resume_writing(self) -> None:
@@ -85,13 +85,13 @@
 
     def begin(self, exchange: Exchange) -> None:
         """Send a request."""
-        self._kept = self.opened_for is not exchange
+        self._is_reused = self.opened_for is not exchange
         exchange.before_write()
         try:
             data = self.side.request(exchange.method, exchange.target, exchange.fields, exchange.body)
         except ValueError as error:
             exchange.ended(How.NO_ROOM, f"can't be sent: {error}")
-            self.owner.rests(self)
+            self.owner.return_to_pool(self)
             return
         self.exchange, exchange.carrier = exchange, self
         self.transport.write(data)
@@ -101,7 +101,7 @@
             self.transport.pause_reading()
 
     def data_received(self, data: bytes) -> None:
-        self.owner.heard()
+        self.owner.mark_heard()
         self.heard_at = self.owner.loop.time()
         exchange = self.exchange
         if exchange is None:  # Nobody asked for it.
@@ -117,9 +117,9 @@
                 if isinstance(event, Answer):
                     exchange.status = event.status
                     exchange.on_head(event)
-                elif isinstance(event, Part):
+                elif isinstance(event, BodyPart):
                     exchange.on_data(event.data)
-                elif isinstance(event, Done):
+                elif isinstance(event, ResponseEnd):
                     self._done(exchange)
                     return
         except ProtocolError as error:
@@ -128,8 +128,8 @@
 
     def _done(self, exchange: Exchange) -> None:
         self.exchange = None
-        if not self.dead and self.side.again():
-            self.owner.rests(self)
+        if not self.dead and self.side.start_next_cycle():
+            self.owner.return_to_pool(self)
         else:
             self.drop("can't be used again")
         exchange.ended(How.ANSWER, "")
@@ -146,21 +146,21 @@
         exchange, self.exchange = self.exchange, None
         self.drop(reason)
         if exchange:
-            unanswered = self._kept and not exchange.status
-            exchange.lone = unanswered or exchange.spoilt or self.owner.any_stands()
+            unanswered = self._is_reused and not exchange.status
+            exchange.lone = unanswered or exchange.spoilt or self.owner.any_established()
             exchange.ended(How.RESET if exchange.sent else How.CONNECT, reason)
 
-    def stands(self) -> bool:
+    def is_established(self) -> bool:
         """Whether the kernel holds the connection to be up: what has just broken with it may not have been
         told yet.
         """
-        return not self.dead and stands(self.transport)
+        return not self.dead and is_established(self.transport)
 
-    def ended(self) -> bool:
+    def is_closed_by_peer(self) -> bool:
         """Whether the peer has ended the connection, though that may not have been read yet: what is written
         now is lost.
         """
-        return self.transport.is_closing() or ended_by_peer(self.transport)
+        return self.transport.is_closing() or is_closed_by_peer(self.transport)
 
     def pause(self) -> None:
         self.transport.pause_reading()
@@ -176,6 +176,6 @@
         self.exchange = None
         if not self.dead:
             self.dead = True
-            self.owner.lost(self)
+            self.owner.remove_connection(self)
             if self.connected:
                 self.transport.abort()
--- a/tuliptrack/rpc/http1_exchange.py
+++ b/tuliptrack/rpc/http1_exchange.py
@@ -45,7 +45,7 @@
         """Nothing has come since then, on the loop's clock, though it should have."""
 
 
-def _nothing(*_: Any) -> None:
+def _noop(*_: Any) -> None:
     pass
 
 
@@ -83,12 +83,12 @@
 
     def __init__(self, method: str, target: str, fields: Fields, body: bytes = b"") -> None:
         self.method, self.target, self.fields, self.body = method, target, fields, body
-        self.on_head: Callable[[Answer], None] = _nothing
-        self.on_data: Callable[[bytes], None] = _nothing
-        self.on_end: Callable[[How, str], None] = _nothing
+        self.on_head: Callable[[Answer], None] = _noop
+        self.on_data: Callable[[bytes], None] = _noop
+        self.on_end: Callable[[How, str], None] = _noop
         self.wanted: Callable[[], bool] = _always
         """Asked once its connection works, just before it is sent; False: it is not."""
-        self.before_write: Callable[[], None] = _nothing
+        self.before_write: Callable[[], None] = _noop
         """Called as its bytes are made: what its head says of the time left is said now."""
         self.validated = False
         """It goes out on a connection that has just proven to work: a kept one is asked first."""
--- a/tuliptrack/rpc/http1_pool.py
+++ b/tuliptrack/rpc/http1_pool.py
@@ -24,12 +24,12 @@
 
 __all__ = ["Connections", "Pool", "no_question"]
 
-_OWN_LACK = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+_LOCAL_RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 """This process or machine has no room; the peer has no part in it."""
-_OWN_NETWORK = frozenset({errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN})
+_LOCAL_NETWORK_ERRORS = frozenset({errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN})
 """This machine's network can't open it now; that says little of the peer."""
-_CONNECT_AGAIN_S = 0.02  # after one of these
-_KEPT_ANSWERS = (
+_CONNECT_RETRY_DELAY_S = 0.02  # after one of these
+_VALIDATION_SHARE = (
     0.2  # of the time to connect: within it a kept connection has to answer before a new one is opened
 )
 
@@ -37,25 +37,25 @@
 class Connections:
     """How many connections may be held, to all addresses together."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held, self.made = most, 0, 0
+    def __init__(self, limit: int) -> None:
+        self.limit, self.open_count, self.made = limit, 0, 0
         self.silent = 0
         """Connections that did not answer when they were asked."""
         self.pools: list[Pool] = []
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Room for one more, made if need be by closing the one that has been idle for longest."""
-        if self.held >= self.most:
+        if self.open_count >= self.limit:
             idle = [pool.idle[0] for pool in self.pools if pool.idle]
             if not idle:
                 return False
             min(idle, key=lambda connection: connection.idle_since).drop("makes room")
-        self.held += 1
+        self.open_count += 1
         self.made += 1
         return True
 
-    def give(self) -> None:
-        self.held -= 1
+    def release(self) -> None:
+        self.open_count -= 1
 
 
 class _Borrow:
@@ -64,10 +64,10 @@
     def __init__(self, pool: Pool, exchange: Exchange) -> None:
         self.pool, self.exchange = pool, exchange
         self.over = False
-        self._cut_short = False
+        self._is_time_shortened = False
         self._validations: dict[ClientConnection, Exchange] = {}
         self._connected = False
-        self._own_error: OSError | None = None
+        self._local_error: OSError | None = None
         """Why this machine could not open a connection, if that was so the last time."""
         self._task: asyncio.Task[None] | None = None
         self._timers: list[asyncio.TimerHandle] = []
@@ -79,56 +79,56 @@
         if not self.exchange.connect_by:
             return allowed / 1e6
         left = max(self.exchange.connect_by - now_us(), 0)
-        self._cut_short = left < allowed
+        self._is_time_shortened = left < allowed
         return min(left, allowed) / 1e6
 
-    def start(self, kept: ClientConnection | None) -> None:
+    def start(self, pooled: ClientConnection | None) -> None:
         """Begin with a kept connection, if there is one."""
-        self._after(self._wait_s, self._late)
-        if kept is None:
+        self._after(self._wait_s, self._connect_timed_out)
+        if pooled is None:
             self._connect()
             return
-        self._after(self._wait_s * _KEPT_ANSWERS, lambda: self._silent(kept))
-        self._validate(kept)
+        self._after(self._wait_s * _VALIDATION_SHARE, lambda: self._validation_overdue(pooled))
+        self._validate(pooled)
 
     def _after(self, seconds: float, what: Callable[[], None]) -> None:
         self._timers.append(self.pool.loop.call_later(seconds, what))
 
-    def _late(self) -> None:
+    def _connect_timed_out(self) -> None:
         """The time to connect is over."""
-        if self._own_error:
-            self._not_opened(self._own_error)
+        if self._local_error:
+            self._not_opened(self._local_error)
         else:
-            self._fail(How.CONNECT, "no connection that works in time", self._cut_short)
+            self._fail(How.CONNECT, "no connection that works in time", self._is_time_shortened)
 
     def _validate(self, connection: ClientConnection) -> None:
         """Ask a connection a question that has no effect; where none is known the connection is taken to
         work.
         """
-        question = self.pool.make_question(self.pool.address)
-        if question is None:
+        probe = self.pool.make_question(self.pool.address)
+        if probe is None:
             self._use(connection)
             return
-        question.on_end = lambda how, reason: self._validated(connection, question, how)
-        self._validations[connection] = question
-        connection.begin(question)
+        probe.on_end = lambda how, reason: self._validated(connection, probe, how)
+        self._validations[connection] = probe
+        connection.begin(probe)
 
-    def _silent(self, connection: ClientConnection) -> None:
+    def _validation_overdue(self, connection: ClientConnection) -> None:
         """A kept connection has not answered soon enough: a new one is opened beside it."""
-        question = self._validations.get(connection)
-        if self.over or question is None:
+        probe = self._validations.get(connection)
+        if self.over or probe is None:
             return
         self.pool.connections.silent += 1
-        question.doubt()
+        probe.doubt()
         self._connect()
 
-    def _validated(self, connection: ClientConnection, question: Exchange, how: How) -> None:
+    def _validated(self, connection: ClientConnection, probe: Exchange, how: How) -> None:
         self._validations.pop(connection, None)
         if self.over:
             return
         if how is How.ANSWER and connection in self.pool.idle:
             self.pool.idle.remove(connection)
-            self._use(connection, question.sent_at)
+            self._use(connection, probe.sent_at)
         elif not self._validations and self._task is None:
             if self._connected:
                 self._fail(How.CONNECT, "the connection ended before it was used", True)
@@ -136,11 +136,11 @@
                 self._connect()
 
     def _connect(self) -> None:
-        if not self.pool.connections.take():
+        if not self.pool.connections.acquire():
             if not self._validations:
                 self.over = True
                 self.pool.loop.call_soon(
-                    self._end, How.NO_ROOM, f"{self.pool.connections.held} connections are open"
+                    self._end, How.NO_ROOM, f"{self.pool.connections.open_count} connections are open"
                 )
             return
         self._task = self.pool.loop.create_task(self._open())
@@ -149,13 +149,13 @@
         try:
             connection = await self._open_in_time()
         except (OSError, ValueError) as error:  # a time-out is an OSError too
-            self.pool.connections.give()
+            self.pool.connections.release()
             self._task = None
             if not self._validations:
                 self._not_opened(error)
             return
         except asyncio.CancelledError:
-            self.pool.connections.give()
+            self.pool.connections.release()
             raise
         self._task, self._connected = None, True
         self.pool.opened(connection)
@@ -172,13 +172,15 @@
             left = max(self._deadline - loop.time(), 0)
             try:
                 await self._dial(connection, left)
-                self._own_error = None
+                self._local_error = None
                 return connection
             except OSError as error:
-                self._own_error = error if error.errno in _OWN_LACK | _OWN_NETWORK else None
-                if self._own_error is None or loop.time() + _CONNECT_AGAIN_S >= self._deadline:
+                self._local_error = (
+                    error if error.errno in _LOCAL_RESOURCE_ERRORS | _LOCAL_NETWORK_ERRORS else None
+                )
+                if self._local_error is None or loop.time() + _CONNECT_RETRY_DELAY_S >= self._deadline:
                     raise
-            await asyncio.sleep(_CONNECT_AGAIN_S)
+            await asyncio.sleep(_CONNECT_RETRY_DELAY_S)
 
     async def _dial(self, connection: ClientConnection, within_s: float) -> None:
         host, _, port = self.pool.address.rpartition(":")
@@ -194,18 +196,18 @@
     def _not_opened(self, error: Exception) -> None:
         number = getattr(error, "errno", None)
         reason = f"connect: {error or 'timed out'}"
-        if number in _OWN_LACK:
+        if number in _LOCAL_RESOURCE_ERRORS:
             self._fail(How.NO_ROOM, reason)
         else:
-            cut_short = isinstance(error, TimeoutError) and self._cut_short
-            self._fail(How.CONNECT, reason, cut_short or number in _OWN_NETWORK)
+            is_time_shortened = isinstance(error, TimeoutError) and self._is_time_shortened
+            self._fail(How.CONNECT, reason, is_time_shortened or number in _LOCAL_NETWORK_ERRORS)
 
     def _use(self, connection: ClientConnection, proven_since: float = 0.0) -> None:
         """A connection works: the exchange goes out on it, unless it isn't wanted any more. `proven_since`:
         see `Exchange`.
         """
         if self.over:
-            self.pool.rests(connection)
+            self.pool.return_to_pool(connection)
             return
         exchange = self.exchange
         exchange.proven_since = proven_since
@@ -215,7 +217,7 @@
             return
         exchange.lone = True
         exchange.ended(How.CONNECT, "not wanted any more")
-        self.pool.rests(connection)
+        self.pool.return_to_pool(connection)
 
     def _fail(self, how: How, reason: str, lone: bool = False) -> None:
         if not self.over:
@@ -235,8 +237,8 @@
         if self._task and self._task is not asyncio.current_task():
             self._task.cancel()
             self._task = None
-        for question in list(self._validations.values()):
-            question.cancel()
+        for probe in list(self._validations.values()):
+            probe.cancel()
 
     def close(self) -> asyncio.Task[None] | None:
         """End it; the task that is to be waited for, if any."""
@@ -282,35 +284,36 @@
         if self._closed:
             self.loop.call_soon(exchange.ended, How.NO_ROOM, "closed")
             return
-        kept = None if exchange.fresh else self._take_kept()
-        if kept and not exchange.validated:
-            kept.begin(exchange)
+        pooled = None if exchange.fresh else self._take_idle()
+        if pooled and not exchange.validated:
+            pooled.begin(exchange)
             return
         borrow = _Borrow(self, exchange)
         self.borrows.add(borrow)
-        borrow.start(kept)
+        borrow.start(pooled)
 
-    def _take_kept(self) -> ClientConnection | None:
+    def _take_idle(self) -> ClientConnection | None:
         """A kept connection that has rested and that its peer has not ended."""
         now = self.loop.time()
-        while rested := self._rested(now):
-            self.idle.remove(rested)
-            if now - rested.idle_since < self.options.idle / 1e6 and not rested.ended():
-                return rested
-            rested.drop("idle for too long, or ended")
+        while reusable := self._reusable(now):
+            self.idle.remove(reusable)
+            if now - reusable.idle_since < self.options.idle / 1e6 and not reusable.is_closed_by_peer():
+                return reusable
+            reusable.drop("idle for too long, or ended")
         return None
 
-    def _rested(self, now: float) -> ClientConnection | None:
+    def _reusable(self, now: float) -> ClientConnection | None:
         """The idle connection to use next; None where none has rested."""
         return next(
-            (kept for kept in reversed(self.idle) if now - kept.idle_since >= self.options.rest / 1e6), None
+            (pooled for pooled in reversed(self.idle) if now - pooled.idle_since >= self.options.rest / 1e6),
+            None,
         )
 
     def has_spare(self) -> bool:
         """Whether an exchange would need no new connection."""
-        return self._rested(self.loop.time()) is not None
+        return self._reusable(self.loop.time()) is not None
 
-    def heard(self) -> None:
+    def mark_heard(self) -> None:
         self.heard_at = self.loop.time()
         self.doubted = False
 
@@ -318,14 +321,14 @@
         if self.heard_at <= since:
             self.doubted = True
 
-    def any_stands(self) -> bool:
-        return any(connection.stands() for connection in self.links)
+    def any_established(self) -> bool:
+        return any(connection.is_established() for connection in self.links)
 
     def opened(self, connection: ClientConnection) -> None:
         """A new connection is up."""
         self.links.add(connection)
 
-    def rests(self, connection: ClientConnection) -> None:
+    def return_to_pool(self, connection: ClientConnection) -> None:
         if self._closed:
             connection.drop("closed")
             return
@@ -334,22 +337,22 @@
         connection.resume()
         self.idle.append(connection)
 
-    def lost(self, connection: ClientConnection) -> None:
+    def remove_connection(self, connection: ClientConnection) -> None:
         if connection in self.links:
             self.links.discard(connection)
-            self.connections.give()
+            self.connections.release()
         if connection in self.idle:
             self.idle.remove(connection)
 
     def sweep(self) -> None:
         """Close what has been idle for too long."""
         now = self.loop.time()
-        for kept in [k for k in self.idle if now - k.idle_since >= self.options.idle / 1e6]:
-            kept.drop("idle for too long")
+        for pooled in [k for k in self.idle if now - k.idle_since >= self.options.idle / 1e6]:
+            pooled.drop("idle for too long")
 
     def close_idle(self) -> None:
-        for kept in list(self.idle):
-            kept.drop("idle")
+        for pooled in list(self.idle):
+            pooled.drop("idle")
 
     @property
     def busy(self) -> bool:
--- a/tuliptrack/rpc/http2.py
+++ b/tuliptrack/rpc/http2.py
@@ -72,13 +72,13 @@
 class TokenBucket:
     """So many at once, refilled by time (microseconds)."""
 
-    __slots__ = ("at", "left", "most", "rate")
+    __slots__ = ("at", "capacity", "left", "rate")
 
-    def __init__(self, most: int, per_s: float, now: int) -> None:
-        self.most, self.rate, self.left, self.at = float(most), per_s / 1e6, float(most), now
+    def __init__(self, capacity: int, per_s: float, now: int) -> None:
+        self.capacity, self.rate, self.left, self.at = float(capacity), per_s / 1e6, float(capacity), now
 
     def take(self, now: int) -> bool:
         """Count one more; False where that is too many."""
-        self.left = min(self.most, self.left + (now - self.at) * self.rate) - 1
+        self.left = min(self.capacity, self.left + (now - self.at) * self.rate) - 1
         self.at = now
         return self.left >= 0
--- a/tuliptrack/rpc/link.py
+++ b/tuliptrack/rpc/link.py
@@ -20,16 +20,16 @@
 
 _READ_SIZE = 131_072  # bytes asked of a socket at once
 _WRITE_HIGH = 262_144  # bytes in the socket's buffer past which calls keep theirs
-_WRITE_MOST = 8_388_608  # bytes past which the peer is held to be gone: control frames alone made this
+_WRITE_LIMIT = 8_388_608  # bytes past which the peer is held to be gone: control frames alone made this
 
 
-class _Turn(threading.local):
+class _ReadBatch(threading.local):
     """While bytes of one connection are dealt with: the connections that got something to write by it."""
 
     links: dict[Link, None] | None = None
 
 
-_turn = _Turn()
+_read_batch = _ReadBatch()
 
 
 class Link:
@@ -57,11 +57,11 @@
                 if not data:
                     break
                 self.heard_at = now_us()
-                _turn.links = {self: None}
+                _read_batch.links = {self: None}
                 try:
                     self._act(self.core.receive(data, self.heard_at))
                 finally:
-                    links, _turn.links = _turn.links, None
+                    links, _read_batch.links = _read_batch.links, None
                     for link in links:
                         link._flush()
         except OSError as error:
@@ -83,8 +83,8 @@
         """Write what the core has: once the bytes that are being read are dealt with, or at the end of the
         loop's turn.
         """
-        if _turn.links is not None:
-            _turn.links[self] = None
+        if _read_batch.links is not None:
+            _read_batch.links[self] = None
         elif not self._scheduled and not self.closed:
             self._scheduled = True
             self.loop.call_soon(self._flush)
@@ -96,7 +96,7 @@
         if data := self.core.take():
             self.writer.write(data)
             waiting = self.writer.transport.get_write_buffer_size()
-            if waiting > _WRITE_MOST:
+            if waiting > _WRITE_LIMIT:
                 self.close("the peer reads nothing")
                 return
             if waiting > _WRITE_HIGH:
--- a/tuliptrack/rpc/listener.py
+++ b/tuliptrack/rpc/listener.py
@@ -2,7 +2,7 @@
 
 asyncio's own server leaves its listener alone for a whole second where the system has no room for a
 connection, and logs a traceback for each try that fails in another way. Here a try that fails is repeated
-`_AGAIN_S` later, for as long as it takes; one line tells of the trouble's beginning and one of its end.
+`_RETRY_DELAY_S` later, for as long as it takes; one line tells of the trouble's beginning and one of its end.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 ACCEPTED_AT_ONCE = 8
 """Connections that are accepted in one go, before any is looked at: few, so that a flood can't take
 descriptors past the bound."""
-_WAITING = 1_024  # connections that the kernel lets wait
-_AGAIN_S = 0.02
-_ONE_CONNECTION = frozenset(
+_BACKLOG = 1_024  # connections that the kernel lets wait
+_RETRY_DELAY_S = 0.02
+_CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
         errno.EPROTO,
@@ -57,14 +57,14 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, factory: Callable[[], asyncio.Protocol]) -> None:
         self._loop, self._factory = loop, factory
         self._socket: socket.socket | None = None
-        self._again: asyncio.TimerHandle | None = None
+        self._resume_timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.failed = 0
         """Tries that failed since the last connection."""
 
     def start(self, host: str, port: int) -> str:
         """Listen; returns host:port, with the kernel's choice for port 0."""
-        self._socket = socket.create_server((host, port), backlog=_WAITING)
+        self._socket = socket.create_server((host, port), backlog=_BACKLOG)
         self._socket.setblocking(False)
         self._loop.add_reader(self._socket, self._accept)
         name = self._socket.getsockname()
@@ -79,16 +79,16 @@
                 return
             except OSError as error:
                 self._note_failure(error)
-                if error.errno not in _ONE_CONNECTION:
-                    self._wait()
+                if error.errno not in _CONNECTION_ERRORS:
+                    self._pause()
                     return
                 continue
             self._note_success()
-            self._take(connection)
+            self._start_connection(connection)
         if self.failed >= ACCEPTED_AT_ONCE:
-            self._wait()
+            self._pause()
 
-    def _take(self, connection: socket.socket) -> None:
+    def _start_connection(self, connection: socket.socket) -> None:
         connection.setblocking(False)
         with contextlib.suppress(
             OSError
@@ -104,14 +104,14 @@
         except OSError:
             _close(connection)  # It has ended meanwhile.
 
-    def _wait(self) -> None:
+    def _pause(self) -> None:
         """The system has no room: leave the socket alone for a moment, as it stays readable."""
         assert self._socket
         self._loop.remove_reader(self._socket)
-        self._again = self._loop.call_later(_AGAIN_S, self._resume)
+        self._resume_timer = self._loop.call_later(_RETRY_DELAY_S, self._resume)
 
     def _resume(self) -> None:
-        self._again = None
+        self._resume_timer = None
         if self._socket:
             self._loop.add_reader(self._socket, self._accept)
             self._accept()
@@ -128,9 +128,9 @@
 
     async def close(self) -> None:
         """Take no more connections."""
-        if self._again:
-            self._again.cancel()
-            self._again = None
+        if self._resume_timer:
+            self._resume_timer.cancel()
+            self._resume_timer = None
         if self._socket:
             self._loop.remove_reader(self._socket)
             _close(self._socket)
--- a/tuliptrack/rpc/retry.py
+++ b/tuliptrack/rpc/retry.py
@@ -10,11 +10,11 @@
 
 import structlog
 
-__all__ = ["MOMENTARY", "retry", "retry_async"]
+__all__ = ["TRANSIENT_ERRORS", "retry", "retry_async"]
 
 log = structlog.get_logger("rpc.retry")
-_AGAIN_S = 0.05
-MOMENTARY = frozenset(
+_RETRY_DELAY_S = 0.05
+TRANSIENT_ERRORS = frozenset(
     {
         errno.EADDRINUSE,
         errno.EADDRNOTAVAIL,
@@ -32,51 +32,51 @@
 Result = TypeVar("Result")
 
 
-class _Patience:
+class _RetryBudget:
     """Says whether a call that has failed is to be tried again. Bound: `seconds` since its making."""
 
     def __init__(self, what: str, seconds: float, may_pass: Callable[[Exception], bool]) -> None:
         self._what, self._may_pass = what, may_pass
         self._until = time.monotonic() + seconds
-        self._told = False
+        self._has_logged = False
 
     def check(self, error: Exception) -> None:
         """Raise the error where trying again is no use any more."""
         if time.monotonic() >= self._until or not self._may_pass(error):
             raise error
-        if not self._told:
-            self._told = True
+        if not self._has_logged:
+            self._has_logged = True
             log.warning("tried again", what=self._what, reason=str(error))
 
 
-def _momentary(error: Exception) -> bool:
-    return isinstance(error, OSError) and error.errno in MOMENTARY
+def _is_transient_error(error: Exception) -> bool:
+    return isinstance(error, OSError) and error.errno in TRANSIENT_ERRORS
 
 
 def retry(
     what: str,
     attempt: Callable[[], Result],
     seconds: float,
-    may_pass: Callable[[Exception], bool] = _momentary,
+    may_pass: Callable[[Exception], bool] = _is_transient_error,
 ) -> Result:
     """The result of the first attempt that doesn't fail with what may pass; the last error after so many
     seconds. Waits in between, so not for a running loop.
     """
-    patience = _Patience(what, seconds, may_pass)
+    budget = _RetryBudget(what, seconds, may_pass)
     while True:
         try:
             return attempt()
         except Exception as error:
-            patience.check(error)
-        time.sleep(_AGAIN_S)
+            budget.check(error)
+        time.sleep(_RETRY_DELAY_S)
 
 
 async def retry_async(what: str, attempt: Callable[[], Awaitable[Result]], seconds: float) -> Result:
     """The same for attempts in a running loop."""
-    patience = _Patience(what, seconds, _momentary)
+    budget = _RetryBudget(what, seconds, _is_transient_error)
     while True:
         try:
             return await attempt()
         except Exception as error:
-            patience.check(error)
-        await asyncio.sleep(_AGAIN_S)
+            budget.check(error)
+        await asyncio.sleep(_RETRY_DELAY_S)
--- a/tuliptrack/rpc/server.py
+++ b/tuliptrack/rpc/server.py
@@ -36,7 +36,7 @@
 log = structlog.get_logger("rpc")
 
 
-def _nothing(*_: Any) -> None:
+def _noop(*_: Any) -> None:
     pass
 
 
@@ -67,11 +67,15 @@
         self.deadline = None if start.timeout is None else now_us() + start.timeout
         self.open = True
         self.traffic = link.core.traffic(start.stream)
-        self.on_message: Callable[[bytes], None] = _nothing
-        self.on_half_close: Callable[[], None] = _nothing
-        self.on_gone: Callable[[str], None] = _nothing
-        self.on_writable: Callable[[], None] = _nothing
-        self._timer = None if start.timeout is None else link.loop.call_later(start.timeout / 1e6, self._late)
+        self.on_message: Callable[[bytes], None] = _noop
+        self.on_half_close: Callable[[], None] = _noop
+        self.on_gone: Callable[[str], None] = _noop
+        self.on_writable: Callable[[], None] = _noop
+        self._timer = (
+            None
+            if start.timeout is None
+            else link.loop.call_later(start.timeout / 1e6, self._deadline_passed)
+        )
 
     @property
     def peer(self) -> str:
@@ -87,7 +91,7 @@
         """End the call behind what was sent; False where it had ended."""
         if not self.open:
             return False
-        self._over()
+        self._mark_ended()
         done = self.link.core.finish(self.stream, status, metadata)
         self.link.flush_soon()
         return done
@@ -102,16 +106,16 @@
     def reset(self) -> None:
         """End the call at once without a status, as a peer that dies does."""
         if self.open:
-            self._over()
+            self._mark_ended()
             self.link.core.reset(self.stream)
             self.link.flush_soon()
 
-    def _late(self) -> None:
+    def _deadline_passed(self) -> None:
         if self.open:
             self.end(Status(Code.DEADLINE_EXCEEDED, "the client's deadline has passed"))
             self.on_gone("deadline")
 
-    def _over(self) -> None:
+    def _mark_ended(self) -> None:
         self.open = False
         self.link.calls.pop(self.stream, None)
         if self._timer:
@@ -119,9 +123,9 @@
             self._timer = None
         self.link.check_drained()
 
-    def gone(self, reason: str) -> None:
+    def cancel(self, reason: str) -> None:
         if self.open:
-            self._over()
+            self._mark_ended()
             self.on_gone(reason)
 
 
@@ -188,7 +192,7 @@
                     call.on_half_close()
             elif isinstance(event, Cancelled):
                 if call:
-                    call.gone(event.reason)
+                    call.cancel(event.reason)
             elif isinstance(event, Writable):
                 if call:
                     call.on_writable()
@@ -201,7 +205,7 @@
             log.exception("handler failed", method=call.method if call else "")
             if call:
                 call.end(Status(Code.INTERNAL, "the handler failed"))
-                call.gone("handler failed")
+                call.cancel("handler failed")
 
     def _start(self, event: CallStarted) -> None:
         call = ServerCall(self, event)
@@ -251,11 +255,11 @@
         self.links: dict[_ServerLink, asyncio.Task[None]] = {}
         self.stopping = False
         self.broken = 0
-        self.turned_away = self.refused_early = 0
+        self.rejected_connections = self.refused_early = 0
         self._listener: Listener | None = None
-        self._cut = asyncio.Event()
+        self._grace_cut = asyncio.Event()
         self.address = ""
-        self.on_cut: Callable[[], None] = _nothing
+        self.on_cut: Callable[[], None] = _noop
         """Called by `stop` once the grace is over: the last chance to end calls in a better way than it
         does."""
         self.gate: Callable[[asyncio.StreamWriter], Awaitable[bool]] | None = None
@@ -287,7 +291,7 @@
             or self.stopping
             or (self.gate and not await self.gate(writer))
         ):
-            self.turned_away += 1
+            self.rejected_connections += 1
             writer.transport.abort()
             return
         link = _ServerLink(self, reader, writer)
@@ -303,7 +307,7 @@
 
     def cut_short(self) -> None:
         """End the grace of a `stop` that runs."""
-        self._cut.set()
+        self._grace_cut.set()
 
     def open_calls(self) -> int:
         return sum(len(link.calls) for link in self.links)
@@ -319,7 +323,7 @@
             link.check_drained()
         tasks = list(self.links.values())
         if tasks and grace > 0:
-            cut = asyncio.ensure_future(self._cut.wait())
+            cut = asyncio.ensure_future(self._grace_cut.wait())
             await asyncio.wait(
                 {asyncio.ensure_future(asyncio.wait(tasks)), cut},
                 timeout=grace,
--- a/tuliptrack/rpc/status.py
+++ b/tuliptrack/rpc/status.py
@@ -35,7 +35,7 @@
 """Pairs of a lower-case key and its value: bytes where the key ends in `-bin`, text elsewhere."""
 
 _UNITS = {"H": 3_600_000_000, "M": 60_000_000, "S": 1_000_000, "m": 1_000, "u": 1, "n": 0}
-_MOST_DIGITS = 8
+_MAX_TIMEOUT_DIGITS = 8
 
 
 class Code(IntEnum):
@@ -148,7 +148,12 @@
 def decode_timeout(text: str) -> int:
     """Microseconds of a grpc-timeout; ValueError where it isn't one."""
     digits, unit = text[:-1], text[-1:]
-    if unit not in _UNITS or not digits.isascii() or not digits.isdigit() or len(digits) > _MOST_DIGITS:
+    if (
+        unit not in _UNITS
+        or not digits.isascii()
+        or not digits.isdigit()
+        or len(digits) > _MAX_TIMEOUT_DIGITS
+    ):
         raise ValueError(f"grpc-timeout: {text[:20]!r} is not up to 8 digits and one of H, M, S, m, u, n")
     return int(digits) * _UNITS[unit] if unit != "n" else int(digits) // 1000
 
@@ -157,9 +162,9 @@
     """The finest form that fits into eight digits."""
     us = max(us, 1)
     for unit, size in (("u", 1), ("m", 1_000), ("S", 1_000_000), ("M", 60_000_000)):
-        if us // size < 10**_MOST_DIGITS:
+        if us // size < 10**_MAX_TIMEOUT_DIGITS:
             return f"{us // size}{unit}".encode()
-    return f"{min(us // _UNITS['H'], 10**_MOST_DIGITS - 1)}H".encode()
+    return f"{min(us // _UNITS['H'], 10**_MAX_TIMEOUT_DIGITS - 1)}H".encode()
 
 
 def encode_binary(value: bytes) -> bytes:
--- a/tuliptrack/rpc/tcp.py
+++ b/tuliptrack/rpc/tcp.py
@@ -8,7 +8,7 @@
 import socket
 import termios
 
-__all__ = ["ended_by_peer", "has_unread", "send_at_once", "stands"]
+__all__ = ["has_unread", "is_closed_by_peer", "is_established", "set_nodelay"]
 
 _ESTABLISHED = 1
 _ENDED = frozenset({6, 7, 8, 9, 11})  # TIME_WAIT, CLOSE (after a reset), CLOSE_WAIT, LAST_ACK, CLOSING
@@ -26,19 +26,19 @@
     return state
 
 
-def stands(transport: asyncio.BaseTransport) -> bool:
+def is_established(transport: asyncio.BaseTransport) -> bool:
     """Whether the kernel holds the connection to be up: what has just broken may not have been told yet."""
     return _state(transport) == _ESTABLISHED
 
 
-def ended_by_peer(transport: asyncio.BaseTransport) -> bool:
+def is_closed_by_peer(transport: asyncio.BaseTransport) -> bool:
     """Whether the peer has ended its sending or reset the connection, though its end may not have been read
     yet.
     """
     return _state(transport) in _ENDED
 
 
-def send_at_once(transport: asyncio.BaseTransport) -> None:
+def set_nodelay(transport: asyncio.BaseTransport) -> None:
     """Have small writes sent as they come. asyncio does so only where a socket names its protocol, which one
     that was accepted from a plain listener does not.
     """
