--- a/tuliptrack/rpc/dial.py
+++ b/tuliptrack/rpc/dial.py
@@ -1,4 +1,4 @@
-"""Opening a connection within a time, whatever fails as the try is called off."""
+"""Opens a connection with a timeout, also if cancelling the attempt fails."""
 
 from __future__ import annotations
 
@@ -12,15 +12,20 @@
 
 
 async def dial(opening: Callable[[], Awaitable[Opened]], within_s: float) -> Opened:
-    """What `opening`, which begins an `open_connection` or a `create_connection`, gives; OSError where it
-    fails, TimeoutError where it takes longer.
+    """Return the result of `opening`, which calls `open_connection` or `create_connection`.
+
+    Raises:
+        OSError: The connection failed.
+        TimeoutError: It took longer than `within_s`.
     """
     return await asyncio.wait_for(_open_cancellable(opening), within_s)
 
 
 async def _open_cancellable(opening: Callable[[], Awaitable[Opened]]) -> Opened:
-    """Where the close of its socket fails as it is cancelled, asyncio takes that for a failed try of which it
-    has noted no error, and raises IndexError: the cancellation has to go on.
+    """Open a connection; translate an IndexError on cancellation back into the cancellation.
+
+    If closing the socket fails during the cancellation, asyncio treats that as a failed attempt without a
+    recorded error, and raises IndexError in place of CancelledError.
     """
     try:
         return await opening()
--- a/tuliptrack/rpc/h1.py
+++ b/tuliptrack/rpc/h1.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 without I/O: bytes in, events out, by h11; the server's side and the client's.
+"""HTTP/1.1 without I/O, on top of h11, for servers and clients: bytes in, events out.
 
-Every size is bounded here: heads, bodies, heads that don't end, answers that go on for ever. What can't be
-read raises `ProtocolError` with the status that a server would answer; a connection is of no use after it.
+Every size is bounded: heads, also incomplete ones, bodies, and answers without an end. Malformed input raises
+`ProtocolError` with the status that a server answers; the connection can't be used after it.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 ]
 
 Fields = list[tuple[str, str]]
-_MAX_INFORMATIONAL = 8  # 1xx answers before one that counts
+_MAX_INFORMATIONAL = 8  # 1xx answers before the final one
 
 
 class ProtocolError(Exception):
-    """What the peer sent can't be used; `status` is what to answer, where there is somebody to answer."""
+    """The peer sent malformed or oversized input; `status` is what a server answers."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -37,32 +37,32 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """A request's head has come; a `RequestBody` follows. Names of fields are in lower case."""
+    """The head of a request; a `RequestBody` follows. Field names are in lower case."""
 
     method: str
     target: str
     fields: Fields
     content_length: int
-    """Bytes of body that it announces; 0 where it announces none, or chunks."""
+    """0 if the body is absent or chunked."""
 
 
 @dataclass(frozen=True, slots=True)
 class BodyPart:
-    """A part of a body."""
+    """A part of a request's or an answer's body."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class RequestBody:
-    """A request's whole body has come."""
+    """The complete body of a request."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The head of the answer to our request."""
+    """The head of an answer."""
 
     status: int
     fields: Fields
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseEnd:
-    """The answer's last byte has come."""
+    """The end of an answer."""
 
 
 def _fields(raw: Any) -> Fields:
@@ -78,7 +78,7 @@
 
 
 class ServerSide:
-    """One connection of a server. `receive` bytes, then take `next` until it gives None."""
+    """One connection of a server. After each `receive`, call `next` until it returns None."""
 
     def __init__(self, header_bytes: int, body_bytes: int) -> None:
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=header_bytes)
@@ -88,25 +88,29 @@
         self._chunked = False
 
     def receive(self, data: bytes) -> None:
-        """Bytes from the peer; none stand for its end."""
-        if not self.http.trailing_data[1]:  # Nothing comes after an end.
+        """Take bytes from the peer; empty bytes mean the end of the connection."""
+        if not self.http.trailing_data[1]:  # Ignores input after the end.
             self.http.receive_data(data)
 
     @property
     def is_mid_request(self) -> bool:
-        """Whether a part of a request has come that isn't whole."""
+        """Whether a request has been received in part."""
         return self.http.their_state is h11.SEND_BODY or (
             self.http.their_state is h11.IDLE and bool(self.http.trailing_data[0])
         )
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that wait here."""
+        """Received bytes that are not processed yet."""
         return len(self.http.trailing_data[0])
 
     def next(self) -> RequestHead | RequestBody | BodyPart | None:
-        """What has come; None where more bytes are needed, or an answer is owed first. `BodyPart` tells how much
-        of a body has come beyond what its head announced. Raises `ProtocolError`.
+        """Return the next event; None if more bytes are needed, or a request has to be answered first.
+
+        A `BodyPart` holds data only if the body is chunked, as its size was not announced by the head.
+
+        Raises:
+            ProtocolError: The input is malformed or too large.
         """
         try:
             event: Any = self.http.next_event()
@@ -137,30 +141,30 @@
 
     @property
     def is_over(self) -> bool:
-        """No further request can come on this connection."""
+        """Whether no further request can arrive on this connection."""
         return self.http.their_state in (h11.CLOSED, h11.MUST_CLOSE, h11.ERROR)
 
     def start_next_cycle(self) -> bool:
-        """An answer is complete: get ready for the next request; False where there can be none."""
+        """Prepare for the next request after a complete answer; False if there can be none."""
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
             return False
         self.http.start_next_cycle()
         return True
 
     def can_respond(self) -> bool:
-        """Whether an answer can be begun."""
+        """Whether an answer can be started."""
         return self.http.our_state in (h11.SEND_RESPONSE, h11.IDLE)
 
     def wants_continue(self) -> bool:
         return self.http.they_are_waiting_for_100_continue
 
     def send_continue(self) -> bytes:
-        """100 Continue."""
+        """Return the bytes of a 100 Continue."""
         return self._send(h11.InformationalResponse(status_code=100, headers=[]))
 
     def head(self, status: int, fields: Fields) -> bytes:
-        """An answer's head. Without a content-length it is framed in chunks (to HTTP/1.0: until the
-        close).
+        """Return the head of an answer. Without a content-length the body is chunked, or for HTTP/1.0
+        delimited by the close.
         """
         return self._send(h11.Response(status_code=status, headers=fields))
 
@@ -172,11 +176,11 @@
 
     @property
     def may_frame_chunks(self) -> bool:
-        """Whether an open answer's chunks may be framed by the caller: through h11 each costs 7 us."""
+        """Whether the caller may frame the chunks of the open answer itself: h11 takes 7 us for each."""
         return self.http.their_http_version == b"1.1" and self.http.our_state is h11.SEND_BODY
 
     def _send(self, event: Any) -> bytes:
-        """Bytes to write; ProtocolError where the connection broke while we answered."""
+        """Return the bytes to write; raise ProtocolError if the connection failed during the answer."""
         try:
             return self.http.send(event) or b""
         except h11.LocalProtocolError as error:
@@ -184,7 +188,7 @@
 
 
 class ClientSide:
-    """One connection to a server; one request at a time. `body_bytes` bounds an answer's body."""
+    """One connection of a client, with one request at a time. `body_bytes` bounds the body of an answer."""
 
     def __init__(self, header_bytes: int, body_bytes: int) -> None:
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=header_bytes)
@@ -192,7 +196,7 @@
         self._size = self._informational = 0
 
     def request(self, method: str, target: str, fields: Fields, body: bytes) -> bytes:
-        """The bytes of a whole request; ValueError where it can't be one."""
+        """Return the bytes of a complete request; raise ValueError if it can't be encoded."""
         self._size = self._informational = 0
         if body or method not in ("GET", "HEAD", "DELETE"):
             fields = [*fields, ("content-length", str(len(body)))]
@@ -215,12 +219,12 @@
             raise ValueError(str(error)) from None
 
     def receive(self, data: bytes) -> None:
-        """Bytes from the peer; none stand for its end."""
+        """Take bytes from the peer; empty bytes mean the end of the connection."""
         if not self.http.trailing_data[1]:
             self.http.receive_data(data)
 
     def next(self) -> Answer | BodyPart | ResponseEnd | None:
-        """What has come; None where more is needed. Raises `ProtocolError` where it can't be read."""
+        """Return the next event; None if more bytes are needed. Raise `ProtocolError` if malformed."""
         try:
             while True:
                 event: Any = self.http.next_event()
@@ -246,8 +250,8 @@
         return ResponseEnd() if isinstance(event, h11.EndOfMessage) else None
 
     def start_next_cycle(self) -> bool:
-        """An answer is complete: get ready for the next request; False where the connection can't have one,
-        or more has come than was asked for.
+        """Prepare for the next request after a complete answer; False if the connection can't have one, or
+        brought unsolicited bytes.
         """
         if (
             self.http.our_state is not h11.DONE
--- a/tuliptrack/rpc/http1.py
+++ b/tuliptrack/rpc/http1.py
@@ -1,23 +1,27 @@
-"""An HTTP/1.1 server on asyncio: `h1.ServerSide` keeps the protocol's state, this the socket, the bounds and
-the times.
-
-One request at a time on a connection; what a client pipelines waits until its turn, so answers go out in
-order. A handler is called with the whole body, must not wait, and answers then or later through its
-`HttpCall`: `respond`, or `start`, `send`, `end` for a stream (chunked; to HTTP/1.0 clients until the close).
-
-Bounds: connections (where they are all taken, the one that has been without a request for longest makes
-room), header and body sizes, the bytes of bodies that arrive (a `ByteBudget` shared with the other servers),
-the time for a first and for any whole request, and what waits unsent for a slow reader (`send` says stop,
-`on_writable` go on). A refusal that is known from the headers goes out before the body is read, and the
-connection is closed after it. No task belongs to a connection: its transport calls back, and one timer
-watches its times.
-
-Every close is in this order: what waits is sent, our sending ends, what still comes is read and thrown away
-until the client ends too (`_LINGER_S`, `_LINGER_BYTES` at most), then the socket is closed. A close over
-bytes that nobody has read would reset the connection, and take along what the client has not read yet. A
-request that comes in that time is never acted on: its client sees the end without an answer, and may send it
-once more. A client that has ended its sending has left. Its end is seen whatever it sent before: past
-`_MAX_PIPELINED_BYTES` further requests are thrown away, and the connection ends after those kept.
+"""An HTTP/1.1 server on asyncio.
+
+`h1.ServerSide` keeps the protocol state; this module handles sockets, limits and timeouts.
+
+A connection serves one request at a time. Pipelined requests are buffered, so answers go out in order. A
+handler is called with the complete body and must not block. It answers immediately or later through its
+`HttpCall`: `respond`, or `start`, `send`, `end` for a stream, which is chunked, or for HTTP/1.0 clients
+delimited by the close of the connection.
+
+Limits: the number of connections (at the limit, the connection that has been idle for longest is evicted),
+header and body sizes, the bytes of request bodies being received (a `ByteBudget` shared with the other
+servers), the time until the first complete request and for each complete request, and the bytes that wait for
+a slow reader (`send` returns False, `on_writable` is called once it may continue). A rejection that is known
+from the headers is sent before the body is read, and the connection is closed after it. A connection has no
+task: its transport calls back, and one timer enforces its timeouts.
+
+A connection is closed in this order: pending output is sent, the write side is shut down, input is read and
+discarded until the client closes as well (at most `_LINGER_S` and `_LINGER_BYTES`), and the socket is closed.
+Closing a socket with unread input would reset the connection, and the client would lose the part of the
+answer that it has not read yet. A request that arrives while the connection lingers is not processed: its
+client sees the connection end without an answer and may retry.
+
+A client that has shut down its write side counts as disconnected. This is noticed however much it sent
+before: requests beyond `_MAX_PIPELINED_BYTES` are discarded, and the connection ends after the buffered ones.
 """
 
 from __future__ import annotations
@@ -40,15 +44,12 @@
 __all__ = ["HttpCall", "HttpLimits", "HttpServer", "Refusal"]
 
 log = structlog.get_logger("rpc.http1")
-_SEND_BUFFER = 65_536  # bytes that the kernel keeps for a reader that is slow
-_MAX_REQUESTS_PER_ITERATION = 4  # requests of one connection that are answered before others get their turn
-_MAX_PIPELINED_BYTES = 65_536  # bytes of further requests kept while one is answered
-_LINGER_S, _LINGER_BYTES = (
-    1.0,
-    1_048_576,
-)  # after our end: how long the client's is waited for, and what it may send
-_MAX_EVICTION_CANDIDATES = 16  # connections of each kind that are looked at when room is wanted
-_MAX_LINGER_S = 30.0  # the same, while a slow reader still takes what waits for it
+_SEND_BUFFER = 65_536  # kernel send buffer per connection, which a slow reader can fill
+_MAX_REQUESTS_PER_ITERATION = 4  # of one connection, before the loop serves others
+_MAX_PIPELINED_BYTES = 65_536  # buffered while a request is answered
+_LINGER_S, _LINGER_BYTES = 1.0, 1_048_576  # how long, and for how many bytes, a client's close is awaited
+_MAX_EVICTION_CANDIDATES = 16  # connections of each kind that are examined for an eviction
+_MAX_LINGER_S = 30.0  # how long a close is awaited while a slow reader still reads pending output
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,14 +61,14 @@
     pending_high: int = 32_768
     request_within: int = 10_000_000
     first_within: int = 0
-    """From connecting to the first whole request; 0: as long as the two others allow."""
+    """From the connect to the first complete request; 0: bounded by `request_within` and `idle` only."""
     idle: int = 60_000_000
     connections: int = 1_024
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """An answer that is known before the body is read."""
+    """An error answer that is sent before the body is read."""
 
     status: int
     error: str
@@ -82,7 +83,7 @@
 
 
 class HttpCall:
-    """One request and its answer. It ends once: by `respond` or `end`, or by `on_gone` being called."""
+    """One request and its answer. It ends once: by `respond`, `end` or `abort`, or by a call of `on_gone`."""
 
     __slots__ = (
         "_link",
@@ -113,7 +114,7 @@
     def respond(
         self, status: int, body: bytes, headers: Fields | None = None, kind: str = "application/json"
     ) -> None:
-        """The whole answer at once."""
+        """Send a complete answer."""
         if self.open and not self.started:
             self.started, self.open = True, False
             self._link.send_response(
@@ -121,7 +122,7 @@
             )
 
     def error(self, status: int, text: str, headers: Fields | None = None, **facts: object) -> None:
-        """An answer of the form {"error": text}."""
+        """Send a complete answer with the JSON body {"error": text, ...}."""
         self.respond(status, json.dumps({"error": text, **facts}).encode(), headers)
 
     def start(self, status: int, kind: str, headers: Fields | None = None) -> None:
@@ -132,7 +133,7 @@
             self.started = True
 
     def send(self, data: bytes) -> bool:
-        """A part of a started answer; False asks to stop until `on_writable`."""
+        """Send a part of a started answer; False asks the caller to pause until `on_writable`."""
         return self._link.write(data) if self.open else False
 
     def end(self) -> None:
@@ -141,7 +142,7 @@
             self._link.end_response()
 
     def abort(self) -> None:
-        """End the connection in mid-answer, so that the client knows it isn't whole."""
+        """Close the connection in mid-answer, so that the client can tell that the answer is incomplete."""
         if self.open:
             self.open = False
             self._link.abort_response()
@@ -152,9 +153,7 @@
             self.on_gone(reason)
 
     def left(self) -> bool:
-        """Whether the client has ended its sending or reset the connection, though that may not have been
-        read yet.
-        """
+        """Whether the client has closed or reset the connection, even if the loop has not read that yet."""
         return self.open and (self._link.transport.is_closing() or is_closed_by_peer(self._link.transport))
 
 
@@ -166,27 +165,27 @@
         self.side = ServerSide(server.limits.header_bytes, server.limits.body_bytes)
         self.transport: asyncio.Transport
         self.call: HttpCall | None = None
-        """The request that is answered."""
+        """The request that is being answered."""
         self._receiving: HttpCall | None = None
-        """The request whose body is coming."""
+        """The request whose body is being received."""
         self.reserved_bytes = 0
-        """Bytes of the meter's that its body has."""
+        """Bytes of the shared budget that its body holds."""
         self.closing = self.chunked = self.served = False
-        """`closing`: nothing of it is acted on any more."""
+        """`closing`: its input is no longer processed."""
         self._advancing = self._is_write_paused = self._is_eof_received = False
         self._is_over_limit = False
-        """More has come ahead than is kept: nothing more is read of it."""
+        """More was pipelined than is buffered: the rest of its input is discarded."""
         self._is_lingering = False
-        """Our sending has ended; the client's end is waited for."""
+        """The write side is shut down; the client's close is awaited."""
         self._discarded_bytes = 0
-        """Bytes that came since."""
+        """Bytes received since."""
         self._linger_deadline = 0.0
         self._timer: asyncio.TimerHandle | None = None
         self._was_mid_request = False
         self._requests_left = 0
-        """Requests that may still be answered in this turn of the loop."""
+        """Requests that may still be handled in this iteration of the loop."""
 
-    # -- the transport's calls
+    # -- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -197,7 +196,7 @@
             return
         set_nodelay(transport)
         transport.set_write_buffer_limits(high=self.server.limits.pending_high)
-        if (sock := transport.get_extra_info("socket")) is not None:  # The kernel's part is bounded too.
+        if (sock := transport.get_extra_info("socket")) is not None:  # Bounds the kernel's buffer too.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, _SEND_BUFFER)
         self._start_timer()
 
@@ -241,11 +240,13 @@
         if self.call and self.call.open:
             self.call.on_writable()
 
-    # -- in
+    # -- input
 
     def _advance(self) -> None:
-        """Deal with what has come: requests, one after another, as long as each is answered at once; a few in
-        one turn of the loop, so that who sends hundreds at once holds up nobody else.
+        """Process the received bytes: requests in order, as long as each is answered immediately.
+
+        The number of requests in one iteration of the loop is limited, so that a client that pipelines
+        hundreds of them does not delay others.
         """
         if self._advancing:
             return
@@ -269,13 +270,13 @@
             self._start_timer()
 
     def _resume_advancing(self) -> None:
-        """The next turn, after others had theirs."""
+        """Continue in the next iteration of the loop, after other connections."""
         if not self.closing and self.call is None:
             self.transport.resume_reading()
             self._advance()
 
     def _step(self) -> bool:
-        """One event; False where more bytes are needed."""
+        """Process one event; False if more bytes are needed."""
         event = self.side.next()
         if event is None:
             return False
@@ -328,7 +329,7 @@
         self.server.bodies.release(self.reserved_bytes)
         self.reserved_bytes = 0
 
-    # -- out
+    # -- output
 
     def start_response(self, status: int, headers: Fields) -> None:
         self._write(self._response_head(status, headers))
@@ -364,7 +365,7 @@
         return not self._is_write_paused
 
     def send_response(self, status: int, headers: Fields, body: bytes) -> None:
-        """An answer in one write."""
+        """Send a complete answer in one write."""
         head = self._response_head(status, headers)
         if head:
             try:
@@ -386,17 +387,17 @@
         if self.server.last or self._is_eof_received or self.closing or not self.side.start_next_cycle():
             self.close_gracefully()
             return
-        if not self._advancing:  # Else `_advance` sets the timer, once for all that it has dealt with.
+        if not self._advancing:  # Otherwise `_advance` sets the timer, once for all requests.
             self._start_timer()
             self.loop.call_soon(self._advance)
 
     def abort_response(self) -> None:
-        """End the connection in mid-answer; what was sent of it still goes out."""
+        """Close the connection in mid-answer; the part that was sent is still delivered."""
         self.call = None
         self.close_gracefully()
 
     def reject(self, refusal: Refusal) -> None:
-        """Answer without having read the request, and close."""
+        """Answer before the request is read completely, and close."""
         self.closing = True
         self.release_body()
         if self.side.can_respond():
@@ -418,12 +419,12 @@
         self.close_gracefully()
 
     def close_gracefully(self) -> None:
-        """Close in the order that the module's text tells."""
+        """Close in the order that the module's docstring describes."""
         self.closing = True
         if self._is_lingering or self.transport.is_closing():
             return
         if self._is_eof_received:
-            self.transport.close()  # Nothing more can come; what waits unsent still goes out.
+            self.transport.close()  # No more input can arrive; pending output is still sent.
             return
         self._is_lingering = True
         self.server.mark_lingering(self)
@@ -432,26 +433,24 @@
         try:
             self.transport.resume_reading()
             self.transport.write_eof()
-        except OSError:  # It was reset meanwhile.
+        except OSError:  # The connection was reset meanwhile.
             self.transport.abort()
             return
         self._linger_deadline = self.loop.time() + _MAX_LINGER_S
         self._timer = self.loop.call_later(_LINGER_S, self._linger, self.transport.get_write_buffer_size())
 
     def _linger(self, waiting: int) -> None:
-        """The client's end has been waited for; a reader that still takes what waits for it is given more
-        time.
-        """
+        """Abort the connection, unless a slow reader is still reading pending output."""
         remaining = self.transport.get_write_buffer_size()
         if 0 < remaining < waiting and self.loop.time() < self._linger_deadline:
             self._timer = self.loop.call_later(_LINGER_S, self._linger, remaining)
         else:
             self.transport.abort()
 
-    # -- times
+    # -- timeouts
 
     def _start_timer(self) -> None:
-        """Set the timer for what is to come next: a request's start, or its end."""
+        """Set the timer for what is expected next: the start of a request, or its end."""
         limits = self.server.limits
         self._was_mid_request = self.side.is_mid_request
         if self._is_lingering:
@@ -476,7 +475,9 @@
 
 
 class HttpServer:
-    """Listens on one address. `handle` gets each whole request; `reject_early` may answer from the headers alone."""
+    """Listens on one address. `handle` gets each complete request; `reject_early` may reject it by its
+    headers.
+    """
 
     def __init__(
         self,
@@ -490,13 +491,13 @@
         self.links: dict[_HttpLink, None] = {}
         """Every connection."""
         self._idle: dict[_HttpLink, None] = {}
-        """Those without a request that had one before, the longest without one first."""
+        """Those that had a request and have none now, the one idle for longest first."""
         self._new: dict[_HttpLink, None] = {}
-        """Those that have not sent a whole request yet, the oldest first."""
+        """Those that have not sent a complete request yet, the oldest first."""
         self._lingering: dict[_HttpLink, None] = {}
-        """Those on which our sending has ended, the first one first."""
+        """Those whose write side is shut down, the first one first."""
         self.last = self.stopping = False
-        """`last`: each connection closes with its next answer."""
+        """`last`: each connection is closed after its next answer."""
         self.rejected_connections = self.evictions = 0
         self.loop: asyncio.AbstractEventLoop
         self._listener: Listener | None = None
@@ -504,17 +505,17 @@
         self.address = ""
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Start; returns host:port, with the kernel's choice for port 0."""
+        """Start; return host:port, with the port that the kernel chose for port 0."""
         self.loop = asyncio.get_running_loop()
         self._all_closed = asyncio.Event()
         self._listener = Listener(self.loop, lambda: _HttpLink(self))
         self.address = self._listener.start(host, port)
         return self.address
 
-    # -- what its connections tell
+    # -- called by connections
 
     def admit(self, link: _HttpLink) -> bool:
-        """Whether a new connection has room, made if need be; it is one of ours if so."""
+        """Register a new connection, after an eviction if needed; False if there is no room for it."""
         if (
             len(self.links) >= self.limits.connections
             and not self.stopping
@@ -532,16 +533,17 @@
         return True
 
     def _find_evictable(self) -> _HttpLink | None:
-        """The connection that makes room for a new one. Who has ended goes first, then who has asked for
-        nothing yet, so that a flood of such connections makes room for itself and not in place of clients.
-        One with bytes that were not read stays if it can: they may be a request. Of clients that were served
-        before, it always stays.
+        """Return the connection to close for a new one.
+
+        Lingering connections go first, then those that have not sent a request, so that a flood of silent
+        connections evicts its own connections and not those of clients. A connection with unread input, which
+        may be a request, is kept if possible; one of a client that was served before is always kept then.
         """
         if lingering := next(iter(self._lingering), None):
             return lingering
         silent = (link for link in self._new if not link.side.is_mid_request)
-        # A kept connection may have brought requests that were read and wait for their turn: it is not closed
-        # over them.
+        # An idle connection may have pipelined requests that were read and are not processed yet: it is not
+        # closed then.
         resting = (link for link in self._idle if not link.side.is_mid_request)
         for links in (silent, self._new, resting):
             if found := next(
@@ -572,16 +574,16 @@
         if not self.links and self._all_closed:
             self._all_closed.set()
 
-    # -- the end
+    # -- shutdown
 
     def close_idle_connections(self) -> None:
-        """Close the connections that have no request."""
+        """Close the connections without a request."""
         for link in [*self._idle, *self._new]:
             if not link.side.is_mid_request:
                 link.close_gracefully()
 
     def cut_short(self) -> None:
-        """End what is open: its connections close."""
+        """Abort all connections, and the requests on them."""
         for link in list(self.links):
             if link.call:
                 link.call.cancel("server stopped")
@@ -589,7 +591,7 @@
             link.transport.abort()
 
     async def stop(self, grace: float = 0.0) -> None:
-        """Take no new requests, let open ones run for `grace` seconds, then end all."""
+        """Accept no new requests, let open ones run for `grace` seconds, then abort all connections."""
         self.stopping = self.last = True
         if self._listener:
             await self._listener.close()
--- a/tuliptrack/rpc/http1_client.py
+++ b/tuliptrack/rpc/http1_client.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 connection to a server on asyncio: `h1.ClientSide` keeps the protocol's state, this the
-socket.
+"""One HTTP/1.1 client connection on asyncio.
 
-One exchange at a time. Nothing is ever sent again from in here.
+`h1.ClientSide` keeps the protocol state; this module handles the socket. A connection carries one exchange at
+a time, and never retries one.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     """Times in microseconds, sizes in bytes."""
 
     connect_timeout: int = 250_000
-    """Within which a connection that works has to be found."""
+    """Within which a working connection has to be found."""
     idle: int = 12_000_000
-    """How long a connection may stand idle and still be used."""
+    """How long a connection may be idle and still be reused."""
     rest: int = 50_000
-    """How long a connection rests after an answer: what comes in that time was not asked for."""
+    """How long a connection is not reused after an answer: bytes that arrive in that time are unsolicited."""
     header_bytes: int = 16_384
     body_bytes: int = 262_144
 
@@ -38,19 +38,19 @@
     loop: asyncio.AbstractEventLoop
 
     def mark_heard(self) -> None:
-        """Something has come from the peer."""
+        """Note that something was received from the peer."""
 
     def doubt(self, since: float) -> None:
-        """Nothing has come on one of its connections since then, though it should have."""
+        """Note that nothing has been received on one of its connections since then, though it should have."""
 
     def return_to_pool(self, connection: ClientConnection) -> None:
-        """A connection has no exchange now."""
+        """Take back a connection without an exchange."""
 
     def remove_connection(self, connection: ClientConnection) -> None:
-        """A connection has ended."""
+        """Forget a connection that has ended."""
 
     def any_established(self) -> bool:
-        """Whether the kernel holds any of its connections to be up."""
+        """Whether the kernel reports any of its connections as established."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -59,14 +59,14 @@
     def __init__(self, owner: Owner, opened_for: Exchange) -> None:
         self.owner = owner
         self.opened_for: Exchange | None = opened_for
-        """The exchange that it was opened for, until that has been on it."""
+        """The exchange that it was opened for, until that has ended on it."""
         self.side = ClientSide(owner.options.header_bytes, owner.options.body_bytes)
         self.transport: asyncio.Transport
         self.exchange: Exchange | None = None
         self.connected = self.dead = False
         self.idle_since = 0.0
         self.opened_at = self.heard_at = 0.0
-        """When it came up, and when something last came on it, on the loop's clock."""
+        """When it was opened, and when something was last received on it, on the loop's clock."""
         self._is_reused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -74,7 +74,7 @@
         self.transport, self.connected = transport, True
         self.opened_at = self.owner.loop.time()
         set_nodelay(transport)
-        transport.set_write_buffer_limits(high=0)  # `resume_writing` then tells that all is written.
+        transport.set_write_buffer_limits(high=0)  # `resume_writing` is then called once all is written.
 
     def resume_writing(self) -> None:
         if self.exchange:
@@ -104,8 +104,8 @@
         self.owner.mark_heard()
         self.heard_at = self.owner.loop.time()
         exchange = self.exchange
-        if exchange is None:  # Nobody asked for it.
-            self.drop("unasked")
+        if exchange is None:  # No request was sent.
+            self.drop("unsolicited bytes")
             return
         exchange.heard = exchange.heard or exchange.sent
         self._receive(exchange, data)
@@ -151,14 +151,12 @@
             exchange.ended(How.RESET if exchange.sent else How.CONNECT, reason)
 
     def is_established(self) -> bool:
-        """Whether the kernel holds the connection to be up: what has just broken with it may not have been
-        told yet.
-        """
+        """Whether the kernel reports the connection as established; a very recent failure may not be seen."""
         return not self.dead and is_established(self.transport)
 
     def is_closed_by_peer(self) -> bool:
-        """Whether the peer has ended the connection, though that may not have been read yet: what is written
-        now is lost.
+        """Whether the peer has closed the connection, even if the loop has not read that yet: a request that
+        is written now is lost.
         """
         return self.transport.is_closing() or is_closed_by_peer(self.transport)
 
@@ -172,7 +170,7 @@
         self.owner.doubt(since)
 
     def drop(self, reason: str) -> None:
-        """End the connection now."""
+        """Close the connection now."""
         self.exchange = None
         if not self.dead:
             self.dead = True
--- a/tuliptrack/rpc/http1_exchange.py
+++ b/tuliptrack/rpc/http1_exchange.py
@@ -1,6 +1,6 @@
-"""One HTTP/1.1 request to a server and its answer, as the client's side sees it: no sockets, no decisions.
+"""One HTTP/1.1 request and its answer at the client: no sockets, no decisions.
 
-An `Exchange` ends once, through `on_end`, and says how sure it is that the peer never looked at it.
+An `Exchange` ends once, through `on_end`, and says whether the request may have been processed by the peer.
 """
 
 from __future__ import annotations
@@ -18,31 +18,32 @@
     """What ended an exchange."""
 
     ANSWER = "answer"
-    """The whole answer has come."""
+    """The complete answer was received."""
     CONNECT = "connect"
-    """No connection that works was there in time, or it broke before the request's last byte was written: it
-    never ran."""
+    """There was no working connection in time, or it broke before the last byte of the request was written:
+    the request was not processed."""
     NO_ROOM = "no room"
-    """We hold as many connections as we may, or as the system allows: it was never sent."""
+    """The limit on connections or a resource of this system is exhausted, the pool is closed, or the request
+    can't be encoded: it was never sent."""
     RESET = "reset"
-    """The connection ended, or brought what can't be read, after the request was written."""
+    """The connection ended, or the answer was malformed, after the request was written."""
     GIVEN_UP = "given up"
-    """`Exchange.cancel`."""
+    """By `Exchange.cancel`, or by the close of its pool."""
 
 
 class Carrier(Protocol):
-    """The connection that an exchange is on."""
+    """The connection that carries an exchange."""
 
     def drop(self, reason: str) -> None:
-        """End the connection now."""
+        """Close the connection now."""
 
     def pause(self) -> None:
-        """Read nothing for now."""
+        """Stop reading until `resume`."""
 
     def resume(self) -> None: ...
 
     def doubt(self, since: float) -> None:
-        """Nothing has come since then, on the loop's clock, though it should have."""
+        """Note that nothing has been received since then, on the loop's clock, though it should have."""
 
 
 def _noop(*_: Any) -> None:
@@ -54,7 +55,7 @@
 
 
 class Exchange:
-    """One request. Callbacks run at once and must not wait."""
+    """One request. Callbacks run synchronously and must not block."""
 
     __slots__ = (
         "before_write",
@@ -87,33 +88,35 @@
         self.on_data: Callable[[bytes], None] = _noop
         self.on_end: Callable[[How, str], None] = _noop
         self.wanted: Callable[[], bool] = _always
-        """Asked once its connection works, just before it is sent; False: it is not."""
+        """Called once there is a working connection, just before the request is sent; False: it is not
+        sent."""
         self.before_write: Callable[[], None] = _noop
-        """Called as its bytes are made: what its head says of the time left is said now."""
+        """Called just before the request is encoded, so that headers can state the remaining time."""
         self.validated = False
-        """It goes out on a connection that has just proven to work: a kept one is asked first."""
+        """It is only sent on a connection that has just been shown to work: a pooled one is probed first."""
         self.proven_since = 0.0
-        """When its connection was asked a question, on the loop's clock, that was answered before the request
-        went out on it; 0: it was not."""
+        """When the probe was sent, on the loop's clock, that its connection answered before the request was
+        sent on it; 0: there was none."""
         self.fresh = False
-        """It goes out on a new connection, whatever is kept."""
+        """It is sent on a new connection, whatever the pool holds."""
         self.open, self.status = True, 0
         self.sent, self.sent_at = False, 0.0
-        """Its last byte has been written, and when, on the loop's clock: the peer may act on it. Without, it
-        never ran."""
+        """Whether its last byte has been written, and when, on the loop's clock. From then on the peer may
+        have processed it; before, it has not."""
         self.heard = False
-        """Something has come for it on its connection since it was sent."""
+        """Something was received on its connection since it was sent."""
         self.connect_by = 0
-        """Monotonic microseconds until which it waits for a connection; 0: as long as any exchange does."""
+        """Monotonic microseconds until which it waits for a connection; 0:
+        `ClientOptions.connect_timeout`."""
         self.spoilt = self.lone = False
-        """Of one that broke: what came can't be read; only its own connection has ended, which had been kept
-        and brought nothing for it, or beside which others to the same address stand, or was not waited for in
-        full."""
+        """Of one that failed. `spoilt`: the answer was malformed. `lone`: the failure concerns its own
+        connection, not the peer: the connection was reused and had brought no answer, or other connections to
+        the address are established, or the time to connect was cut short or failed on this machine."""
         self.carrier: Carrier | None = None
         self.paused = False
 
     def cancel(self) -> None:
-        """Give it up: its connection ends. `on_end` is called at once, unless it has been."""
+        """Cancel it: its connection is closed. `on_end` is called synchronously, unless it has been."""
         if self.open:
             carrier = self.carrier
             self.doubt()
@@ -122,12 +125,12 @@
                 carrier.drop("given up")
 
     def doubt(self) -> None:
-        """It should have brought something by now: its peer is not relied upon until it speaks."""
+        """Note that an answer is overdue: its peer is in doubt until something is received from it."""
         if self.carrier and self.sent and not self.heard:
             self.carrier.doubt(self.sent_at)
 
     def pause(self) -> None:
-        """Take no more of the answer for now."""
+        """Stop reading the answer until `resume`."""
         self.paused = True
         if self.carrier:
             self.carrier.pause()
@@ -138,7 +141,7 @@
             self.carrier.resume()
 
     def ended(self, how: How, reason: str) -> None:
-        """Called by its connection or its pool; the first end counts."""
+        """End it, once; called by its connection or its pool."""
         if self.open:
             self.open, self.carrier = False, None
             self.on_end(how, reason)
--- a/tuliptrack/rpc/http1_pool.py
+++ b/tuliptrack/rpc/http1_pool.py
@@ -1,14 +1,14 @@
-"""Connections to one address, kept and used again, the last one used first.
+"""A pool of connections to one address, reused last in, first out.
 
-A connection that is kept may have fallen silent with no error: a middlebox has forgotten it, its machine is
-cut off. So a request that asks for it (`Exchange.validated`) goes out only after its connection has answered
-a small question just before (validation on borrow). Where a kept one does not answer soon a new one is opened
-beside it, and the first that works is used. A new connection is asked too where the address is in doubt:
-where something was sent to it that brought no word, and nothing was heard from it since. A request that finds
-no connection that works within the time to connect never ran.
+A pooled connection may have fallen silent without an error: a middlebox has dropped its state, or the peer's
+machine is unreachable. A request that asks for it (`Exchange.validated`) is therefore sent only after its
+connection has answered a probe just before (validation on borrow). If a pooled connection does not answer the
+probe soon, a new one is opened in parallel, and the first that works is used. A new connection is probed too
+if the address is in doubt: an answer from it was overdue, and nothing was received from it since. A request
+that finds no working connection within the connect timeout was not processed.
 
-Bounds: `Connections` counts those of all addresses together. Where none is left, an idle one of any address
-makes room; where none is idle, the exchange ends at once, never sent.
+Bound: `Connections` counts the connections to all addresses. At its limit, an idle connection to any address
+is closed for a new one; if none is idle, the exchange ends immediately, never sent.
 """
 
 from __future__ import annotations
@@ -25,31 +25,29 @@
 __all__ = ["Connections", "Pool", "no_question"]
 
 _LOCAL_RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-"""This process or machine has no room; the peer has no part in it."""
+"""This process or machine lacks a resource; the errors say nothing about the peer."""
 _LOCAL_NETWORK_ERRORS = frozenset({errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN})
-"""This machine's network can't open it now; that says little of the peer."""
-_CONNECT_RETRY_DELAY_S = 0.02  # after one of these
-_VALIDATION_SHARE = (
-    0.2  # of the time to connect: within it a kept connection has to answer before a new one is opened
-)
+"""This machine's network can't open a connection now; the errors say little about the peer."""
+_CONNECT_RETRY_DELAY_S = 0.02  # after one of these errors
+_VALIDATION_SHARE = 0.2  # of the connect timeout: how long a pooled connection may take to answer a probe
 
 
 class Connections:
-    """How many connections may be held, to all addresses together."""
+    """The limit on connections to all addresses together, and counters of them."""
 
     def __init__(self, limit: int) -> None:
         self.limit, self.open_count, self.made = limit, 0, 0
         self.silent = 0
-        """Connections that did not answer when they were asked."""
+        """Pooled connections that did not answer a probe in time."""
         self.pools: list[Pool] = []
 
     def acquire(self) -> bool:
-        """Room for one more, made if need be by closing the one that has been idle for longest."""
+        """Count one more; at the limit, close the connection idle for longest first. False if none is idle."""
         if self.open_count >= self.limit:
             idle = [pool.idle[0] for pool in self.pools if pool.idle]
             if not idle:
                 return False
-            min(idle, key=lambda connection: connection.idle_since).drop("makes room")
+            min(idle, key=lambda connection: connection.idle_since).drop("evicted")
         self.open_count += 1
         self.made += 1
         return True
@@ -59,7 +57,7 @@
 
 
 class _Borrow:
-    """One exchange's search for a connection that works. It ends by itself within the time to connect."""
+    """The search for a working connection for one exchange. It ends by itself within the connect timeout."""
 
     def __init__(self, pool: Pool, exchange: Exchange) -> None:
         self.pool, self.exchange = pool, exchange
@@ -68,7 +66,7 @@
         self._validations: dict[ClientConnection, Exchange] = {}
         self._connected = False
         self._local_error: OSError | None = None
-        """Why this machine could not open a connection, if that was so the last time."""
+        """The error of the last attempt to connect, if its cause was this machine."""
         self._task: asyncio.Task[None] | None = None
         self._timers: list[asyncio.TimerHandle] = []
         self._wait_s = self._time_to_connect()
@@ -83,7 +81,7 @@
         return min(left, allowed) / 1e6
 
     def start(self, pooled: ClientConnection | None) -> None:
-        """Begin with a kept connection, if there is one."""
+        """Start with a pooled connection, if there is one."""
         self._after(self._wait_s, self._connect_timed_out)
         if pooled is None:
             self._connect()
@@ -95,16 +93,14 @@
         self._timers.append(self.pool.loop.call_later(seconds, what))
 
     def _connect_timed_out(self) -> None:
-        """The time to connect is over."""
+        """End the exchange: there is no working connection within the connect timeout."""
         if self._local_error:
             self._not_opened(self._local_error)
         else:
-            self._fail(How.CONNECT, "no connection that works in time", self._is_time_shortened)
+            self._fail(How.CONNECT, "no working connection in time", self._is_time_shortened)
 
     def _validate(self, connection: ClientConnection) -> None:
-        """Ask a connection a question that has no effect; where none is known the connection is taken to
-        work.
-        """
+        """Send a probe, which has no effect, on a connection; without a probe, it is assumed to work."""
         probe = self.pool.make_question(self.pool.address)
         if probe is None:
             self._use(connection)
@@ -114,7 +110,7 @@
         connection.begin(probe)
 
     def _validation_overdue(self, connection: ClientConnection) -> None:
-        """A kept connection has not answered soon enough: a new one is opened beside it."""
+        """Open a new connection in parallel, if the pooled one has not answered the probe yet."""
         probe = self._validations.get(connection)
         if self.over or probe is None:
             return
@@ -148,7 +144,7 @@
     async def _open(self) -> None:
         try:
             connection = await self._open_in_time()
-        except (OSError, ValueError) as error:  # a time-out is an OSError too
+        except (OSError, ValueError) as error:  # includes TimeoutError
             self.pool.connections.release()
             self._task = None
             if not self._validations:
@@ -165,7 +161,7 @@
         self._validate(connection)
 
     async def _open_in_time(self) -> ClientConnection:
-        """A new connection; tried again where this machine itself can't open one for a moment."""
+        """Open a connection; retry if this machine itself temporarily can't open one."""
         loop = self.pool.loop
         while True:
             connection = ClientConnection(self.pool, self.exchange)
@@ -190,7 +186,7 @@
                 within_s,
             )
         except (OSError, asyncio.CancelledError):
-            connection.drop("too late")  # It may have come up in this very moment.
+            connection.drop("too late")  # It may have been established at this moment.
             raise
 
     def _not_opened(self, error: Exception) -> None:
@@ -203,8 +199,8 @@
             self._fail(How.CONNECT, reason, is_time_shortened or number in _LOCAL_NETWORK_ERRORS)
 
     def _use(self, connection: ClientConnection, proven_since: float = 0.0) -> None:
-        """A connection works: the exchange goes out on it, unless it isn't wanted any more. `proven_since`:
-        see `Exchange`.
+        """Send the exchange on a working connection, unless it is no longer wanted. `proven_since`: see
+        `Exchange`.
         """
         if self.over:
             self.pool.return_to_pool(connection)
@@ -216,7 +212,7 @@
             connection.begin(exchange)
             return
         exchange.lone = True
-        exchange.ended(How.CONNECT, "not wanted any more")
+        exchange.ended(How.CONNECT, "no longer wanted")
         self.pool.return_to_pool(connection)
 
     def _fail(self, how: How, reason: str, lone: bool = False) -> None:
@@ -229,7 +225,7 @@
         self.exchange.ended(how, reason)
 
     def _finish(self) -> None:
-        """End all that still looks for a connection."""
+        """Stop the search: its timers, its connect and its probes."""
         self.over = True
         self.pool.borrows.discard(self)
         for timer in self._timers:
@@ -241,19 +237,19 @@
             probe.cancel()
 
     def close(self) -> asyncio.Task[None] | None:
-        """End it; the task that is to be waited for, if any."""
+        """End the search and its exchange; return the task to await, if any."""
         task = self._task
         self._end(How.GIVEN_UP, "closed")
         return task
 
 
 def no_question(address: str) -> Exchange | None:
-    """For peers to which no exchange is without an effect."""
+    """Return no probe: for peers to which every request has an effect."""
     return None
 
 
 class Pool:
-    """Exchanges with one address. `close` ends every exchange and task of it."""
+    """Exchanges with one address. `close` ends all its exchanges and tasks."""
 
     def __init__(
         self,
@@ -262,25 +258,27 @@
         connections: Connections,
         make_question: Callable[[str], Exchange | None] = no_question,
     ) -> None:
-        """`make_question`: an exchange without any effect by which a connection shows that it works; None:
-        there is none.
+        """Create an empty pool.
+
+        `make_question` returns a probe: an exchange without any effect whose answer shows that a connection
+        works; None if there is none.
         """
         self.address, self.options, self.connections = address, options, connections
         self.make_question = make_question
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.idle: list[ClientConnection] = []
-        """Connections without an exchange, the one used last at the end."""
+        """Connections without an exchange, the last one used at the end."""
         self.links: set[ClientConnection] = set()
         self.borrows: set[_Borrow] = set()
         self.heard_at = 0.0
-        """When something last came from there, on the loop's clock."""
+        """When something was last received from the address, on the loop's clock."""
         self.doubted = False
-        """Something was sent that brought no word, and nothing was heard from there since."""
+        """An answer is overdue, and nothing was received from the address since."""
         self._closed = False
         connections.pools.append(self)
 
     def send(self, exchange: Exchange) -> None:
-        """Begin an exchange. `on_end` is never called from in here."""
+        """Start an exchange. `on_end` is never called synchronously from here."""
         if self._closed:
             self.loop.call_soon(exchange.ended, How.NO_ROOM, "closed")
             return
@@ -293,7 +291,7 @@
         borrow.start(pooled)
 
     def _take_idle(self) -> ClientConnection | None:
-        """A kept connection that has rested and that its peer has not ended."""
+        """Remove and return an idle connection that may be reused and that its peer has not closed."""
         now = self.loop.time()
         while reusable := self._reusable(now):
             self.idle.remove(reusable)
@@ -303,14 +301,14 @@
         return None
 
     def _reusable(self, now: float) -> ClientConnection | None:
-        """The idle connection to use next; None where none has rested."""
+        """Return the idle connection to use next; None if none has been idle for `ClientOptions.rest`."""
         return next(
             (pooled for pooled in reversed(self.idle) if now - pooled.idle_since >= self.options.rest / 1e6),
             None,
         )
 
     def has_spare(self) -> bool:
-        """Whether an exchange would need no new connection."""
+        """Whether an exchange could reuse an idle connection."""
         return self._reusable(self.loop.time()) is not None
 
     def mark_heard(self) -> None:
@@ -325,7 +323,7 @@
         return any(connection.is_established() for connection in self.links)
 
     def opened(self, connection: ClientConnection) -> None:
-        """A new connection is up."""
+        """Register a new connection."""
         self.links.add(connection)
 
     def return_to_pool(self, connection: ClientConnection) -> None:
@@ -345,7 +343,7 @@
             self.idle.remove(connection)
 
     def sweep(self) -> None:
-        """Close what has been idle for too long."""
+        """Close connections that have been idle for too long."""
         now = self.loop.time()
         for pooled in [k for k in self.idle if now - k.idle_since >= self.options.idle / 1e6]:
             pooled.drop("idle for too long")
@@ -359,7 +357,7 @@
         return bool(self.borrows) or len(self.links) > len(self.idle)
 
     async def close(self) -> None:
-        """End it all."""
+        """End all exchanges and connections, and await all tasks."""
         self._closed = True
         if self in self.connections.pools:
             self.connections.pools.remove(self)
--- a/tuliptrack/rpc/json_text.py
+++ b/tuliptrack/rpc/json_text.py
@@ -1,8 +1,8 @@
-"""Reads JSON text from outside the process; text that is unusable in any way raises one error.
+"""Parses JSON text from outside the process; any unusable text raises the same error.
 
-Failure: Python's reader raises errors of other kinds for nesting that is too deep and for whole numbers with
-too many digits. A caller that expects a `ValueError` about JSON alone would end with them, and refuse a whole
-message for one number that nobody reads. Here such a number becomes an infinity, which no range contains.
+Python's parser raises errors of other types for text that is nested too deeply and for integers with too many
+digits. A caller that expects only `json.JSONDecodeError` would fail with them, or reject a complete message
+for one number that it does not use. Here such an integer becomes an infinity, which no range contains.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 
 
 class InvalidJsonError(ValueError):
-    """A text that is no JSON, or is nested too deeply."""
+    """The text is not valid JSON, or is nested too deeply."""
 
 
 def parse_json(text: str | bytes) -> Any:
     """Return the value of a JSON text.
 
-    Whole numbers beyond Python's limit on digits become infinities.
+    Integers beyond Python's limit on digits become infinities.
 
     Raises:
-        InvalidJsonError: It is no JSON that can be read.
+        InvalidJsonError: The text is not valid JSON, or is nested too deeply.
     """
     try:
         return _load(text)
     except InvalidJsonError:
         raise
-    except ValueError:  # The limit on digits, which has no type of its own.
+    except ValueError:  # The limit on digits, which has no exception type of its own.
         return _load(text, parse_int=_integer_or_infinity)
 
 
 def is_number_within(value: object, minimum: float, maximum: float) -> bool:
-    """Return whether a value of unchecked JSON is a number from `minimum` to `maximum`; a boolean is none.
+    """Return whether a value of unchecked JSON is a number from `minimum` to `maximum`; booleans are not.
 
-    No conversion takes place before the comparison, so a whole number of any size is compared exactly.
+    The value is not converted before the comparison, so integers of any size are compared exactly.
     """
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
--- a/tuliptrack/rpc/listener.py
+++ b/tuliptrack/rpc/listener.py
@@ -1,8 +1,8 @@
-"""A listening socket that goes on whatever `accept` says.
+"""A listening socket that recovers from every error of `accept`.
 
-asyncio's own server leaves its listener alone for a whole second where the system has no room for a
-connection, and logs a traceback for each try that fails in another way. Here a try that fails is repeated
-`_RETRY_DELAY_S` later, for as long as it takes; one line tells of the trouble's beginning and one of its end.
+asyncio's own server stops accepting for a whole second if the system lacks a resource for a connection, and
+logs a traceback for each `accept` that fails in another way. Here a failed `accept` is retried after
+`_RETRY_DELAY_S`, without a limit; the first failure and the recovery are logged with one line each.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 log = structlog.get_logger("rpc.listener")
 ACCEPTED_AT_ONCE = 8
-"""Connections that are accepted in one go, before any is looked at: few, so that a flood can't take
-descriptors past the bound."""
-_BACKLOG = 1_024  # connections that the kernel lets wait
+"""Connections that are accepted in one iteration of the loop, before any of them is checked against a limit:
+few, so that a flood can't exceed the bound on descriptors."""
+_BACKLOG = 1_024  # connections that the kernel queues
 _RETRY_DELAY_S = 0.02
 _CONNECTION_ERRORS = frozenset(
     {
@@ -39,19 +39,20 @@
         errno.ETIMEDOUT,
     }
 )
-"""What says that the connection at hand has failed already; Linux passes such errors on from `accept`. The
-next one is tried at once, but for a few in a row."""
+"""Errors of the connection being accepted, which has failed already; Linux reports them by `accept`. The next
+connection is accepted immediately, but only for a few such errors in a row."""
 
 
 def _close(sock: socket.socket) -> None:
-    """Close a socket. On Linux its descriptor is free whatever the call says."""
+    """Close a socket. Linux frees its descriptor even if the call fails."""
     with contextlib.suppress(OSError):
         sock.close()
 
 
 class Listener:
-    """Accepts connections for `factory`'s protocols. `close` ends it and every task of it. Bound: the
-    connections accepted at once; who they are handed to bounds the rest.
+    """Accepts connections and gives each a protocol from `factory`. `close` ends it and all its tasks.
+
+    Bound: `ACCEPTED_AT_ONCE`; the protocols limit the number of open connections.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, factory: Callable[[], asyncio.Protocol]) -> None:
@@ -60,10 +61,10 @@
         self._resume_timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.failed = 0
-        """Tries that failed since the last connection."""
+        """Failed calls of `accept` since the last connection."""
 
     def start(self, host: str, port: int) -> str:
-        """Listen; returns host:port, with the kernel's choice for port 0."""
+        """Listen; return host:port, with the port that the kernel chose for port 0."""
         self._socket = socket.create_server((host, port), backlog=_BACKLOG)
         self._socket.setblocking(False)
         self._loop.add_reader(self._socket, self._accept)
@@ -90,9 +91,9 @@
 
     def _start_connection(self, connection: socket.socket) -> None:
         connection.setblocking(False)
-        with contextlib.suppress(
-            OSError
-        ):  # It has ended meanwhile. asyncio sees to it on its own listeners' connections alone.
+        # The connection may have ended meanwhile. asyncio handles that only for connections of its own
+        # listeners.
+        with contextlib.suppress(OSError):
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         task = self._loop.create_task(self._hand_over(connection))
         self._tasks.add(task)
@@ -102,10 +103,10 @@
         try:
             await self._loop.connect_accepted_socket(self._factory, connection)
         except OSError:
-            _close(connection)  # It has ended meanwhile.
+            _close(connection)  # The connection has ended meanwhile.
 
     def _pause(self) -> None:
-        """The system has no room: leave the socket alone for a moment, as it stays readable."""
+        """Stop accepting for a moment while the system lacks resources, as the socket stays readable."""
         assert self._socket
         self._loop.remove_reader(self._socket)
         self._resume_timer = self._loop.call_later(_RETRY_DELAY_S, self._resume)
@@ -127,7 +128,7 @@
             self.failed = 0
 
     async def close(self) -> None:
-        """Take no more connections."""
+        """Accept no more connections."""
         if self._resume_timer:
             self._resume_timer.cancel()
             self._resume_timer = None
--- a/tuliptrack/rpc/process_signals.py
+++ b/tuliptrack/rpc/process_signals.py
@@ -1,8 +1,8 @@
-"""The signals of a process, from its first lines on, each handled once.
+"""Signals of a process from its start on, each handled once.
 
-Before a loop runs, signals are recorded; once it runs, they reach the handlers through it. One that comes
-before its handler is set is handed over when it is set. Signals of one kind that come in one turn of the loop
-are handled together: what they ask for is done once, after the last of them.
+Before an event loop runs, signals are recorded; once it runs, they reach the handlers through it. A signal
+that arrives before its handler is set is delivered when the handler is set. Signals with the same number that
+arrive in one iteration of the loop are handled together: the handler is called once, after the last of them.
 """
 
 from __future__ import annotations
@@ -17,13 +17,15 @@
 
 
 class ProcessSignals:
-    """Takes over some signals of this process; made in its main thread. `attach`, then `handle`, then `block`."""
+    """Takes over some signals of this process; made in its main thread. `attach`, then `handle`, then
+    `block`.
+    """
 
     def __init__(self, *numbers: signal.Signals) -> None:
-        """Record these signals from now on, in place of what they do by default."""
+        """Record these signals from now on, in place of their default actions."""
         self._numbers = numbers
         self._pending: set[signal.Signals] = set()
-        """Signals that came and were not handled yet."""
+        """Signals that were received and not handled yet."""
         self._handlers: dict[signal.Signals, Callable[[], None]] = {}
         self._loop: asyncio.AbstractEventLoop | None = None
         self._is_delivery_due = False
@@ -32,9 +34,9 @@
 
     def attach(self, loop: asyncio.AbstractEventLoop) -> None:
         """Receive signals through a loop from now on; no other thread may run yet."""
-        # Failure: a signal that comes while the loop takes over is recorded here and also read from the loop's
-        # wakeup descriptor. It would show as settings that are reloaded twice. While it is blocked it is
-        # delivered to neither, and once it is unblocked, to the loop alone.
+        # Without the mask, a signal that arrives while the loop takes over is recorded here and also read
+        # from the loop's wakeup descriptor, and settings are reloaded twice. While blocked it reaches
+        # neither, and once unblocked only the loop.
         self._loop = loop
         mask = signal.pthread_sigmask(signal.SIG_BLOCK, self._numbers)
         try:
@@ -44,18 +46,18 @@
             signal.pthread_sigmask(signal.SIG_SETMASK, mask)
 
     def handle(self, number: signal.Signals, handler: Callable[[], None]) -> None:
-        """Call `handler` for each signal from now on, and now if one has come before."""
+        """Call `handler` for each signal from now on, and now if one is pending."""
         self._handlers[number] = handler
         self._deliver()
 
     def has_pending(self, *numbers: signal.Signals) -> bool:
-        """Return whether one of these signals has come that was not handled."""
+        """Return whether one of these signals is pending."""
         return not self._pending.isdisjoint(numbers)
 
     def block(self) -> None:
-        """Let no signal end the process from now on, as nothing is left that could handle it."""
-        # Failure: the loop restores what signals do by default as it closes. It would show as a process that
-        # has done its work and ends by a signal, in place of its exit code.
+        """Block these signals from now on, when no handler is left."""
+        # A closing loop restores the default actions of signals. Unless they are blocked, a process that has
+        # finished its work may be ended by a signal, in place of its exit code.
         signal.pthread_sigmask(signal.SIG_BLOCK, self._numbers)
 
     def _record(self, number: int, _frame: object) -> None:
--- a/tuliptrack/rpc/retry.py
+++ b/tuliptrack/rpc/retry.py
@@ -1,4 +1,4 @@
-"""Trying a system call again while the machine has no room for it, for a bounded time."""
+"""Retries a system call for a bounded time while the machine lacks a resource for it."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
         errno.ENOMEM,
     }
 )
-"""What may be over soon: this machine lacks something, or an address is still taken by a process that
-ends."""
+"""Errors that may soon pass: this machine lacks a resource, or an address is still bound by a process that is
+ending."""
 
 Result = TypeVar("Result")
 
 
 class _RetryBudget:
-    """Says whether a call that has failed is to be tried again. Bound: `seconds` since its making."""
+    """Decides whether a failed call is retried: only within `seconds` since this was created."""
 
     def __init__(self, what: str, seconds: float, may_pass: Callable[[Exception], bool]) -> None:
         self._what, self._may_pass = what, may_pass
@@ -41,7 +41,7 @@
         self._has_logged = False
 
     def check(self, error: Exception) -> None:
-        """Raise the error where trying again is no use any more."""
+        """Raise the error if the call is not to be retried."""
         if time.monotonic() >= self._until or not self._may_pass(error):
             raise error
         if not self._has_logged:
@@ -59,8 +59,15 @@
     seconds: float,
     may_pass: Callable[[Exception], bool] = _is_transient_error,
 ) -> Result:
-    """The result of the first attempt that doesn't fail with what may pass; the last error after so many
-    seconds. Waits in between, so not for a running loop.
+    """Retry `attempt` while it raises errors for which `may_pass` is true, for at most `seconds`.
+
+    Blocks between attempts, so it is not for a running event loop.
+
+    Returns:
+        The result of the first attempt that succeeds.
+
+    Raises:
+        Exception: The first error that may not pass, or the last one when the time is over.
     """
     budget = _RetryBudget(what, seconds, may_pass)
     while True:
@@ -72,7 +79,7 @@
 
 
 async def retry_async(what: str, attempt: Callable[[], Awaitable[Result]], seconds: float) -> Result:
-    """The same for attempts in a running loop."""
+    """Do the same in a running event loop, for transient errors of the system."""
     budget = _RetryBudget(what, seconds, _is_transient_error)
     while True:
         try:
