--- a/tuliptrack/rpc/channel.py
+++ b/tuliptrack/rpc/channel.py
@@ -1,11 +1,13 @@
-"""The client's side: calls to one address over pooled connections, with connect time-outs and keepalive.
+"""The gRPC client: calls to one address over pooled connections, with connect timeouts and keepalive.
 
-A call ends once, through `on_end`, and says how sure it is that the peer never looked at it.
+A call ends once, through `on_end`, and says whether the peer may have processed it.
 
-A connection may fall silent with no error: `arrival.ArrivalProofs` finds that. While one is doubted no new
-call goes out on it and a new one is tried; the silent one is closed as soon as the new one works, or after a
-second. Bounds: `Options.max_links` connections an address, `Options.max_waiting` calls that wait for one; one
-more ends at once with RESOURCE_EXHAUSTED, marked unprocessed.
+A connection may fall silent without an error; `arrival.ArrivalProofs` detects that. While a connection is
+doubted, no new call is sent on it and a new connection is opened; the silent one is closed soon after the new
+one is known to work, or after `Options.proof_timeout`.
+
+Bounds: `Options.max_links` connections for each address, and `Options.max_waiting` calls that wait for one; a
+further call ends immediately with RESOURCE_EXHAUSTED, marked unprocessed.
 """
 
 from __future__ import annotations
@@ -41,23 +43,23 @@
     RESET = "reset"
     """The stream or the connection broke."""
     CONNECT = "connect"
-    """No connection was made in time: the peer never saw the call."""
+    """There was no connection in time: the peer has not received the call."""
     TIMEOUT = "timeout"
-    """Our own deadline for it."""
+    """The call's timeout at this client."""
     CANCELLED = "cancelled"
     """`ClientCall.cancel`."""
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """How a call ended. `unprocessed`: the peer vouches, or it follows, that it never looked at it."""
+    """How a call ended. `unprocessed`: the peer has certainly not processed it."""
 
     how: How
     status: Status
     metadata: Metadata = ()
     unprocessed: bool = False
     lone: bool = False
-    """Its connection alone broke: a newer one to the peer works."""
+    """The failure concerns its connection, not the peer: a newer connection works."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,14 +68,14 @@
 
     connect_timeout: int = 250_000
     keepalive_after: int = 10_000_000
-    """Silence with calls open after which the peer is pinged."""
+    """Silence with open calls after which the peer is pinged."""
     keepalive_timeout: int = 5_000_000
-    """Silence after that ping until the connection is held to be dead."""
+    """Silence after that ping until the connection is considered dead."""
     prove_after: int = 60_000
-    """Silence after a call went out until the peer is pinged for a proof that it arrived, and until a missing
-    proof makes the connection doubtful."""
+    """Silence after a call was sent until the peer is pinged to prove that it arrived, and from there until a
+    missing answer makes the connection doubtful."""
     proof_timeout: int = 1_000_000
-    """Silence after that ping until the connection is held to be dead."""
+    """Silence after that ping until the connection is considered dead."""
     max_links: int = 8
     max_waiting: int = 10_000
     limits: Limits = field(default_factory=Limits)
@@ -81,7 +83,7 @@
 
 _ALIVE_PING = b"alive?"
 _CHECKS_BEFORE_CLOSE = 3
-"""That find a connection silent beside a newer one that works, before it is closed."""
+"""Checks that find a connection silent while a newer one works, before it is closed."""
 
 
 def _noop(*_: Any) -> None:
@@ -89,7 +91,7 @@
 
 
 class ClientCall:
-    """One call. Callbacks run at once, in the connection's task, and must not wait."""
+    """One call. Callbacks run synchronously, in the connection's task, and must not block."""
 
     __slots__ = (
         "_connect_timer",
@@ -122,14 +124,14 @@
         self.link: _ClientLink | None = None
         self.stream = 0
         self.traffic = Traffic()
-        """Bytes of its messages, also of those that cross its end; nothing before there is a connection."""
+        """Bytes of its messages, also of those that cross its end; zero before there is a connection."""
         self.open, self.paused, self.unary = True, False, False
         self.arrived = False
-        """The peer has surely got it: it has answered something, or a ping that was sent after it."""
+        """The peer has certainly received it: it has answered something, or a ping that was sent after it."""
         self.prove_by = 0
-        """A moment by which that should be known; 0: there is none."""
+        """When that should be known at the latest; 0: no such time."""
         self.out: list[bytes] = []
-        """What was sent before there was a connection."""
+        """Messages that were sent before there was a connection."""
         self._timer: asyncio.TimerHandle | None = None
         self._connect_timer: asyncio.TimerHandle | None = None
 
@@ -150,7 +152,7 @@
             self.link.flush_soon()
 
     def cancel(self, how: How = How.CANCELLED) -> None:
-        """End the call; `on_end` is called at once, unless it has been."""
+        """End the call; `on_end` is called synchronously, unless it has been."""
         if self.open:
             if self.link:
                 self.link.core.reset(self.stream)
@@ -159,7 +161,7 @@
             self.ended(End(how, Status(code, how.value), unprocessed=self.link is None))
 
     def pause(self) -> None:
-        """Take no more messages than one window's for now."""
+        """Accept at most one window of messages until `resume`."""
         self.paused = True
         if self.link:
             self.link.core.pause(self.stream)
@@ -188,7 +190,7 @@
             self._timer = loop.call_later(self.timeout / 1e6, self.cancel, How.TIMEOUT)
 
     def limit_connect(self, loop: asyncio.AbstractEventLoop, within: int) -> None:
-        """End the call where no connection has taken it in so many microseconds."""
+        """End the call if no connection has taken it within so many microseconds."""
         self._connect_timer = loop.call_later(max(within, 0) / 1e6, self._connect_timed_out)
 
     def _connect_timed_out(self) -> None:
@@ -209,9 +211,9 @@
         self.pinged_at = 0
         self.idle_since = self.opened_at = now_us()
         self.outlived_by = 0
-        """When a newer connection was opened that works; 0: there is none."""
+        """When a newer, working connection was opened; 0: there is none."""
         self._close_at_check = 0
-        """The look for its proof that closes it, if it is still silent then."""
+        """The number of the check that closes it if it is still silent."""
         super().__init__(
             reader,
             writer,
@@ -241,27 +243,27 @@
         self.flush_soon()
 
     def ping(self, data: bytes) -> None:
-        """Send a ping."""
+        """Send a ping after everything that was written."""
         self.core.ping(data)
         self.flush_soon()
 
     def unsent(self, stream: int) -> int:
-        """Bytes of a call that are not written yet."""
+        """Return the bytes of a call that are not written yet."""
         return self.core.pending(stream)
 
     def mark_outlived(self, opened_at: int) -> None:
-        """A newer connection works: what comes late on this one may still come for some looks."""
+        """Note that a newer connection works: this one is closed if it stays silent for some more checks."""
         if not self.outlived:
             self.outlived_by = opened_at
             self._close_at_check = self.proofs.checks + _CHECKS_BEFORE_CLOSE
 
     @property
     def outlived(self) -> bool:
-        """Whether it was silent while a newer connection worked."""
+        """Whether it has been silent since before a newer, working connection was opened."""
         return self.heard_at < self.outlived_by
 
     def doubted(self, checks: int) -> None:
-        """Nothing comes on it: another connection is to show whether the peer is there."""
+        """Act on a silent connection: open another one to find out whether the peer is reachable."""
         if self.outlived and checks >= self._close_at_check:
             self.close("silent while a new connection works")
         else:
@@ -292,7 +294,7 @@
                 self.channel.confirm_working(self)
 
     def check(self, now: int) -> None:
-        """Keepalive: ping after silence with calls open, give up after silence that follows it."""
+        """Keepalive: ping after silence with open calls, close after further silence."""
         options = self.channel.options
         if not self.calls:
             self.pinged_at = 0
@@ -305,7 +307,7 @@
             self.close("keepalive: the peer is silent")
 
     def close(self, reason: str) -> None:
-        """End the connection, its calls and its timer."""
+        """Close the connection; end its calls and its timer."""
         if self.proofs.doubtful and not self.closed:
             log.warning(
                 "silent connection closed", address=self.channel.address, reason=reason, calls=len(self.calls)
@@ -315,12 +317,12 @@
 
     @property
     def takes_calls(self) -> bool:
-        """Whether a call may go out on it now."""
+        """Whether a call may be sent on it now."""
         return not self.closed and not self.proofs.doubtful and self.core.available_streams() > 0
 
 
 class Channel:
-    """Calls to one address. `close` ends every call and task of it."""
+    """Calls to one address. `close` ends all its calls and tasks."""
 
     def __init__(self, address: str, options: Options | None = None) -> None:
         self.address, self.options = address, options or Options()
@@ -328,10 +330,10 @@
         self.waiting: deque[ClientCall] = deque()
         self.tasks: set[asyncio.Task[None]] = set()
         self.connects = 0
-        """Connections tried so far."""
+        """Attempts to connect so far."""
         self._connecting = 0
         self._doubted = False
-        """A connection has fallen silent, and a new one is to show whether the peer has."""
+        """A connection has fallen silent, and a new one is needed to find out whether the peer has."""
         self._closed = False
         self._watch: asyncio.TimerHandle | None = None
 
@@ -347,9 +349,18 @@
         on_end: Callable[[End], None] = _noop,
         message: bytes | None = None,
     ) -> ClientCall:
-        """Start a call; with `message` its request is that one alone. Where `connect_within` is given, it
-        ends if it has got no connection in so many microseconds, and a proof that it has arrived is looked
-        for in that time. `on_end` is never called from in here.
+        """Start a call; `on_end` is never called synchronously from here.
+
+        Args:
+            method: Path of the method.
+            metadata: Metadata of the request.
+            timeout: Microseconds until the call ends with `TIMEOUT`; also sent to the peer.
+            compress: Whether to compress messages.
+            connect_within: Microseconds within which the call needs a connection, or ends. Its arrival at the
+                peer is to be proven within that time too.
+            on_message: Called with each message.
+            on_end: Called once, at the end.
+            message: The only message of the request; None if the caller sends messages itself.
         """
         call = ClientCall(method, metadata, timeout, compress)
         call.on_message, call.on_end = on_message, on_end
@@ -360,7 +371,7 @@
             call.prove_by = now_us() + connect_within
         loop = asyncio.get_running_loop()
         call.start_timer(loop)
-        link = next((one for one in self.links if one.takes_calls), None)
+        link = next((link for link in self.links if link.takes_calls), None)
         if link and not self.waiting:
             link.begin(call)
         elif len(self.waiting) >= self.options.max_waiting or self._closed:
@@ -376,7 +387,7 @@
         return call
 
     def _connect_if_needed(self) -> None:
-        """Connect once more where calls wait that no connection to come has room for."""
+        """Open a connection if calls wait, or one is doubted, and no connection is being opened."""
         live = sum(1 for link in self.links if not link.core.draining and not link.proofs.doubtful)
         has_capacity = live < self.options.max_links and len(self.links) < 2 * self.options.max_links
         if (self.waiting or self._doubted) and not self._connecting and has_capacity and not self._closed:
@@ -396,7 +407,7 @@
                 )
             finally:
                 self._connecting -= 1
-        except (OSError, ValueError) as error:  # a time-out is an OSError too
+        except (OSError, ValueError) as error:  # includes TimeoutError
             self._doubted = False
             reason = str(error) or "connect timed out"
             failed = list(self.waiting)
@@ -418,7 +429,7 @@
             self._connect_if_needed()
 
     def serve_waiting(self, link: _ClientLink) -> None:
-        """A connection has room, or takes no more: serve who waits, close what has drained."""
+        """Send waiting calls on a connection that has capacity; close it if it has drained."""
         while self.waiting and link.takes_calls:
             call = self.waiting.popleft()
             if call.open:
@@ -430,14 +441,12 @@
         self._connect_if_needed()
 
     def doubt(self, link: _ClientLink) -> None:
-        """A connection has fallen silent: try a new one, unless one was tried since."""
+        """Open a new connection as this one has fallen silent, unless one was opened since."""
         self._doubted = not any(other.opened_at > link.heard_at for other in self.links if other is not link)
         self._connect_if_needed()
 
     def confirm_working(self, working: _ClientLink) -> None:
-        """A connection has shown that it works: those on which nothing has come since it was opened are
-        closed soon.
-        """
+        """Note that a connection works: doubtful ones, silent since it was opened, are closed soon."""
         for link in self.links:
             if link.proofs.doubtful and link.heard_at < working.opened_at:
                 link.mark_outlived(working.opened_at)
@@ -454,7 +463,7 @@
         self._start_watch()
 
     def close_idle(self, idle_for: int = 0) -> int:
-        """Close connections without calls for so long (microseconds); returns how many."""
+        """Close connections that have had no calls for `idle_for` microseconds; return how many."""
         idle = [k for k in self.links if not k.calls and now_us() - k.idle_since >= idle_for]
         for link in idle:
             link.close("idle")
--- a/tuliptrack/rpc/core.py
+++ b/tuliptrack/rpc/core.py
@@ -1,13 +1,13 @@
-"""The state of one gRPC connection, client's or server's side, with no I/O: bytes in, events out.
+"""The state of one gRPC connection, for clients and servers, without I/O: bytes in, events out.
 
-`receive(data, now)` takes what the socket gave and returns events; `take()` returns what is to be written.
-HTTP/2 frames and their states are h2's; here are calls, messages, statuses, flow control by what the
-application has taken, and limits on what a peer may cause. Source: gRPC PROTOCOL-HTTP2, RFC 9113.
+`receive(data, now)` takes the bytes read from the socket and returns events; `take()` returns the bytes to
+write. h2 handles HTTP/2 frames and their states; this module handles calls, messages, statuses, flow control
+by the application's consumption, and limits on what a peer may cause. Source: gRPC PROTOCOL-HTTP2, RFC 9113.
 
-Bounds: received messages wait in no queue here, but go out as events; a call whose application has paused
-it gets at most one stream window more. What is to be sent waits by call until the peer's windows take it;
-`send` tells when that is more than `Limits.pending_high`, and `Writable` when it has fallen again. Where
-a peer makes control frames faster than `Limits` allow, the connection is ended with ENHANCE_YOUR_CALM.
+Bounds: received messages are not queued here but returned as events; a call that its application has paused
+receives at most one more stream window. Messages to send are queued by call until the peer's windows allow
+them; `send` returns False beyond `Limits.pending_high`, and `Writable` follows once the queue has shrunk. If
+a peer sends control frames faster than `Limits` allow, the connection is ended with ENHANCE_YOUR_CALM.
 """
 
 from __future__ import annotations
@@ -63,37 +63,35 @@
 _LAST_STREAM = 2**31 - 1
 _PREFIX = 5  # bytes before each message: a flag and a length
 _MAX_RESET_CALLS = 512
-_BODIES_RETRY_AFTER_US = (
-    100_000  # microseconds after which a client may try again that found no room for its body
-)
+_BODIES_RETRY_AFTER_US = 100_000  # when a client may retry whose body exceeded the budget
 _DRAIN_PING = b"drained?"
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What one connection may hold, and what its peer may cause. Sizes in bytes."""
+    """Limits of one connection: what it may hold, and what its peer may cause. Sizes in bytes."""
 
     max_streams: int = 2_000
     """Calls that the peer may have open at once."""
     max_header_bytes: int = 16_384
     max_message_bytes: int = 4_194_304
-    """Of one message, after decompression."""
+    """Size of one message, after decompression."""
     stream_window: int = 65_535
-    """What may arrive for one call beyond what its application has taken."""
+    """Bytes that may arrive for one call beyond what its application has consumed."""
     connection_window: int = 4_194_304
     pending_high: int = 32_768
-    """What may wait to be sent in one call before `send` asks its caller to stop."""
+    """Bytes that may wait to be sent in one call before `send` asks its caller to pause."""
     pending_low: int = 8_192
     control_burst: int = 400
-    """Pings, settings, empty frames that a peer may send at once; they fill again by `control_per_s`."""
+    """Pings, settings and empty frames that a peer may send in a burst; refilled by `control_per_s`."""
     control_per_s: float = 40.0
     reset_burst: int = 2_500
-    """Resets that a peer may send at once: all its calls, and some."""
+    """Resets that a peer may send in a burst: for all its calls, and some more."""
     reset_per_s: float = 100.0
 
 
 class _Fault(Exception):
-    """One call's fault, with the status that answers it."""
+    """An error of one call, with the status that answers it."""
 
     def __init__(self, code: Code, message: str, *details: Message) -> None:
         super().__init__(message)
@@ -101,14 +99,13 @@
 
 
 class _FrameTooLarge(Exception):
-    """A frame longer than we allow."""
+    """A frame exceeds the allowed size."""
 
 
 class Traffic:
-    """Bytes of messages (with their prefixes, as they went over the wire) that one call has moved on its
-    connection.
+    """Bytes of messages, with their prefixes as on the wire, that one call has transferred.
 
-    Still counted after the call has ended here: what crosses a reset of ours comes all the same.
+    They are still counted after the call has ended here, as bytes that cross our reset arrive all the same.
     """
 
     __slots__ = ("received", "sent")
@@ -156,7 +153,7 @@
 
 
 class Core:
-    """One connection. Calls are named by their stream's number."""
+    """One connection. Calls are identified by their stream numbers."""
 
     def __init__(
         self,
@@ -166,8 +163,9 @@
         now: int = 0,
         bodies: ByteBudget | None = None,
     ) -> None:
-        """`bodies` counts what messages that are not yet whole may hold, over all connections that share
-        it.
+        """Set up a connection.
+
+        `bodies` limits the bytes that incomplete messages hold, on all connections that share it.
         """
         self.client, self.limits, self.authority, self.bodies = client, limits or Limits(), authority, bodies
         self.h2 = Http2Connection(
@@ -196,17 +194,17 @@
         self.calls: dict[int, _Call] = {}
         self.dead = False
         self._partial_frame = b""
-        """The beginning of a frame; shorter than the largest frame allowed."""
+        """The start of an incomplete frame; shorter than the largest frame allowed."""
         self._preface = b"" if client else b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-        """What the client must still send before its first frame."""
+        """The part of the client preface that has not been received yet."""
         self.draining = False
-        """We have told the peer, or it has told us, that no new calls are taken."""
+        """Either side has announced that it accepts no new calls."""
         self._final_goaway: int | None = None
         self._unacked = 0
         self._reset_calls: dict[int, Traffic] = {}
-        """Calls that we have reset while the peer may still send; the last `_MAX_RESET_CALLS`."""
+        """Calls reset here whose peer may still be sending; the last `_MAX_RESET_CALLS`."""
         self._sendable: dict[int, None] = {}
-        """Calls with something to send, in the order in which they got it."""
+        """Calls that may have something to send, in the order in which they got it."""
         self._send_events: list[Event] = []
         self._extra_frames = bytearray()
         self._control = TokenBucket(lim.control_burst, lim.control_per_s, now)
@@ -224,10 +222,10 @@
             h2.events.RemoteSettingsChanged: self._settings,
         }
 
-    # -- in
+    # -- input
 
     def receive(self, data: bytes, now: int) -> list[Event]:
-        """Take bytes from the peer; `now` in microseconds. Never raises: what is wrong becomes an event."""
+        """Take bytes from the peer; `now` in microseconds. Never raises: errors become events."""
         events: list[Event] = []
         if self.dead:
             return events
@@ -249,12 +247,12 @@
                 handler = self._handlers.get(kind)
                 if handler:
                     handler(event, events)
-        except h2.exceptions.ProtocolError as error:  # h2 has its own GOAWAY ready
+        except h2.exceptions.ProtocolError as error:  # h2 has queued a GOAWAY itself
             code = getattr(error, "error_code", ErrorCodes.PROTOCOL_ERROR)
             return self._break(events, code, str(error) or type(error).__name__, is_goaway_sent=True)
         except _FrameTooLarge as error:
             return self._break(events, ErrorCodes.FRAME_SIZE_ERROR, str(error))
-        except Exception as error:  # h2 and hpack let some of Python's own out on garbage
+        except Exception as error:  # h2 and hpack raise other errors on garbage
             return self._break(events, ErrorCodes.PROTOCOL_ERROR, f"{type(error).__name__}: {error}")
         if self._send_events:
             events += self._send_events
@@ -262,7 +260,7 @@
         return events
 
     def _frames(self, data: bytes, events: list[Event]) -> Iterator[Any]:
-        """Part the bytes into frames: plain DATA is taken here, the rest becomes events of h2."""
+        """Split the bytes into frames: plain DATA frames are handled here, others become events of h2."""
         if self._preface:
             size = min(len(self._preface), len(data))
             self._preface = self._preface[size:] if data[:size] == self._preface[:size] else b""
@@ -276,7 +274,7 @@
             size = data[at] << 16 | data[at + 1] << 8 | data[at + 2]
             after = at + 9 + size
             if size > self.h2.max_inbound_frame_size:
-                # h2 says so only once it has buffered the whole of it, up to 16 MiB.
+                # h2 checks the size only after buffering the complete frame, up to 16 MiB.
                 raise _FrameTooLarge(f"frame of {size} bytes, {self.h2.max_inbound_frame_size} allowed")
             if after > end:
                 break
@@ -289,7 +287,7 @@
                     if passed < at:
                         yield from self.h2.receive_data(data[passed:at])
                         passed = at
-                    # Asked only now: what went before may have changed the stream.
+                    # Checked only now, as the frames before may have changed the stream.
                     if self.calls.get(stream) is call and self.h2.take_data(stream, size):
                         self._receive_data(call, data[at + 9 : after], size, events)
                         passed = after
@@ -299,7 +297,7 @@
             yield from self.h2.receive_data(data[passed:at])
 
     def lost(self, reason: str) -> list[Event]:
-        """The socket has closed or is given up: every open call ends."""
+        """End every open call: the socket is closed or abandoned."""
         return [] if self.dead else self._break([], ErrorCodes.NO_ERROR, reason, is_goaway_sent=True)
 
     def _break(
@@ -338,7 +336,7 @@
         )
 
     def _receive_data(self, call: _Call | None, data: bytes, size: int, events: list[Event]) -> None:
-        """Data of a call has come; `size` is what it takes of the windows."""
+        """Take data of a call; `size` is what it consumes of the flow-control windows."""
         self._unacked += size
         if self._unacked * 2 >= self.limits.connection_window:
             self.h2.increment_flow_control_window(self._unacked)
@@ -361,7 +359,7 @@
             try:
                 self.h2.increment_flow_control_window(call.unacked, call.stream)
             except (h2.exceptions.ProtocolError, KeyError):
-                pass  # The stream has closed meanwhile: nobody waits for room.
+                pass  # The stream has closed meanwhile and needs no window.
             call.unacked = 0
 
     def _messages(self, call: _Call, events: list[Event]) -> None:
@@ -372,7 +370,7 @@
                 limit = self.limits.max_message_bytes
                 raise _Fault(Code.RESOURCE_EXHAUSTED, f"message of {size} bytes, {limit} allowed")
             if len(buffer) - at - _PREFIX < size:
-                if self.bodies and size > call.reserved:  # Room for the whole of it, or none of it is taken.
+                if self.bodies and size > call.reserved:  # Reserves the complete message.
                     if not self.bodies.acquire(size - call.reserved):
                         raise _Fault(
                             Code.UNAVAILABLE,
@@ -405,7 +403,7 @@
         return whole
 
     def _reject_call(self, call: _Call, status: Status, events: list[Event]) -> None:
-        """End a call for the peer's fault in it."""
+        """End a call with an error that its peer has caused."""
         if self.client:
             self.reset(call.stream, ErrorCodes.CANCEL)
             events.append(CallEnded(call.stream, status))
@@ -414,7 +412,7 @@
             self.finish(stream, status)
             events.append(Cancelled(stream, status.message))
 
-    # -- in, server
+    # -- input of servers
 
     def _request(self, event: h2.events.RequestReceived, events: list[Event]) -> None:
         stream = event.stream_id or 0
@@ -453,7 +451,7 @@
         call.got_headers = True
         events.append(CallStarted(stream, raw.get(b":path", b"").decode("latin-1"), timeout, metadata))
 
-    # -- in, client
+    # -- input of clients
 
     def _response(self, event: h2.events.ResponseReceived, events: list[Event]) -> None:
         call = self.calls.get(event.stream_id or 0)
@@ -499,7 +497,7 @@
         raw = {name: value for name, value in headers}
         done = call.local_done and call.ending is None and not call.out
         self._drop(call)
-        if not done:  # The server needed no more of the request.
+        if not done:  # The server did not need the rest of the request.
             self._reset_stream(call.stream, ErrorCodes.NO_ERROR)
         number = raw.get(b"grpc-status", b"")
         code = (
@@ -524,7 +522,7 @@
         if call is None:
             return
         call.remote_done = True
-        if self.client:  # Trailers drop the call before this; here there were none.
+        if self.client:  # Trailers would have removed the call before.
             self._drop(call)
             status = Status(Code.INTERNAL, "the answer ended without trailers")
             events.append(CallEnded(call.stream, status, reset=True))
@@ -588,10 +586,10 @@
             )
         events.append(GoAway(last, error, (event.additional_data or b"").decode(errors="replace")[:200]))
 
-    # -- out
+    # -- output
 
     def available_streams(self) -> int:
-        """Calls that may still be opened towards the peer, by its settings."""
+        """Return how many more calls may be opened, by the peer's settings."""
         return (
             0
             if self.dead or self.draining
@@ -601,7 +599,7 @@
     def start(
         self, method: str, metadata: Metadata = (), timeout: int | None = None, compress: bool = False
     ) -> int:
-        """Client: open a call; `timeout` in microseconds. Returns its stream's number."""
+        """Client: open a call; `timeout` in microseconds. Return its stream number."""
         stream = self.h2.get_next_available_stream_id()
         headers = [
             (b":method", b"POST"),
@@ -623,8 +621,9 @@
         return stream
 
     def send(self, stream: int, data: bytes) -> bool:
-        """Queue a message; False asks the caller to stop until `Writable`. Of an ended call: dropped,
-        False.
+        """Queue a message; False asks the caller to pause until `Writable`.
+
+        A message of a call that has ended is dropped, with False.
         """
         call = self.calls.get(stream)
         if call is None or call.ending is not None or call.local_done:
@@ -661,7 +660,7 @@
             self._answer(call)
 
     def half_close(self, stream: int) -> None:
-        """Client: no more messages follow."""
+        """Client: send no more messages."""
         call = self.calls.get(stream)
         if call and not call.local_done:
             call.local_done = True
@@ -669,7 +668,7 @@
             self._sendable[stream] = None
 
     def finish(self, stream: int, status: Status, metadata: Metadata = ()) -> bool:
-        """Server: end a call once what was sent has gone out; False where it had ended."""
+        """Server: end a call after its queued messages; False if it had ended."""
         call = self.calls.get(stream)
         if call is None or call.ending is not None:
             return False
@@ -691,7 +690,7 @@
         return True
 
     def reset(self, stream: int, error: int = ErrorCodes.CANCEL) -> bool:
-        """End a call at once, without a status; False where it had ended."""
+        """End a call immediately, without a status; False if it had ended."""
         call = self.calls.get(stream)
         if call is None:
             return False
@@ -706,10 +705,10 @@
         try:
             self.h2.reset_stream(stream, error)
         except h2.exceptions.ProtocolError:
-            pass  # It has closed by itself meanwhile.
+            pass  # The stream has closed meanwhile.
 
     def pause(self, stream: int) -> None:
-        """The application takes no more of this call for now: its window is not opened again."""
+        """Stop extending the window of a call until `resume`: its application consumes no more."""
         if call := self.calls.get(stream):
             call.paused = True
 
@@ -720,12 +719,12 @@
             self._acknowledge(call)
 
     def pending(self, stream: int) -> int:
-        """Bytes of a call that wait to be sent."""
+        """Return the bytes of a call that wait to be sent."""
         call = self.calls.get(stream)
         return call.out_bytes if call else 0
 
     def traffic(self, stream: int) -> Traffic:
-        """The bytes of an open call; the object goes on counting."""
+        """Return the byte counts of an open call; the object keeps counting."""
         call = self.calls.get(stream)
         return call.traffic if call else Traffic()
 
@@ -734,16 +733,14 @@
             self._extra_frames += PingFrame(0, opaque_data=data[:8].ljust(8, b"\0")).serialize()
 
     def drain(self) -> None:
-        """Server: take no new calls, let the open ones end; the peer is told in two steps, as RFC 9113 has
-        it.
-        """
+        """Server: accept no new calls and let open ones end; announced in two steps, as in RFC 9113."""
         if not self.draining and not self.dead:
             self.draining = True
             self._extra_frames += GoAwayFrame(0, last_stream_id=_LAST_STREAM).serialize()
             self.ping(_DRAIN_PING)
 
     def take(self) -> bytes:
-        """What is to be written now. Calls with much to send take turns, a frame each."""
+        """Return the bytes to write now. Calls with much to send alternate, with one frame each."""
         if not self.dead:
             while self._sendable:
                 again: dict[int, None] = {}
@@ -759,12 +756,12 @@
         return data
 
     def events(self) -> list[Event]:
-        """Events that sending has caused (`Writable`)."""
+        """Return the events that sending has caused (`Writable`)."""
         late, self._send_events = self._send_events, []
         return late
 
     def _pump(self, call: _Call) -> bool:
-        """Send up to one frame of a call; True where more could go at once."""
+        """Send up to one frame of a call; True if more may be sent immediately."""
         out = call.out
         if out:
             window = min(self.h2.local_flow_control_window(call.stream), self.h2.max_outbound_frame_size)
--- a/tuliptrack/rpc/events.py
+++ b/tuliptrack/rpc/events.py
@@ -1,4 +1,4 @@
-"""What a gRPC connection tells of: calls that begin, go on and end, and the connection itself."""
+"""Events of a gRPC connection: of its calls and of the connection itself."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class CallStarted:
-    """Server: the headers of a new call have come. `timeout` in microseconds, None where none was told."""
+    """Server: the headers of a new call were received. `timeout` in microseconds, None if there is none."""
 
     stream: int
     method: str
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class CallHeaders:
-    """Client: the answer's leading headers have come; fires at most once a call, never for trailers-only."""
+    """Client: the leading headers of an answer were received; at most once a call, not for trailers-only."""
 
     stream: int
     metadata: Metadata
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class MessageReceived:
-    """A whole message has come, decompressed."""
+    """A complete message was received; `data` is decompressed."""
 
     stream: int
     data: bytes
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class Cancelled:
-    """Server: the call is over without an answer, by the client's reset or its fault. Nothing can be sent."""
+    """Server: the call ended without an answer, by a reset or an error of its client. Nothing can be sent."""
 
     stream: int
     reason: str
@@ -64,8 +64,8 @@
 
 @dataclass(slots=True)
 class CallEnded:
-    """Client: the call is over. `reset` says that no status came but the stream or connection broke;
-    `unprocessed` that the peer vouches it never looked at the call.
+    """Client: the call ended. `reset`: the stream or connection broke before a status was received.
+    `unprocessed`: the peer states that it has not processed the call.
     """
 
     stream: int
@@ -77,14 +77,14 @@
 
 @dataclass(slots=True)
 class Writable:
-    """What waits to be sent in a call has fallen below `Limits.pending_low` after `send` said stop."""
+    """The bytes that wait in a call have fallen to `Limits.pending_low` after `send` had returned False."""
 
     stream: int
 
 
 @dataclass(slots=True)
 class GoAway:
-    """The peer takes no new calls on this connection; those up to `last_stream` go on."""
+    """The peer accepts no new calls on this connection; those up to `last_stream` continue."""
 
     last_stream: int
     error: int
@@ -93,14 +93,14 @@
 
 @dataclass(slots=True)
 class Pong:
-    """The answer to a `ping` of ours."""
+    """The answer to a ping that was sent here."""
 
     data: bytes
 
 
 @dataclass(slots=True)
 class Broken:
-    """The connection can't go on: every open call has been ended before this event."""
+    """The connection has failed: every open call was ended before this event."""
 
     reason: str
 
--- a/tuliptrack/rpc/http1_pool.py
+++ b/tuliptrack/rpc/http1_pool.py
@@ -42,7 +42,7 @@
         self.pools: list[Pool] = []
 
     def acquire(self) -> bool:
-        """Count one more; at the limit, close the connection idle for longest first. False if none is idle."""
+        """Count one more; at the limit, first close the one idle for longest. False if none is idle."""
         if self.open_count >= self.limit:
             idle = [pool.idle[0] for pool in self.pools if pool.idle]
             if not idle:
--- a/tuliptrack/rpc/http2.py
+++ b/tuliptrack/rpc/http2.py
@@ -1,4 +1,4 @@
-"""h2's connection as `core.Core` uses it, and a limit on how fast a peer may do something."""
+"""The HTTP/2 connection that `core.Core` uses, on top of h2, and a rate limit on what a peer may cause."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class Http2Connection(h2.connection.H2Connection):
-    """h2, with two departures of ours.
+    """h2's connection with two changes.
 
-    It ends a connection at the first GOAWAY; RFC 9113 (6.8) lets open streams run to their end. And plain
-    DATA frames, which are nearly all that a token stream consists of, take a short way past its frame objects
-    and state machines: only on streams whose state they can't change, with h2's own windows kept. Whatever is
-    not plainly in order goes h2's own way. `bench/relay.py` tells what this is worth; a test holds both ways
-    equal.
+    h2 ends a connection at the first GOAWAY; RFC 9113 (6.8) lets open streams run to their end. And plain
+    DATA frames, which make up nearly all of a token stream, bypass h2's frame objects and state machines:
+    only on streams whose state they can't change, and with h2's flow-control windows updated. Any frame that
+    is not plainly valid is left to h2. `bench/relay.py` measures the gain; a test checks that both paths give
+    the same events.
     """
 
     plain_data = True
-    """Whether DATA frames may take the short way."""
+    """Whether plain DATA frames may bypass h2."""
 
     def take_data(self, stream_id: int, size: int) -> bool:
-        """Account for a DATA frame without flags; False where h2 must look at it."""
+        """Account for a DATA frame without flags; False if h2 has to process it."""
         stream = self.streams.get(stream_id)
         if (
             stream is None
@@ -56,8 +56,8 @@
 
     @property
     def open_inbound_streams(self) -> int:
-        """Never past the limit, for which h2 would end the connection: a client may open more before it has
-        heard of the limit, and `core.Core` refuses just those.
+        """Never at the limit, at which h2 would end the connection: a client may open more streams before it
+        has received the limit, and `core.Core` rejects only those.
         """
         return min(super().open_inbound_streams, self.local_settings.max_concurrent_streams - 1)
 
@@ -70,7 +70,7 @@
 
 
 class TokenBucket:
-    """So many at once, refilled by time (microseconds)."""
+    """A token bucket; times in microseconds."""
 
     __slots__ = ("at", "capacity", "left", "rate")
 
@@ -78,7 +78,7 @@
         self.capacity, self.rate, self.left, self.at = float(capacity), per_s / 1e6, float(capacity), now
 
     def take(self, now: int) -> bool:
-        """Count one more; False where that is too many."""
+        """Take one token; False if there is none."""
         self.left = min(self.capacity, self.left + (now - self.at) * self.rate) - 1
         self.at = now
         return self.left >= 0
--- a/tuliptrack/rpc/link.py
+++ b/tuliptrack/rpc/link.py
@@ -1,8 +1,8 @@
-"""The thin I/O shell around `core.Core`: one connection on asyncio streams, its reading task, its writes.
+"""The I/O around `core.Core`: one connection on asyncio streams, with its reading task and its writes.
 
-Nothing here knows what a call is for. Handlers run in the reading task, at once, and must not wait; what
-they send goes out together at the end of the loop's turn. While the socket takes no more, calls keep what
-they have to send, within the core's bounds, and control frames within its limits.
+Event handlers run synchronously in the reading task and must not block; what they send is written together at
+the end of the loop's iteration. While the socket accepts no more, calls queue their messages within the
+core's bounds, and control frames within its limits.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 __all__ = ["Link"]
 
-_READ_SIZE = 131_072  # bytes asked of a socket at once
-_WRITE_HIGH = 262_144  # bytes in the socket's buffer past which calls keep theirs
-_WRITE_LIMIT = 8_388_608  # bytes past which the peer is held to be gone: control frames alone made this
+_READ_SIZE = 131_072  # bytes of one read from a socket
+_WRITE_HIGH = 262_144  # bytes in the write buffer beyond which calls queue theirs
+_WRITE_LIMIT = 8_388_608  # bytes beyond which the connection is closed: only control frames can reach this
 
 
 class _ReadBatch(threading.local):
-    """While bytes of one connection are dealt with: the connections that got something to write by it."""
+    """While bytes of one connection are processed: the connections that have something to write by it."""
 
     links: dict[Link, None] | None = None
 
@@ -33,7 +33,7 @@
 
 
 class Link:
-    """One connection. Its owner awaits `run`, or ends it with `close`; either leaves no task behind."""
+    """One connection. Its owner awaits `run`, or ends it with `close`; neither leaves a task behind."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, core: Core) -> None:
         self.reader, self.writer, self.core = reader, writer, core
@@ -49,7 +49,7 @@
         """Act on one event of the core."""
 
     async def run(self) -> None:
-        """Read until the connection ends; on return it is closed and every call of it has ended."""
+        """Read until the connection ends; on return it is closed and all its calls have ended."""
         reason = "closed by the peer"
         try:
             while not self.core.dead:
@@ -80,9 +80,7 @@
             self.on_event(event)
 
     def flush_soon(self) -> None:
-        """Write what the core has: once the bytes that are being read are dealt with, or at the end of the
-        loop's turn.
-        """
+        """Write the core's output after the bytes being read are processed, or at the iteration's end."""
         if _read_batch.links is not None:
             _read_batch.links[self] = None
         elif not self._scheduled and not self.closed:
@@ -112,12 +110,12 @@
         self.flush_soon()
 
     def close(self, reason: str) -> None:
-        """End the connection now: what can be written is, every open call ends, the socket closes."""
+        """Close the connection: write what can be written, end every open call, close the socket."""
         if self.closed:
             return
         self.closed = True
         with contextlib.suppress(OSError, RuntimeError):
-            for over in (False, True):  # Answers that were given go out before the calls left are lost.
+            for over in (False, True):  # Writes given answers, then ends the remaining calls.
                 if over:
                     self._act(self.core.lost(reason))
                 if data := self.core.take():
--- a/tuliptrack/rpc/loop_errors.py
+++ b/tuliptrack/rpc/loop_errors.py
@@ -1,8 +1,8 @@
-"""What an event loop tells of calls that failed with nobody there to handle it, as lines of the log.
+"""Logs errors that an event loop reports because no caller handles them.
 
-asyncio's transports call `close` and `shutdown` where an error has no one to go to; the connection has ended
-all the same. One line without a traceback tells of it. Anything else is a defect of this program and keeps
-its traceback.
+asyncio's transports call `close` and `shutdown` where an error can't be raised to a caller; the connection
+has ended all the same. Such an error is logged in one line without a traceback. Anything else is a defect of
+this program and keeps its traceback.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 
 def log_loop_errors(loop: asyncio.AbstractEventLoop) -> None:
-    """Have this loop's unhandled errors logged."""
+    """Log the unhandled errors of this loop."""
     loop.set_exception_handler(_log)
 
 
 def log_fault(error: Exception) -> None:
-    """Log an error that only a fault of this program can raise, with its type and its traceback."""
+    """Log an error that only a defect of this program can raise, with its type and its traceback."""
     log.error("fault of this program", type=type(error).__name__, reason=str(error), exc_info=error)
 
 
--- a/tuliptrack/rpc/metadata.py
+++ b/tuliptrack/rpc/metadata.py
@@ -1,4 +1,4 @@
-"""Metadata of calls, as HTTP/2 header fields and back."""
+"""Converts the metadata of calls to HTTP/2 header fields and back."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def read_metadata(headers: Iterable[tuple[bytes, bytes]]) -> Metadata:
-    """The application's part of a header block; ValueError names what can't be read."""
+    """Return the application's part of a header block; raise ValueError with the malformed field."""
     found: list[tuple[str, str | bytes]] = []
     for name, value in headers:
         if name.startswith(b":") or name in _PROTOCOL_HEADERS:
@@ -39,7 +39,7 @@
 
 
 def write_metadata(metadata: Metadata) -> list[tuple[bytes, bytes]]:
-    """Written form; ValueError where a key or value can't be sent."""
+    """Return the header fields of metadata; raise ValueError if a key or value can't be sent."""
     found = []
     for key, value in metadata:
         if (
--- a/tuliptrack/rpc/periodic.py
+++ b/tuliptrack/rpc/periodic.py
@@ -1,4 +1,4 @@
-"""Runs a step of a long-lived task again and again, also after one that raises."""
+"""Runs a step of a long-lived task periodically, also after one that raises."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 __all__ = ["FaultHandler", "run_periodically"]
 
 FaultHandler = Callable[[str, Exception], None]
-"""Counts and logs an error that only a fault of this program can raise, by the name of the task."""
+"""Counts and logs an error that only a defect of this program can raise, by the name of the task."""
 
 
 def _log(_name: str, error: Exception) -> None:
@@ -23,17 +23,17 @@
     step: Callable[[], Awaitable[None] | None],
     record_fault: FaultHandler = _log,
 ) -> None:
-    """Run `step` now and `interval_s` after each of its ends, until cancelled.
+    """Run `step` now, and again `interval_s` after each run ends, until cancelled.
 
     Args:
-        name: Of the task, for `record_fault`.
+        name: Name of the task, for `record_fault`.
         interval_s: Seconds between two steps.
         step: A function, or a coroutine function.
-        record_fault: Gets what a step raises. The task goes on with the next step.
+        record_fault: Called with an exception that a step raises. The task continues with the next step.
     """
     while True:
-        # Failure: a step raises, and the task ends without a line, as nobody waits for it. It would show as a
-        # node that is never started again, or as connections that are never swept.
+        # An exception would end the task without a log line, as nothing awaits it: a node would never be
+        # restarted, or idle connections never be swept.
         try:
             ended = step()
             if ended is not None:
--- a/tuliptrack/rpc/server.py
+++ b/tuliptrack/rpc/server.py
@@ -1,7 +1,8 @@
-"""A gRPC server on asyncio streams: methods by path, calls handed to handlers, graceful stop.
+"""A gRPC server on asyncio streams: methods by path, handlers of calls, graceful shutdown.
 
-A handler is called at once when a call's headers are there and sets the call's callbacks; none may wait.
-`unary_request` makes a handler from a function that wants the whole request in one message.
+A handler is called synchronously when the headers of a call were received, and sets the callbacks of the
+call; neither it nor they may block. `unary_request` makes a handler from a function that takes a single
+message.
 """
 
 from __future__ import annotations
@@ -41,10 +42,10 @@
 
 
 class ServerCall:
-    """One call at the server. It ends once: by `end`, or by `on_gone` being called.
+    """One call at the server. It ends once: by `end` or `reset`, or by a call of `on_gone`.
 
-    `deadline` is in monotonic microseconds, None where the client told none. Past it the server itself ends
-    the call with DEADLINE_EXCEEDED, and `on_gone` is called.
+    `deadline` is in monotonic microseconds, None if the client has set none. Then the server itself ends the
+    call with DEADLINE_EXCEEDED, and calls `on_gone`.
     """
 
     __slots__ = (
@@ -82,13 +83,13 @@
         return self.link.peer
 
     def send(self, message: bytes) -> bool:
-        """Queue a message; False asks to stop until `on_writable`."""
+        """Queue a message; False asks the caller to pause until `on_writable`."""
         going = self.link.core.send(self.stream, message)
         self.link.flush_soon()
         return going
 
     def end(self, status: Status, metadata: Metadata = ()) -> bool:
-        """End the call behind what was sent; False where it had ended."""
+        """End the call after its queued messages; False if it had ended."""
         if not self.open:
             return False
         self._mark_ended()
@@ -104,7 +105,7 @@
         self.link.flush_soon()
 
     def reset(self) -> None:
-        """End the call at once without a status, as a peer that dies does."""
+        """End the call immediately without a status, as a crash would."""
         if self.open:
             self._mark_ended()
             self.link.core.reset(self.stream)
@@ -134,7 +135,7 @@
 
 
 def unary_request(kind: type[M], act: Callable[[ServerCall, M], None]) -> Handler:
-    """A handler for calls with one request message: acts on it once the client has sent all."""
+    """Return a handler for calls with one request message, which calls `act` at the half-close."""
 
     def handle(call: ServerCall) -> None:
         got: list[M] = []
@@ -197,7 +198,7 @@
                 if call:
                     call.on_writable()
             elif isinstance(event, GoAway):
-                pass  # A client that goes away still reads its answers.
+                pass  # The client still reads the answers to its open calls.
             elif isinstance(event, Broken):
                 self.server.broken += 1
                 log.info("connection ended", peer=self.peer, reason=event.reason)
@@ -233,7 +234,7 @@
             call.end(Status(Code.INTERNAL, "the handler failed"))
 
     def check_drained(self) -> None:
-        """While stopping, close once the last call has ended and its answer is written."""
+        """During a shutdown, close once the last call has ended and its answer is written."""
         if self.server.stopping and not self.calls:
             self.loop.call_soon(self._close_drained)
 
@@ -245,7 +246,7 @@
 
 
 class Server:
-    """Listens on one address. Bound: `max_connections`; one more is closed at once."""
+    """Listens on one address. Bound: `max_connections`; a further connection is closed immediately."""
 
     def __init__(
         self, limits: Limits | None = None, max_connections: int = 4_096, bodies: ByteBudget | None = None
@@ -260,13 +261,13 @@
         self._grace_cut = asyncio.Event()
         self.address = ""
         self.on_cut: Callable[[], None] = _noop
-        """Called by `stop` once the grace is over: the last chance to end calls in a better way than it
-        does."""
+        """Called by `stop` when the grace period is over, so that the application can end open calls
+        itself."""
         self.gate: Callable[[asyncio.StreamWriter], Awaitable[bool]] | None = None
-        """Asked of each new connection, where set; False turns it away."""
+        """If set, awaited for each new connection; False rejects it."""
         self.outlook: Callable[[], tuple[str, int]] | None = None
-        """Where set, asked when a call of a method added with `early` begins, before its body is read: a
-        reason why it would be refused, and after how many microseconds to come back."""
+        """If set, called when a call of a method added with `early` starts, before its body is read. Returns
+        the reason to reject it, empty if there is none, and the microseconds after which to retry."""
         self.early: set[str] = set()
 
     def add(self, service: str, method: str, handler: Handler, early: bool = False) -> None:
@@ -275,13 +276,13 @@
             self.early.add(f"/{service}/{method}")
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Start; returns host:port, with the kernel's choice for port 0."""
+        """Start; return host:port, with the port that the kernel chose for port 0."""
         self._listener = Listener(asyncio.get_running_loop(), self._protocol)
         self.address = self._listener.start(host, port)
         return self.address
 
     def _protocol(self) -> asyncio.StreamReaderProtocol:
-        """Of a new connection: its streams go to `_accept`, in a task of its own."""
+        """Return the protocol of a new connection, which runs `_accept` in its own task."""
         loop = asyncio.get_running_loop()
         return asyncio.StreamReaderProtocol(asyncio.StreamReader(loop=loop), self._accept, loop=loop)
 
@@ -301,19 +302,19 @@
         try:
             await link.run()
         except asyncio.CancelledError:
-            pass  # Only `stop` cancels, and it wants this to end quietly.
+            pass  # Only `stop` cancels, and expects a quiet end.
         finally:
             self.links.pop(link, None)
 
     def cut_short(self) -> None:
-        """End the grace of a `stop` that runs."""
+        """End the grace period of a running `stop`."""
         self._grace_cut.set()
 
     def open_calls(self) -> int:
         return sum(len(link.calls) for link in self.links)
 
     async def stop(self, grace: float = 0.0) -> None:
-        """Take no new calls, let open ones run for `grace` seconds, then end all."""
+        """Accept no new calls, let open ones run for `grace` seconds, then end all."""
         self.stopping = True
         if self._listener:
             await self._listener.close()
@@ -335,7 +336,7 @@
             for call in list(link.calls.values()):
                 call.end(Status(Code.UNAVAILABLE, "this server has shut down"))
                 call.on_gone("server stopped")
-            link.close("server stopped")  # what `on_cut` has ended goes out first
+            link.close("server stopped")  # after the answers of `on_cut`
         for task in tasks:
             if not task.done():
                 task.cancel()
--- a/tuliptrack/rpc/status.py
+++ b/tuliptrack/rpc/status.py
@@ -62,43 +62,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """How a call ended: its code, a message for people, and a serialised `google.rpc.Status` or nothing."""
+    """How a call ended: its code, a message for people, and a serialised `google.rpc.Status` or no bytes."""
 
     code: Code
     message: str = ""
     details: bytes = b""
 
     def parsed(self) -> list[Message]:
-        """The known messages among the details; unknown and malformed ones are left out."""
-        whole = status_pb2.Status()
+        """Return the known messages among the details; unknown and malformed ones are left out."""
+        status = status_pb2.Status()
         try:
-            whole.ParseFromString(self.details)
-        except Exception:  # protobuf raises classes of its own, by implementation
+            status.ParseFromString(self.details)
+        except Exception:  # The exception classes of protobuf depend on its implementation.
             return []
         found: list[Message] = []
-        for packed in whole.details:
+        for packed in status.details:
             for kind in (
                 error_details_pb2.RetryInfo,
                 error_details_pb2.ErrorInfo,
                 error_details_pb2.BadRequest,
             ):
-                one = kind()
-                if packed.Is(kind.DESCRIPTOR) and packed.Unpack(one):
-                    found.append(one)
+                detail = kind()
+                if packed.Is(kind.DESCRIPTOR) and packed.Unpack(detail):
+                    found.append(detail)
         return found
 
 
 def with_details(code: Code, message: str, *details: Message) -> Status:
-    """A status that carries these messages."""
-    whole = status_pb2.Status(code=int(code), message=message)
-    for one in details:
-        whole.details.add().Pack(one)
-    return Status(code, message, whole.SerializeToString())
+    """Return a status that carries these messages."""
+    status = status_pb2.Status(code=int(code), message=message)
+    for detail in details:
+        status.details.add().Pack(detail)
+    return Status(code, message, status.SerializeToString())
 
 
 def refusal_details(kind: str, retry_after_us: int, **facts: str) -> list[Message]:
-    """What tells a client the kind of refusal, its facts, and when to come back (microseconds; 0: no
-    advice).
+    """Return the details of a rejection: its kind, its facts, and when to retry.
+
+    `retry_after_us` is in microseconds; 0 gives no advice.
     """
     retry = error_details_pb2.RetryInfo()
     retry.retry_delay.FromMicroseconds(max(retry_after_us, 0))
@@ -106,14 +107,14 @@
 
 
 def refusal(reason: str, retry_after_us: int) -> Status:
-    """A refusal, with its reason and when to come back (microseconds; 0: no advice)."""
+    """Return the status of a rejection, with its reason and when to retry (microseconds; 0: no advice)."""
     return with_details(
         Code.UNAVAILABLE, rejection_text(reason), *refusal_details("REFUSED", retry_after_us, reason=reason)
     )
 
 
 def from_http(status: int) -> Code:
-    """The code for an answer that carries no grpc-status."""
+    """Return the code for an answer without a grpc-status."""
     return {
         400: Code.INTERNAL,
         401: Code.UNAUTHENTICATED,
@@ -127,7 +128,7 @@
 
 
 def from_reset(error: int) -> Code:
-    """The code for a stream that its peer reset with this HTTP/2 error."""
+    """Return the code for a stream that its peer has reset with this HTTP/2 error."""
     return {
         0x7: Code.UNAVAILABLE,
         0x8: Code.CANCELLED,
@@ -146,7 +147,7 @@
 
 
 def decode_timeout(text: str) -> int:
-    """Microseconds of a grpc-timeout; ValueError where it isn't one."""
+    """Return the microseconds of a grpc-timeout; raise ValueError if it is malformed."""
     digits, unit = text[:-1], text[-1:]
     if (
         unit not in _UNITS
@@ -159,7 +160,7 @@
 
 
 def encode_timeout(us: int) -> bytes:
-    """The finest form that fits into eight digits."""
+    """Return the grpc-timeout in the finest unit that fits into eight digits."""
     us = max(us, 1)
     for unit, size in (("u", 1), ("m", 1_000), ("S", 1_000_000), ("M", 60_000_000)):
         if us // size < 10**_MAX_TIMEOUT_DIGITS:
@@ -172,7 +173,7 @@
 
 
 def decode_binary(text: str) -> bytes:
-    """The bytes of a `-bin` value, padded or not; ValueError where it is not base64."""
+    """Return the bytes of a `-bin` value, padded or not; raise ValueError if it is not base64."""
     try:
         return base64.b64decode(text + "=" * (-len(text) % 4), validate=True)
     except binascii.Error as error:
--- a/tuliptrack/rpc/tcp.py
+++ b/tuliptrack/rpc/tcp.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a TCP connection, before the loop has come to read it."""
+"""The kernel's state of a TCP connection, which may be ahead of what the event loop has read."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def _state(transport: asyncio.BaseTransport) -> int:
-    """The kernel's state of the connection; 0 where it can't be told."""
+    """Return the kernel's state of the connection; 0 if it is unknown."""
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return 0
@@ -27,36 +27,36 @@
 
 
 def is_established(transport: asyncio.BaseTransport) -> bool:
-    """Whether the kernel holds the connection to be up: what has just broken may not have been told yet."""
+    """Whether the kernel reports the connection as established; a very recent failure may not be seen."""
     return _state(transport) == _ESTABLISHED
 
 
 def is_closed_by_peer(transport: asyncio.BaseTransport) -> bool:
-    """Whether the peer has ended its sending or reset the connection, though its end may not have been read
-    yet.
-    """
+    """Whether the peer has shut down or reset the connection, even if the loop has not read that yet."""
     return _state(transport) in _ENDED
 
 
 def set_nodelay(transport: asyncio.BaseTransport) -> None:
-    """Have small writes sent as they come. asyncio does so only where a socket names its protocol, which one
-    that was accepted from a plain listener does not.
+    """Send small writes without delay.
+
+    asyncio sets TCP_NODELAY itself only if a socket states its protocol, which one that was accepted from a
+    plain listener does not.
     """
     sock = transport.get_extra_info("socket")
     if sock is not None and sock.family in (socket.AF_INET, socket.AF_INET6):
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError:
-            pass  # It was reset meanwhile.
+            pass  # The connection was reset meanwhile.
 
 
 def has_unread(transport: asyncio.BaseTransport) -> bool:
-    """Whether bytes have come that the loop has not read yet; False where the kernel can't tell."""
+    """Whether bytes were received that the loop has not read yet; False if that is unknown."""
     return _waiting(transport, termios.FIONREAD)
 
 
 def _waiting(transport: asyncio.BaseTransport, queue: int) -> bool:
-    """Whether one of the connection's queues in the kernel holds anything."""
+    """Whether one of the connection's queues in the kernel holds bytes."""
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return False
