--- a/tests/rpc/test_arrival.py
+++ b/tests/rpc/test_arrival.py
@@ -1,6 +1,4 @@
-"""Proofs of arrival by a clock of the test's own: when the peer is pinged, what its answer proves, when it is
-doubted.
-"""
+"""Proofs of arrival on a simulated clock: when a ping is sent, what its answer proves, when doubt arises."""
 
 from __future__ import annotations
 
@@ -19,7 +17,7 @@
 
 @dataclass
 class Call:
-    """A call that waits for its proof."""
+    """A call whose arrival is to be proven."""
 
     open: bool = True
     arrived: bool = False
@@ -42,7 +40,7 @@
 
 @dataclass
 class Loop:
-    """An event loop's timers, on a clock that the test moves."""
+    """The timers of an event loop, on a clock that the test advances."""
 
     now: float = 100.0
     timers: list[Timer] = field(default_factory=list)
@@ -55,7 +53,7 @@
         return self.timers[-1]
 
     def run_for(self, microseconds: int) -> None:
-        """Let time pass, and call what falls due in it."""
+        """Advance the clock, and call the timers that expire."""
         end = self.now + microseconds / 1e6
         while due := [timer for timer in self.timers if not timer.cancelled and timer.due <= end]:
             timer = min(due, key=Timer.when)
@@ -67,7 +65,7 @@
 
 @dataclass
 class Link:
-    """A connection that notes what is asked of it."""
+    """A connection that records its calls."""
 
     loop: Loop
     heard_at: int = 0
@@ -75,7 +73,7 @@
     doubts: int = 0
     closed: str = ""
     waiting: set[int] = field(default_factory=set)
-    """Calls that are not wholly written."""
+    """Streams of calls that are not written completely."""
 
     def ping(self, data: bytes) -> None:
         self.pings += 1
@@ -89,8 +87,8 @@
     def close(self, reason: str) -> None:
         self.closed = reason
 
-    def hears(self) -> None:
-        """Something comes, on whatever call."""
+    def receive(self) -> None:
+        """Receive something, on any call."""
         self.heard_at = round(self.loop.now * 1e6)
 
 
@@ -105,7 +103,7 @@
     return ArrivalProofs(link, cast(asyncio.AbstractEventLoop, link.loop), PROVE_AFTER_US, TIMEOUT_US)
 
 
-def test_what_is_answered_soon_is_never_pinged_for(link: Link) -> None:
+def test_a_call_that_is_answered_soon_needs_no_ping(link: Link) -> None:
     proofs, call = proofs_of(link), Call()
     proofs.sent(1, call, None)
     link.loop.run_for(50_000)
@@ -114,7 +112,7 @@
     assert call.arrived and link.pings == 0 and not link.loop.timers
 
 
-def test_one_ping_proves_all_that_was_written_before_it_and_nothing_else(link: Link) -> None:
+def test_one_ping_proves_only_the_calls_written_before_it(link: Link) -> None:
     proofs, calls = proofs_of(link), [Call() for _ in range(4)]
     link.waiting = {2}
     for stream in (0, 1, 2):
@@ -122,7 +120,7 @@
     link.loop.run_for(60_000)
     assert link.pings == 1
     proofs.sent(3, calls[3], None)  # after the ping
-    link.hears()
+    link.receive()
     proofs.answered()
     assert [call.arrived for call in calls] == [True, True, False, False]
     link.waiting = set()
@@ -140,11 +138,11 @@
     assert link.pings == 1
 
 
-def test_silence_is_doubted_and_then_the_end_and_any_sign_of_life_starts_anew(link: Link) -> None:
+def test_silence_leads_to_doubt_then_to_the_close_and_any_input_starts_over(link: Link) -> None:
     proofs = proofs_of(link)
     proofs.sent(1, Call(), None)
     link.loop.run_for(60_000 + 45_000)
-    link.hears()  # not the answer, but something
+    link.receive()  # not the answer to the ping, but something
     link.loop.run_for(55_000)
     assert not proofs.doubtful and link.doubts == 0
     link.loop.run_for(20_000)
@@ -155,20 +153,20 @@
     assert link.closed
 
 
-def test_a_loop_that_is_late_doubts_nobody(link: Link) -> None:
-    """One late turn brings the timer and, right after it, the answer that had come meanwhile."""
+def test_a_delayed_loop_does_not_doubt_a_connection(link: Link) -> None:
+    """A delayed iteration of the loop runs the timer, and right after it reads an answer that was in time."""
     proofs, call = proofs_of(link), Call()
     proofs.sent(1, call, None)
     link.loop.run_for(60_000)
     link.loop.now += 0.5
-    link.loop.run_for(0)  # a look, half a second late
+    link.loop.run_for(0)  # a check, half a second late
     assert not proofs.doubtful
-    link.hears()
+    link.receive()
     proofs.answered()
     assert call.arrived and link.doubts == 0
 
 
-def test_what_has_ended_is_not_pinged_for_and_a_closed_connection_has_no_timer(link: Link) -> None:
+def test_ended_calls_need_no_ping_and_a_closed_connection_has_no_timer(link: Link) -> None:
     proofs, call = proofs_of(link), Call()
     proofs.sent(1, call, None)
     call.open = False
--- a/tests/rpc/test_core.py
+++ b/tests/rpc/test_core.py
@@ -1,4 +1,4 @@
-"""Limits of the core, and cases of the specification that a stock peer does not produce."""
+"""Limits of the core, and cases of the gRPC specification that a stock peer does not produce."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Peer:
-    """A bare h2 client, so that requests can be wrong in ways that our own client is not."""
+    """A bare h2 client, which can send malformed requests."""
 
     def __init__(self, limits: Limits | None = None) -> None:
         self.h2 = h2.connection.H2Connection(
@@ -43,16 +43,16 @@
         self.core = Core(False, limits)
         self.seen: list[object] = []
 
-    def go(self, now: int = 0) -> list[Event]:
+    def deliver(self, now: int = 0) -> list[Event]:
         events = self.core.receive(self.h2.data_to_send(), now)
-        self.back()
+        self.read_output()
         return events
 
-    def back(self) -> None:
+    def read_output(self) -> None:
         if data := self.core.take():
             self.seen += self.h2.receive_data(data)
 
-    def ask(self, stream: int = 1, headers: dict[str, str] | None = None, end: bool = False) -> None:
+    def send_request(self, stream: int = 1, headers: dict[str, str] | None = None, end: bool = False) -> None:
         named = {k.replace("_", "-"): v for k, v in (headers or {}).items()}
         kept: list[tuple[str, str]] = [(k, v) for k, v in HEADERS if k.strip(":") not in named]
         own: list[tuple[str, str]] = [
@@ -82,10 +82,10 @@
         ({"grpc_encoding": "br"}, str(int(Code.UNIMPLEMENTED)), "br"),
     ],
 )
-def test_requests_that_are_wrong_get_their_status(headers: dict[str, str], status: str, word: str) -> None:
+def test_malformed_requests_get_their_status(headers: dict[str, str], status: str, word: str) -> None:
     peer = Peer()
-    peer.ask(headers=headers)
-    assert not [e for e in peer.go() if isinstance(e, CallStarted)]
+    peer.send_request(headers=headers)
+    assert not [e for e in peer.deliver() if isinstance(e, CallStarted)]
     got, text = peer.status()
     assert got == status and word in text
     assert not peer.core.calls
@@ -114,28 +114,26 @@
         (message(b"x", 7), {"grpc_encoding": "gzip"}, Code.INTERNAL),
     ],
 )
-def test_messages_that_are_wrong_end_their_call_and_no_other(
-    data: bytes, headers: dict[str, str], code: Code
-) -> None:
+def test_malformed_messages_end_only_their_call(data: bytes, headers: dict[str, str], code: Code) -> None:
     peer = Peer(Limits(max_message_bytes=2000))
     headers = dict(headers)
     if headers.pop("flag", ""):
         data = b"\1" + data[1:]
-    peer.ask(1, headers)
-    peer.ask(3)
+    peer.send_request(1, headers)
+    peer.send_request(3)
     peer.h2.send_data(1, data)
     peer.h2.send_data(3, message(b"fine"), end_stream=True)
-    events = peer.go()
+    events = peer.deliver()
     assert [e.stream for e in events if isinstance(e, Cancelled)] == [1]
     assert [e.data for e in events if isinstance(e, MessageReceived)] == [b"fine"]
     assert peer.status()[0] == str(int(code)) and list(peer.core.calls) == [3]
 
 
-def test_a_request_cut_off_inside_a_message_is_the_clients_fault() -> None:
+def test_a_request_that_ends_inside_a_message_is_an_invalid_argument() -> None:
     peer = Peer()
-    peer.ask()
+    peer.send_request()
     peer.h2.send_data(1, message(b"whole") + message(b"cut")[:-1], end_stream=True)
-    events = peer.go()
+    events = peer.deliver()
     assert [e.data for e in events if isinstance(e, MessageReceived)] == [b"whole"]
     assert not [e for e in events if isinstance(e, HalfClosed)]
     assert peer.status()[0] == str(int(Code.INVALID_ARGUMENT))
@@ -144,9 +142,9 @@
 def test_calls_opened_and_reset_in_a_loop_end_the_connection() -> None:
     peer = Peer(Limits(reset_burst=50, reset_per_s=1))
     for n in range(200):
-        peer.ask(2 * n + 1)
+        peer.send_request(2 * n + 1)
         peer.h2.reset_stream(2 * n + 1, 8)
-        if any(isinstance(e, Broken) for e in peer.go()):
+        if any(isinstance(e, Broken) for e in peer.deliver()):
             break
     assert 50 <= n <= 52 and peer.core.dead and not peer.core.calls
 
@@ -154,7 +152,7 @@
 @pytest.mark.parametrize("flood", ["ping", "settings", "empty"])
 def test_floods_of_control_frames_end_the_connection(flood: str) -> None:
     peer = Peer(Limits(control_burst=20, control_per_s=1))
-    peer.ask()
+    peer.send_request()
     for _ in range(60):
         if flood == "ping":
             peer.h2.ping(b"12345678")
@@ -162,16 +160,16 @@
             peer.h2.update_settings({4: 65_535})
         else:
             peer.h2.send_data(1, b"")
-        if any(isinstance(e, Broken) for e in peer.go()):
+        if any(isinstance(e, Broken) for e in peer.deliver()):
             return
     raise AssertionError("the flood went on")
 
 
-def test_the_same_number_of_pings_over_time_is_fine() -> None:
+def test_pings_within_the_rate_do_not_end_the_connection() -> None:
     peer = Peer(Limits(control_burst=20, control_per_s=10))
     for n in range(100):
         peer.h2.ping(b"12345678")
-        assert not [e for e in peer.go(now=n * 100_000) if isinstance(e, Broken)]
+        assert not [e for e in peer.deliver(now=n * 100_000) if isinstance(e, Broken)]
 
 
 def test_a_frame_too_large_ends_the_connection_before_its_body_is_buffered() -> None:
@@ -180,52 +178,52 @@
     assert isinstance(events[-1], Broken) and "frame" in events[-1].reason
 
 
-def test_calls_past_the_limit_are_refused_as_unprocessed_and_the_others_live() -> None:
+def test_calls_beyond_the_limit_are_rejected_as_unprocessed_and_others_continue() -> None:
     peer = Peer(Limits(max_streams=3, control_burst=30, control_per_s=0.1))
-    for n in range(5):  # before the client has heard of the limit
-        peer.ask(2 * n + 1)
-    events = peer.go()
+    for n in range(5):  # before the client has received the limit
+        peer.send_request(2 * n + 1)
+    events = peer.deliver()
     assert [e.stream for e in events if isinstance(e, CallStarted)] == [1, 3, 5] == list(peer.core.calls)
     refused = [e for e in peer.seen if type(e).__name__ == "StreamReset"]
     assert [(e.stream_id, int(e.error_code)) for e in refused] == [(7, 7), (9, 7)]  # type: ignore[attr-defined]
     peer.core.finish(1, Status(Code.OK))
-    peer.back()
-    peer.ask(11)
-    assert [e.stream for e in peer.go() if isinstance(e, CallStarted)] == [11]
-    for n in range(100):  # one that goes on all the same is ended
+    peer.read_output()
+    peer.send_request(11)
+    assert [e.stream for e in peer.deliver() if isinstance(e, CallStarted)] == [11]
+    for n in range(100):  # a client that ignores the limit is disconnected
         peer.h2.remote_settings.max_concurrent_streams = 1000
         peer.h2.remote_settings.acknowledge()
-        peer.ask(13 + 2 * n)
-        if any(isinstance(e, Broken) for e in peer.go()):
+        peer.send_request(13 + 2 * n)
+        if any(isinstance(e, Broken) for e in peer.deliver()):
             return
-    raise AssertionError("it went on")
+    raise AssertionError("the connection went on")
 
 
-def test_headers_past_the_limit_are_turned_away() -> None:
+def test_headers_beyond_the_limit_are_rejected() -> None:
     peer = Peer(Limits(max_header_bytes=2000))
-    peer.ask(headers={"x": "y" * 4000})
-    assert not [e for e in peer.go() if isinstance(e, CallStarted)]
+    peer.send_request(headers={"x": "y" * 4000})
+    assert not [e for e in peer.deliver() if isinstance(e, CallStarted)]
 
 
-def test_a_peers_smaller_window_in_mid_connection_holds_and_its_opening_lets_go() -> None:
+def test_a_smaller_window_stops_sending_and_a_larger_one_resumes_it() -> None:
     peer = Peer(Limits(pending_high=10_000, pending_low=1_000))
     peer.h2.update_settings({4: 100})
-    peer.ask(end=True)
-    peer.go()
+    peer.send_request(end=True)
+    peer.deliver()
     assert not peer.core.send(1, b"x" * 20_000)
-    peer.back()
+    peer.read_output()
     assert sum(len(getattr(e, "data", None) or b"") for e in peer.seen) == 100
     assert peer.core.pending(1) == 20_005 - 100
     peer.h2.update_settings({4: 50_000})
-    peer.go()
+    peer.deliver()
     assert [type(e) for e in peer.core.events()] == [Writable] and peer.core.pending(1) == 0
 
 
-def test_a_paused_call_gets_one_window_and_no_neighbour_waits_for_it() -> None:
+def test_a_paused_call_gets_one_window_and_delays_no_other() -> None:
     peer = Peer(Limits(stream_window=1000, connection_window=65_535))
     for stream in (1, 3):
-        peer.ask(stream)
-    peer.go()
+        peer.send_request(stream)
+    peer.deliver()
     peer.core.pause(1)
     assert peer.h2.local_flow_control_window(1) == 1000
     for _ in range(300):
@@ -233,14 +231,14 @@
         if size:
             peer.h2.send_data(1, b"\0" * size)
         peer.h2.send_data(3, message(b"x" * 295))
-        peer.go()
+        peer.deliver()
     assert peer.h2.local_flow_control_window(1) == 0
     peer.core.resume(1)
-    peer.back()
+    peer.read_output()
     assert peer.h2.local_flow_control_window(1) == 1000
 
 
-def test_graceful_drain_ends_open_calls_first_and_refuses_new_ones_as_unprocessed() -> None:
+def test_a_graceful_drain_lets_open_calls_end_and_stops_new_ones() -> None:
     client, server = Core(True), Core(False)
 
     def exchange() -> tuple[list[Event], list[Event]]:
@@ -255,19 +253,18 @@
     client.half_close(first)
     exchange()
     server.drain()
-    crossing = client.start("/x.Y/Z")  # on its way while the server says that it goes away
+    crossing = client.start("/x.Y/Z")  # crosses the GOAWAY of the server
     here, there = exchange()
     assert [e for e in here if isinstance(e, GoAway)] and client.available_streams() == 0
-    assert any(
-        isinstance(e, CallStarted) and e.stream == crossing for e in there
-    )  # the first step allows for it
+    # The first GOAWAY still allows it.
+    assert any(isinstance(e, CallStarted) and e.stream == crossing for e in there)
     server.send(first, b"still")
     server.finish(first, Status(Code.OK))
     here, _ = exchange()
     assert [e.status.code for e in here if isinstance(e, CallEnded)] == [Code.OK]
 
 
-def test_goaway_tells_which_calls_were_never_looked_at() -> None:
+def test_goaway_marks_later_calls_as_unprocessed() -> None:
     client = Core(True)
     server = h2.connection.H2Connection(H2Configuration(client_side=False))
     server.initiate_connection()
--- a/tests/rpc/test_core_fuzz.py
+++ b/tests/rpc/test_core_fuzz.py
@@ -1,4 +1,4 @@
-"""The sans-I/O core under arbitrary chunking, plain frames and h2's own way, and garbage."""
+"""The sans-I/O core with arbitrary chunks, with and without the path for plain frames, and with garbage."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def transcript(ops: list[tuple]) -> tuple[bytes, bytes, list[Event], list[Event]]:  # type: ignore[type-arg]
-    """Let a client and a server talk; the bytes of each, and the events that each had."""
+    """Run the operations; return the bytes to the server and to the client, and the events at each."""
     client, server = Core(True, LIMITS), Core(False, LIMITS)
     to_server, to_client = bytearray(), bytearray()
     at_server: list[Event] = []
@@ -70,7 +70,7 @@
 
 
 def feed(core: Core, data: bytes, cuts: list[int]) -> list[Event]:
-    """Give a core these bytes in pieces; its own events about sending are left out."""
+    """Give a core these bytes in chunks; return its events, without those of its own sending."""
     events: list[Event] = []
     at = 0
     for cut in [*sorted(c % (len(data) + 1) for c in cuts), len(data)]:
@@ -80,7 +80,7 @@
     return events
 
 
-def told(events: list[Event]) -> list[tuple[str, tuple[object, ...]]]:
+def described(events: list[Event]) -> list[tuple[str, tuple[object, ...]]]:
     return [(type(e).__name__, astuple(e)) for e in events if not isinstance(e, Writable | Pong)]
 
 
@@ -88,12 +88,12 @@
 @given(OPS, st.lists(st.integers(0, 1 << 20), max_size=40))
 def test_any_chunking_and_either_way_through_h2_give_the_same_events(ops, cuts) -> None:  # type: ignore[no-untyped-def]
     to_server, _, lived, _ = transcript(ops)
-    whole = told(feed(Core(False, LIMITS), to_server, []))
-    assert told(feed(Core(False, LIMITS), to_server, cuts)) == whole
+    whole = described(feed(Core(False, LIMITS), to_server, []))
+    assert described(feed(Core(False, LIMITS), to_server, cuts)) == whole
     slow = Core(False, LIMITS)
     slow.h2.plain_data = False
-    assert told(feed(slow, to_server, cuts)) == whole
-    # What the server saw while it lived is part of this: its own resets and ends can only cut it short.
+    assert described(feed(slow, to_server, cuts)) == whole
+    # The live server saw at most these messages: its own resets and ends can only stop it earlier.
     lived_messages = [e.data for e in lived if isinstance(e, MessageReceived)]
     assert len(lived_messages) <= sum(1 for name, _ in whole if name == "MessageReceived")
 
--- a/tests/rpc/test_dial.py
+++ b/tests/rpc/test_dial.py
@@ -1,4 +1,4 @@
-"""Connections that are given no time."""
+"""Dials without any time left."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("within_s", [0.0, -1.0])
-def test_a_dial_without_time_ends_in_a_timeout_and_leaves_nothing_begun(
+def test_a_dial_without_time_times_out_and_leaves_no_coroutine(
     within_s: float, recwarn: pytest.WarningsRecorder
 ) -> None:
     async def go() -> None:
--- a/tests/rpc/test_failing_calls.py
+++ b/tests/rpc/test_failing_calls.py
@@ -1,6 +1,4 @@
-"""System calls that fail for a while, in each way that Linux documents, at a listener and at connections to
-engines.
-"""
+"""System calls that fail for a while, with each error that Linux documents, of listeners and connections."""
 
 from __future__ import annotations
 
@@ -38,13 +36,13 @@
 LOCAL_RESOURCE_ERRORS = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
 LOCAL_NETWORK_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH)
 HTTP2_PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + bytes(3) + b"\x04" + bytes(5)
-"""What a client says first: the preface, and settings that are all as usual."""
-TAKES_UP_S = 0.05
-"""After the trouble's end."""
+"""The first bytes of a client: the preface, and an empty SETTINGS frame."""
+RECOVERY_S = 0.05
+"""How soon after the end of the failures connections are accepted again."""
 
 
 def log_loop_errors_of(go: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test whose loop logs unhandled errors as a node's does."""
+    """Run a test on a loop that logs unhandled errors as a node does."""
 
     async def whole() -> None:
         log_loop_errors(asyncio.get_running_loop())
@@ -55,7 +53,7 @@
 
 @pytest.fixture
 def faults(monkeypatch: pytest.MonkeyPatch) -> Iterator[CallFaults]:
-    """What fails; nothing yet."""
+    """The injected failures; none at first."""
     made = CallFaults(
         create=(),
         accept=(),
@@ -72,19 +70,19 @@
     yield made
 
 
-def answers(call: HttpCall) -> None:
+def respond(call: HttpCall) -> None:
     call.respond(200, b"{}")
 
 
 async def serve() -> HttpServer:
     log_loop_errors(asyncio.get_running_loop())
-    server = HttpServer(answers, lambda call: None, HttpLimits(), ByteBudget(1 << 20))
+    server = HttpServer(respond, lambda call: None, HttpLimits(), ByteBudget(1 << 20))
     await server.listen()
     return server
 
 
-async def ask(address: str) -> float:
-    """Seconds until an answer, on a new connection."""
+async def request_seconds(address: str) -> float:
+    """Send a request on a new connection; return the seconds until its answer."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     host, _, port = address.rpartition(":")
@@ -96,32 +94,32 @@
 
 
 @pytest.mark.parametrize("number", ACCEPT, ids=[errno.errorcode[n] for n in ACCEPT])
-def test_a_listener_takes_up_again_at_once_whatever_accept_said(
+def test_the_http_listener_recovers_immediately_from_any_error_of_accept(
     number: int, faults: CallFaults, caplog: pytest.LogCaptureFixture, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def go() -> None:
         server = await serve()
         faults.accept = (number,)
-        for _ in range(3):  # In a rhythm, as asyncio's own pause has one.
+        for _ in range(3):  # Repeatedly, as asyncio's own listener pauses at each failure.
             faults.share = 1.0
-            waiting = asyncio.ensure_future(ask(server.address))
+            waiting = asyncio.ensure_future(request_seconds(server.address))
             await asyncio.sleep(0.15)
             assert not waiting.done() and faults.failed
             faults.share = 0.0
             ended = asyncio.get_running_loop().time()
             await waiting
-            assert asyncio.get_running_loop().time() - ended < TAKES_UP_S
-        assert faults.failed < 400, "it spins"
+            assert asyncio.get_running_loop().time() - ended < RECOVERY_S
+        assert faults.failed < 400, "a busy loop"
         await server.stop()
 
     run(go)
-    assert not caplog.records, "asyncio had something to say"
+    assert not caplog.records, "asyncio has logged something"
     said = capsys.readouterr().out + capsys.readouterr().err
     assert said.count("can't be accepted") <= 3 and "Traceback" not in said
 
 
-async def knock(address: str) -> None:
-    """A connection on which a gRPC server says its first word."""
+async def open_grpc_connection(address: str) -> None:
+    """Open a connection to a gRPC server and read its first frame header."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(HTTP2_PREFACE)
@@ -129,7 +127,7 @@
     writer.close()
 
 
-def test_the_grpc_listener_takes_up_again_at_once_whatever_accept_said(
+def test_the_grpc_listener_recovers_immediately_from_any_error_of_accept(
     faults: CallFaults, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def go() -> None:
@@ -137,18 +135,18 @@
         address = await server.listen()
         for number in ACCEPT:
             faults.accept, faults.share = (number,), 1.0
-            waiting = asyncio.ensure_future(knock(address))
+            waiting = asyncio.ensure_future(open_grpc_connection(address))
             await asyncio.sleep(0.15)
             assert not waiting.done() and faults.failed
             faults.share = 0.0
             ended = asyncio.get_running_loop().time()
             await waiting
-            assert asyncio.get_running_loop().time() - ended < TAKES_UP_S, errno.errorcode[number]
-        assert faults.failed < 100 * len(ACCEPT), "it spins"
+            assert asyncio.get_running_loop().time() - ended < RECOVERY_S, errno.errorcode[number]
+        assert faults.failed < 100 * len(ACCEPT), "a busy loop"
         await server.stop()
 
     run(go)
-    assert not caplog.records, "asyncio had something to say"
+    assert not caplog.records, "asyncio has logged something"
 
 
 def test_short_reads_and_writes_change_nothing(faults: CallFaults) -> None:
@@ -156,7 +154,7 @@
         server = await serve()
         faults.share = 0.5
         for _ in range(20):
-            await ask(server.address)
+            await request_seconds(server.address)
         faults.share = 0.0
         await server.stop()
 
@@ -166,8 +164,10 @@
 async def exchange_while(
     pool: Pool, faults: CallFaults, call: str, number: int, seconds: float
 ) -> tuple[How, bool, int]:
-    """How an exchange ends whose connection can't be opened for so long, as this call fails; whether it was
-    alone; tries.
+    """Run an exchange while a system call of opening its connection fails for `seconds`.
+
+    Returns:
+        How it ended, whether the failure concerns only its connection, and the number of failed calls.
     """
     setattr(faults, call, (number,))
     faults.share, faults.failed = 1.0, 0
@@ -189,7 +189,7 @@
 @pytest.mark.parametrize(
     ("call", "number"), OPENING, ids=[f"{call} {errno.errorcode[n]}" for call, n in OPENING]
 )
-def test_what_this_machine_lacks_for_a_moment_costs_no_attempt_and_later_blames_no_engine(
+def test_a_local_shortage_fails_no_attempt_if_short_and_does_not_count_against_the_engine_if_long(
     call: str, number: int, faults: CallFaults
 ) -> None:
     async def go() -> None:
@@ -200,7 +200,7 @@
         pool.close_idle()
         how, lone, _ = await exchange_while(pool, faults, call, number, 1.0)
         assert how is (How.NO_ROOM if number in LOCAL_RESOURCE_ERRORS else How.CONNECT)
-        assert how is How.NO_ROOM or lone, "it speaks against the engine"
+        assert how is How.NO_ROOM or lone, "the failure counts against the engine"
         await pool.close()
         assert pool.connections.open_count == 0
         await server.stop()
@@ -233,7 +233,7 @@
 
 
 @pytest.mark.parametrize("number", [errno.EINTR, errno.EIO], ids=["EINTR", "EIO"])
-def test_a_close_that_fails_has_closed_all_the_same(
+def test_a_failed_close_still_closes_the_connection(
     number: int, faults: CallFaults, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def go() -> None:
@@ -254,13 +254,13 @@
         faults.share = 0.0
 
     run(go)
-    assert not caplog.records, "asyncio had something to say"
+    assert not caplog.records, "asyncio has logged something"
 
 
-def test_a_dial_that_is_called_off_while_closes_fail_ends_its_exchange(
+def test_a_dial_cancelled_while_closes_fail_ends_its_exchange(
     faults: CallFaults, caplog: pytest.LogCaptureFixture, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """asyncio raises IndexError then, in the place of the cancellation or the time-out."""
+    """asyncio then raises IndexError in place of the cancellation or the timeout."""
 
     async def go() -> None:
         nobody = await Vanished().start()
@@ -281,7 +281,7 @@
     assert not caplog.records and "Traceback" not in capsys.readouterr().out
 
 
-def test_an_end_of_sending_that_fails_closes_the_connection_and_hurts_no_other(
+def test_a_failed_shutdown_of_writing_closes_only_its_connection(
     faults: CallFaults, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def go() -> None:
@@ -295,19 +295,19 @@
         writer.close()
         await until(lambda: not server.links)
         faults.share = 0.0
-        await ask(server.address)
+        await request_seconds(server.address)
         await server.stop()
 
     run(go)
-    assert not caplog.records, "asyncio had something to say"
+    assert not caplog.records, "asyncio has logged something"
 
 
-def test_waits_that_are_interrupted_change_nothing(faults: CallFaults) -> None:
+def test_interrupted_waits_change_nothing(faults: CallFaults) -> None:
     async def go() -> None:
         server = await serve()
         faults.interrupts, faults.share = True, 0.5
         for _ in range(20):
-            await asyncio.wait_for(ask(server.address), 5)
+            await asyncio.wait_for(request_seconds(server.address), 5)
         faults.share = 0.0
         assert faults.failed
         await server.stop()
--- a/tests/rpc/test_http1.py
+++ b/tests/rpc/test_http1.py
@@ -1,6 +1,4 @@
-"""The HTTP/1 shell at arbitrary chunking and with garbage: the same answers however bytes come, and nothing
-stops it.
-"""
+"""The HTTP/1.1 server and client pool: arbitrary chunks, garbage, limits, evictions and orderly closes."""
 
 from __future__ import annotations
 
@@ -52,7 +50,7 @@
 
 
 async def talk(server: HttpServer, pieces: list[bytes]) -> bytes:
-    """Send these pieces, each as a write of its own; all that comes back until the server closes."""
+    """Send these pieces in separate writes; return everything that the server sends until it closes."""
     host, _, port = server.address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -81,8 +79,8 @@
 @given(st.lists(st.integers(0, 10_000), max_size=30))
 def test_answers_do_not_depend_on_how_the_bytes_come(places: list[int]) -> None:
     async def go() -> None:
-        meter = ByteBudget(10_000)
-        server = HttpServer(echo, reject_early, HttpLimits(), meter)
+        budget = ByteBudget(10_000)
+        server = HttpServer(echo, reject_early, HttpLimits(), budget)
         await server.listen()
         whole = without_dates(await talk(server, [REQUESTS]))
         assert (
@@ -93,7 +91,7 @@
         assert b"9\r\ndata: 2\n\n\r\n0\r\n\r\n" in whole
         assert without_dates(await talk(server, cut(REQUESTS, places))) == whole
         await server.stop()
-        assert meter.used_bytes == 0 and not server.links
+        assert budget.used_bytes == 0 and not server.links
 
     run(go)
 
@@ -102,29 +100,29 @@
 @given(st.lists(st.integers(0, 10_000), max_size=4), st.binary(max_size=60), st.integers(0, len(REQUESTS)))
 def test_garbage_ends_its_own_connection_and_nothing_else(places: list[int], junk: bytes, at: int) -> None:
     async def go() -> None:
-        meter = ByteBudget(10_000)
+        budget = ByteBudget(10_000)
         server = HttpServer(
-            echo, reject_early, HttpLimits(body_bytes=3_000, header_bytes=500, request_within=300_000), meter
+            echo, reject_early, HttpLimits(body_bytes=3_000, header_bytes=500, request_within=300_000), budget
         )
         await server.listen()
         await talk(server, cut(REQUESTS[:at] + junk + REQUESTS[at:], places))
         assert (await talk(server, [REQUESTS])).count(b"HTTP/1.1 200") == 4
         await until(lambda: not server.links)
         await server.stop()
-        assert meter.used_bytes == 0
+        assert budget.used_bytes == 0
 
     run(go)
 
 
-def test_what_is_refused_early_and_who_leaves_while_waiting() -> None:
+def test_early_rejections_the_connection_limit_and_a_disconnect_while_waiting() -> None:
     async def go() -> None:
         server = HttpServer(echo, reject_early, HttpLimits(connections=2, header_bytes=500))
         await server.listen()
-        told = await talk(
+        answer = await talk(
             server,
             [b"POST /never HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\nexpect: 100-continue\r\n\r\n"],
         )
-        assert told.startswith(b"HTTP/1.1 503") and b"100 Continue" not in told
+        assert answer.startswith(b"HTTP/1.1 503") and b"100 Continue" not in answer
         assert (await talk(server, [b"GET /" + b"x" * 1000])).startswith(b"HTTP/1.1 431")
         gone.clear()
         host, _, port = server.address.rpartition(":")
@@ -145,7 +143,7 @@
     run(go)
 
 
-def test_who_sends_hundreds_at_once_holds_up_nobody() -> None:
+def test_a_client_that_pipelines_hundreds_of_requests_delays_no_other() -> None:
     async def go() -> None:
         order: list[str] = []
 
@@ -173,7 +171,7 @@
 
 
 async def dial(server: HttpServer) -> socket.socket:
-    """A connection of which nothing is read unless asked for."""
+    """Open a connection that is only read on request."""
     host, _, port = server.address.rpartition(":")
     sock = socket.socket()
     sock.setblocking(False)
@@ -181,8 +179,8 @@
     return sock
 
 
-async def all_of(sock: socket.socket, pause: float = 0.0) -> bytes:
-    """What comes until the server's end; OSError where it was reset."""
+async def read_all(sock: socket.socket, pause: float = 0.0) -> bytes:
+    """Read until the server closes; raise OSError if the connection is reset."""
     loop, got = asyncio.get_running_loop(), b""
     while part := await asyncio.wait_for(loop.sock_recv(sock, 65_536), 10):
         got += part
@@ -190,19 +188,20 @@
     return got
 
 
-REST = b"x" * 400_000  # of a body that is refused from its head, or of requests that nobody will answer
-CLOSES = {
-    "refused from the head": b"POST /never HTTP/1.1\r\nhost: x\r\ncontent-length: 900000\r\n\r\n" + REST,
-    "can't be read": b"\x00\x01\r\n\r\n" + REST,
-    "too long": b"POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 90000000\r\n\r\n" + REST,
-    "the last answer": b"GET /large HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n" + REST,
-    "cut in mid-answer": b"GET /cut HTTP/1.1\r\nhost: x\r\n\r\n" + REST,
+UNREAD_BYTES = b"x" * 400_000  # of a body that is rejected by its head, or of requests that are not answered
+REQUESTS_THAT_CLOSE = {
+    "refused from the head": b"POST /never HTTP/1.1\r\nhost: x\r\ncontent-length: 900000\r\n\r\n"
+    + UNREAD_BYTES,
+    "can't be read": b"\x00\x01\r\n\r\n" + UNREAD_BYTES,
+    "too long": b"POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 90000000\r\n\r\n" + UNREAD_BYTES,
+    "the last answer": b"GET /large HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n" + UNREAD_BYTES,
+    "cut in mid-answer": b"GET /cut HTTP/1.1\r\nhost: x\r\n\r\n" + UNREAD_BYTES,
 }
 
 
-@pytest.mark.parametrize("name", CLOSES)
-def test_a_close_over_bytes_that_still_come_takes_nothing_along(name: str) -> None:
-    """The client writes on and reads late: a reset would take what was sent to it."""
+@pytest.mark.parametrize("name", REQUESTS_THAT_CLOSE)
+def test_a_close_with_unread_input_loses_no_part_of_the_answer(name: str) -> None:
+    """The client keeps writing and reads late: a reset would discard the answer that was sent to it."""
     handled: list[str] = []
 
     def handle(call: HttpCall) -> None:
@@ -215,9 +214,11 @@
         server = HttpServer(handle, reject_early, HttpLimits())
         await server.listen()
         sock = await dial(server)
-        writing = asyncio.ensure_future(asyncio.get_running_loop().sock_sendall(sock, CLOSES[name]))
+        writing = asyncio.ensure_future(
+            asyncio.get_running_loop().sock_sendall(sock, REQUESTS_THAT_CLOSE[name])
+        )
         await asyncio.sleep(0.1)
-        got = await all_of(sock, 0.01)
+        got = await read_all(sock, 0.01)
         assert got.startswith(b"HTTP/1.1 ") and got.count(b"HTTP/1.1 ") == 1
         if handled:
             assert got.count(b"#") == 150_000 and got.endswith(b"0\r\n\r\n") == (name == "the last answer")
@@ -233,7 +234,7 @@
     run(go)
 
 
-def test_a_request_that_comes_as_its_connection_is_closed_is_not_acted_on(
+def test_a_request_that_arrives_while_its_connection_is_closed_is_not_processed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(http1, "_LINGER_S", 0.3)
@@ -255,12 +256,14 @@
         server.close_idle_connections()
         for sock in (resting, silent):
             await loop.sock_sendall(sock, b"GET /late HTTP/1.1\r\nhost: x\r\n\r\n")
-        with contextlib.suppress(OSError):  # Who sends without an end is not listened to without one.
+        with contextlib.suppress(OSError):  # Input after the close is bounded.
             await asyncio.wait_for(loop.sock_sendall(flood, b"x" * 20_000_000), 5)
-            raise AssertionError("it took all")
+            raise AssertionError("all input was read")
         for sock in (resting, silent):
-            assert await all_of(sock) == b"", "the end and no answer: it may be sent once more"
-        await until(lambda: not server.links, 3)  # Though these two clients never end.
+            assert await read_all(sock) == b"", (
+                "the end without an answer, so that the request may be retried"
+            )
+        await until(lambda: not server.links, 3)  # Though these two clients never close.
         assert handled == ["/once", "/once"]
         for sock in (resting, silent, flood):
             sock.close()
@@ -269,7 +272,7 @@
     run(go)
 
 
-def test_what_is_sent_far_ahead_is_bounded_and_the_requests_kept_are_answered_in_order() -> None:
+def test_pipelined_bytes_are_bounded_and_the_buffered_requests_are_answered_in_order() -> None:
     calls: list[HttpCall] = []
 
     async def go() -> None:
@@ -280,16 +283,14 @@
         pipelined = b"".join(head + b"z" * 1_000 for head in heads)
         await asyncio.wait_for(loop.sock_sendall(sock, pipelined), 10)
         (link,) = server.links
-        assert (
-            link.side.buffered_bytes < 65_536 + 262_144 + 1_100
-        )  # the bound, and what one read from the socket brings
+        assert link.side.buffered_bytes < 65_536 + 262_144 + 1_100  # the bound, and one read from the socket
         answered = 0
         while server.links and answered < 3_000:
             await until(lambda answered=answered: len(calls) > answered or not server.links)  # type: ignore[misc]
             if len(calls) > answered:
                 calls[answered].respond(200, calls[answered].target.encode())
                 answered += 1
-        got = await all_of(sock)
+        got = await read_all(sock)
         assert 50 < answered < 400 and got.count(b"HTTP/1.1 200") == answered
         assert [call.target for call in calls] == [f"/{n}" for n in range(answered)]
         sock.close()
@@ -298,7 +299,7 @@
     run(go)
 
 
-def test_silent_connections_make_room_for_each_other_before_clients_that_were_served() -> None:
+def test_silent_connections_are_evicted_before_clients_that_were_served() -> None:
     async def go() -> None:
         server = HttpServer(echo, reject_early, HttpLimits(connections=4))
         await server.listen()
@@ -319,10 +320,10 @@
     run(go)
 
 
-def test_a_connection_with_a_request_that_was_not_read_yet_makes_no_room(
+def test_a_connection_with_an_unread_request_is_not_evicted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The request comes in the instant in which its connection, idle for longest, would be closed for a new
+    """The request arrives at the moment at which its connection, idle for longest, would be closed for a new
     one.
     """
 
@@ -345,7 +346,7 @@
         late = await dial(server)
         assert (await asyncio.wait_for(loop.sock_recv(served[0], 65_536), 5)).startswith(b"HTTP/1.1 200")
         assert server.evictions == 1
-        with contextlib.suppress(ConnectionResetError):  # The other one made room.
+        with contextlib.suppress(ConnectionResetError):  # The other one was evicted.
             assert not await asyncio.wait_for(loop.sock_recv(served[1], 65_536), 5)
         for sock in (*served, late):
             sock.close()
@@ -354,11 +355,9 @@
     run(go)
 
 
-def test_a_connection_with_a_request_that_was_read_and_waits_for_its_turn_makes_no_room() -> None:
-    """Its client has sent many requests at once; a new connection comes while some of them wait in the
-    node.
-    """
-    asks, evictables = 40, []
+def test_a_connection_with_buffered_requests_is_not_evicted() -> None:
+    """Its client has pipelined many requests; a new connection arrives while the server buffers some."""
+    request_count, evictables = 40, []
 
     async def go() -> None:
         def handle(call: HttpCall) -> None:
@@ -368,24 +367,24 @@
         server = HttpServer(handle, reject_early, HttpLimits(connections=2))
         await server.listen()
         loop, sock = asyncio.get_running_loop(), await dial(server)
-        await loop.sock_sendall(sock, b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n" * asks)
+        await loop.sock_sendall(sock, b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n" * request_count)
         got = b""
-        while got.count(b"HTTP/1.1 200") < asks:
+        while got.count(b"HTTP/1.1 200") < request_count:
             got += await asyncio.wait_for(loop.sock_recv(sock, 65_536), 5)
-        assert len(evictables) == asks
-        assert all(evictable is None for evictable in evictables[: asks - 8]), (
-            "requests were read: the connection stays"
+        assert len(evictables) == request_count
+        assert all(evictable is None for evictable in evictables[: request_count - 8]), (
+            "requests are buffered: the connection stays"
         )
-        assert server._find_evictable() is not None, "none is left: it may make room"
+        assert server._find_evictable() is not None, "no request is buffered: it may be evicted"
         sock.close()
         await server.stop()
 
     run(go)
 
 
-def test_nothing_is_sent_on_a_kept_connection_whose_peer_has_just_closed_it() -> None:
-    """Its end has come, but the loop has not read it: what is sent there would end as a reset, which may have
-    run.
+def test_no_request_is_sent_on_a_pooled_connection_that_its_peer_has_just_closed() -> None:
+    """The loop has not read the close yet: a request sent there would end as a reset, and might count as
+    processed.
     """
 
     async def go() -> None:
@@ -411,7 +410,7 @@
         first = await serve()
         await until(lambda: len(pool.idle) == 1)
         first.close()
-        ask()  # No turn of the loop lies between.
+        ask()  # In the same iteration of the loop.
         second = await asyncio.wait_for(serve(), 5)
         await until(lambda: len(answers) == 2)
         assert answers == [(How.ANSWER, 202)] * 2
--- a/tests/rpc/test_json_text.py
+++ b/tests/rpc/test_json_text.py
@@ -1,4 +1,4 @@
-"""JSON text from outside: a value, or the one error that callers expect."""
+"""JSON text from outside the process: a value, or the one error type that callers expect."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 @pytest.mark.parametrize("text", ["[" * 100_000, '{"a":' * 100_000, b"\xff", "", "nul"])
-def test_nesting_bytes_and_broken_text_are_the_typed_error(text: str | bytes) -> None:
+def test_deep_nesting_invalid_bytes_and_malformed_text_raise_the_typed_error(text: str | bytes) -> None:
     with pytest.raises(InvalidJsonError):
         parse_json(text)
 
 
-def test_a_number_with_too_many_digits_costs_none_of_its_neighbours() -> None:
+def test_a_number_with_too_many_digits_does_not_affect_other_values() -> None:
     digits = "9" * 5_000
     assert parse_json(f'{{"a": {digits}, "b": 7, "c": -{digits}}}') == {"a": math.inf, "b": 7, "c": -math.inf}
 
--- a/tests/rpc/test_process_signals.py
+++ b/tests/rpc/test_process_signals.py
@@ -1,7 +1,7 @@
 """Signals of a process that starts, runs and ends: each is handled once, and none ends the process.
 
-Failure: SIGHUP between two steps of a start is handled twice, or not at all; a signal as the process ends
-replaces its exit code.
+Guards against a SIGHUP between two steps of the start that is handled twice or not at all, and against a
+signal during the exit that replaces the exit code.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 {ended}
 print(*handled)
 """
-SENT_AS_THE_LOOP_TAKES_OVER = """
+SENT_AROUND_A_CALL = """
     register, wake = loop.add_signal_handler, signal.set_wakeup_fd
     def {name}(*args, **options):
         send()
@@ -48,8 +48,8 @@
 """
 
 
-def play(**steps: str) -> str:
-    """What was handled; the steps are lines of the program, by the place where they stand."""
+def run_program(**steps: str) -> str:
+    """Run the program with these lines at their places; return what was handled."""
     places = ("before_loop", "in_loop", "attached", "serving", "ending", "ended")
     program = PROGRAM.format(**{place: steps.get(place, "") for place in places})
     done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, timeout=30)
@@ -58,8 +58,8 @@
 
 
 @pytest.mark.parametrize("place", ["before_loop", "in_loop", "attached", "serving"])
-def test_a_signal_is_handled_once_wherever_it_comes(place: str) -> None:
-    assert play(**{place: "send()"}) == "reload"
+def test_a_signal_is_handled_once_whenever_it_arrives(place: str) -> None:
+    assert run_program(**{place: "send()"}) == "reload"
 
 
 @pytest.mark.parametrize(
@@ -67,26 +67,28 @@
     [("loop.add_signal_handler", "register"), ("signal.set_wakeup_fd", "wake")],
     ids=["handlers", "wakeup descriptor"],
 )
-def test_signals_around_each_step_of_the_take_over_are_handled_once(place: str, original: str) -> None:
-    """A signal before and after each call by which the loop takes over: handled once, after the last."""
-    lines = SENT_AS_THE_LOOP_TAKES_OVER.format(name="around", original=original, place=place)
-    assert play(in_loop=lines.strip()) == "reload"
+def test_signals_around_each_step_of_attaching_to_the_loop_are_handled_once(
+    place: str, original: str
+) -> None:
+    """A signal before and after each call by which the loop takes over is handled once, after the last."""
+    lines = SENT_AROUND_A_CALL.format(name="around", original=original, place=place)
+    assert run_program(in_loop=lines.strip()) == "reload"
 
 
-def test_a_series_in_one_turn_of_the_loop_is_handled_once_and_a_later_signal_again() -> None:
+def test_signals_in_one_iteration_are_handled_once_and_a_later_one_again() -> None:
     series = "send(); send(); send()"
     for place in ("before_loop", "in_loop", "attached", "serving"):
-        assert play(**{place: series}) == "reload"
-    assert play(serving="send(); await asyncio.sleep(0.02); send()") == "reload reload"
+        assert run_program(**{place: series}) == "reload"
+    assert run_program(serving="send(); await asyncio.sleep(0.02); send()") == "reload reload"
 
 
 def test_signals_at_the_end_do_not_replace_the_exit_code() -> None:
     everything = "send(); send(signal.SIGTERM)"
-    assert play(ended=everything) == ""
+    assert run_program(ended=everything) == ""
 
 
-def test_a_signal_that_nobody_handles_yet_is_pending() -> None:
+def test_a_signal_without_a_handler_is_pending() -> None:
     lines = (
         "send(signal.SIGTERM); await asyncio.sleep(0.02); handled.append(signals.has_pending(signal.SIGTERM))"
     )
-    assert play(attached=lines) == "True"
+    assert run_program(attached=lines) == "True"
--- a/tests/rpc/test_stock_peers.py
+++ b/tests/rpc/test_stock_peers.py
@@ -1,6 +1,4 @@
-"""The stock gRPC client against our server, and a stock server against our channel: peers that nobody here
-wrote.
-"""
+"""Interoperability: the stock gRPC client with this server, and a stock server with this channel."""
 
 from __future__ import annotations
 
@@ -105,7 +103,7 @@
     run(go)
 
 
-def test_the_stock_client_understands_every_status_details_metadata_and_large_messages() -> None:
+def test_the_stock_client_reads_every_status_metadata_and_large_messages() -> None:
     async def go() -> None:
         server = Server(Limits(max_header_bytes=65_536, max_message_bytes=8_000_000))
 
@@ -144,7 +142,7 @@
     run(go, 60)
 
 
-def test_the_stock_client_cancels_meets_deadlines_and_a_server_that_goes_away() -> None:
+def test_the_stock_client_cancels_times_out_and_survives_a_graceful_shutdown() -> None:
     async def go() -> None:
         server = Server()
         gone: list[str] = []
@@ -172,7 +170,7 @@
             await asyncio.sleep(0)
             held.send(pb.GenerateResponse(text="two").SerializeToString())
             held.end(Status(Code.OK))
-            # An open stream ends well while the server goes away.
+            # An open stream completes during the shutdown of its server.
             assert (await call.read()).text == "two" and await call.read() == grpc.aio.EOF
             await stopping
         assert not server.links
@@ -187,7 +185,7 @@
     return await over, got
 
 
-def test_our_channel_understands_a_stock_server() -> None:
+def test_the_channel_works_with_a_stock_server() -> None:
     async def go() -> None:
         async def echo(data: bytes, context: Any) -> AsyncIterator[bytes]:
             await context.send_initial_metadata((("x-lead", "1"),))
@@ -250,8 +248,8 @@
 
 
 def test_a_thousand_streams_on_one_connection() -> None:
-    """Each is served, on a slow machine too: their class waits as long as it takes, so that none is refused
-    for overload.
+    """All are served, also on a slow machine: the target and deadline of their class are so long that none is
+    rejected for overload.
     """
 
     async def go() -> None:
@@ -278,9 +276,9 @@
     run(go, 150)
 
 
-def test_pings_for_proofs_do_not_make_a_stock_server_end_the_connection() -> None:
-    """It does after a few that come with no data between. Calls that wait long, one after another, ask for
-    many proofs.
+def test_proof_pings_do_not_make_a_stock_server_end_the_connection() -> None:
+    """A stock server closes the connection after a few pings without data between them. Successive calls that
+    wait long need many proofs.
     """
 
     async def go() -> None:
