--- a/tests/rpc/test_http1.py
+++ b/tests/rpc/test_http1.py
@@ -133,7 +133,7 @@
         await until(lambda: len([k for k in server.links if k.call]) == 2)
         assert (
             await talk(server, [b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"]) == b""
-        )  # a third connection is closed at once
+        )  # a third connection is closed immediately
         waiting[0][1].close()
         await until(lambda: len(gone) == 1)
         await server.stop(0.0)
--- a/tuliptrack/rpc/channel.py
+++ b/tuliptrack/rpc/channel.py
@@ -263,7 +263,7 @@
         return self.heard_at < self.outlived_by
 
     def doubted(self, checks: int) -> None:
-        """Act on a silent connection: open another one to find out whether the peer is reachable."""
+        """Act on silence: close it if a newer connection works, otherwise have another one opened."""
         if self.outlived and checks >= self._close_at_check:
             self.close("silent while a new connection works")
         else:
--- a/tuliptrack/rpc/core.py
+++ b/tuliptrack/rpc/core.py
@@ -61,7 +61,7 @@
 __all__ = ["Core", "Limits", "Traffic"]
 
 _LAST_STREAM = 2**31 - 1
-_PREFIX = 5  # bytes before each message: a flag and a length
+_PREFIX_BYTES = 5  # before each message: a flag and its length
 _MAX_RESET_CALLS = 512
 _BODIES_RETRY_AFTER_US = 100_000  # when a client may retry whose body exceeded the budget
 _DRAIN_PING = b"drained?"
@@ -72,7 +72,7 @@
     """Limits of one connection: what it may hold, and what its peer may cause. Sizes in bytes."""
 
     max_streams: int = 2_000
-    """Calls that the peer may have open at once."""
+    """Calls that the peer may have open concurrently."""
     max_header_bytes: int = 16_384
     max_message_bytes: int = 4_194_304
     """Size of one message, after decompression."""
@@ -364,12 +364,12 @@
 
     def _messages(self, call: _Call, events: list[Event]) -> None:
         buffer, at = call.buffer, 0
-        while len(buffer) - at >= _PREFIX:
-            flag, size = buffer[at], int.from_bytes(buffer[at + 1 : at + _PREFIX], "big")
+        while len(buffer) - at >= _PREFIX_BYTES:
+            flag, size = buffer[at], int.from_bytes(buffer[at + 1 : at + _PREFIX_BYTES], "big")
             if size > self.limits.max_message_bytes:
                 limit = self.limits.max_message_bytes
                 raise _Fault(Code.RESOURCE_EXHAUSTED, f"message of {size} bytes, {limit} allowed")
-            if len(buffer) - at - _PREFIX < size:
+            if len(buffer) - at - _PREFIX_BYTES < size:
                 if self.bodies and size > call.reserved:  # Reserves the complete message.
                     if not self.bodies.acquire(size - call.reserved):
                         raise _Fault(
@@ -379,8 +379,8 @@
                         )
                     call.reserved = size
                 break
-            data = bytes(buffer[at + _PREFIX : at + _PREFIX + size])
-            at += _PREFIX + size
+            data = bytes(buffer[at + _PREFIX_BYTES : at + _PREFIX_BYTES + size])
+            at += _PREFIX_BYTES + size
             if call.reserved and self.bodies:
                 self.bodies.release(call.reserved)
                 call.reserved = 0
@@ -391,16 +391,16 @@
         if flag != 1 or not call.decoder:
             raise _Fault(Code.INTERNAL, "message is marked compressed, but no grpc-encoding was told")
         limit = self.limits.max_message_bytes
-        machine = zlib.decompressobj(31 if call.decoder == "gzip" else 15)
+        decompressor = zlib.decompressobj(31 if call.decoder == "gzip" else 15)
         try:
-            whole = machine.decompress(data, limit + 1)
+            message = decompressor.decompress(data, limit + 1)
         except zlib.error as error:
             raise _Fault(Code.INTERNAL, f"message does not decompress: {error}") from None
-        if len(whole) > limit:
+        if len(message) > limit:
             raise _Fault(Code.RESOURCE_EXHAUSTED, f"message is over {limit} bytes when decompressed")
-        if not machine.eof:
+        if not decompressor.eof:
             raise _Fault(Code.INTERNAL, "compressed message ends early")
-        return whole
+        return message
 
     def _reject_call(self, call: _Call, status: Status, events: list[Event]) -> None:
         """End a call with an error that its peer has caused."""
@@ -632,10 +632,10 @@
             self._answer(call)
         flag = 0
         if call.encoder and len(data) > 512:
-            machine = zlib.compressobj(6, zlib.DEFLATED, 31)
-            flag, data = 1, machine.compress(data) + machine.flush()
+            compressor = zlib.compressobj(6, zlib.DEFLATED, 31)
+            flag, data = 1, compressor.compress(data) + compressor.flush()
         call.out.append(flag.to_bytes(1, "big") + len(data).to_bytes(4, "big") + data)
-        call.out_bytes += _PREFIX + len(data)
+        call.out_bytes += _PREFIX_BYTES + len(data)
         self._sendable[stream] = None
         if call.out_bytes > self.limits.pending_high:
             call.is_over_high = True
--- a/tuliptrack/rpc/http1_client.py
+++ b/tuliptrack/rpc/http1_client.py
@@ -105,7 +105,7 @@
         self.heard_at = self.owner.loop.time()
         exchange = self.exchange
         if exchange is None:  # No request was sent.
-            self.drop("unsolicited bytes")
+            self.drop("unasked")
             return
         exchange.heard = exchange.heard or exchange.sent
         self._receive(exchange, data)
--- a/tuliptrack/rpc/http1_pool.py
+++ b/tuliptrack/rpc/http1_pool.py
@@ -47,7 +47,7 @@
             idle = [pool.idle[0] for pool in self.pools if pool.idle]
             if not idle:
                 return False
-            min(idle, key=lambda connection: connection.idle_since).drop("evicted")
+            min(idle, key=lambda connection: connection.idle_since).drop("makes room")
         self.open_count += 1
         self.made += 1
         return True
