--- a/tuliptrack/rpc/http1.py
+++ b/tuliptrack/rpc/http1.py
@@ -83,7 +83,7 @@
 
 
 class HttpCall:
-    """One request and its answer. It ends once: by `respond`, `end` or `abort`, or by a call of `on_gone`."""
+    """One request and its answer. It ends once, by `respond`, `end` or `abort`, or by calling `on_gone`."""
 
     __slots__ = (
         "_link",
--- a/tuliptrack/rpc/http1_exchange.py
+++ b/tuliptrack/rpc/http1_exchange.py
@@ -106,12 +106,15 @@
         self.heard = False
         """Something was received on its connection since it was sent."""
         self.connect_by = 0
-        """Monotonic microseconds until which it waits for a connection; 0:
-        `ClientOptions.connect_timeout`."""
+        """Monotonic microseconds until which it waits for a connection; never longer than
+        `ClientOptions.connect_timeout`, which alone applies if this is 0."""
         self.spoilt = self.lone = False
-        """Of one that failed. `spoilt`: the answer was malformed. `lone`: the failure concerns its own
-        connection, not the peer: the connection was reused and had brought no answer, or other connections to
-        the address are established, or the time to connect was cut short or failed on this machine."""
+        """Of one that failed. `spoilt`: the answer was malformed.
+
+        `lone`: the failure concerns its own connection, not the peer. The connection was
+        reused and had brought no answer, or the answer was malformed, or other connections to the address are
+        established, or the time to connect was cut short, or this machine could not open a connection, or the
+        exchange was no longer wanted."""
         self.carrier: Carrier | None = None
         self.paused = False
 
--- a/tuliptrack/rpc/http1_pool.py
+++ b/tuliptrack/rpc/http1_pool.py
@@ -1,14 +1,14 @@
 """A pool of connections to one address, reused last in, first out.
 
 A pooled connection may have fallen silent without an error: a middlebox has dropped its state, or the peer's
-machine is unreachable. A request that asks for it (`Exchange.validated`) is therefore sent only after its
-connection has answered a probe just before (validation on borrow). If a pooled connection does not answer the
-probe soon, a new one is opened in parallel, and the first that works is used. A new connection is probed too
-if the address is in doubt: an answer from it was overdue, and nothing was received from it since. A request
-that finds no working connection within the connect timeout was not processed.
-
-Bound: `Connections` counts the connections to all addresses. At its limit, an idle connection to any address
-is closed for a new one; if none is idle, the exchange ends immediately, never sent.
+machine is unreachable. A request that asks for it (`Exchange.validated`) is therefore sent only after
+its connection has answered a probe just before (validation on borrow). If a pooled connection does not answer
+the probe soon, a new one is opened in parallel, and the first that works is used. A new connection is probed
+too if the address is in doubt: an answer from it was overdue, and nothing was received from it since. A
+request that finds no working connection within the connect timeout was not processed.
+
+Bound: `Connections` counts the connections to all addresses. At its limit, an idle connection to any
+address is closed for a new one; if none is idle, the exchange ends immediately, never sent.
 """
 
 from __future__ import annotations
