--- a/tuliptrack/rpc/h1.py
+++ b/tuliptrack/rpc/h1.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 without I/O: bytes in, events out, by h11; the server's side and the client's.
+"""HTTP/1.1 without I/O, on top of h11, for servers and clients: bytes in, events out.
 
-Every size is bounded here: heads, bodies, heads that don't end, answers that go on for ever. What can't be
-read raises `ProtocolError` with the status that a server would answer; a connection is of no use after it.
+Every size is bounded: heads, also incomplete ones, bodies, and answers without an end. Malformed input raises
+`ProtocolError` with the status that a server answers; the connection can't be used after it.
 """
 
 from __future__ import annotations
@@ -11,14 +11,24 @@
 
 import h11
 
-__all__ = ["Answer", "Body", "ClientSide", "Done", "Fields", "Head", "Part", "ProtocolError", "ServerSide"]
+__all__ = [
+    "Answer",
+    "BodyPart",
+    "ClientSide",
+    "Fields",
+    "ProtocolError",
+    "RequestBody",
+    "RequestHead",
+    "ResponseEnd",
+    "ServerSide",
+]
 
 Fields = list[tuple[str, str]]
-_MOST_INFORMATIONAL = 8  # 1xx answers before one that counts
+_MAX_INFORMATIONAL = 8  # 1xx answers before the final one
 
 
 class ProtocolError(Exception):
-    """What the peer sent can't be used; `status` is what to answer, where there is somebody to answer."""
+    """The peer sent malformed or oversized input; `status` is what a server answers."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -26,41 +36,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
-    """A request's head has come; a `Body` follows. Names of fields are in lower case."""
+class RequestHead:
+    """The head of a request; a `RequestBody` follows. Field names are in lower case."""
 
     method: str
     target: str
     fields: Fields
-    told: int
-    """Bytes of body that it announces; 0 where it announces none, or chunks."""
+    content_length: int
+    """0 if the body is absent or chunked."""
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
-    """A part of a body."""
+class BodyPart:
+    """A part of a request's or an answer's body."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Body:
-    """A request's whole body has come."""
+class RequestBody:
+    """The complete body of a request."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The head of the answer to our request."""
+    """The head of an answer."""
 
     status: int
     fields: Fields
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
-    """The answer's last byte has come."""
+class ResponseEnd:
+    """The end of an answer."""
 
 
 def _fields(raw: Any) -> Fields:
@@ -68,7 +78,7 @@
 
 
 class ServerSide:
-    """One connection of a server. `receive` bytes, then take `next` until it gives None."""
+    """One connection of a server. After each `receive`, call `next` until it returns None."""
 
     def __init__(self, header_bytes: int, body_bytes: int) -> None:
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=header_bytes)
@@ -78,25 +88,29 @@
         self._chunked = False
 
     def receive(self, data: bytes) -> None:
-        """Bytes from the peer; none stand for its end."""
-        if not self.http.trailing_data[1]:  # Nothing comes after an end.
+        """Take bytes from the peer; empty bytes mean the end of the connection."""
+        if not self.http.trailing_data[1]:  # Ignores input after the end.
             self.http.receive_data(data)
 
     @property
-    def begun(self) -> bool:
-        """Whether a part of a request has come that isn't whole."""
+    def is_mid_request(self) -> bool:
+        """Whether a request has been received in part."""
         return self.http.their_state is h11.SEND_BODY or (
             self.http.their_state is h11.IDLE and bool(self.http.trailing_data[0])
         )
 
     @property
-    def ahead(self) -> int:
-        """Bytes that wait here."""
+    def buffered_bytes(self) -> int:
+        """Received bytes that are not processed yet."""
         return len(self.http.trailing_data[0])
 
-    def next(self) -> Head | Body | Part | None:
-        """What has come; None where more bytes are needed, or an answer is owed first. `Part` tells how much
-        of a body has come beyond what its head announced. Raises `ProtocolError`.
+    def next(self) -> RequestHead | RequestBody | BodyPart | None:
+        """Return the next event; None if more bytes are needed, or a request has to be answered first.
+
+        A `BodyPart` holds data only if the body is chunked, as its size was not announced by the head.
+
+        Raises:
+            ProtocolError: The input is malformed or too large.
         """
         try:
             event: Any = self.http.next_event()
@@ -107,48 +121,50 @@
             names = [name for name, _ in fields]
             if "content-length" in names and "transfer-encoding" in names:
                 raise ProtocolError(400, "request: both Content-Length and Transfer-Encoding")
-            told = int(next((value for name, value in fields if name == "content-length"), "0"))
-            if told > self.body_bytes:
-                raise ProtocolError(413, f"body: {told} bytes, {self.body_bytes} allowed")
+            content_length = int(next((value for name, value in fields if name == "content-length"), "0"))
+            if content_length > self.body_bytes:
+                raise ProtocolError(413, f"body: {content_length} bytes, {self.body_bytes} allowed")
             self._parts, self._size, self._chunked = [], 0, "transfer-encoding" in names
-            return Head(event.method.decode("ascii"), event.target.decode("latin-1"), fields, told)
+            return RequestHead(
+                event.method.decode("ascii"), event.target.decode("latin-1"), fields, content_length
+            )
         if isinstance(event, h11.Data):
             self._size += len(event.data)
             if self._size > self.body_bytes:
                 raise ProtocolError(413, f"body: more than {self.body_bytes} bytes")
             self._parts.append(bytes(event.data))
-            return Part(self._parts[-1] if self._chunked else b"")
+            return BodyPart(self._parts[-1] if self._chunked else b"")
         if isinstance(event, h11.EndOfMessage):
             body, self._parts = b"".join(self._parts), []
-            return Body(body)
+            return RequestBody(body)
         return None
 
     @property
-    def over(self) -> bool:
-        """No further request can come on this connection."""
+    def is_over(self) -> bool:
+        """Whether no further request can arrive on this connection."""
         return self.http.their_state in (h11.CLOSED, h11.MUST_CLOSE, h11.ERROR)
 
-    def again(self) -> bool:
-        """An answer is complete: get ready for the next request; False where there can be none."""
+    def start_next_cycle(self) -> bool:
+        """Prepare for the next request after a complete answer; False if there can be none."""
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
             return False
         self.http.start_next_cycle()
         return True
 
-    def owes(self) -> bool:
-        """Whether an answer can be begun."""
+    def can_respond(self) -> bool:
+        """Whether an answer can be started."""
         return self.http.our_state in (h11.SEND_RESPONSE, h11.IDLE)
 
     def wants_continue(self) -> bool:
         return self.http.they_are_waiting_for_100_continue
 
-    def go_on(self) -> bytes:
-        """100 Continue."""
+    def send_continue(self) -> bytes:
+        """Return the bytes of a 100 Continue."""
         return self._send(h11.InformationalResponse(status_code=100, headers=[]))
 
     def head(self, status: int, fields: Fields) -> bytes:
-        """An answer's head. Without a content-length it is framed in chunks (to HTTP/1.0: until the
-        close).
+        """Return the head of an answer. Without a content-length the body is chunked, or for HTTP/1.0
+        delimited by the close.
         """
         return self._send(h11.Response(status_code=status, headers=fields))
 
@@ -159,12 +175,12 @@
         return self._send(h11.EndOfMessage())
 
     @property
-    def may_frame(self) -> bool:
-        """Whether an open answer's chunks may be framed by the caller: through h11 each costs 7 us."""
+    def may_frame_chunks(self) -> bool:
+        """Whether the caller may frame the chunks of the open answer itself: h11 takes 7 us for each."""
         return self.http.their_http_version == b"1.1" and self.http.our_state is h11.SEND_BODY
 
     def _send(self, event: Any) -> bytes:
-        """Bytes to write; ProtocolError where the connection broke while we answered."""
+        """Return the bytes to write; raise ProtocolError if the connection failed during the answer."""
         try:
             return self.http.send(event) or b""
         except h11.LocalProtocolError as error:
@@ -172,7 +188,7 @@
 
 
 class ClientSide:
-    """One connection to a server; one request at a time. `body_bytes` bounds an answer's body."""
+    """One connection of a client, with one request at a time. `body_bytes` bounds the body of an answer."""
 
     def __init__(self, header_bytes: int, body_bytes: int) -> None:
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=header_bytes)
@@ -180,7 +196,7 @@
         self._size = self._informational = 0
 
     def request(self, method: str, target: str, fields: Fields, body: bytes) -> bytes:
-        """The bytes of a whole request; ValueError where it can't be one."""
+        """Return the bytes of a complete request; raise ValueError if it can't be encoded."""
         self._size = self._informational = 0
         if body or method not in ("GET", "HEAD", "DELETE"):
             fields = [*fields, ("content-length", str(len(body)))]
@@ -203,18 +219,18 @@
             raise ValueError(str(error)) from None
 
     def receive(self, data: bytes) -> None:
-        """Bytes from the peer; none stand for its end."""
+        """Take bytes from the peer; empty bytes mean the end of the connection."""
         if not self.http.trailing_data[1]:
             self.http.receive_data(data)
 
-    def next(self) -> Answer | Part | Done | None:
-        """What has come; None where more is needed. Raises `ProtocolError` where it can't be read."""
+    def next(self) -> Answer | BodyPart | ResponseEnd | None:
+        """Return the next event; None if more bytes are needed. Raise `ProtocolError` if malformed."""
         try:
             while True:
                 event: Any = self.http.next_event()
                 if isinstance(event, h11.InformationalResponse):
                     self._informational += 1
-                    if self._informational > _MOST_INFORMATIONAL:
+                    if self._informational > _MAX_INFORMATIONAL:
                         raise ProtocolError(502, "answer: no end of 1xx")
                     continue
                 break
@@ -222,20 +238,20 @@
             raise ProtocolError(502, f"answer: {error}") from None
         if isinstance(event, h11.Response):
             fields = _fields(event.headers)
-            told = next((value for name, value in fields if name == "content-length"), "0")
-            if int(told) > self.body_bytes:
-                raise ProtocolError(502, f"answer: {told} bytes, {self.body_bytes} allowed")
+            content_length = next((value for name, value in fields if name == "content-length"), "0")
+            if int(content_length) > self.body_bytes:
+                raise ProtocolError(502, f"answer: {content_length} bytes, {self.body_bytes} allowed")
             return Answer(event.status_code, fields)
         if isinstance(event, h11.Data):
             self._size += len(event.data)
             if self._size > self.body_bytes:
                 raise ProtocolError(502, f"answer: more than {self.body_bytes} bytes")
-            return Part(bytes(event.data))
-        return Done() if isinstance(event, h11.EndOfMessage) else None
+            return BodyPart(bytes(event.data))
+        return ResponseEnd() if isinstance(event, h11.EndOfMessage) else None
 
-    def again(self) -> bool:
-        """An answer is complete: get ready for the next request; False where the connection can't have one,
-        or more has come than was asked for.
+    def start_next_cycle(self) -> bool:
+        """Prepare for the next request after a complete answer; False if the connection can't have one, or
+        brought unsolicited bytes.
         """
         if (
             self.http.our_state is not h11.DONE
--- a/tuliptrack/rpc/http1_client.py
+++ b/tuliptrack/rpc/http1_client.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 connection to a server on asyncio: `h1.ClientSide` keeps the protocol's state, this the
-socket.
+"""One HTTP/1.1 client connection on asyncio.
 
-One exchange at a time. Nothing is ever sent again from in here.
+`h1.ClientSide` keeps the protocol state; this module handles the socket. A connection carries one exchange at
+a time, and never retries one.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from tuliptrack.rpc.h1 import Answer, ClientSide, Done, Part, ProtocolError
+from tuliptrack.rpc.h1 import Answer, BodyPart, ClientSide, ProtocolError, ResponseEnd
 from tuliptrack.rpc.http1_exchange import Exchange, How
-from tuliptrack.rpc.tcp import ended_by_peer, send_at_once, stands
+from tuliptrack.rpc.tcp import is_closed_by_peer, is_established, set_nodelay
 
 __all__ = ["ClientConnection", "ClientOptions", "Owner"]
 
@@ -22,11 +22,11 @@
     """Times in microseconds, sizes in bytes."""
 
     connect_timeout: int = 250_000
-    """Within which a connection that works has to be found."""
+    """Within which a working connection has to be found."""
     idle: int = 12_000_000
-    """How long a connection may stand idle and still be used."""
+    """How long a connection may be idle and still be reused."""
     rest: int = 50_000
-    """How long a connection rests after an answer: what comes in that time was not asked for."""
+    """How long a connection is not reused after an answer: bytes that arrive in that time are unsolicited."""
     header_bytes: int = 16_384
     body_bytes: int = 262_144
 
@@ -37,20 +37,20 @@
     options: ClientOptions
     loop: asyncio.AbstractEventLoop
 
-    def heard(self) -> None:
-        """Something has come from the peer."""
+    def mark_heard(self) -> None:
+        """Note that something was received from the peer."""
 
     def doubt(self, since: float) -> None:
-        """Nothing has come on one of its connections since then, though it should have."""
+        """Note that nothing has been received on one of its connections since then, though it should have."""
 
-    def rests(self, connection: ClientConnection) -> None:
-        """A connection has no exchange now."""
+    def return_to_pool(self, connection: ClientConnection) -> None:
+        """Take back a connection without an exchange."""
 
-    def lost(self, connection: ClientConnection) -> None:
-        """A connection has ended."""
+    def remove_connection(self, connection: ClientConnection) -> None:
+        """Forget a connection that has ended."""
 
-    def any_stands(self) -> bool:
-        """Whether the kernel holds any of its connections to be up."""
+    def any_established(self) -> bool:
+        """Whether the kernel reports any of its connections as established."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -59,22 +59,22 @@
     def __init__(self, owner: Owner, opened_for: Exchange) -> None:
         self.owner = owner
         self.opened_for: Exchange | None = opened_for
-        """The exchange that it was opened for, until that has been on it."""
+        """The exchange that it was opened for, until that has ended on it."""
         self.side = ClientSide(owner.options.header_bytes, owner.options.body_bytes)
         self.transport: asyncio.Transport
         self.exchange: Exchange | None = None
         self.connected = self.dead = False
         self.idle_since = 0.0
         self.opened_at = self.heard_at = 0.0
-        """When it came up, and when something last came on it, on the loop's clock."""
-        self._kept = False
+        """When it was opened, and when something was last received on it, on the loop's clock."""
+        self._is_reused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport, self.connected = transport, True
         self.opened_at = self.owner.loop.time()
-        send_at_once(transport)
-        transport.set_write_buffer_limits(high=0)  # `resume_writing` then tells that all is written.
+        set_nodelay(transport)
+        transport.set_write_buffer_limits(high=0)  # `resume_writing` is then called once all is written.
 
     def resume_writing(self) -> None:
         if self.exchange:
@@ -85,13 +85,13 @@
 
     def begin(self, exchange: Exchange) -> None:
         """Send a request."""
-        self._kept = self.opened_for is not exchange
+        self._is_reused = self.opened_for is not exchange
         exchange.before_write()
         try:
             data = self.side.request(exchange.method, exchange.target, exchange.fields, exchange.body)
         except ValueError as error:
             exchange.ended(How.NO_ROOM, f"can't be sent: {error}")
-            self.owner.rests(self)
+            self.owner.return_to_pool(self)
             return
         self.exchange, exchange.carrier = exchange, self
         self.transport.write(data)
@@ -101,10 +101,10 @@
             self.transport.pause_reading()
 
     def data_received(self, data: bytes) -> None:
-        self.owner.heard()
+        self.owner.mark_heard()
         self.heard_at = self.owner.loop.time()
         exchange = self.exchange
-        if exchange is None:  # Nobody asked for it.
+        if exchange is None:  # No request was sent.
             self.drop("unasked")
             return
         exchange.heard = exchange.heard or exchange.sent
@@ -117,9 +117,9 @@
                 if isinstance(event, Answer):
                     exchange.status = event.status
                     exchange.on_head(event)
-                elif isinstance(event, Part):
+                elif isinstance(event, BodyPart):
                     exchange.on_data(event.data)
-                elif isinstance(event, Done):
+                elif isinstance(event, ResponseEnd):
                     self._done(exchange)
                     return
         except ProtocolError as error:
@@ -128,8 +128,8 @@
 
     def _done(self, exchange: Exchange) -> None:
         self.exchange = None
-        if not self.dead and self.side.again():
-            self.owner.rests(self)
+        if not self.dead and self.side.start_next_cycle():
+            self.owner.return_to_pool(self)
         else:
             self.drop("can't be used again")
         exchange.ended(How.ANSWER, "")
@@ -146,21 +146,19 @@
         exchange, self.exchange = self.exchange, None
         self.drop(reason)
         if exchange:
-            unanswered = self._kept and not exchange.status
-            exchange.lone = unanswered or exchange.spoilt or self.owner.any_stands()
+            unanswered = self._is_reused and not exchange.status
+            exchange.lone = unanswered or exchange.spoilt or self.owner.any_established()
             exchange.ended(How.RESET if exchange.sent else How.CONNECT, reason)
 
-    def stands(self) -> bool:
-        """Whether the kernel holds the connection to be up: what has just broken with it may not have been
-        told yet.
-        """
-        return not self.dead and stands(self.transport)
+    def is_established(self) -> bool:
+        """Whether the kernel reports the connection as established; a very recent failure may not be seen."""
+        return not self.dead and is_established(self.transport)
 
-    def ended(self) -> bool:
-        """Whether the peer has ended the connection, though that may not have been read yet: what is written
-        now is lost.
+    def is_closed_by_peer(self) -> bool:
+        """Whether the peer has closed the connection, even if the loop has not read that yet: a request that
+        is written now is lost.
         """
-        return self.transport.is_closing() or ended_by_peer(self.transport)
+        return self.transport.is_closing() or is_closed_by_peer(self.transport)
 
     def pause(self) -> None:
         self.transport.pause_reading()
@@ -172,10 +170,10 @@
         self.owner.doubt(since)
 
     def drop(self, reason: str) -> None:
-        """End the connection now."""
+        """Close the connection now."""
         self.exchange = None
         if not self.dead:
             self.dead = True
-            self.owner.lost(self)
+            self.owner.remove_connection(self)
             if self.connected:
                 self.transport.abort()
--- a/tuliptrack/rpc/http1_pool.py
+++ b/tuliptrack/rpc/http1_pool.py
@@ -1,14 +1,14 @@
-"""Connections to one address, kept and used again, the last one used first.
+"""A pool of connections to one address, reused last in, first out.
 
-A connection that is kept may have fallen silent with no error: a middlebox has forgotten it, its machine is
-cut off. So a request that asks for it (`Exchange.validated`) goes out only after its connection has answered
-a small question just before (validation on borrow). Where a kept one does not answer soon a new one is opened
-beside it, and the first that works is used. A new connection is asked too where the address is in doubt:
-where something was sent to it that brought no word, and nothing was heard from it since. A request that finds
-no connection that works within the time to connect never ran.
+A pooled connection may have fallen silent without an error: a middlebox has dropped its state, or the peer's
+machine is unreachable. A request that asks for it (`Exchange.validated`) is therefore sent only after
+its connection has answered a probe just before (validation on borrow). If a pooled connection does not answer
+the probe soon, a new one is opened in parallel, and the first that works is used. A new connection is probed
+too if the address is in doubt: an answer from it was overdue, and nothing was received from it since. A
+request that finds no working connection within the connect timeout was not processed.
 
-Bounds: `Connections` counts those of all addresses together. Where none is left, an idle one of any address
-makes room; where none is idle, the exchange ends at once, never sent.
+Bound: `Connections` counts the connections to all addresses. At its limit, an idle connection to any
+address is closed for a new one; if none is idle, the exchange ends immediately, never sent.
 """
 
 from __future__ import annotations
@@ -24,51 +24,49 @@
 
 __all__ = ["Connections", "Pool", "no_question"]
 
-_OWN_LACK = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-"""This process or machine has no room; the peer has no part in it."""
-_OWN_NETWORK = frozenset({errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN})
-"""This machine's network can't open it now; that says little of the peer."""
-_CONNECT_AGAIN_S = 0.02  # after one of these
-_KEPT_ANSWERS = (
-    0.2  # of the time to connect: within it a kept connection has to answer before a new one is opened
-)
+_LOCAL_RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+"""This process or machine lacks a resource; the errors say nothing about the peer."""
+_LOCAL_NETWORK_ERRORS = frozenset({errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN})
+"""This machine's network can't open a connection now; the errors say little about the peer."""
+_CONNECT_RETRY_DELAY_S = 0.02  # after one of these errors
+_VALIDATION_SHARE = 0.2  # of the connect timeout: how long a pooled connection may take to answer a probe
 
 
 class Connections:
-    """How many connections may be held, to all addresses together."""
+    """The limit on connections to all addresses together, and counters of them."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held, self.made = most, 0, 0
+    def __init__(self, limit: int) -> None:
+        self.limit, self.open_count, self.made = limit, 0, 0
         self.silent = 0
-        """Connections that did not answer when they were asked."""
+        """Pooled connections that did not answer a probe in time."""
         self.pools: list[Pool] = []
 
-    def take(self) -> bool:
-        """Room for one more, made if need be by closing the one that has been idle for longest."""
-        if self.held >= self.most:
+    def acquire(self) -> bool:
+        """Count one more; at the limit, first close the one idle for longest. False if none is idle."""
+        if self.open_count >= self.limit:
             idle = [pool.idle[0] for pool in self.pools if pool.idle]
             if not idle:
                 return False
             min(idle, key=lambda connection: connection.idle_since).drop("makes room")
-        self.held += 1
+        self.open_count += 1
         self.made += 1
         return True
 
-    def give(self) -> None:
-        self.held -= 1
+    def release(self) -> None:
+        self.open_count -= 1
 
 
 class _Borrow:
-    """One exchange's search for a connection that works. It ends by itself within the time to connect."""
+    """The search for a working connection for one exchange. It ends by itself within the connect timeout."""
 
     def __init__(self, pool: Pool, exchange: Exchange) -> None:
         self.pool, self.exchange = pool, exchange
         self.over = False
-        self._cut_short = False
+        self._is_time_shortened = False
         self._validations: dict[ClientConnection, Exchange] = {}
         self._connected = False
-        self._own_error: OSError | None = None
-        """Why this machine could not open a connection, if that was so the last time."""
+        self._local_error: OSError | None = None
+        """The error of the last attempt to connect, if its cause was this machine."""
         self._task: asyncio.Task[None] | None = None
         self._timers: list[asyncio.TimerHandle] = []
         self._wait_s = self._time_to_connect()
@@ -79,56 +77,54 @@
         if not self.exchange.connect_by:
             return allowed / 1e6
         left = max(self.exchange.connect_by - now_us(), 0)
-        self._cut_short = left < allowed
+        self._is_time_shortened = left < allowed
         return min(left, allowed) / 1e6
 
-    def start(self, kept: ClientConnection | None) -> None:
-        """Begin with a kept connection, if there is one."""
-        self._after(self._wait_s, self._late)
-        if kept is None:
+    def start(self, pooled: ClientConnection | None) -> None:
+        """Start with a pooled connection, if there is one."""
+        self._after(self._wait_s, self._connect_timed_out)
+        if pooled is None:
             self._connect()
             return
-        self._after(self._wait_s * _KEPT_ANSWERS, lambda: self._silent(kept))
-        self._validate(kept)
+        self._after(self._wait_s * _VALIDATION_SHARE, lambda: self._validation_overdue(pooled))
+        self._validate(pooled)
 
     def _after(self, seconds: float, what: Callable[[], None]) -> None:
         self._timers.append(self.pool.loop.call_later(seconds, what))
 
-    def _late(self) -> None:
-        """The time to connect is over."""
-        if self._own_error:
-            self._not_opened(self._own_error)
+    def _connect_timed_out(self) -> None:
+        """End the exchange: there is no working connection within the connect timeout."""
+        if self._local_error:
+            self._not_opened(self._local_error)
         else:
-            self._fail(How.CONNECT, "no connection that works in time", self._cut_short)
+            self._fail(How.CONNECT, "no working connection in time", self._is_time_shortened)
 
     def _validate(self, connection: ClientConnection) -> None:
-        """Ask a connection a question that has no effect; where none is known the connection is taken to
-        work.
-        """
-        question = self.pool.make_question(self.pool.address)
-        if question is None:
+        """Send a probe, which has no effect, on a connection; without a probe, it is assumed to work."""
+        probe = self.pool.make_question(self.pool.address)
+        if probe is None:
             self._use(connection)
             return
-        question.on_end = lambda how, reason: self._validated(connection, question, how)
-        self._validations[connection] = question
-        connection.begin(question)
-
-    def _silent(self, connection: ClientConnection) -> None:
-        """A kept connection has not answered soon enough: a new one is opened beside it."""
-        question = self._validations.get(connection)
-        if self.over or question is None:
+        probe.on_end = lambda how, reason: self._validated(connection, probe, how)
+        self._validations[connection] = probe
+        connection.begin(probe)
+
+    def _validation_overdue(self, connection: ClientConnection) -> None:
+        """Open a new connection in parallel, if the pooled one has not answered the probe yet."""
+        probe = self._validations.get(connection)
+        if self.over or probe is None:
             return
         self.pool.connections.silent += 1
-        question.doubt()
+        probe.doubt()
         self._connect()
 
-    def _validated(self, connection: ClientConnection, question: Exchange, how: How) -> None:
+    def _validated(self, connection: ClientConnection, probe: Exchange, how: How) -> None:
         self._validations.pop(connection, None)
         if self.over:
             return
         if how is How.ANSWER and connection in self.pool.idle:
             self.pool.idle.remove(connection)
-            self._use(connection, question.sent_at)
+            self._use(connection, probe.sent_at)
         elif not self._validations and self._task is None:
             if self._connected:
                 self._fail(How.CONNECT, "the connection ended before it was used", True)
@@ -136,11 +132,11 @@
                 self._connect()
 
     def _connect(self) -> None:
-        if not self.pool.connections.take():
+        if not self.pool.connections.acquire():
             if not self._validations:
                 self.over = True
                 self.pool.loop.call_soon(
-                    self._end, How.NO_ROOM, f"{self.pool.connections.held} connections are open"
+                    self._end, How.NO_ROOM, f"{self.pool.connections.open_count} connections are open"
                 )
             return
         self._task = self.pool.loop.create_task(self._open())
@@ -148,14 +144,14 @@
     async def _open(self) -> None:
         try:
             connection = await self._open_in_time()
-        except (OSError, ValueError) as error:  # a time-out is an OSError too
-            self.pool.connections.give()
+        except (OSError, ValueError) as error:  # includes TimeoutError
+            self.pool.connections.release()
             self._task = None
             if not self._validations:
                 self._not_opened(error)
             return
         except asyncio.CancelledError:
-            self.pool.connections.give()
+            self.pool.connections.release()
             raise
         self._task, self._connected = None, True
         self.pool.opened(connection)
@@ -165,20 +161,22 @@
         self._validate(connection)
 
     async def _open_in_time(self) -> ClientConnection:
-        """A new connection; tried again where this machine itself can't open one for a moment."""
+        """Open a connection; retry if this machine itself temporarily can't open one."""
         loop = self.pool.loop
         while True:
             connection = ClientConnection(self.pool, self.exchange)
             left = max(self._deadline - loop.time(), 0)
             try:
                 await self._dial(connection, left)
-                self._own_error = None
+                self._local_error = None
                 return connection
             except OSError as error:
-                self._own_error = error if error.errno in _OWN_LACK | _OWN_NETWORK else None
-                if self._own_error is None or loop.time() + _CONNECT_AGAIN_S >= self._deadline:
+                self._local_error = (
+                    error if error.errno in _LOCAL_RESOURCE_ERRORS | _LOCAL_NETWORK_ERRORS else None
+                )
+                if self._local_error is None or loop.time() + _CONNECT_RETRY_DELAY_S >= self._deadline:
                     raise
-            await asyncio.sleep(_CONNECT_AGAIN_S)
+            await asyncio.sleep(_CONNECT_RETRY_DELAY_S)
 
     async def _dial(self, connection: ClientConnection, within_s: float) -> None:
         host, _, port = self.pool.address.rpartition(":")
@@ -188,24 +186,24 @@
                 within_s,
             )
         except (OSError, asyncio.CancelledError):
-            connection.drop("too late")  # It may have come up in this very moment.
+            connection.drop("too late")  # It may have been established at this moment.
             raise
 
     def _not_opened(self, error: Exception) -> None:
         number = getattr(error, "errno", None)
         reason = f"connect: {error or 'timed out'}"
-        if number in _OWN_LACK:
+        if number in _LOCAL_RESOURCE_ERRORS:
             self._fail(How.NO_ROOM, reason)
         else:
-            cut_short = isinstance(error, TimeoutError) and self._cut_short
-            self._fail(How.CONNECT, reason, cut_short or number in _OWN_NETWORK)
+            is_time_shortened = isinstance(error, TimeoutError) and self._is_time_shortened
+            self._fail(How.CONNECT, reason, is_time_shortened or number in _LOCAL_NETWORK_ERRORS)
 
     def _use(self, connection: ClientConnection, proven_since: float = 0.0) -> None:
-        """A connection works: the exchange goes out on it, unless it isn't wanted any more. `proven_since`:
-        see `Exchange`.
+        """Send the exchange on a working connection, unless it is no longer wanted. `proven_since`: see
+        `Exchange`.
         """
         if self.over:
-            self.pool.rests(connection)
+            self.pool.return_to_pool(connection)
             return
         exchange = self.exchange
         exchange.proven_since = proven_since
@@ -214,8 +212,8 @@
             connection.begin(exchange)
             return
         exchange.lone = True
-        exchange.ended(How.CONNECT, "not wanted any more")
-        self.pool.rests(connection)
+        exchange.ended(How.CONNECT, "no longer wanted")
+        self.pool.return_to_pool(connection)
 
     def _fail(self, how: How, reason: str, lone: bool = False) -> None:
         if not self.over:
@@ -227,7 +225,7 @@
         self.exchange.ended(how, reason)
 
     def _finish(self) -> None:
-        """End all that still looks for a connection."""
+        """Stop the search: its timers, its connect and its probes."""
         self.over = True
         self.pool.borrows.discard(self)
         for timer in self._timers:
@@ -235,23 +233,23 @@
         if self._task and self._task is not asyncio.current_task():
             self._task.cancel()
             self._task = None
-        for question in list(self._validations.values()):
-            question.cancel()
+        for probe in list(self._validations.values()):
+            probe.cancel()
 
     def close(self) -> asyncio.Task[None] | None:
-        """End it; the task that is to be waited for, if any."""
+        """End the search and its exchange; return the task to await, if any."""
         task = self._task
         self._end(How.GIVEN_UP, "closed")
         return task
 
 
 def no_question(address: str) -> Exchange | None:
-    """For peers to which no exchange is without an effect."""
+    """Return no probe: for peers to which every request has an effect."""
     return None
 
 
 class Pool:
-    """Exchanges with one address. `close` ends every exchange and task of it."""
+    """Exchanges with one address. `close` ends all its exchanges and tasks."""
 
     def __init__(
         self,
@@ -260,57 +258,60 @@
         connections: Connections,
         make_question: Callable[[str], Exchange | None] = no_question,
     ) -> None:
-        """`make_question`: an exchange without any effect by which a connection shows that it works; None:
-        there is none.
+        """Create an empty pool.
+
+        `make_question` returns a probe: an exchange without any effect whose answer shows that a connection
+        works; None if there is none.
         """
         self.address, self.options, self.connections = address, options, connections
         self.make_question = make_question
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.idle: list[ClientConnection] = []
-        """Connections without an exchange, the one used last at the end."""
+        """Connections without an exchange, the last one used at the end."""
         self.links: set[ClientConnection] = set()
         self.borrows: set[_Borrow] = set()
         self.heard_at = 0.0
-        """When something last came from there, on the loop's clock."""
+        """When something was last received from the address, on the loop's clock."""
         self.doubted = False
-        """Something was sent that brought no word, and nothing was heard from there since."""
+        """An answer is overdue, and nothing was received from the address since."""
         self._closed = False
         connections.pools.append(self)
 
     def send(self, exchange: Exchange) -> None:
-        """Begin an exchange. `on_end` is never called from in here."""
+        """Start an exchange. `on_end` is never called synchronously from here."""
         if self._closed:
             self.loop.call_soon(exchange.ended, How.NO_ROOM, "closed")
             return
-        kept = None if exchange.fresh else self._take_kept()
-        if kept and not exchange.validated:
-            kept.begin(exchange)
+        pooled = None if exchange.fresh else self._take_idle()
+        if pooled and not exchange.validated:
+            pooled.begin(exchange)
             return
         borrow = _Borrow(self, exchange)
         self.borrows.add(borrow)
-        borrow.start(kept)
+        borrow.start(pooled)
 
-    def _take_kept(self) -> ClientConnection | None:
-        """A kept connection that has rested and that its peer has not ended."""
+    def _take_idle(self) -> ClientConnection | None:
+        """Remove and return an idle connection that may be reused and that its peer has not closed."""
         now = self.loop.time()
-        while rested := self._rested(now):
-            self.idle.remove(rested)
-            if now - rested.idle_since < self.options.idle / 1e6 and not rested.ended():
-                return rested
-            rested.drop("idle for too long, or ended")
+        while reusable := self._reusable(now):
+            self.idle.remove(reusable)
+            if now - reusable.idle_since < self.options.idle / 1e6 and not reusable.is_closed_by_peer():
+                return reusable
+            reusable.drop("idle for too long, or ended")
         return None
 
-    def _rested(self, now: float) -> ClientConnection | None:
-        """The idle connection to use next; None where none has rested."""
+    def _reusable(self, now: float) -> ClientConnection | None:
+        """Return the idle connection to use next; None if none has been idle for `ClientOptions.rest`."""
         return next(
-            (kept for kept in reversed(self.idle) if now - kept.idle_since >= self.options.rest / 1e6), None
+            (pooled for pooled in reversed(self.idle) if now - pooled.idle_since >= self.options.rest / 1e6),
+            None,
         )
 
     def has_spare(self) -> bool:
-        """Whether an exchange would need no new connection."""
-        return self._rested(self.loop.time()) is not None
+        """Whether an exchange could reuse an idle connection."""
+        return self._reusable(self.loop.time()) is not None
 
-    def heard(self) -> None:
+    def mark_heard(self) -> None:
         self.heard_at = self.loop.time()
         self.doubted = False
 
@@ -318,14 +319,14 @@
         if self.heard_at <= since:
             self.doubted = True
 
-    def any_stands(self) -> bool:
-        return any(connection.stands() for connection in self.links)
+    def any_established(self) -> bool:
+        return any(connection.is_established() for connection in self.links)
 
     def opened(self, connection: ClientConnection) -> None:
-        """A new connection is up."""
+        """Register a new connection."""
         self.links.add(connection)
 
-    def rests(self, connection: ClientConnection) -> None:
+    def return_to_pool(self, connection: ClientConnection) -> None:
         if self._closed:
             connection.drop("closed")
             return
@@ -334,29 +335,29 @@
         connection.resume()
         self.idle.append(connection)
 
-    def lost(self, connection: ClientConnection) -> None:
+    def remove_connection(self, connection: ClientConnection) -> None:
         if connection in self.links:
             self.links.discard(connection)
-            self.connections.give()
+            self.connections.release()
         if connection in self.idle:
             self.idle.remove(connection)
 
     def sweep(self) -> None:
-        """Close what has been idle for too long."""
+        """Close connections that have been idle for too long."""
         now = self.loop.time()
-        for kept in [k for k in self.idle if now - k.idle_since >= self.options.idle / 1e6]:
-            kept.drop("idle for too long")
+        for pooled in [k for k in self.idle if now - k.idle_since >= self.options.idle / 1e6]:
+            pooled.drop("idle for too long")
 
     def close_idle(self) -> None:
-        for kept in list(self.idle):
-            kept.drop("idle")
+        for pooled in list(self.idle):
+            pooled.drop("idle")
 
     @property
     def busy(self) -> bool:
         return bool(self.borrows) or len(self.links) > len(self.idle)
 
     async def close(self) -> None:
-        """End it all."""
+        """End all exchanges and connections, and await all tasks."""
         self._closed = True
         if self in self.connections.pools:
             self.connections.pools.remove(self)
