--- a/tests/fronts/test_kserve.py
+++ b/tests/fronts/test_kserve.py
@@ -552,7 +552,7 @@
             w.node.concurrency.limits = type(w.node.concurrency.limits)(0, 1, 1)
             end = await w.ask("q" * 3_000_000).wait()
             assert end.status.code is Code.UNAVAILABLE and "harmless" in end.status.message
-            assert w.node.bodies.peak_bytes == 0 and w.node.server.refused_early == 1
+            assert w.node.bodies.peak_bytes == 0 and w.node.server.rejected_early == 1
             w.node.concurrency.limits = type(w.node.concurrency.limits)(9, 9, 9)
             one = w.ask("q" * 3_000_000)  # there is a place, but no room for such a body
             end = await one.wait()
--- a/tests/relay/test_kv_state_releases.py
+++ b/tests/relay/test_kv_state_releases.py
@@ -341,7 +341,7 @@
             _, writer = await p.connect()
             writer.write(request("open"))
             await until(lambda: bool(p.engines["w0"].asked()))
-            p.relay.front.server.cut_short()
+            p.relay.front.server.abort_connections()
             await p.relay.stop(0.0, 0.0)
             assert "open" in line.released_at
             assert now() - line.prefilled_at["open"] < 2.0
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -370,7 +370,7 @@
     try:
         yield made
     finally:
-        made.relay.front.server.cut_short()
+        made.relay.front.server.abort_connections()
         await made.relay.stop(0.0, 0.0)
         for peer in [*engines.values(), made.agent]:
             await peer.stop()
--- a/tests/rpc/test_failing_calls.py
+++ b/tests/rpc/test_failing_calls.py
@@ -19,8 +19,8 @@
 from tuliptrack.lab.soak.shim import CallFaults, FaultySelector, FaultySocket
 from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer
 from tuliptrack.rpc.http1_client import ClientOptions
-from tuliptrack.rpc.http1_exchange import Exchange, How
-from tuliptrack.rpc.http1_pool import Connections, Pool
+from tuliptrack.rpc.http1_exchange import Exchange, ExchangeOutcome
+from tuliptrack.rpc.http1_pool import ConnectionBudget, Pool
 from tuliptrack.rpc.loop_errors import log_loop_errors
 from tuliptrack.rpc.server import Server
 
@@ -163,7 +163,7 @@
 
 async def exchange_while(
     pool: Pool, faults: CallFaults, call: str, number: int, seconds: float
-) -> tuple[How, bool, int]:
+) -> tuple[ExchangeOutcome, bool, int]:
     """Run an exchange while a system call of opening its connection fails for `seconds`.
 
     Returns:
@@ -172,13 +172,13 @@
     setattr(faults, call, (number,))
     faults.share, faults.failed = 1.0, 0
     asyncio.get_running_loop().call_later(seconds, lambda: setattr(faults, "share", 0.0))
-    ended: asyncio.Future[How] = asyncio.get_running_loop().create_future()
+    ended: asyncio.Future[ExchangeOutcome] = asyncio.get_running_loop().create_future()
     exchange = Exchange("GET", "/", [("host", "a")])
     exchange.on_end = lambda how, reason: ended.set_result(how)
     pool.send(exchange)
     how = await ended
     faults.share = 0.0
-    return how, exchange.lone, faults.failed
+    return how, exchange.is_connection_only, faults.failed
 
 
 OPENING = [("create", number) for number in LOCAL_RESOURCE_ERRORS] + [
@@ -194,13 +194,17 @@
 ) -> None:
     async def go() -> None:
         server = await serve()
-        pool = Pool(server.address, ClientOptions(connect_timeout=250_000), Connections(4))
+        pool = Pool(server.address, ClientOptions(connect_timeout=250_000), ConnectionBudget(4))
         how, _, tries = await exchange_while(pool, faults, call, number, 0.1)
-        assert how is How.ANSWER and 1 <= tries < 20
+        assert how is ExchangeOutcome.ANSWER and 1 <= tries < 20
         pool.close_idle()
-        how, lone, _ = await exchange_while(pool, faults, call, number, 1.0)
-        assert how is (How.NO_ROOM if number in LOCAL_RESOURCE_ERRORS else How.CONNECT)
-        assert how is How.NO_ROOM or lone, "the failure counts against the engine"
+        how, is_connection_only, _ = await exchange_while(pool, faults, call, number, 1.0)
+        assert how is (
+            ExchangeOutcome.RESOURCE_EXHAUSTED if number in LOCAL_RESOURCE_ERRORS else ExchangeOutcome.CONNECT
+        )
+        assert how is ExchangeOutcome.RESOURCE_EXHAUSTED or is_connection_only, (
+            "the failure counts against the engine"
+        )
         await pool.close()
         assert pool.connections.open_count == 0
         await server.stop()
@@ -216,8 +220,8 @@
         taken = asyncio.Event()
         server = HttpServer(lambda call: taken.set(), lambda call: None, HttpLimits(), ByteBudget(1 << 20))
         await server.listen()
-        pool = Pool(server.address, ClientOptions(), Connections(4))
-        ended: asyncio.Future[tuple[How, str]] = asyncio.get_running_loop().create_future()
+        pool = Pool(server.address, ClientOptions(), ConnectionBudget(4))
+        ended: asyncio.Future[tuple[ExchangeOutcome, str]] = asyncio.get_running_loop().create_future()
         exchange = Exchange("GET", "/", [("host", "a")])
         exchange.on_end = lambda how, reason: ended.set_result((how, reason))
         pool.send(exchange)
@@ -225,7 +229,7 @@
         [connection] = pool.links
         connection.connection_lost(OSError(number, os.strerror(number)))
         how, reason = await ended
-        assert how is How.RESET and os.strerror(number) in reason
+        assert how is ExchangeOutcome.RESET and os.strerror(number) in reason
         await pool.close()
         await server.stop()
 
@@ -238,14 +242,14 @@
 ) -> None:
     async def go() -> None:
         server = await serve()
-        pool = Pool(server.address, ClientOptions(), Connections(4))
+        pool = Pool(server.address, ClientOptions(), ConnectionBudget(4))
         faults.close, faults.share = (number,), 1.0
         for _ in range(3):
-            ended: asyncio.Future[How] = asyncio.get_running_loop().create_future()
+            ended: asyncio.Future[ExchangeOutcome] = asyncio.get_running_loop().create_future()
             exchange = Exchange("GET", "/", [("host", "a")])
             exchange.on_end = lambda how, reason, ended=ended: ended.set_result(how)  # type: ignore[misc]
             pool.send(exchange)
-            assert await ended is How.ANSWER
+            assert await ended is ExchangeOutcome.ANSWER
             pool.close_idle()
         await until(lambda: not server.links and not pool.links)
         assert pool.connections.open_count == 0 and faults.failed >= 6
@@ -264,14 +268,14 @@
 
     async def go() -> None:
         nobody = await Vanished().start()
-        pool = Pool(nobody.address, ClientOptions(connect_timeout=100_000), Connections(4))
+        pool = Pool(nobody.address, ClientOptions(connect_timeout=100_000), ConnectionBudget(4))
         faults.close, faults.share = (errno.EIO,), 1.0
         for _ in range(3):
-            ended: asyncio.Future[How] = asyncio.get_running_loop().create_future()
+            ended: asyncio.Future[ExchangeOutcome] = asyncio.get_running_loop().create_future()
             exchange = Exchange("GET", "/", [("host", "a")])
             exchange.on_end = lambda how, reason, ended=ended: ended.set_result(how)  # type: ignore[misc]
             pool.send(exchange)
-            assert await asyncio.wait_for(ended, 5) is How.CONNECT
+            assert await asyncio.wait_for(ended, 5) is ExchangeOutcome.CONNECT
         await until(lambda: pool.connections.open_count == 0, 2)
         faults.share = 0.0
         await pool.close()
--- a/tests/rpc/test_http1.py
+++ b/tests/rpc/test_http1.py
@@ -17,10 +17,10 @@
 
 from tuliptrack.decisions.concurrency_limit import ByteBudget
 from tuliptrack.rpc import http1
-from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Refusal
+from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Rejection
 from tuliptrack.rpc.http1_client import ClientOptions
-from tuliptrack.rpc.http1_exchange import Exchange, How
-from tuliptrack.rpc.http1_pool import Connections, Pool
+from tuliptrack.rpc.http1_exchange import Exchange, ExchangeOutcome
+from tuliptrack.rpc.http1_pool import ConnectionBudget, Pool
 
 REQUESTS = (
     b"POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nhello"
@@ -37,7 +37,7 @@
             call.send(b"data: %d\n\n" % n)
         call.end()
     elif call.target == "/wait":
-        call.on_gone = gone.append
+        call.on_cancelled = gone.append
     else:
         call.respond(200, json.dumps([call.target, call.body.decode("latin-1")]).encode())
 
@@ -45,8 +45,8 @@
 gone: list[str] = []
 
 
-def reject_early(call: HttpCall) -> Refusal | None:
-    return Refusal(503, "no") if call.target == "/never" else None
+def reject_early(call: HttpCall) -> Rejection | None:
+    return Rejection(503, "no") if call.target == "/never" else None
 
 
 async def talk(server: HttpServer, pieces: list[bytes]) -> bytes:
@@ -391,8 +391,8 @@
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        pool = Pool("{}:{}".format(*listener.getsockname()), ClientOptions(rest=0), Connections(4))
-        answers: list[tuple[How, int]] = []
+        pool = Pool("{}:{}".format(*listener.getsockname()), ClientOptions(rest=0), ConnectionBudget(4))
+        answers: list[tuple[ExchangeOutcome, int]] = []
 
         def ask() -> Exchange:
             exchange = Exchange("POST", "/a", [("host", "x")], b"{}")
@@ -413,7 +413,7 @@
         ask()  # In the same iteration of the loop.
         second = await asyncio.wait_for(serve(), 5)
         await until(lambda: len(answers) == 2)
-        assert answers == [(How.ANSWER, 202)] * 2
+        assert answers == [(ExchangeOutcome.ANSWER, 202)] * 2
         await pool.close()
         second.close()
         listener.close()
--- a/tests/rpc/test_stock_peers.py
+++ b/tests/rpc/test_stock_peers.py
@@ -14,7 +14,7 @@
 from world import run, until, world
 
 from tuliptrack.proto import generation_pb2 as pb
-from tuliptrack.rpc.channel import Channel, End, How, Options
+from tuliptrack.rpc.channel import Channel, End, EndReason, Options
 from tuliptrack.rpc.core import Limits
 from tuliptrack.rpc.server import Server, ServerCall, unary_request
 from tuliptrack.rpc.status import Code, Status
@@ -148,7 +148,7 @@
         gone: list[str] = []
 
         def act(call: ServerCall, request: pb.GenerateRequest) -> None:
-            call.on_gone = gone.append
+            call.on_cancelled = gone.append
             call.send(pb.GenerateResponse(text="one").SerializeToString())
 
         server.add("tuliptrack.v1.Generation", "Generate", unary_request(pb.GenerateRequest, act))
@@ -216,7 +216,7 @@
         for size in (0, 10, 300_000):
             for compress in (False, True):
                 end, got = await ask(channel, "Echo", b"z" * size, compress=compress)
-                assert (end.how, end.status.code, got) == (How.STATUS, Code.OK, [b"z" * size] * 3)
+                assert (end.how, end.status.code, got) == (EndReason.STATUS, Code.OK, [b"z" * size] * 3)
         for code in Code:
             if code is not Code.OK:
                 end, _ = await ask(channel, "Status", bytes([code]), metadata=(("x-me", "you"),))
@@ -225,7 +225,7 @@
         end, _ = await ask(channel, "Nothing")
         assert end.status.code is Code.UNIMPLEMENTED
         end, got = await ask(channel, "Sleep", timeout=300_000)
-        assert end.how is How.TIMEOUT and got == [b"begun"]
+        assert end.how is EndReason.TIMEOUT and got == [b"begun"]
         over: asyncio.Future[End] = asyncio.get_running_loop().create_future()
         begun = asyncio.Event()
         call = channel.call(
@@ -233,7 +233,7 @@
         )
         await begun.wait()
         call.cancel()
-        assert (await over).how is How.CANCELLED
+        assert (await over).how is EndReason.CANCELLED
         over = asyncio.get_running_loop().create_future()
         begun.clear()
         channel.call("/t.S/Sleep", message=b"", on_message=lambda _: begun.set(), on_end=over.set_result)
@@ -241,7 +241,7 @@
         await server.stop(0)
         assert (await over).status.code in (Code.UNAVAILABLE, Code.CANCELLED)
         end, _ = await ask(channel, "Echo")
-        assert end.how is How.CONNECT and end.unprocessed
+        assert end.how is EndReason.CONNECT and end.unprocessed
         await channel.close()
 
     run(go, 60)
@@ -269,7 +269,7 @@
                     await asyncio.sleep(0.02)
             ends = [await one.wait() for one in asked]
             assert len(w.channel.links) == 1
-            assert [(end.how, end.status.code) for end in ends] == [(How.STATUS, Code.OK)] * 1000
+            assert [(end.how, end.status.code) for end in ends] == [(EndReason.STATUS, Code.OK)] * 1000
             for one in asked:
                 one.check_tokens()
 
@@ -302,7 +302,7 @@
         assert calls[0].arrived and calls[1].arrived
         answer.set()
         await until(lambda: len(ends) == len(calls))
-        assert all(end.how is How.STATUS and end.status.code is Code.OK for end in ends), ends
+        assert all(end.how is EndReason.STATUS and end.status.code is Code.OK for end in ends), ends
         assert channel.connects == 1
         await channel.close()
         await server.stop(0)
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -13,7 +13,7 @@
 from tuliptrack.node.request_state import FINAL_STATES, TRANSITIONS, RequestState
 from tuliptrack.proto import fleet_pb2, lab_pb2
 from tuliptrack.proto import generation_pb2 as pb
-from tuliptrack.rpc.channel import Channel, How, Options
+from tuliptrack.rpc.channel import Channel, EndReason, Options
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.core import Core
 from tuliptrack.rpc.status import Code
@@ -56,7 +56,7 @@
             while not all(a.ends for a in asked):
                 leave_at_the_end(None)
                 await asyncio.sleep(0)
-            assert {a.end.how for a in asked} <= {How.STATUS, How.CANCELLED}
+            assert {a.end.how for a in asked} <= {EndReason.STATUS, EndReason.CANCELLED}
             await until(lambda: not w.node.table.open)
             ends = w.node.table.end_counts
             assert ends[RequestState.SERVED] + ends[RequestState.DISCONNECTED] == 30 and states(w) == 0
@@ -90,7 +90,7 @@
             w.engines["w0"].m["slots"] = 0
             one = w.ask(timeout=0.8)
             end = await one.wait()
-            assert (end.how, end.status.code) == (How.STATUS, Code.DEADLINE_EXCEEDED)
+            assert (end.how, end.status.code) == (EndReason.STATUS, Code.DEADLINE_EXCEEDED)
             await until(lambda: w.seen("let go"))
             assert w.seen("let go")[0]["why"] == "released"
 
@@ -169,7 +169,7 @@
         channel.call("/x.Y/Z", message=b"", on_end=over.set_result)
         end = await over
         assert (
-            end.how is How.RESET
+            end.how is EndReason.RESET
             and "keepalive" in end.status.message
             and asyncio.get_running_loop().time() - begun < 3
         )
@@ -314,7 +314,11 @@
                 end = await one.wait()
                 one.check_tokens()
                 # Every answer is the node's own: served, resumable, or refused with advice.
-                assert end.how is How.STATUS and end.status.code in (Code.OK, Code.ABORTED, Code.UNAVAILABLE)
+                assert end.how is EndReason.STATUS and end.status.code in (
+                    Code.OK,
+                    Code.ABORTED,
+                    Code.UNAVAILABLE,
+                )
                 assert end.status.code is Code.OK or end.status.parsed()
                 assert bool(one.tokens) == (end.status.code is not Code.UNAVAILABLE)
             assert w.node.server.open_calls() == 0 and not w.node.table.open
@@ -332,8 +336,8 @@
         RequestState.DISCONNECTED,
     ):
         assert end in FINAL_STATES and not TRANSITIONS[end]
-    cut_short = {RequestState.FAILED, RequestState.DISCONNECTED}
-    assert all(TRANSITIONS[state] & cut_short for state in RequestState if TRANSITIONS[state])
+    abort_connections = {RequestState.FAILED, RequestState.DISCONNECTED}
+    assert all(TRANSITIONS[state] & abort_connections for state in RequestState if TRANSITIONS[state])
 
 
 def test_the_last_list_is_kept_for_a_restart_without_its_feed() -> None:
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -20,7 +20,7 @@
 from tuliptrack.node import grpc_engine_client
 from tuliptrack.proto import fleet_pb2, lab_pb2
 from tuliptrack.routing.slow_start import WARM
-from tuliptrack.rpc.channel import ClientCall, End, How
+from tuliptrack.rpc.channel import ClientCall, End, EndReason
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.status import Code, Status
 
@@ -107,7 +107,7 @@
 
 
 def timed_out_calls_go_on(w: World, patch: pytest.MonkeyPatch) -> None:
-    def cancel(self: ClientCall, how: How = How.CANCELLED) -> None:
+    def cancel(self: ClientCall, how: EndReason = EndReason.CANCELLED) -> None:
         if self.open:
             self.ended(End(how, Status(Code.DEADLINE_EXCEEDED, how.value)))
 
--- a/tuliptrack/cli/serve.py
+++ b/tuliptrack/cli/serve.py
@@ -52,7 +52,7 @@
     again = loop.create_task(stop.wait())
     await asyncio.wait({ending, again}, return_when=asyncio.FIRST_COMPLETED)
     if not ending.done():
-        node.server.cut_short()
+        node.server.end_grace_period()
     again.cancel()
     await ending
     signals.block()
--- a/tuliptrack/fronts/generation.py
+++ b/tuliptrack/fronts/generation.py
@@ -10,7 +10,7 @@
 from tuliptrack.fronts.port import ClientRequest, Core, Failure, FinishReason, InvalidRequestError, Usage
 from tuliptrack.proto import generation_pb2 as pb
 from tuliptrack.rpc.server import Server, ServerCall, unary_request
-from tuliptrack.rpc.status import Code, Status, refusal
+from tuliptrack.rpc.status import Code, Status, rejection_status
 
 __all__ = ["SERVICE", "install"]
 
@@ -40,7 +40,7 @@
         self.call.end(Status(Code.OK))
 
     def rejected(self, reason: str, retry_after_us: int) -> None:
-        self.call.end(refusal(reason, retry_after_us))
+        self.call.end(rejection_status(reason, retry_after_us))
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
         status = failure_status(how, f"failed: {reason}", reason=reason, next_index=str(next_index))
@@ -77,6 +77,6 @@
         except InvalidRequestError as error:
             call.end(invalid_request_status(error))
             return
-        call.on_gone, call.on_writable = handle.disconnected, handle.writable
+        call.on_cancelled, call.on_writable = handle.disconnected, handle.writable
 
     server.add(SERVICE, "Generate", unary_request(pb.GenerateRequest, generate), early=True)
--- a/tuliptrack/fronts/health.py
+++ b/tuliptrack/fronts/health.py
@@ -62,7 +62,7 @@
             call.send(_serialized(_SERVICE_UNKNOWN))
             return
         self.watchers.add(call)
-        call.on_gone = lambda _: self.watchers.discard(call)
+        call.on_cancelled = lambda _: self.watchers.discard(call)
         call.send(self._response())
 
 
--- a/tuliptrack/fronts/kserve/grpc.py
+++ b/tuliptrack/fronts/kserve/grpc.py
@@ -34,7 +34,7 @@
 from tuliptrack.proto import kserve_pb2 as pb
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.server import Server, ServerCall, unary_request
-from tuliptrack.rpc.status import Code, Status, refusal
+from tuliptrack.rpc.status import Code, Status, rejection_status
 
 __all__ = ["SERVICE", "install", "parse_infer"]
 
@@ -110,7 +110,7 @@
         self.call.end(Status(Code.OK))
 
     def rejected(self, reason: str, retry_after_us: int) -> None:
-        self.call.end(refusal(reason, retry_after_us))
+        self.call.end(rejection_status(reason, retry_after_us))
 
     def failed(self, how: Failure, reason: str, next_index: int) -> None:
         # No token has reached the client, so there is none to resume from.
@@ -178,7 +178,7 @@
         self._open_ids: set[str] = set()
         self._is_half_closed = False
         call.on_message, call.on_half_close = self._handle_message, self._handle_half_close
-        call.on_gone, call.on_writable = self._handle_disconnect, self._handle_writable
+        call.on_cancelled, call.on_writable = self._handle_disconnect, self._handle_writable
 
     def _handle_message(self, data: bytes) -> None:
         try:
@@ -294,7 +294,7 @@
         except InvalidRequestError as error:
             call.end(invalid_request_status(error))
             return
-        call.on_gone, call.on_writable = handle.disconnected, handle.writable
+        call.on_cancelled, call.on_writable = handle.disconnected, handle.writable
 
     def model_stream_infer(self, call: ServerCall) -> None:
         _InferStream(call, self.core, self.config)
--- a/tuliptrack/fronts/kserve/rest.py
+++ b/tuliptrack/fronts/kserve/rest.py
@@ -31,7 +31,7 @@
 from tuliptrack.fronts.kserve.tensors import encode_element
 from tuliptrack.fronts.port import Core, Failure, FinishReason, InvalidRequestError, RequestHandle, Usage
 from tuliptrack.rpc.clock import now_us
-from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Refusal
+from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Rejection
 
 __all__ = ["RestListener", "make"]
 
@@ -199,14 +199,14 @@
         """Accept nothing new, and end what is still open after `grace` seconds."""
         await self.server.stop(grace)
 
-    def reject_early(self, call: HttpCall) -> Refusal | None:
+    def reject_early(self, call: HttpCall) -> Rejection | None:
         """Return a rejection that the headers suffice for, so that the body need not be sent."""
         if call.method != "POST":
             return None
         reason, retry_after_us = self.core.overload()
         if not reason:
             return None
-        return Refusal(503, rejection_text(reason), tuple(_retry_headers(retry_after_us)))
+        return Rejection(503, rejection_text(reason), tuple(_retry_headers(retry_after_us)))
 
     def handle(self, call: HttpCall) -> None:
         """Answer a request, or submit it to the core."""
@@ -284,7 +284,7 @@
         else:
             response = _CompleteResponse(call, infer, self.config.limits.message_bytes, write)
         handle = response.handle = self.core.submit(request, response)
-        call.on_gone, call.on_writable = handle.disconnected, handle.writable
+        call.on_cancelled, call.on_writable = handle.disconnected, handle.writable
 
 
 def _described(tensors: Sequence[tuple[str, str, tuple[int, ...]]]) -> list[dict[str, Any]]:
--- a/tuliptrack/lab/client.py
+++ b/tuliptrack/lab/client.py
@@ -17,9 +17,9 @@
 from tuliptrack.proto import generation_pb2 as pb
 from tuliptrack.proto import kserve_pb2 as v2
 from tuliptrack.proto import lab_pb2
-from tuliptrack.rpc.channel import Channel, ClientCall, End, How
+from tuliptrack.rpc.channel import Channel, ClientCall, End, EndReason
 from tuliptrack.rpc.clock import now_us
-from tuliptrack.rpc.status import Code, refusal_details, with_details
+from tuliptrack.rpc.status import Code, rejection_details, with_details
 
 __all__ = ["Arrival", "Client", "Try", "arrivals"]
 
@@ -170,13 +170,13 @@
                 load.slow_read_ms / 1000 or 0.05,
             ).run(self.nodes[node])
             have += made.tokens
-            if made.how == How.CONNECT.value:
+            if made.how == EndReason.CONNECT.value:
                 self.unreached.setdefault(node, now_us())
             else:
                 self.unreached.pop(node, None)
             if made.left or made.code == "OK" or made.finished:
                 return
-            refused, reached = made.retry_after >= 0, made.how != How.CONNECT.value
+            refused, reached = made.retry_after >= 0, made.how != EndReason.CONNECT.value
             if not refused and reached and cls.idempotency is not Idempotency.IDEMPOTENT:
                 return  # It may have run: only the client's user can tell whether to repeat it.
             wait = made.retry_after / 1e6 if made.retry_after > 0 else (load.retry_after_ms or 100) / 1000
@@ -299,16 +299,18 @@
                 "STALLED": Code.CANCELLED,
             }.get(kind, Code.INVALID_ARGUMENT)
             details = (
-                refusal_details(kind, facts["retry_after_ms"].int64_param * 1000) if kind == "REFUSED" else []
+                rejection_details(kind, facts["retry_after_ms"].int64_param * 1000)
+                if kind == "REFUSED"
+                else []
             )
-            self.error = End(How.STATUS, with_details(code, got.error_message, *details))
+            self.error = End(EndReason.STATUS, with_details(code, got.error_message, *details))
             return
         reason = pb.STOP if facts["triton_final_response"].bool_param else pb.FINISH_REASON_UNSPECIFIED
         text = got.infer_response.raw_output_contents[0][4:].decode()
         self._token(pb.GenerateResponse(index=facts["index"].int64_param, text=text, finish_reason=reason))
 
     def _stream_end(self, end: End) -> None:
-        self._end(self.error if self.error and end.how is How.STATUS else end)
+        self._end(self.error if self.error and end.how is EndReason.STATUS else end)
 
 
 def as_row(one: Try) -> dict[str, Any]:
--- a/tuliptrack/lab/engine.py
+++ b/tuliptrack/lab/engine.py
@@ -265,7 +265,7 @@
             model=f"{work.model}:{work.model_version}",
         )
         job = _Job(call, work, kind)
-        call.on_gone = lambda reason: self._gone(job, reason)
+        call.on_cancelled = lambda reason: self._gone(job, reason)
         self.jobs.add(job)
         self.moved.append((kind, work, call.traffic))
         self._weigh(work.prompt_tokens if kind == "read" else self._length(work.prompt))
@@ -503,7 +503,7 @@
                 return
             if end.status.code is Code.OK:
                 self._run(job)
-            elif end.lone and again:
+            elif end.is_connection_only and again:
                 self._start_fetch(job, again=False)
             else:
                 self._finish(job, Status(Code.FAILED_PRECONDITION, f"state: {end.status.message or 'gone'}"))
--- a/tuliptrack/lab/feed.py
+++ b/tuliptrack/lab/feed.py
@@ -44,7 +44,7 @@
             call.end(Status(Code.UNAVAILABLE, "the feed fails"))
             return
         self.watchers[call] = request.node
-        call.on_gone = lambda _: self._left(call)
+        call.on_cancelled = lambda _: self._left(call)
         call.send(self._whole().SerializeToString())
         self._told(request.node, self._whole())
 
--- a/tuliptrack/lab/soak/engine.py
+++ b/tuliptrack/lab/soak/engine.py
@@ -16,7 +16,7 @@
 from tuliptrack.decisions.concurrency_limit import ByteBudget
 from tuliptrack.lab.soak.hostile_values import hostile_head, hostile_usage
 from tuliptrack.lab.soak.records import Recorder
-from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Refusal
+from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Rejection
 
 __all__ = ["SoakEngine", "accept_everything", "nothing_early"]
 
@@ -57,7 +57,7 @@
             call.respond(404, b"")
             return
         self.recorder.note("taken", id=call_id, budget=float(call.headers.get("x-budget", "0")))
-        call.on_gone = lambda reason: self._broken_off(call, call_id)
+        call.on_cancelled = lambda reason: self._broken_off(call, call_id)
         if not self.hangs:
             task = asyncio.get_running_loop().create_task(self._play(call, call_id))
             self._playing.add(task)
@@ -97,7 +97,7 @@
     def _reject(self, call: HttpCall, call_id: str) -> None:
         """There is no state to go on from."""
         self.recorder.note("rejected", id=call_id)
-        call.on_gone = lambda reason: None
+        call.on_cancelled = lambda reason: None
         call.respond(410, b"", [("x-rejected", "1")])
 
     async def _write(self, call: HttpCall, call_id: str) -> None:
@@ -122,7 +122,7 @@
         self.recorder.note("answered", id=call_id)
 
 
-def nothing_early(call: HttpCall) -> Refusal | None:
+def nothing_early(call: HttpCall) -> Rejection | None:
     """No request is refused from its head."""
     return None
 
--- a/tuliptrack/node/grpc_engine_client.py
+++ b/tuliptrack/node/grpc_engine_client.py
@@ -21,7 +21,7 @@
 from tuliptrack.node.port import AttemptResult
 from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
 from tuliptrack.proto import engine_pb2, generation_pb2
-from tuliptrack.rpc.channel import ClientCall, End, How
+from tuliptrack.rpc.channel import ClientCall, End, EndReason
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.status import Code
 
@@ -39,7 +39,7 @@
 """Maximum time that a release takes to reach its engine, even on a busy machine."""
 
 _FINISH_REASONS = {generation_pb2.STOP: FinishReason.STOP, generation_pb2.LENGTH: FinishReason.LENGTH}
-_END_BY_STATUS = {io.Status.TIMEOUT: How.TIMEOUT, io.Status.RESET: How.RESET}
+_END_BY_STATUS = {io.Status.TIMEOUT: EndReason.TIMEOUT, io.Status.RESET: EndReason.RESET}
 
 
 class GrpcCall:
@@ -52,7 +52,7 @@
 
     def cancel(self, status: io.Status) -> None:
         """Cancel the call; its end is reported as `status`."""
-        self.call.cancel(_END_BY_STATUS.get(status, How.CANCELLED))
+        self.call.cancel(_END_BY_STATUS.get(status, EndReason.CANCELLED))
 
     def delivery(self) -> Delivery:
         """Return what the connection knows about the delivery of the request."""
@@ -129,9 +129,9 @@
             end.status.message,
             is_state_lost,
             load_report_of(end, attempt.endpoint_id),
-            is_confirmed=end.how is How.STATUS,
+            is_confirmed=end.how is EndReason.STATUS,
             detail=end,
-            is_connection_only=end.lone,
+            is_connection_only=end.is_connection_only,
         )
         self.core.attempt_ended(record, attempt, result)
 
@@ -191,7 +191,7 @@
         timeout_us, *more_timeouts_us = timeouts_us
 
         def handle_end(end: End) -> None:
-            if more_timeouts_us and end.how in (How.RESET, How.TIMEOUT):
+            if more_timeouts_us and end.how in (EndReason.RESET, EndReason.TIMEOUT):
                 self._release(endpoint_id, record, tuple(more_timeouts_us))
 
         request = engine_pb2.ReleaseRequest(request_id=record.name)
--- a/tuliptrack/node/grpc_outcome.py
+++ b/tuliptrack/node/grpc_outcome.py
@@ -10,7 +10,7 @@
 
 from tuliptrack.config.node import REPORT_FIELDS
 from tuliptrack.interface import Status
-from tuliptrack.rpc.channel import End, How
+from tuliptrack.rpc.channel import End, EndReason
 from tuliptrack.rpc.status import Code
 
 __all__ = ["LOAD_REPORT_TRAILER", "load_report_of", "status_of"]
@@ -32,11 +32,11 @@
 
 def status_of(end: End) -> Status:
     """Return the status of a call; one that the engine did not process counts as a failed connection."""
-    if end.how is How.CONNECT or (end.unprocessed and end.how is How.RESET):
+    if end.how is EndReason.CONNECT or (end.unprocessed and end.how is EndReason.RESET):
         return Status.CONNECT_FAILED
-    if end.how is How.STATUS:
+    if end.how is EndReason.STATUS:
         return _STATUS_BY_CODE.get(end.status.code, Status.ERROR)
-    return {How.RESET: Status.RESET, How.TIMEOUT: Status.TIMEOUT}.get(end.how, Status.CANCELLED)
+    return {EndReason.RESET: Status.RESET, EndReason.TIMEOUT: Status.TIMEOUT}.get(end.how, Status.CANCELLED)
 
 
 def load_report_of(end: End, endpoint_id: int) -> tuple[float, ...]:
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -103,7 +103,7 @@
         limits = self.config.limits
         self.bodies = ByteBudget(limits.body_bytes)
         self.server = Server(_server_limits(limits), limits.connections, self.bodies)
-        self.server.outlook = self.overload
+        self.server.overload_check = self.overload
         listeners = [create(self, self.config, self.bodies) for create in LISTENERS]
         self.listeners = [listener for listener in listeners if listener]
         self.health: health.HealthService
@@ -167,7 +167,7 @@
         """
         self.health.set(False)
         grace_s = self.config.shutdown_grace / 1e6 if grace is None else grace
-        self.server.on_cut = self.conclude_open_requests
+        self.server.on_grace_over = self.conclude_open_requests
         self.stopping = True
         listeners = (listener.stop(grace_s) for listener in self.listeners)
         await asyncio.gather(self.server.stop(grace_s), *listeners)
--- a/tuliptrack/node/transfer_accounting.py
+++ b/tuliptrack/node/transfer_accounting.py
@@ -16,7 +16,7 @@
 from tuliptrack.node.grpc_engine_client import ENGINE_SERVICE_PATH, GrpcCall
 from tuliptrack.node.requests import Attempt, RequestRecord
 from tuliptrack.proto import engine_pb2
-from tuliptrack.rpc.channel import End, How
+from tuliptrack.rpc.channel import End, EndReason
 from tuliptrack.rpc.status import Code
 
 __all__ = ["TransferAccounting"]
@@ -108,7 +108,7 @@
         reported = next((value for key, value in end.metadata if key == STATE_BYTES_TRAILER), "")
         if isinstance(reported, str) and reported.isdigit():
             _book_state(record, attempt, int(reported))
-        elif end.how is not How.CONNECT:
+        elif end.how is not EndReason.CONNECT:
             self._ask_prefill_engine(record, attempt, state)
 
     def _ask_prefill_engine(self, record: RequestRecord, attempt: Attempt, state: Transfer) -> None:
--- a/tuliptrack/relay/agent_polls.py
+++ b/tuliptrack/relay/agent_polls.py
@@ -33,8 +33,8 @@
 
 from tuliptrack.relay.endpoint_entries import InvalidEndpointListError
 from tuliptrack.rpc.http1_client import ClientOptions
-from tuliptrack.rpc.http1_exchange import Exchange, How
-from tuliptrack.rpc.http1_pool import Connections, Pool
+from tuliptrack.rpc.http1_exchange import Exchange, ExchangeOutcome
+from tuliptrack.rpc.http1_pool import ConnectionBudget, Pool
 from tuliptrack.rpc.json_text import InvalidJsonError, parse_json
 
 __all__ = ["MAX_POLLS_PER_AGENT", "AgentPolls", "FaultHandler", "ListHandler"]
@@ -76,7 +76,7 @@
     started_at: float
     last_received_at: float
     body: list[bytes] = field(default_factory=list)
-    outcome: How = How.GIVEN_UP
+    outcome: ExchangeOutcome = ExchangeOutcome.CANCELLED
     failure: str = ""
 
     def message(self) -> Any:
@@ -86,7 +86,7 @@
             OSError: The poll failed, or was answered by another status than 200.
             InvalidJsonError: The answer is not JSON.
         """
-        if self.outcome is not How.ANSWER:
+        if self.outcome is not ExchangeOutcome.ANSWER:
             raise OSError(self.failure)
         if self.exchange.status != _HTTP_OK:
             raise OSError(f"answered {self.exchange.status}")
@@ -148,7 +148,7 @@
         pool = Pool(
             self.address,
             ClientOptions(connect_timeout=int(MAX_POLL_S * 1e6), rest=0, body_bytes=MAX_BODY_BYTES),
-            Connections(MAX_POLLS_PER_AGENT),
+            ConnectionBudget(MAX_POLLS_PER_AGENT),
         )
         self._next_poll_at = self._loop.time()
         try:
@@ -191,7 +191,7 @@
             poll.body.append(part)
             poll.last_received_at = self._loop.time()
 
-        def record_end(outcome: How, failure: str) -> None:
+        def record_end(outcome: ExchangeOutcome, failure: str) -> None:
             if poll in self._open_polls:
                 self._open_polls.remove(poll)
                 poll.outcome, poll.failure = outcome, failure
--- a/tuliptrack/relay/corroboration.py
+++ b/tuliptrack/relay/corroboration.py
@@ -23,7 +23,7 @@
 
 from tuliptrack.relay.engine_pools import EnginePools
 from tuliptrack.rpc.http1_client import ClientConnection
-from tuliptrack.rpc.http1_exchange import Exchange, How
+from tuliptrack.rpc.http1_exchange import Exchange, ExchangeOutcome
 from tuliptrack.rpc.http1_pool import Pool
 
 __all__ = ["Corroboration"]
@@ -79,8 +79,8 @@
         exchange = self._exchange
         return (
             exchange.sent
-            and exchange.proven_since > 0
-            and exchange.sent_at - exchange.proven_since <= MAX_PROBE_AGE_S
+            and exchange.probe_sent_at > 0
+            and exchange.sent_at - exchange.probe_sent_at <= MAX_PROBE_AGE_S
         )
 
     def _has_other_connection_received(self) -> bool:
@@ -96,26 +96,28 @@
         """Return the connections to another engine that were open before the attempt's was probed."""
         if pool is self._pool:
             return []
-        return [connection for connection in pool.links if connection.opened_at < self._exchange.proven_since]
+        return [
+            connection for connection in pool.links if connection.opened_at < self._exchange.probe_sent_at
+        ]
 
     def _other_pool_to_probe(self) -> Pool | None:
         """Return the pool to probe: with an older idle connection to another engine, heard from last."""
         pools = [
             pool
             for pool in self._pools.all()
-            if pool.has_spare()
+            if pool.has_idle_connection()
             and any(connection in pool.idle for connection in self._older_connections(pool))
         ]
         return max(pools, key=lambda pool: pool.heard_at, default=None)
 
     def _probe(self, pool: Pool, handle_answer: Callable[[], None]) -> None:
-        probe = pool.make_question(pool.address)
+        probe = pool.make_probe(pool.address)
         if probe is None:
             return
 
-        def handle_end(outcome: How, _failure: str) -> None:
+        def handle_end(outcome: ExchangeOutcome, _failure: str) -> None:
             self._probes.discard(probe)
-            if outcome is How.ANSWER:
+            if outcome is ExchangeOutcome.ANSWER:
                 handle_answer()
 
         probe.on_end = handle_end
--- a/tuliptrack/relay/engine_client.py
+++ b/tuliptrack/relay/engine_client.py
@@ -45,7 +45,7 @@
         self._report_names = report_names
         self._served_call_id = ""
         """Call id of a served request: nothing is reserved for it, so its release has no effect."""
-        pools.make_question = self._make_probe
+        pools.make_probe = self._make_probe
 
     def record_served(self, record: RequestRecord) -> None:
         """Note that a request has been served and is over."""
@@ -61,7 +61,7 @@
         pool = self.pools.get_or_create(attempt.endpoint_id)
         assert pool
         exchange = Exchange(forwarded.method, forwarded.target, [], forwarded.body)
-        exchange.validated, exchange.connect_by = True, attempt.connect_by_us
+        exchange.needs_validation, exchange.connect_by = True, attempt.connect_by_us
         deadline_us, address = self.core.now() + timeout_us, pool.address
 
         def set_fields() -> None:
@@ -75,7 +75,7 @@
             ]
 
         exchange.before_write = set_fields
-        exchange.wanted = lambda: self.core.may_still_begin(record, attempt.endpoint_id)
+        exchange.is_still_wanted = lambda: self.core.may_still_begin(record, attempt.endpoint_id)
         corroboration = Corroboration(self.pools, pool, exchange)
         call = HttpAttempt(self.core, record, attempt, exchange, corroboration, self._report_names)
         pool.send(exchange)
--- a/tuliptrack/relay/engine_pools.py
+++ b/tuliptrack/relay/engine_pools.py
@@ -7,17 +7,17 @@
 
 from tuliptrack.rpc.http1_client import ClientOptions
 from tuliptrack.rpc.http1_exchange import Exchange
-from tuliptrack.rpc.http1_pool import Connections, Pool, no_question
+from tuliptrack.rpc.http1_pool import ConnectionBudget, Pool, no_probe
 
 __all__ = ["EnginePools"]
 
 
 class EnginePools:
-    """The pools by `endpoint_id`. `Connections` bounds the connections of all pools together."""
+    """The pools by `endpoint_id`. `ConnectionBudget` bounds the connections of all pools together."""
 
-    def __init__(self, options: ClientOptions, connections: Connections) -> None:
+    def __init__(self, options: ClientOptions, connections: ConnectionBudget) -> None:
         self.options, self.connections = options, connections
-        self.make_question: Callable[[str], Exchange | None] = no_question
+        self.make_probe: Callable[[str], Exchange | None] = no_probe
         """Makes a request without effect that shows whether a connection works; see `Pool`."""
         self.addresses: dict[int, str] = {}
         """host:port of the listed endpoints."""
@@ -38,8 +38,8 @@
         """Return the pool of an endpoint; None if the list states no address."""
         pool = self._pools.get(endpoint_id)
         if pool is None and (address := self.addresses.get(endpoint_id)):
-            # `make_question` is looked up at each use, since it may be set after the first pools are created.
-            pool = Pool(address, self.options, self.connections, lambda to: self.make_question(to))
+            # `make_probe` is looked up at each use, since it may be set after the first pools are created.
+            pool = Pool(address, self.options, self.connections, lambda to: self.make_probe(to))
             self._pools[endpoint_id] = pool
         return pool
 
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -13,7 +13,7 @@
 from tuliptrack.node.core import Core
 from tuliptrack.relay.request_parser import check_body, parse_call_id, parse_request
 from tuliptrack.rpc.h1 import Fields
-from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Refusal
+from tuliptrack.rpc.http1 import HttpCall, HttpLimits, HttpServer, Rejection
 
 __all__ = ["Front"]
 
@@ -110,7 +110,7 @@
         """The writers of open requests by call id."""
         self.is_ready = False
 
-    def _reject_early(self, call: HttpCall) -> Refusal | None:
+    def _reject_early(self, call: HttpCall) -> Rejection | None:
         """Return the rejection of a request under overload, known before its body has arrived; else None."""
         # A stopping node closes the connection after its answer. If the client were still sending, the close
         # would overtake the answer and the client would see a reset connection. So while the node stops, the
@@ -121,7 +121,7 @@
         if not reason:
             return None
         headers = tuple(_retry_after(wait_us / 1e6)) if wait_us else ()
-        return Refusal(_SERVICE_UNAVAILABLE, rejection_text(reason), headers)
+        return Rejection(_SERVICE_UNAVAILABLE, rejection_text(reason), headers)
 
     def _handle(self, call: HttpCall) -> None:
         if call.target in (_READY_PATH, _HEALTH_PATH):
@@ -173,7 +173,7 @@
             writer.close()
             handle.disconnected(reason)
 
-        call.on_gone, call.on_writable = handle_disconnect, handle.writable
+        call.on_cancelled, call.on_writable = handle_disconnect, handle.writable
 
 
 def _answer_wrong_method(call: HttpCall) -> None:
--- a/tuliptrack/relay/http_attempt.py
+++ b/tuliptrack/relay/http_attempt.py
@@ -26,8 +26,8 @@
 )
 from tuliptrack.relay.forwarded_request import ForwardedRequest
 from tuliptrack.relay.load_reports import REPORT_FIELD, parse_load_report
-from tuliptrack.rpc.h1 import Answer
-from tuliptrack.rpc.http1_exchange import Exchange, How
+from tuliptrack.rpc.h1 import ResponseHead
+from tuliptrack.rpc.http1_exchange import Exchange, ExchangeOutcome
 from tuliptrack.rpc.json_text import parse_json
 
 __all__ = ["HttpAttempt"]
@@ -42,9 +42,9 @@
 _AT_CAPACITY_STATUSES = (503, 504)
 _INVALID_REQUEST_STATUSES = range(400, 500)
 _STATUS_BY_OUTCOME = {
-    How.CONNECT: Status.CONNECT_FAILED,
-    How.NO_ROOM: Status.ABANDONED,
-    How.RESET: Status.RESET,
+    ExchangeOutcome.CONNECT: Status.CONNECT_FAILED,
+    ExchangeOutcome.RESOURCE_EXHAUSTED: Status.ABANDONED,
+    ExchangeOutcome.RESET: Status.RESET,
 }
 
 
@@ -126,7 +126,7 @@
     def _load_report(self) -> tuple[float, ...]:
         return self._stream.load_report or self._head_load_report
 
-    def _handle_head(self, head: Answer) -> None:
+    def _handle_head(self, head: ResponseHead) -> None:
         for name, value in head.fields:
             if name == REPORT_FIELD:
                 self._head_load_report = parse_load_report(value, self._report_names)
@@ -157,7 +157,7 @@
     def _fail(self, reason: str) -> None:
         """Cancel the attempt, whose answer is malformed."""
         log.warning("engine fault", request=self._record.id, server=self._attempt.endpoint_id, reason=reason)
-        self.exchange.spoilt = True
+        self.exchange.is_malformed = True
         self.cancel(Status.RESET)
 
     def _record_usage(self, usage: StreamUsage) -> None:
@@ -166,18 +166,18 @@
         if usage.output_tokens is not None:
             self._record.next_index = usage.output_tokens
 
-    def _handle_end(self, outcome: How, failure: str) -> None:
+    def _handle_end(self, outcome: ExchangeOutcome, failure: str) -> None:
         self._corroboration.close()
         if self._report_names and self._stream.ignored_reports:
             self._core.counters.add("load_reports_ignored", self._stream.ignored_reports)
         self._core.attempt_ended(self._record, self._attempt, self._result(outcome, failure))
 
-    def _result(self, outcome: How, failure: str) -> AttemptResult:
-        if outcome is How.GIVEN_UP and not self.exchange.sent:
+    def _result(self, outcome: ExchangeOutcome, failure: str) -> AttemptResult:
+        if outcome is ExchangeOutcome.CANCELLED and not self.exchange.sent:
             return self._unsent_result()
-        if outcome is How.GIVEN_UP:
+        if outcome is ExchangeOutcome.CANCELLED:
             return self._broken_result(self._status_if_cancelled, "given up")
-        if outcome is not How.ANSWER:
+        if outcome is not ExchangeOutcome.ANSWER:
             return self._broken_result(_STATUS_BY_OUTCOME[outcome], failure)
         return self._answer_result()
 
@@ -199,9 +199,9 @@
             status,
             reason,
             # The engine has run an attempt whose stream is malformed: the KV state that it used is gone.
-            is_state_lost=exchange.spoilt and not self._attempt.is_prefill,
+            is_state_lost=exchange.is_malformed and not self._attempt.is_prefill,
             load_report=self._load_report,
-            is_connection_only=exchange.spoilt or exchange.lone,
+            is_connection_only=exchange.is_malformed or exchange.is_connection_only,
             is_confirmed=exchange.heard,
             is_corroborated=self._corroboration.is_corroborated(),
         )
@@ -225,7 +225,7 @@
 
     def _stream_result(self) -> AttemptResult:
         if not self._stream.is_complete:
-            self.exchange.spoilt = True
+            self.exchange.is_malformed = True
             return self._broken_result(Status.RESET, "incomplete event stream")
         self._record.finish_reason = FinishReason.STOP
         return self._confirmed_result(Status.OK)
--- a/tuliptrack/relay/kv_state_releases.py
+++ b/tuliptrack/relay/kv_state_releases.py
@@ -28,7 +28,7 @@
 
 from tuliptrack.node.counters import Counters
 from tuliptrack.relay.engine_pools import EnginePools
-from tuliptrack.rpc.http1_exchange import Exchange, How
+from tuliptrack.rpc.http1_exchange import Exchange, ExchangeOutcome
 
 __all__ = [
     "ABANDONED_AFTER_S",
@@ -66,9 +66,9 @@
     return Exchange("DELETE", _PATH + call_id, [("host", address)])
 
 
-def is_confirmed(exchange: Exchange, outcome: How) -> bool:
+def is_confirmed(exchange: Exchange, outcome: ExchangeOutcome) -> bool:
     """Return whether a release request that has ended was confirmed by its engine."""
-    return outcome is How.ANSWER and exchange.status in _SUCCESS_STATUSES
+    return outcome is ExchangeOutcome.ANSWER and exchange.status in _SUCCESS_STATUSES
 
 
 def allowed_seconds(release_within_us: int) -> float:
@@ -213,14 +213,14 @@
         pool = self._pools.get(endpoint_id)
         if pool is None:
             return True, False, 0.0, random.random()
-        return not pool.doubted, pool.has_spare(), pool.heard_at, random.random()
+        return not pool.doubted, pool.has_idle_connection(), pool.heard_at, random.random()
 
     def _send_to(self, release: _Release, endpoint_id: int, use_new_connection: bool) -> None:
         pool = self._pools.get_or_create(endpoint_id)
         if pool is None:
             return
         exchange = release_request(release.call_id, pool.address)
-        exchange.fresh = use_new_connection
+        exchange.needs_new_connection = use_new_connection
         exchange.on_end = lambda outcome, _failure: self._exchange_ended(release, exchange, outcome)
         release.exchanges.append(exchange)
         release.contacted.add(endpoint_id)
@@ -228,7 +228,7 @@
         self._open_exchanges[exchange] = loop.call_later(self._allowed_s, exchange.cancel)
         pool.send(exchange)
 
-    def _exchange_ended(self, release: _Release, exchange: Exchange, outcome: How) -> None:
+    def _exchange_ended(self, release: _Release, exchange: Exchange, outcome: ExchangeOutcome) -> None:
         self._open_exchanges.pop(exchange).cancel()
         # An exchange that is no longer in the list was started before the release was confirmed or ended.
         if exchange in release.exchanges:
--- a/tuliptrack/relay/late_releases.py
+++ b/tuliptrack/relay/late_releases.py
@@ -23,7 +23,7 @@
     is_confirmed,
     release_request,
 )
-from tuliptrack.rpc.http1_exchange import Exchange, How
+from tuliptrack.rpc.http1_exchange import Exchange, ExchangeOutcome
 
 __all__ = ["LateReleases"]
 
@@ -131,12 +131,14 @@
         pool = self._pools.get_or_create(endpoint_id)
         assert pool
         exchange = queue.open_try = release_request(release.call_id, pool.address)
-        exchange.fresh = release.has_failed
+        exchange.needs_new_connection = release.has_failed
         exchange.on_end = lambda outcome, _failure: self._try_ended(endpoint_id, queue, release, outcome)
         queue.timer = asyncio.get_running_loop().call_later(self._pause_s, exchange.cancel)
         pool.send(exchange)
 
-    def _try_ended(self, endpoint_id: int, queue: _EngineQueue, release: _LateRelease, outcome: How) -> None:
+    def _try_ended(
+        self, endpoint_id: int, queue: _EngineQueue, release: _LateRelease, outcome: ExchangeOutcome
+    ) -> None:
         exchange = queue.open_try
         if queue.timer:
             queue.timer.cancel()
--- a/tuliptrack/relay/node.py
+++ b/tuliptrack/relay/node.py
@@ -28,7 +28,7 @@
 from tuliptrack.relay.settings_reload import SettingsReload
 from tuliptrack.rpc.http1 import HttpLimits
 from tuliptrack.rpc.http1_client import ClientOptions
-from tuliptrack.rpc.http1_pool import Connections
+from tuliptrack.rpc.http1_pool import ConnectionBudget
 from tuliptrack.rpc.listener import ACCEPTED_AT_ONCE
 from tuliptrack.rpc.periodic import run_periodically
 from tuliptrack.rpc.retry import retry_async
@@ -276,7 +276,7 @@
         idle=max(idle_timeout_us - IDLE_MARGIN_US, idle_timeout_us // 2),
         body_bytes=MAX_BODY_BYTES,
     )
-    return EnginePools(options, Connections(max_connections))
+    return EnginePools(options, ConnectionBudget(max_connections))
 
 
 def _client_limits(max_connections: int) -> HttpLimits:
--- a/tuliptrack/relay/request_parser.py
+++ b/tuliptrack/relay/request_parser.py
@@ -108,7 +108,7 @@
         first_token_deadline_us=_parse_budget(headers.get("x-budget")),
         is_resumed=repeat == "again",
         call_id=call_id,
-        is_disconnected=call.left,
+        is_disconnected=call.has_disconnected,
         payload=ForwardedRequest(call.method, call.target, call.body, _forwarded_fields(call.fields)),
     )
 
--- a/tuliptrack/rpc/channel.py
+++ b/tuliptrack/rpc/channel.py
@@ -30,12 +30,12 @@
 from tuliptrack.rpc.link import Link
 from tuliptrack.rpc.status import Code, Metadata, Status
 
-__all__ = ["Channel", "ClientCall", "End", "How", "Options"]
+__all__ = ["Channel", "ClientCall", "End", "EndReason", "Options"]
 
 log = structlog.get_logger("rpc.channel")
 
 
-class How(Enum):
+class EndReason(Enum):
     """What ended a call."""
 
     STATUS = "status"
@@ -54,11 +54,11 @@
 class End:
     """How a call ended. `unprocessed`: the peer has certainly not processed it."""
 
-    how: How
+    how: EndReason
     status: Status
     metadata: Metadata = ()
     unprocessed: bool = False
-    lone: bool = False
+    is_connection_only: bool = False
     """The failure concerns its connection, not the peer: a newer connection works."""
 
 
@@ -151,13 +151,13 @@
             self.link.core.half_close(self.stream)
             self.link.flush_soon()
 
-    def cancel(self, how: How = How.CANCELLED) -> None:
+    def cancel(self, how: EndReason = EndReason.CANCELLED) -> None:
         """End the call; `on_end` is called synchronously, unless it has been."""
         if self.open:
             if self.link:
                 self.link.core.reset(self.stream)
                 self.link.flush_soon()
-            code = Code.DEADLINE_EXCEEDED if how is How.TIMEOUT else Code.CANCELLED
+            code = Code.DEADLINE_EXCEEDED if how is EndReason.TIMEOUT else Code.CANCELLED
             self.ended(End(how, Status(code, how.value), unprocessed=self.link is None))
 
     def pause(self) -> None:
@@ -187,7 +187,7 @@
 
     def start_timer(self, loop: asyncio.AbstractEventLoop) -> None:
         if self.timeout is not None:
-            self._timer = loop.call_later(self.timeout / 1e6, self.cancel, How.TIMEOUT)
+            self._timer = loop.call_later(self.timeout / 1e6, self.cancel, EndReason.TIMEOUT)
 
     def limit_connect(self, loop: asyncio.AbstractEventLoop, within: int) -> None:
         """End the call if no connection has taken it within so many microseconds."""
@@ -197,7 +197,7 @@
         if self.link is None:
             self.ended(
                 End(
-                    How.CONNECT,
+                    EndReason.CONNECT,
                     Status(Code.UNAVAILABLE, "connect: not in the call's time for it"),
                     unprocessed=True,
                 )
@@ -227,7 +227,7 @@
         try:
             call.stream = self.core.start(call.method, call.metadata, call.timeout, call.compress)
         except ValueError as error:
-            call.ended(End(How.STATUS, Status(Code.INTERNAL, str(error)), unprocessed=True))
+            call.ended(End(EndReason.STATUS, Status(Code.INTERNAL, str(error)), unprocessed=True))
             return
         call.link = self
         call.traffic = self.core.traffic(call.stream)
@@ -276,7 +276,7 @@
                 call.on_message(event.data)
         elif isinstance(event, CallEnded):
             if call := self.calls.get(event.stream):
-                how = How.RESET if event.reset else How.STATUS
+                how = EndReason.RESET if event.reset else EndReason.STATUS
                 call.ended(End(how, event.status, event.metadata, event.unprocessed, self.outlived))
         elif isinstance(event, CallHeaders):
             if call := self.calls.get(event.stream):
@@ -377,7 +377,7 @@
         elif len(self.waiting) >= self.options.max_waiting or self._closed:
             why = "closed" if self._closed else f"{len(self.waiting)} calls wait for a connection"
             loop.call_soon(
-                call.ended, End(How.CONNECT, Status(Code.RESOURCE_EXHAUSTED, why), unprocessed=True)
+                call.ended, End(EndReason.CONNECT, Status(Code.RESOURCE_EXHAUSTED, why), unprocessed=True)
             )
         else:
             self.waiting.append(call)
@@ -413,7 +413,9 @@
             failed = list(self.waiting)
             self.waiting.clear()
             for call in failed:
-                call.ended(End(How.CONNECT, Status(Code.UNAVAILABLE, f"connect: {reason}"), unprocessed=True))
+                call.ended(
+                    End(EndReason.CONNECT, Status(Code.UNAVAILABLE, f"connect: {reason}"), unprocessed=True)
+                )
             return
         link = _ClientLink(self, reader, writer)
         self.links.append(link)
--- a/tuliptrack/rpc/core.py
+++ b/tuliptrack/rpc/core.py
@@ -54,7 +54,7 @@
     encode_timeout,
     from_http,
     from_reset,
-    refusal_details,
+    rejection_details,
     with_details,
 )
 
@@ -375,7 +375,7 @@
                         raise _Fault(
                             Code.UNAVAILABLE,
                             rejection_text(BODIES_FULL),
-                            *refusal_details("REFUSED", _BODIES_RETRY_AFTER_US, reason="bodies"),
+                            *rejection_details("REFUSED", _BODIES_RETRY_AFTER_US, reason="bodies"),
                         )
                     call.reserved = size
                 break
--- a/tuliptrack/rpc/h1.py
+++ b/tuliptrack/rpc/h1.py
@@ -12,7 +12,6 @@
 import h11
 
 __all__ = [
-    "Answer",
     "BodyPart",
     "ClientSide",
     "Fields",
@@ -20,6 +19,7 @@
     "RequestBody",
     "RequestHead",
     "ResponseEnd",
+    "ResponseHead",
     "ServerSide",
 ]
 
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ResponseHead:
     """The head of an answer."""
 
     status: int
@@ -223,7 +223,7 @@
         if not self.http.trailing_data[1]:
             self.http.receive_data(data)
 
-    def next(self) -> Answer | BodyPart | ResponseEnd | None:
+    def next(self) -> ResponseHead | BodyPart | ResponseEnd | None:
         """Return the next event; None if more bytes are needed. Raise `ProtocolError` if malformed."""
         try:
             while True:
@@ -241,7 +241,7 @@
             content_length = next((value for name, value in fields if name == "content-length"), "0")
             if int(content_length) > self.body_bytes:
                 raise ProtocolError(502, f"answer: {content_length} bytes, {self.body_bytes} allowed")
-            return Answer(event.status_code, fields)
+            return ResponseHead(event.status_code, fields)
         if isinstance(event, h11.Data):
             self._size += len(event.data)
             if self._size > self.body_bytes:
--- a/tuliptrack/rpc/http1.py
+++ b/tuliptrack/rpc/http1.py
@@ -41,7 +41,7 @@
 from tuliptrack.rpc.listener import Listener
 from tuliptrack.rpc.tcp import has_unread, is_closed_by_peer, set_nodelay
 
-__all__ = ["HttpCall", "HttpLimits", "HttpServer", "Refusal"]
+__all__ = ["HttpCall", "HttpLimits", "HttpServer", "Rejection"]
 
 log = structlog.get_logger("rpc.http1")
 _SEND_BUFFER = 65_536  # kernel send buffer per connection, which a slow reader can fill
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class Rejection:
     """An error answer that is sent before the body is read."""
 
     status: int
@@ -75,7 +75,7 @@
     headers: tuple[tuple[str, str], ...] = ()
 
 
-_BODY_BUDGET_FULL = Refusal(503, rejection_text(BODIES_FULL), (("retry-after", "1"),))
+_BODY_BUDGET_FULL = Rejection(503, rejection_text(BODIES_FULL), (("retry-after", "1"),))
 
 
 def _noop(*_: Any) -> None:
@@ -83,7 +83,7 @@
 
 
 class HttpCall:
-    """One request and its answer. It ends once, by `respond`, `end` or `abort`, or by calling `on_gone`."""
+    """One request and its answer. It ends once, by `respond`, `end` or `abort`, or by calling `on_cancelled`."""
 
     __slots__ = (
         "_link",
@@ -91,7 +91,7 @@
         "fields",
         "headers",
         "method",
-        "on_gone",
+        "on_cancelled",
         "on_writable",
         "open",
         "started",
@@ -104,7 +104,7 @@
         self.headers = dict(fields)
         self.body = b""
         self.open, self.started = True, False
-        self.on_gone: Callable[[str], None] = _noop
+        self.on_cancelled: Callable[[str], None] = _noop
         self.on_writable: Callable[[], None] = _noop
 
     @property
@@ -150,9 +150,9 @@
     def cancel(self, reason: str) -> None:
         if self.open:
             self.open = False
-            self.on_gone(reason)
+            self.on_cancelled(reason)
 
-    def left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed or reset the connection, even if the loop has not read that yet."""
         return self.open and (self._link.transport.is_closing() or is_closed_by_peer(self._link.transport))
 
@@ -256,7 +256,7 @@
             while self.call is None and not self.closing and self._requests_left and self._step():
                 pass
         except ProtocolError as error:
-            self.reject(Refusal(error.status, error.reason))
+            self.reject(Rejection(error.status, error.reason))
         finally:
             self._advancing = False
         if self.call is None and (
@@ -294,11 +294,11 @@
 
     def _head(self, head: RequestHead) -> bool:
         call = HttpCall(self, head.method, head.target, head.fields)
-        refusal = self.server.reject_early(call)
-        if refusal is None and head.content_length and not self._reserve_body(head.content_length):
-            refusal = _BODY_BUDGET_FULL
-        if refusal:
-            self.reject(refusal)
+        rejection = self.server.reject_early(call)
+        if rejection is None and head.content_length and not self._reserve_body(head.content_length):
+            rejection = _BODY_BUDGET_FULL
+        if rejection:
+            self.reject(rejection)
             return False
         if self.side.wants_continue():
             self.transport.write(self.side.send_continue())
@@ -396,19 +396,19 @@
         self.call = None
         self.close_gracefully()
 
-    def reject(self, refusal: Refusal) -> None:
+    def reject(self, rejection: Rejection) -> None:
         """Answer before the request is read completely, and close."""
         self.closing = True
         self.release_body()
         if self.side.can_respond():
-            body = json.dumps({"error": refusal.error}).encode()
+            body = json.dumps({"error": rejection.error}).encode()
             self._write(
                 self._response_head(
-                    refusal.status,
+                    rejection.status,
                     [
                         ("content-type", "application/json"),
                         ("content-length", str(len(body))),
-                        *refusal.headers,
+                        *rejection.headers,
                     ],
                 )
             )
@@ -469,7 +469,7 @@
             return
         if self.side.is_mid_request:
             within = self.server.limits.request_within / 1e6
-            self.reject(Refusal(408, f"request: not sent whole within {within:g} s"))
+            self.reject(Rejection(408, f"request: not sent whole within {within:g} s"))
         else:
             self.close_gracefully()
 
@@ -482,7 +482,7 @@
     def __init__(
         self,
         handle: Callable[[HttpCall], None],
-        reject_early: Callable[[HttpCall], Refusal | None],
+        reject_early: Callable[[HttpCall], Rejection | None],
         limits: HttpLimits | None = None,
         bodies: ByteBudget | None = None,
     ) -> None:
@@ -582,7 +582,7 @@
             if not link.side.is_mid_request:
                 link.close_gracefully()
 
-    def cut_short(self) -> None:
+    def abort_connections(self) -> None:
         """Abort all connections, and the requests on them."""
         for link in list(self.links):
             if link.call:
@@ -603,7 +603,7 @@
                 await asyncio.wait_for(self._all_closed.wait(), grace)
             except TimeoutError:
                 pass
-        self.cut_short()
+        self.abort_connections()
         if self.links:
             self._all_closed.clear()
             await self._all_closed.wait()
--- a/tuliptrack/rpc/http1_client.py
+++ b/tuliptrack/rpc/http1_client.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from tuliptrack.rpc.h1 import Answer, BodyPart, ClientSide, ProtocolError, ResponseEnd
-from tuliptrack.rpc.http1_exchange import Exchange, How
+from tuliptrack.rpc.h1 import BodyPart, ClientSide, ProtocolError, ResponseEnd, ResponseHead
+from tuliptrack.rpc.http1_exchange import Exchange, ExchangeOutcome
 from tuliptrack.rpc.tcp import is_closed_by_peer, is_established, set_nodelay
 
 __all__ = ["ClientConnection", "ClientOptions", "Owner"]
@@ -90,7 +90,7 @@
         try:
             data = self.side.request(exchange.method, exchange.target, exchange.fields, exchange.body)
         except ValueError as error:
-            exchange.ended(How.NO_ROOM, f"can't be sent: {error}")
+            exchange.ended(ExchangeOutcome.RESOURCE_EXHAUSTED, f"can't be sent: {error}")
             self.owner.return_to_pool(self)
             return
         self.exchange, exchange.carrier = exchange, self
@@ -114,7 +114,7 @@
         self.side.receive(data)
         try:
             while exchange.open and (event := self.side.next()) is not None:
-                if isinstance(event, Answer):
+                if isinstance(event, ResponseHead):
                     exchange.status = event.status
                     exchange.on_head(event)
                 elif isinstance(event, BodyPart):
@@ -123,7 +123,7 @@
                     self._done(exchange)
                     return
         except ProtocolError as error:
-            exchange.spoilt = True
+            exchange.is_malformed = True
             self._broke(error.reason)
 
     def _done(self, exchange: Exchange) -> None:
@@ -132,7 +132,7 @@
             self.owner.return_to_pool(self)
         else:
             self.drop("can't be used again")
-        exchange.ended(How.ANSWER, "")
+        exchange.ended(ExchangeOutcome.ANSWER, "")
 
     def eof_received(self) -> bool:
         if self.exchange:  # An answer without a length ends with its connection.
@@ -147,8 +147,8 @@
         self.drop(reason)
         if exchange:
             unanswered = self._is_reused and not exchange.status
-            exchange.lone = unanswered or exchange.spoilt or self.owner.any_established()
-            exchange.ended(How.RESET if exchange.sent else How.CONNECT, reason)
+            exchange.is_connection_only = unanswered or exchange.is_malformed or self.owner.any_established()
+            exchange.ended(ExchangeOutcome.RESET if exchange.sent else ExchangeOutcome.CONNECT, reason)
 
     def is_established(self) -> bool:
         """Whether the kernel reports the connection as established; a very recent failure may not be seen."""
--- a/tuliptrack/rpc/http1_exchange.py
+++ b/tuliptrack/rpc/http1_exchange.py
@@ -9,12 +9,12 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from tuliptrack.rpc.h1 import Answer, Fields
+from tuliptrack.rpc.h1 import Fields, ResponseHead
 
-__all__ = ["Carrier", "Exchange", "How"]
+__all__ = ["Carrier", "Exchange", "ExchangeOutcome"]
 
 
-class How(Enum):
+class ExchangeOutcome(Enum):
     """What ended an exchange."""
 
     ANSWER = "answer"
@@ -22,12 +22,12 @@
     CONNECT = "connect"
     """There was no working connection in time, or it broke before the last byte of the request was written:
     the request was not processed."""
-    NO_ROOM = "no room"
+    RESOURCE_EXHAUSTED = "no room"
     """The limit on connections or a resource of this system is exhausted, the pool is closed, or the request
     can't be encoded: it was never sent."""
     RESET = "reset"
     """The connection ended, or the answer was malformed, after the request was written."""
-    GIVEN_UP = "given up"
+    CANCELLED = "given up"
     """By `Exchange.cancel`, or by the close of its pool."""
 
 
@@ -63,41 +63,41 @@
         "carrier",
         "connect_by",
         "fields",
-        "fresh",
         "heard",
-        "lone",
+        "is_connection_only",
+        "is_malformed",
+        "is_still_wanted",
         "method",
+        "needs_new_connection",
+        "needs_validation",
         "on_data",
         "on_end",
         "on_head",
         "open",
         "paused",
-        "proven_since",
+        "probe_sent_at",
         "sent",
         "sent_at",
-        "spoilt",
         "status",
         "target",
-        "validated",
-        "wanted",
     )
 
     def __init__(self, method: str, target: str, fields: Fields, body: bytes = b"") -> None:
         self.method, self.target, self.fields, self.body = method, target, fields, body
-        self.on_head: Callable[[Answer], None] = _noop
+        self.on_head: Callable[[ResponseHead], None] = _noop
         self.on_data: Callable[[bytes], None] = _noop
-        self.on_end: Callable[[How, str], None] = _noop
-        self.wanted: Callable[[], bool] = _always
+        self.on_end: Callable[[ExchangeOutcome, str], None] = _noop
+        self.is_still_wanted: Callable[[], bool] = _always
         """Called once there is a working connection, just before the request is sent; False: it is not
         sent."""
         self.before_write: Callable[[], None] = _noop
         """Called just before the request is encoded, so that headers can state the remaining time."""
-        self.validated = False
+        self.needs_validation = False
         """It is only sent on a connection that has just been shown to work: a pooled one is probed first."""
-        self.proven_since = 0.0
+        self.probe_sent_at = 0.0
         """When the probe was sent, on the loop's clock, that its connection answered before the request was
         sent on it; 0: there was none."""
-        self.fresh = False
+        self.needs_new_connection = False
         """It is sent on a new connection, whatever the pool holds."""
         self.open, self.status = True, 0
         self.sent, self.sent_at = False, 0.0
@@ -108,10 +108,10 @@
         self.connect_by = 0
         """Monotonic microseconds until which it waits for a connection; never longer than
         `ClientOptions.connect_timeout`, which alone applies if this is 0."""
-        self.spoilt = self.lone = False
-        """Of one that failed. `spoilt`: the answer was malformed.
+        self.is_malformed = self.is_connection_only = False
+        """Of one that failed. `is_malformed`: the answer was malformed.
 
-        `lone`: the failure concerns its own connection, not the peer. The connection was
+        `is_connection_only`: the failure concerns its own connection, not the peer. The connection was
         reused and had brought no answer, or the answer was malformed, or other connections to the address are
         established, or the time to connect was cut short, or this machine could not open a connection, or the
         exchange was no longer wanted."""
@@ -123,7 +123,7 @@
         if self.open:
             carrier = self.carrier
             self.doubt()
-            self.ended(How.GIVEN_UP, "given up")
+            self.ended(ExchangeOutcome.CANCELLED, "given up")
             if carrier:
                 carrier.drop("given up")
 
@@ -143,7 +143,7 @@
         if self.carrier:
             self.carrier.resume()
 
-    def ended(self, how: How, reason: str) -> None:
+    def ended(self, how: ExchangeOutcome, reason: str) -> None:
         """End it, once; called by its connection or its pool."""
         if self.open:
             self.open, self.carrier = False, None
--- a/tuliptrack/rpc/http1_pool.py
+++ b/tuliptrack/rpc/http1_pool.py
@@ -1,13 +1,13 @@
 """A pool of connections to one address, reused last in, first out.
 
 A pooled connection may have fallen silent without an error: a middlebox has dropped its state, or the peer's
-machine is unreachable. A request that asks for it (`Exchange.validated`) is therefore sent only after
+machine is unreachable. A request that asks for it (`Exchange.needs_validation`) is therefore sent only after
 its connection has answered a probe just before (validation on borrow). If a pooled connection does not answer
 the probe soon, a new one is opened in parallel, and the first that works is used. A new connection is probed
 too if the address is in doubt: an answer from it was overdue, and nothing was received from it since. A
 request that finds no working connection within the connect timeout was not processed.
 
-Bound: `Connections` counts the connections to all addresses. At its limit, an idle connection to any
+Bound: `ConnectionBudget` counts the connections to all addresses. At its limit, an idle connection to any
 address is closed for a new one; if none is idle, the exchange ends immediately, never sent.
 """
 
@@ -20,9 +20,9 @@
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.dial import dial
 from tuliptrack.rpc.http1_client import ClientConnection, ClientOptions
-from tuliptrack.rpc.http1_exchange import Exchange, How
+from tuliptrack.rpc.http1_exchange import Exchange, ExchangeOutcome
 
-__all__ = ["Connections", "Pool", "no_question"]
+__all__ = ["ConnectionBudget", "Pool", "no_probe"]
 
 _LOCAL_RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 """This process or machine lacks a resource; the errors say nothing about the peer."""
@@ -32,7 +32,7 @@
 _VALIDATION_SHARE = 0.2  # of the connect timeout: how long a pooled connection may take to answer a probe
 
 
-class Connections:
+class ConnectionBudget:
     """The limit on connections to all addresses together, and counters of them."""
 
     def __init__(self, limit: int) -> None:
@@ -97,11 +97,11 @@
         if self._local_error:
             self._not_opened(self._local_error)
         else:
-            self._fail(How.CONNECT, "no working connection in time", self._is_time_shortened)
+            self._fail(ExchangeOutcome.CONNECT, "no working connection in time", self._is_time_shortened)
 
     def _validate(self, connection: ClientConnection) -> None:
         """Send a probe, which has no effect, on a connection; without a probe, it is assumed to work."""
-        probe = self.pool.make_question(self.pool.address)
+        probe = self.pool.make_probe(self.pool.address)
         if probe is None:
             self._use(connection)
             return
@@ -118,16 +118,16 @@
         probe.doubt()
         self._connect()
 
-    def _validated(self, connection: ClientConnection, probe: Exchange, how: How) -> None:
+    def _validated(self, connection: ClientConnection, probe: Exchange, how: ExchangeOutcome) -> None:
         self._validations.pop(connection, None)
         if self.over:
             return
-        if how is How.ANSWER and connection in self.pool.idle:
+        if how is ExchangeOutcome.ANSWER and connection in self.pool.idle:
             self.pool.idle.remove(connection)
             self._use(connection, probe.sent_at)
         elif not self._validations and self._task is None:
             if self._connected:
-                self._fail(How.CONNECT, "the connection ended before it was used", True)
+                self._fail(ExchangeOutcome.CONNECT, "the connection ended before it was used", True)
             else:
                 self._connect()
 
@@ -136,7 +136,9 @@
             if not self._validations:
                 self.over = True
                 self.pool.loop.call_soon(
-                    self._end, How.NO_ROOM, f"{self.pool.connections.open_count} connections are open"
+                    self._end,
+                    ExchangeOutcome.RESOURCE_EXHAUSTED,
+                    f"{self.pool.connections.open_count} connections are open",
                 )
             return
         self._task = self.pool.loop.create_task(self._open())
@@ -155,7 +157,7 @@
             raise
         self._task, self._connected = None, True
         self.pool.opened(connection)
-        if self.over or not (self.exchange.validated and self.pool.doubted):
+        if self.over or not (self.exchange.needs_validation and self.pool.doubted):
             self._use(connection)
             return
         self._validate(connection)
@@ -193,34 +195,34 @@
         number = getattr(error, "errno", None)
         reason = f"connect: {error or 'timed out'}"
         if number in _LOCAL_RESOURCE_ERRORS:
-            self._fail(How.NO_ROOM, reason)
+            self._fail(ExchangeOutcome.RESOURCE_EXHAUSTED, reason)
         else:
             is_time_shortened = isinstance(error, TimeoutError) and self._is_time_shortened
-            self._fail(How.CONNECT, reason, is_time_shortened or number in _LOCAL_NETWORK_ERRORS)
+            self._fail(ExchangeOutcome.CONNECT, reason, is_time_shortened or number in _LOCAL_NETWORK_ERRORS)
 
-    def _use(self, connection: ClientConnection, proven_since: float = 0.0) -> None:
-        """Send the exchange on a working connection, unless it is no longer wanted. `proven_since`: see
+    def _use(self, connection: ClientConnection, probe_sent_at: float = 0.0) -> None:
+        """Send the exchange on a working connection, unless it is no longer wanted. `probe_sent_at`: see
         `Exchange`.
         """
         if self.over:
             self.pool.return_to_pool(connection)
             return
         exchange = self.exchange
-        exchange.proven_since = proven_since
+        exchange.probe_sent_at = probe_sent_at
         self._finish()
-        if exchange.open and exchange.wanted() and exchange.open:
+        if exchange.open and exchange.is_still_wanted() and exchange.open:
             connection.begin(exchange)
             return
-        exchange.lone = True
-        exchange.ended(How.CONNECT, "no longer wanted")
+        exchange.is_connection_only = True
+        exchange.ended(ExchangeOutcome.CONNECT, "no longer wanted")
         self.pool.return_to_pool(connection)
 
-    def _fail(self, how: How, reason: str, lone: bool = False) -> None:
+    def _fail(self, how: ExchangeOutcome, reason: str, is_connection_only: bool = False) -> None:
         if not self.over:
-            self.exchange.lone = lone
+            self.exchange.is_connection_only = is_connection_only
             self._end(how, reason)
 
-    def _end(self, how: How, reason: str) -> None:
+    def _end(self, how: ExchangeOutcome, reason: str) -> None:
         self._finish()
         self.exchange.ended(how, reason)
 
@@ -239,11 +241,11 @@
     def close(self) -> asyncio.Task[None] | None:
         """End the search and its exchange; return the task to await, if any."""
         task = self._task
-        self._end(How.GIVEN_UP, "closed")
+        self._end(ExchangeOutcome.CANCELLED, "closed")
         return task
 
 
-def no_question(address: str) -> Exchange | None:
+def no_probe(address: str) -> Exchange | None:
     """Return no probe: for peers to which every request has an effect."""
     return None
 
@@ -255,16 +257,16 @@
         self,
         address: str,
         options: ClientOptions,
-        connections: Connections,
-        make_question: Callable[[str], Exchange | None] = no_question,
+        connections: ConnectionBudget,
+        make_probe: Callable[[str], Exchange | None] = no_probe,
     ) -> None:
         """Create an empty pool.
 
-        `make_question` returns a probe: an exchange without any effect whose answer shows that a connection
+        `make_probe` returns a probe: an exchange without any effect whose answer shows that a connection
         works; None if there is none.
         """
         self.address, self.options, self.connections = address, options, connections
-        self.make_question = make_question
+        self.make_probe = make_probe
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.idle: list[ClientConnection] = []
         """Connections without an exchange, the last one used at the end."""
@@ -280,10 +282,10 @@
     def send(self, exchange: Exchange) -> None:
         """Start an exchange. `on_end` is never called synchronously from here."""
         if self._closed:
-            self.loop.call_soon(exchange.ended, How.NO_ROOM, "closed")
+            self.loop.call_soon(exchange.ended, ExchangeOutcome.RESOURCE_EXHAUSTED, "closed")
             return
-        pooled = None if exchange.fresh else self._take_idle()
-        if pooled and not exchange.validated:
+        pooled = None if exchange.needs_new_connection else self._take_idle()
+        if pooled and not exchange.needs_validation:
             pooled.begin(exchange)
             return
         borrow = _Borrow(self, exchange)
@@ -307,7 +309,7 @@
             None,
         )
 
-    def has_spare(self) -> bool:
+    def has_idle_connection(self) -> bool:
         """Whether an exchange could reuse an idle connection."""
         return self._reusable(self.loop.time()) is not None
 
@@ -366,6 +368,6 @@
             exchange_out = connection.exchange
             connection.drop("closed")
             if exchange_out:
-                exchange_out.ended(How.GIVEN_UP, "closed")
+                exchange_out.ended(ExchangeOutcome.CANCELLED, "closed")
         if tasks:
             await asyncio.wait(tasks)
--- a/tuliptrack/rpc/server.py
+++ b/tuliptrack/rpc/server.py
@@ -30,7 +30,7 @@
 )
 from tuliptrack.rpc.link import Link
 from tuliptrack.rpc.listener import Listener
-from tuliptrack.rpc.status import Code, Metadata, Status, refusal, refusal_details, with_details
+from tuliptrack.rpc.status import Code, Metadata, Status, rejection_details, rejection_status, with_details
 
 __all__ = ["Handler", "Server", "ServerCall", "unary_request"]
 
@@ -42,10 +42,10 @@
 
 
 class ServerCall:
-    """One call at the server. It ends once: by `end` or `reset`, or by a call of `on_gone`.
+    """One call at the server. It ends once: by `end` or `reset`, or by a call of `on_cancelled`.
 
     `deadline` is in monotonic microseconds, None if the client has set none. Then the server itself ends the
-    call with DEADLINE_EXCEEDED, and calls `on_gone`.
+    call with DEADLINE_EXCEEDED, and calls `on_cancelled`.
     """
 
     __slots__ = (
@@ -54,7 +54,7 @@
         "link",
         "metadata",
         "method",
-        "on_gone",
+        "on_cancelled",
         "on_half_close",
         "on_message",
         "on_writable",
@@ -70,7 +70,7 @@
         self.traffic = link.core.traffic(start.stream)
         self.on_message: Callable[[bytes], None] = _noop
         self.on_half_close: Callable[[], None] = _noop
-        self.on_gone: Callable[[str], None] = _noop
+        self.on_cancelled: Callable[[str], None] = _noop
         self.on_writable: Callable[[], None] = _noop
         self._timer = (
             None
@@ -114,7 +114,7 @@
     def _deadline_passed(self) -> None:
         if self.open:
             self.end(Status(Code.DEADLINE_EXCEEDED, "the client's deadline has passed"))
-            self.on_gone("deadline")
+            self.on_cancelled("deadline")
 
     def _mark_ended(self) -> None:
         self.open = False
@@ -127,7 +127,7 @@
     def cancel(self, reason: str) -> None:
         if self.open:
             self._mark_ended()
-            self.on_gone(reason)
+            self.on_cancelled(reason)
 
 
 Handler = Callable[[ServerCall], None]
@@ -218,14 +218,14 @@
             else:
                 reason = "this server is shutting down"
                 call.end(
-                    with_details(Code.UNAVAILABLE, reason, *refusal_details("REFUSED", 0, reason=reason))
+                    with_details(Code.UNAVAILABLE, reason, *rejection_details("REFUSED", 0, reason=reason))
                 )
             return
-        if event.method in self.server.early and self.server.outlook:
-            reason, wait = self.server.outlook()
+        if event.method in self.server.early and self.server.overload_check:
+            reason, wait = self.server.overload_check()
             if reason:
-                self.server.refused_early += 1
-                call.end(refusal(reason, wait))
+                self.server.rejected_early += 1
+                call.end(rejection_status(reason, wait))
                 return
         try:
             handler(call)
@@ -256,16 +256,16 @@
         self.links: dict[_ServerLink, asyncio.Task[None]] = {}
         self.stopping = False
         self.broken = 0
-        self.rejected_connections = self.refused_early = 0
+        self.rejected_connections = self.rejected_early = 0
         self._listener: Listener | None = None
         self._grace_cut = asyncio.Event()
         self.address = ""
-        self.on_cut: Callable[[], None] = _noop
+        self.on_grace_over: Callable[[], None] = _noop
         """Called by `stop` when the grace period is over, so that the application can end open calls
         itself."""
         self.gate: Callable[[asyncio.StreamWriter], Awaitable[bool]] | None = None
         """If set, awaited for each new connection; False rejects it."""
-        self.outlook: Callable[[], tuple[str, int]] | None = None
+        self.overload_check: Callable[[], tuple[str, int]] | None = None
         """If set, called when a call of a method added with `early` starts, before its body is read. Returns
         the reason to reject it, empty if there is none, and the microseconds after which to retry."""
         self.early: set[str] = set()
@@ -306,7 +306,7 @@
         finally:
             self.links.pop(link, None)
 
-    def cut_short(self) -> None:
+    def end_grace_period(self) -> None:
         """End the grace period of a running `stop`."""
         self._grace_cut.set()
 
@@ -331,12 +331,12 @@
                 return_when=asyncio.FIRST_COMPLETED,
             )
             cut.cancel()
-        self.on_cut()
+        self.on_grace_over()
         for link in list(self.links):
             for call in list(link.calls.values()):
                 call.end(Status(Code.UNAVAILABLE, "this server has shut down"))
-                call.on_gone("server stopped")
-            link.close("server stopped")  # after the answers of `on_cut`
+                call.on_cancelled("server stopped")
+            link.close("server stopped")  # after the answers of `on_grace_over`
         for task in tasks:
             if not task.done():
                 task.cancel()
--- a/tuliptrack/rpc/status.py
+++ b/tuliptrack/rpc/status.py
@@ -26,8 +26,8 @@
     "encode_timeout",
     "from_http",
     "from_reset",
-    "refusal",
-    "refusal_details",
+    "rejection_details",
+    "rejection_status",
     "with_details",
 ]
 
@@ -96,7 +96,7 @@
     return Status(code, message, status.SerializeToString())
 
 
-def refusal_details(kind: str, retry_after_us: int, **facts: str) -> list[Message]:
+def rejection_details(kind: str, retry_after_us: int, **facts: str) -> list[Message]:
     """Return the details of a rejection: its kind, its facts, and when to retry.
 
     `retry_after_us` is in microseconds; 0 gives no advice.
@@ -106,10 +106,10 @@
     return [retry, error_details_pb2.ErrorInfo(reason=kind, domain="tuliptrack", metadata=facts)]
 
 
-def refusal(reason: str, retry_after_us: int) -> Status:
+def rejection_status(reason: str, retry_after_us: int) -> Status:
     """Return the status of a rejection, with its reason and when to retry (microseconds; 0: no advice)."""
     return with_details(
-        Code.UNAVAILABLE, rejection_text(reason), *refusal_details("REFUSED", retry_after_us, reason=reason)
+        Code.UNAVAILABLE, rejection_text(reason), *rejection_details("REFUSED", retry_after_us, reason=reason)
     )
 
 
