--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -309,7 +309,7 @@
                 continue
             if record.paused_at_us:
                 if now_us - record.paused_at_us > self.limits.max_client_stall_us:
-                    reason = "the client has stopped reading its answer"
+                    reason = "the client leaves its answer unread"
                     self.answers.break_stream(record, Failure.STALLED, reason, io.Status.CANCELLED)
             elif now_us - record.last_output_at_us > self.limits.max_token_silence_us:
                 reason = "the engine fell silent mid-stream"
