--- a/tests/store/test_billing_machine.py
+++ b/tests/store/test_billing_machine.py
@@ -1,5 +1,6 @@
-"""Nodes that serve, break, resume, commit, die and start again, in any order: bills over all their ledgers
-stay honest.
+"""Bills over the ledgers of nodes that serve, fail, resume, commit, are killed and restart in any order.
+
+A bill covers at least what was committed, and at most what the client received.
 """
 
 from __future__ import annotations
@@ -22,34 +23,32 @@
 
 
 class Billing(RuleBasedStateMachine):
-    """Two nodes with a ledger each, three works of eight tokens. What clients have got is kept beside
-    them.
-    """
+    """Two nodes with a ledger each, and three works of eight tokens; records what clients have received."""
 
     @initialize()
     def start(self) -> None:
         self.folder = Path(tempfile.mkdtemp())
-        self.lives = [0] * NODES
+        self.incarnations = [0] * NODES
         self.number = 0
         self.ledgers = [self.ledger(n) for n in range(NODES)]
         self.running: list[dict[int, UsageRecord]] = [{} for _ in range(NODES)]
-        self.got: dict[str, set[int]] = {f"w{w}": set() for w in range(WORKS)}
-        self.told: dict[str, set[int]] = {f"w{w}": set() for w in range(WORKS)}
-        """Tokens that a commit has vouched for."""
+        self.received: dict[str, set[int]] = {f"w{w}": set() for w in range(WORKS)}
+        self.committed_tokens: dict[str, set[int]] = {f"w{w}": set() for w in range(WORKS)}
+        """Indexes of the tokens covered by a commit, by work."""
         self.committed: list[UsageRecord] = []
 
     def ledger(self, node: int) -> Ledger:
         return Ledger(str(self.folder / f"n{node}"))
 
     def begin(self, node: int, work: int, back: int) -> None:
-        """A try, a retry, or a resume: from what the client has, or from before it."""
-        if any(p.work == f"w{work}" for own in self.running for p in own.values()):
-            return  # Its client waits for the try that it has out.
-        got = self.got[f"w{work}"]
-        first = max(len(got) - back, 0) if len(got) < LENGTH else 0
+        """An attempt, a retry or a resumed stream: from the end of what the client has, or from before it."""
+        if any(p.work == f"w{work}" for records in self.running for p in records.values()):
+            return  # Its client waits for the attempt that is under way.
+        received = self.received[f"w{work}"]
+        first = max(len(received) - back, 0) if len(received) < LENGTH else 0
         self.number += 1
         self.running[node][self.number] = UsageRecord(
-            f"n{node}-{self.lives[node]}",
+            f"n{node}-{self.incarnations[node]}",
             self.number,
             "a",
             f"w{work}",
@@ -62,11 +61,11 @@
             price=TokenPrice(0, 0, 1),
         )
 
-    def change(self, node: int, part: UsageRecord, **fields: Any) -> UsageRecord:
-        made: UsageRecord = replace(part, **fields)
-        self.running[node][part.number] = made
-        self.ledgers[node].add(made)
-        return made
+    def change(self, node: int, record: UsageRecord, **fields: Any) -> UsageRecord:
+        changed: UsageRecord = replace(record, **fields)
+        self.running[node][record.number] = changed
+        self.ledgers[node].add(changed)
+        return changed
 
     @rule(
         work=st.integers(0, WORKS - 1),
@@ -75,52 +74,52 @@
         back=st.integers(0, 3),
     )
     def stream(self, work: int, node: int, count: int, back: int) -> None:
-        """Some tokens reach every client that waits for some, and one more comes."""
+        """A client may send a request; every client with a running request receives some tokens."""
         self.begin(node, work, back)
-        for at in range(NODES):
-            for part in list(self.running[at].values()):
-                end = min(part.next + count, LENGTH)
-                if end > part.next:
-                    self.got[part.work] |= set(range(part.next, end))
-                    self.change(at, part, next=end)
-
-    @rule(node=st.integers(0, NODES - 1), breaks=st.booleans())
-    def end(self, node: int, breaks: bool) -> None:
-        for part in list(self.running[node].values()):
-            if breaks or part.next == LENGTH:
-                whole = part.next == LENGTH
+        for index in range(NODES):
+            for record in list(self.running[index].values()):
+                end = min(record.next + count, LENGTH)
+                if end > record.next:
+                    self.received[record.work] |= set(range(record.next, end))
+                    self.change(index, record, next=end)
+
+    @rule(node=st.integers(0, NODES - 1), fails=st.booleans())
+    def end(self, node: int, fails: bool) -> None:
+        for record in list(self.running[node].values()):
+            if fails or record.next == LENGTH:
+                is_complete = record.next == LENGTH
                 self.change(
                     node,
-                    part,
+                    record,
                     outcome=UsageOutcome.SERVED
-                    if whole
+                    if is_complete
                     else UsageOutcome.CUT
-                    if part.next > part.first
+                    if record.next > record.first
                     else UsageOutcome.NOTHING,
                 )
-                del self.running[node][part.number]
+                del self.running[node][record.number]
 
     @rule(node=st.integers(0, NODES - 1))
     def commit(self, node: int) -> None:
         waiting = list(self.ledgers[node].waiting.values())
         self.ledgers[node].commit()
         self.committed += waiting
-        for part in waiting:
-            self.told[part.work] |= set(range(part.first, part.next))
+        for record in waiting:
+            self.committed_tokens[record.work] |= set(range(record.first, record.next))
 
     @rule(node=st.integers(0, NODES - 1))
-    def die(self, node: int) -> None:
-        """What was not committed is lost; the next life ends what was open."""
+    def kill(self, node: int) -> None:
+        """What was not committed is lost; when the node restarts, its open records end."""
         self.ledgers[node].waiting.clear()
         self.ledgers[node].close()
         self.running[node].clear()
-        self.lives[node] += 1
+        self.incarnations[node] += 1
         self.ledgers[node] = self.ledger(node)
 
     @rule(twice=st.booleans(), order=st.permutations(range(NODES)))
     def bill(self, twice: bool, order: list[int]) -> None:
         parts: list[UsageRecord] = []
-        for node in order:  # from copies, as another process would see them
+        for node in order:  # From copies, as another process would see the files.
             copy = self.folder / f"copy{self.number}-{node}"
             shutil.rmtree(copy, ignore_errors=True)
             copy.mkdir()
@@ -128,15 +127,20 @@
             assert verify(str(copy))[1] == []
             parts += list(read_parts(str(copy))) * (1 + twice)
         bills = {bill.work: bill for bill in compute_bills(parts)}
-        for work, told in self.told.items():
+        for work, committed in self.committed_tokens.items():
             billed = bills[work].written if work in bills else 0
-            assert len(told) <= billed <= len(self.got[work]), (work, told, billed, self.got[work])
+            assert len(committed) <= billed <= len(self.received[work]), (
+                work,
+                committed,
+                billed,
+                self.received[work],
+            )
             assert billed == (bills[work].amount if work in bills else 0)
 
     @invariant()
-    def nothing_told_was_never_got(self) -> None:
-        if hasattr(self, "told"):
-            assert all(told <= self.got[work] for work, told in self.told.items())
+    def clients_received_every_committed_token(self) -> None:
+        if hasattr(self, "committed_tokens"):
+            assert all(committed <= self.received[work] for work, committed in self.committed_tokens.items())
 
     def teardown(self) -> None:
         if hasattr(self, "ledgers"):
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -1,5 +1,6 @@
-"""The ledger: killed at any moment, damaged, full, folded together. What is committed stays, and nothing
-counts twice.
+"""The ledger when its process is killed, its file damaged or full, and when it is compacted.
+
+What is committed is kept, and nothing counts twice.
 """
 
 from __future__ import annotations
@@ -31,12 +32,12 @@
 import threading
 from tuliptrack.decisions.billing import TokenPrice, UsageOutcome, UsageRecord
 from tuliptrack.store.ledger import Ledger
-ledger, life, number = Ledger(sys.argv[1]), sys.argv[2], 0
+ledger, name, number = Ledger(sys.argv[1]), sys.argv[2], 0
 print(ledger.recovery.cut, flush=True)
 while True:
-    for step in range(4):  # four works, written token by token, the last state at a later commit
+    for step in range(4):  # four works, each growing with every commit and final at the fourth
         for k in range(4):
-            ledger.add(UsageRecord(life, number + k, "a", f"{life}-{number + k}", 0, 100, 0, 0, 5 * step + 1,
+            ledger.add(UsageRecord(name, number + k, "a", f"{name}-{number + k}", 0, 100, 0, 0, 5 * step + 1,
                             UsageOutcome.SERVED if step == 3 else UsageOutcome.OPEN, price=TokenPrice(2, 1, 10)))
         ledger.commit()
         print(number, step, flush=True)
@@ -65,32 +66,35 @@
 
 
 def test_a_writer_killed_at_any_moment_loses_at_most_what_it_had_not_committed(tmp_path: Path) -> None:
-    """Lives of one writer, each killed at a drawn moment; TULIPTRACK_KILLS sets how many (200 by hand)."""
+    """One ledger, whose writers are killed one after the other at random moments.
+
+    TULIPTRACK_KILLS sets how many (200 in runs by hand).
+    """
     path, chance = tmp_path / "ledger", random.Random(5)
-    promised: dict[str, int] = {}
-    for life in range(int(os.environ.get("TULIPTRACK_KILLS", "8"))):
+    committed: dict[str, int] = {}
+    for index in range(int(os.environ.get("TULIPTRACK_KILLS", "8"))):
         writer = subprocess.Popen(
-            [sys.executable, "-c", WRITER, str(path), f"life{life}"], stdout=subprocess.PIPE, text=True
+            [sys.executable, "-c", WRITER, str(path), f"writer{index}"], stdout=subprocess.PIPE, text=True
         )
         assert writer.stdout
-        told = [writer.stdout.readline()]
+        lines = [writer.stdout.readline()]
         for _ in range(chance.randrange(1, 40)):
-            told.append(writer.stdout.readline())
+            lines.append(writer.stdout.readline())
         writer.send_signal(signal.SIGKILL)
-        told += writer.stdout.readlines()
+        lines += writer.stdout.readlines()
         writer.wait()
-        for line in told[1:]:
+        for line in lines[1:]:
             if line.endswith("\n"):
                 number, step = map(int, line.split())
-                promised.update({f"life{life}-{number + k}": 5 * step + 1 for k in range(4)})
+                committed.update({f"writer{index}-{number + k}": 5 * step + 1 for k in range(4)})
         bills = {bill.work: bill.written for bill in compute_bills(read_parts(str(path)))}
-        assert all(bills[work] >= tokens for work, tokens in promised.items())
-        # No more than the one commit that it had not told of: at most four works a step further.
+        assert all(bills[work] >= tokens for work, tokens in committed.items())
+        # Beyond what was reported there is at most one more commit: four works, one step further.
         more = {
-            work: bills[work] - promised.get(work, 0) for work in bills if bills[work] != promised.get(work)
+            work: bills[work] - committed.get(work, 0) for work in bills if bills[work] != committed.get(work)
         }
         assert len(more) <= 4 and all(0 < tokens <= 6 for tokens in more.values())
-        promised |= {work: bills[work] for work in more}
+        committed |= {work: bills[work] for work in more}
         assert verify(str(path))[1] == []
     ledger = Ledger(str(path))
     ledger.close()
@@ -100,7 +104,7 @@
     )
 
 
-def test_what_a_crash_left_open_ends_as_cut_with_what_was_committed(tmp_path: Path) -> None:
+def test_records_left_open_by_a_crash_end_as_cut_with_what_was_committed(tmp_path: Path) -> None:
     ledger = Ledger(str(tmp_path))
     ledger.add(part(1, 7, UsageOutcome.OPEN))
     ledger.add(part(2, 9, UsageOutcome.SERVED))
@@ -124,15 +128,15 @@
         raise LedgerError(done.stderr.strip().splitlines()[-1])
 
 
-def change(path: Path, act: Callable[..., None]) -> None:
+def modify(path: Path, action: Callable[..., None]) -> None:
     env = lmdb.open(str(path), max_dbs=4)
     batches = env.open_db(b"batches")
     with env.begin(write=True) as txn:
-        act(txn, batches)
+        action(txn, batches)
     env.close()
 
 
-def test_verify_finds_a_flipped_bit_a_missing_batch_and_a_doubled_one(tmp_path: Path) -> None:
+def test_verify_finds_a_flipped_bit_a_missing_batch_and_a_duplicated_one(tmp_path: Path) -> None:
     def flip(txn: lmdb.Transaction, db: Any) -> None:
         value = bytearray(txn.get((3).to_bytes(8, "big"), b"", db))
         value[len(value) // 2] ^= 4
@@ -141,7 +145,7 @@
     def drop(txn: lmdb.Transaction, db: Any) -> None:
         txn.delete((4).to_bytes(8, "big"), db=db)
 
-    def double(txn: lmdb.Transaction, db: Any) -> None:
+    def duplicate(txn: lmdb.Transaction, db: Any) -> None:
         from tuliptrack.proto import billing_pb2
 
         value = bytes(txn.get((6).to_bytes(8, "big"), b"", db))
@@ -150,16 +154,16 @@
         body = batch.SerializeToString()
         txn.put((7).to_bytes(8, "big"), body + digest_of(body).to_bytes(8, "big"), db=db)
 
-    for name, act, sequence, words in (
+    for name, action, sequence, words in (
         ("good", lambda txn, db: None, 0, ""),
         ("flip", flip, 3, "digest"),
         ("drop", drop, 4, "missing"),
-        ("double", double, 7, "stands twice"),
+        ("duplicate", duplicate, 7, "stands twice"),
     ):
         filled(tmp_path / name).close()
-        change(tmp_path / name, act)
+        modify(tmp_path / name, action)
         count, problems = verify(str(tmp_path / name))
-        assert count == {"drop": 5, "double": 7}.get(name, 6)
+        assert count == {"drop": 5, "duplicate": 7}.get(name, 6)
         assert (
             (not problems)
             if not words
@@ -171,8 +175,8 @@
         verify(str(tmp_path / "nothing"))
 
 
-def test_a_full_file_says_so_and_loses_nothing_that_waits(tmp_path: Path) -> None:
-    ledger = Ledger(str(tmp_path), most_bytes=1 << 20)
+def test_a_full_file_raises_ledger_full_and_loses_nothing_that_waits(tmp_path: Path) -> None:
+    ledger = Ledger(str(tmp_path), max_bytes=1 << 20)
     number = 0
     with pytest.raises(LedgerFull):
         for _ in range(1000):
@@ -185,26 +189,26 @@
     ledger.close()
     written = {p.number for p in read_parts(str(tmp_path))}
     assert written | waiting == set(range(number)) and verify(str(tmp_path))[1] == []
-    again = Ledger(str(tmp_path), most_bytes=1 << 20)
+    again = Ledger(str(tmp_path), max_bytes=1 << 20)
     for n in waiting:
         again.add(part(n, work="w" * 60 + str(n)))
     with pytest.raises(LedgerFull):
         again.commit()
-    assert again.compact(1) > 0  # room is made, and what waited goes in
+    assert again.compact(1) > 0  # This frees space, and what waited is written.
     assert again.commit() == 100
     again.close()
 
 
-def test_compaction_keeps_every_sum_and_touches_no_work_that_goes_on(tmp_path: Path) -> None:
+def test_compaction_keeps_every_total_and_leaves_works_with_later_records_alone(tmp_path: Path) -> None:
     ledger = filled(tmp_path, 6, 5)
     ledger.add(
         replace(part(100, 3, UsageOutcome.CUT, at=0, work="w12"), node="other", first=5)
-    )  # a work of the third batch goes on
+    )  # a work of the third batch continues
     ledger.commit()
     ledger.close()
     before = daily_totals(compute_bills(read_parts(str(tmp_path))))[("a", 0)]
     ledger = Ledger(str(tmp_path))
-    assert ledger.compact(5_000) == 2  # the third batch holds the work that goes on
+    assert ledger.compact(5_000) == 2  # the third batch holds the work that continues
     assert ledger.compact(5_000) == 0
     ledger.close()
     rest = daily_totals(compute_bills(read_parts(str(tmp_path))))[("a", 0)]
@@ -219,14 +223,14 @@
     assert verify(str(tmp_path))[1] == [] and Ledger(str(tmp_path)).sequence == 8
 
 
-def test_the_use_of_a_day_is_found_again_from_the_newest_batches(tmp_path: Path) -> None:
+def test_the_usage_since_a_time_is_read_from_the_newest_batches(tmp_path: Path) -> None:
     ledger = filled(tmp_path, 6, 5)
     found = ledger.used_since(4_000)
     assert sorted(p.number for p in found) == list(range(20, 30))
     ledger.close()
 
 
-def test_commits_at_the_same_moment_lose_nothing(tmp_path: Path) -> None:
+def test_concurrent_commits_lose_nothing(tmp_path: Path) -> None:
     ledger = Ledger(str(tmp_path / "l"), 2**24)
     number = itertools.count(1)
 
@@ -236,21 +240,21 @@
             ledger.commit()
 
     threads = [threading.Thread(target=many) for _ in range(4)]
-    for one in threads:
-        one.start()
-    for one in threads:
-        one.join()
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join()
     ledger.commit()
     ledger.close()
     assert len(list(read_parts(str(tmp_path / "l")))) == 240
 
 
-FULL_FOR_A_WHILE = """
+TEMPORARILY_FULL = """
 import os, resource, sys
 from tuliptrack.decisions.billing import TokenPrice, UsageOutcome, UsageRecord
 from tuliptrack.store.ledger import Ledger, LedgerError
 
-def limit(size):  # a write past it fails with EFBIG, which the interpreter does not die of
+def limit(size):  # A write beyond it fails with EFBIG; Python ignores the signal that would end the process.
     resource.setrlimit(resource.RLIMIT_FSIZE, (size, resource.RLIM_INFINITY))
 
 def add(numbers):
@@ -265,23 +269,23 @@
 
 ledger = Ledger(sys.argv[1])
 add(range(100))
-told = [commit()]
+results = [commit()]
 for allowed in (os.path.getsize(sys.argv[1] + "/data.mdb"), 4096, 0):
     limit(allowed)
     for numbers in (range(100, 300), range(300, 400)):
         add(numbers)
-        told.append(commit())
+        results.append(commit())
 limit(resource.RLIM_INFINITY)
-told.append(commit())
-print(" ".join(told))
+results.append(commit())
+print(" ".join(results))
 """
 
 
-def test_what_could_not_be_written_for_a_while_is_written_once_when_the_disk_is_well_again(
+def test_records_that_could_not_be_written_are_written_once_after_the_disk_recovers(
     tmp_path: Path,
 ) -> None:
     done = subprocess.run(
-        [sys.executable, "-c", FULL_FOR_A_WHILE, str(tmp_path)], capture_output=True, text=True, check=True
+        [sys.executable, "-c", TEMPORARILY_FULL, str(tmp_path)], capture_output=True, text=True, check=True
     )
     assert done.stdout.split() == ["100", *["LedgerError"] * 6, "300"]
     assert verify(str(tmp_path)) == (2, [])
@@ -289,7 +293,7 @@
 
 
 class FailingRoot:
-    """An LMDB environment whose next commit fails as its root is written; from then on it takes nothing."""
+    """An LMDB environment whose next commit fails while its root is written; then it accepts no transaction."""
 
     def __init__(self, env: lmdb.Environment, written: bool) -> None:
         self.env, self.written, self.failed = env, written, False
@@ -310,10 +314,8 @@
         self.env.close()
 
 
-@pytest.mark.parametrize(
-    "written", [False, True], ids=["the commit is lost", "the commit stands there all the same"]
-)
-def test_after_an_error_on_its_root_the_ledger_is_opened_anew_and_nothing_stands_twice(
+@pytest.mark.parametrize("written", [False, True], ids=["the commit is lost", "the commit is in the file"])
+def test_after_an_error_on_its_root_the_ledger_is_reopened_and_no_record_is_duplicated(
     tmp_path: Path, written: bool
 ) -> None:
     ledger = filled(tmp_path, batches=1, size=2)
@@ -331,20 +333,20 @@
     assert last == {0: 5, 1: 5, 10: 8, 11: 5, 12: 5}
 
 
-def test_a_file_that_can_not_be_opened_anew_yet_is_tried_again_at_the_next_commit(
+def test_a_file_that_cannot_be_reopened_yet_is_reopened_by_a_later_commit(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ledger = filled(tmp_path, batches=1, size=2)
     ledger.env = cast(Any, FailingRoot(ledger.env, False))
     ledger.add(part(10))
 
-    def no_room(*_: object, **__: object) -> None:
+    def raise_disk_full(*_: object, **__: object) -> None:
         raise lmdb.DiskError("No space left on device")
 
     with pytest.raises(LedgerError, match="Input/output"):
         ledger.commit()
     with monkeypatch.context() as patch:
-        patch.setattr(lmdb, "open", no_room)
+        patch.setattr(lmdb, "open", raise_disk_full)
         for _ in range(2):
             with pytest.raises(LedgerError, match="No space left"):
                 ledger.commit()
@@ -353,7 +355,7 @@
     assert verify(str(tmp_path)) == (2, [])
 
 
-def test_a_ledger_opens_on_a_full_disk_and_closes_what_was_open_later(tmp_path: Path) -> None:
+def test_a_ledger_opens_on_a_full_disk_and_ends_open_records_later(tmp_path: Path) -> None:
     ledger = Ledger(str(tmp_path))
     ledger.add(part(1, 7, UsageOutcome.OPEN))
     ledger.commit()
@@ -372,7 +374,7 @@
     assert [p.outcome for p in read_parts(str(tmp_path))] == [UsageOutcome.OPEN, UsageOutcome.CUT]
 
 
-def test_a_folder_that_can_not_be_made_is_one_error_that_names_it(tmp_path: Path) -> None:
+def test_a_folder_that_cannot_be_created_is_named_by_the_error(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     with pytest.raises(LedgerError, match="file/ledger"):
         Ledger(str(tmp_path / "file" / "ledger"))
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -26,6 +26,7 @@
     "simulator_adapter",
     "sources",
     "state",
+    "store",
     "structures",
 )
 """Packages whose names were all gone through."""
@@ -42,7 +43,7 @@
 STORED_KEYS = frozenset({"most_out", "most_out_zone", "refuse_over", "refuse_when_full"})
 """Keys of plans and of settings, which are stored or written by operators."""
 UNFINISHED_NAMES = frozenset({"NO_ROOM", "lone", "on_gone", "outlook", "spoilt"})
-"""Of packages that are not rewritten yet: rpc, config, store."""
+"""Of packages that are not rewritten yet: rpc, config."""
 ALLOWED = PROTO_NAMES | STORED_KEYS | UNFINISHED_NAMES | {"most_ready"}
 """Names that stay; `docs/glossary.md` has the terms of the code beside them."""
 
--- a/tuliptrack/store/__init__.py
+++ b/tuliptrack/store/__init__.py
@@ -1,1 +1,4 @@
-"""What survives a crash: the ledger of bills. Blocking; the node calls it off its loop."""
+"""Storage that survives a crash: the ledger of usage records, and small files with a checksum.
+
+Calls block; a node makes those to its ledger outside the event loop.
+"""
--- a/tuliptrack/store/ledger_format.py
+++ b/tuliptrack/store/ledger_format.py
@@ -1,6 +1,4 @@
-"""How a ledger's batches and parts stand in its file: protobuf messages, each batch with a digest behind
-it.
-"""
+"""The stored form of batches and usage records: protobuf messages, each batch followed by its digest."""
 
 from __future__ import annotations
 
@@ -15,47 +13,47 @@
     "LedgerFull",
     "batch_key",
     "digest_of",
-    "from_message",
     "parse_batch",
-    "to_message",
+    "record_from_message",
+    "record_to_message",
 ]
 
 DIGEST_BYTES = 8
 
 
 class LedgerError(Exception):
-    """The ledger can't be opened, or what stands in it is damaged; the text says where."""
+    """The ledger can't be opened or written, or its content is damaged; the text says where."""
 
 
 class LedgerFull(LedgerError):
-    """The file has no room, or the disk hasn't."""
-
-
-def to_message(part: UsageRecord) -> pb.BillPart:
-    """A part as it is written."""
-    made = pb.BillPart(
-        node=part.node,
-        number=part.number,
-        tenant=part.tenant,
-        work=part.work,
-        request_class=part.request_class,
-        model=part.model,
-        model_version=part.model_version,
-        at_us=part.at_us,
-        prompt_tokens=part.prompt_tokens,
-        kept_tokens=part.kept_tokens,
-        first=part.first,
-        next=part.next,
-        lost_read=part.lost_read,
-        lost_written=part.lost_written,
-        price=pb.Price(read=part.price.read, kept=part.price.kept, written=part.price.written),
+    """The file has reached its bound, or the disk is full or failed."""
+
+
+def record_to_message(record: UsageRecord) -> pb.BillPart:
+    """Return the stored form of a usage record."""
+    message = pb.BillPart(
+        node=record.node,
+        number=record.number,
+        tenant=record.tenant,
+        work=record.work,
+        request_class=record.request_class,
+        model=record.model,
+        model_version=record.model_version,
+        at_us=record.at_us,
+        prompt_tokens=record.prompt_tokens,
+        kept_tokens=record.kept_tokens,
+        first=record.first,
+        next=record.next,
+        lost_read=record.lost_read,
+        lost_written=record.lost_written,
+        price=pb.Price(read=record.price.read, kept=record.price.kept, written=record.price.written),
     )
-    made.outcome = part.outcome  # type: ignore[assignment]
-    return made
+    message.outcome = record.outcome  # type: ignore[assignment]
+    return message
 
 
-def from_message(m: pb.BillPart) -> UsageRecord:
-    """A part as it was read."""
+def record_from_message(m: pb.BillPart) -> UsageRecord:
+    """Return the usage record of a stored message."""
     return UsageRecord(
         m.node,
         m.number,
@@ -77,21 +75,25 @@
 
 
 def batch_key(sequence: int) -> bytes:
-    """Under which a batch stands: in the order of commits."""
+    """Return the key of a batch; keys sort in the order of commits."""
     return sequence.to_bytes(8, "big")
 
 
 def digest_of(data: bytes) -> int:
-    """Of a batch's bytes; the next batch names it."""
+    """Return the digest of a batch's bytes, which the next batch repeats."""
     return int(xxhash.xxh3_64_intdigest(data))
 
 
 def parse_batch(key: bytes, value: bytes) -> tuple[pb.BillBatch, int]:
-    """A batch and its digest; LedgerError where its bytes aren't what was written."""
-    body, told = value[:-DIGEST_BYTES], value[-DIGEST_BYTES:]
+    """Return a batch and its digest.
+
+    Raises:
+        LedgerError: The bytes or the key are not what was written.
+    """
+    body, stored_digest = value[:-DIGEST_BYTES], value[-DIGEST_BYTES:]
     digest = digest_of(body)
-    if digest.to_bytes(DIGEST_BYTES, "big") != told:
-        raise LedgerError(f"batch {int.from_bytes(key, 'big')}: its digest does not fit its bytes")
+    if digest.to_bytes(DIGEST_BYTES, "big") != stored_digest:
+        raise LedgerError(f"batch {int.from_bytes(key, 'big')}: the digest does not match the content")
     batch = pb.BillBatch.FromString(body)
     if batch_key(batch.sequence) != key:
         raise LedgerError(f"batch {int.from_bytes(key, 'big')}: names itself {batch.sequence}")
--- a/tuliptrack/store/sealed.py
+++ b/tuliptrack/store/sealed.py
@@ -1,8 +1,8 @@
-"""A small file that is whole or not there: written beside, synced, and put in place in one step, its digest
-before it.
+"""Small files that are replaced atomically, with a checksum before the content.
 
-A process that is killed at any byte leaves the file as it was or as it was to be. What can't be read back is
-an error, not an empty start: who forgets what it promised breaks its promise.
+A write goes to a temporary file in the same folder, which is synced and then renamed. A process that is
+killed at any moment leaves the old content or the new. Damaged content is an error and is never taken for a
+file that does not exist: a process that forgot what it had promised could break the promise.
 """
 
 from __future__ import annotations
@@ -15,50 +15,57 @@
 
 __all__ = ["SealedError", "read", "write"]
 
-_DIGEST = 16
-MOST_BYTES = 4 << 20
+_DIGEST_BYTES = 16
+MAX_BYTES = 4 << 20
 
 
 class SealedError(Exception):
-    """The file is damaged, or can't be written; the text says which."""
+    """The file is damaged, or can't be read or written; the text says which."""
 
 
 def read(path: Path) -> bytes | None:
-    """What was written last; None where nothing ever was."""
+    """Return what was written last, or None if the file does not exist.
+
+    Raises:
+        SealedError: The file is damaged or can't be read.
+    """
     try:
         data = path.read_bytes()
     except FileNotFoundError:
         return None
     except OSError as error:
         raise SealedError(f"{path}: {error.strerror or error}") from None
-    digest, body = data[:_DIGEST], data[_DIGEST:]
+    digest, body = data[:_DIGEST_BYTES], data[_DIGEST_BYTES:]
     if xxhash.xxh3_128_digest(body) != digest:
-        raise SealedError(f"{path}: its digest does not fit its bytes")
+        raise SealedError(f"{path}: the digest does not match the content")
     return body
 
 
 def write(path: Path, body: bytes) -> None:
-    """Put these bytes in its place, on disk when this returns.
+    """Replace the content of the file; it is on disk when this returns.
+
+    A write does not rely on anything that a failed one left behind.
 
-    SealedError leaves what was there, unless the folder itself could not be synced: then these bytes stand
-    there, and a crash of the machine may bring back those before. Each write is made anew: nothing that an
-    earlier one left is relied upon.
+    Raises:
+        SealedError: The file is too large, or the disk failed. The old content remains, unless only the sync
+            of the folder failed: then the new content is in place, and a crash of the machine may restore the
+            old.
     """
-    if len(body) > MOST_BYTES:
-        raise SealedError(f"{path}: {len(body)} bytes are more than {MOST_BYTES}")
-    beside = path.with_name(path.name + ".new")
+    if len(body) > MAX_BYTES:
+        raise SealedError(f"{path}: {len(body)} bytes are more than {MAX_BYTES}")
+    temporary = path.with_name(path.name + ".new")
     try:
-        with open(beside, "wb") as file:
+        with open(temporary, "wb") as file:
             file.write(xxhash.xxh3_128_digest(body) + body)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, path)
+        os.replace(temporary, path)
         folder = os.open(path.parent, os.O_RDONLY)
         try:
             os.fsync(folder)
         finally:
             os.close(folder)
     except OSError as error:
-        with contextlib.suppress(OSError):  # On a full disk what can't be used takes up room.
-            beside.unlink(missing_ok=True)
+        with contextlib.suppress(OSError):  # A useless file would take up space on a full disk.
+            temporary.unlink(missing_ok=True)
         raise SealedError(f"{path}: {error.strerror or error}") from None
