--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -1,6 +1,6 @@
-"""An agent's promises and orders across restarts, on a full disk and from former leaders.
+"""An agent's promises and orders: across restarts, on a full disk and from former leaders.
 
-The node is a small program of the test.
+The node is a small program written by the test.
 """
 
 from __future__ import annotations
@@ -79,10 +79,10 @@
 
 
 def test_an_order_is_carried_out_once_and_an_older_one_never(tmp_path: Path) -> None:
-    """Story: a leader repeats its order; a former leader, cut off until now, sends one of its own.
+    """A leader repeats its order, and a former leader that was cut off until now sends one of its own.
 
-    If the agent carried out the older order, or an order twice, hosts would go back and forth between
-    releases. The same must hold for the agent after a restart.
+    If the agent carried out the older order, or an order twice, hosts would switch back and forth between
+    releases. The same must hold after the agent restarts.
     """
 
     async def scenario() -> None:
@@ -96,7 +96,7 @@
             assert not (await host.order(64, 9, ONE)).obeyed and not (await host.order(65, 0, ONE)).obeyed
             assert (await host.promise(130)).agreed
             assert not (await host.order(65, 2, ONE)).obeyed, "a promised epoch excludes the ones before"
-        # The next incarnation of the agent: node, promises and record are still there.
+        # The agent restarts: node, promises and record are still there.
         async with AgentUnderTest(tmp_path / "h") as host:
             try:
                 answer = await host.promise(1)
@@ -120,10 +120,10 @@
 def test_a_full_disk_promises_nothing_and_loses_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Story: the host's disk is full when a controller claims to lead and when an order comes.
+    """The host's disk is full when a controller claims to lead and when an order comes.
 
-    A promise that is not on disk would be forgotten with the next restart, so none may be given. The node
-    goes on with its release, and all works again once there is space.
+    A promise that is not on disk would be forgotten at the next restart, so none may be given. The node
+    keeps running its release, and promises and orders work again once there is space.
     """
 
     async def scenario() -> None:
@@ -148,8 +148,8 @@
     run(scenario, TIMEOUT_S)
 
 
-def test_a_missing_release_is_reported_and_the_node_goes_on(tmp_path: Path) -> None:
-    """Story: a release is ordered that was never copied to the host, or whose name leads out of its folder.
+def test_a_missing_release_is_reported_and_the_node_keeps_running(tmp_path: Path) -> None:
+    """The ordered release was never copied to the host, or its name leads out of its folder.
 
     Stopping the node before the release is found to be missing would leave the host without any.
     """
@@ -159,8 +159,8 @@
             await until(lambda: host.agent.node.ready_at_us)
             pid = host.agent.node.pid
             for release, fault in (
-                (NodeRelease("three", "conf"), "'three' is not at hand"),
-                (NodeRelease("two", "x"), "'x' are not at hand"),
+                (NodeRelease("three", "conf"), "'three' is not installed on this host"),
+                (NodeRelease("two", "x"), "'x' are not installed on this host"),
                 (NodeRelease("../one", "conf"), "no digest"),
             ):
                 assert fault in (await host.order(1, 1, release)).trouble
@@ -173,9 +173,9 @@
 def test_a_node_that_exits_is_restarted_and_one_that_ignores_sigterm_is_killed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Story: a node is killed, and its successor ignores SIGTERM when it is to be replaced.
+    """A node is killed, and the restarted one ignores SIGTERM when it is to be replaced.
 
-    The first would leave the host without a node, the second would keep it from ever changing.
+    The first would leave the host without a node, the second would block all later releases.
     """
     monkeypatch.setattr("tuliptrack.fleet.node_supervisor.TERMINATION_GRACE_S", 0.5)
 
--- a/tests/fleet/test_hostile_values.py
+++ b/tests/fleet/test_hostile_values.py
@@ -1,6 +1,7 @@
-"""Records, plans and log lines with values that JSON allows and nobody expects.
+"""Records, plans and log lines with unexpected values that JSON allows.
 
-Failure: an error that no caller expects ends the decisions of a controller, or the reports of an agent.
+An error of a type that the callers do not handle would end the decisions of a controller or the reports of an
+agent.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 @pytest.mark.parametrize("field", RECORD_FIELDS)
 @given(value=any_json)
 @examples(max_examples=50, deadline=None, derandomize=True)
-def test_any_value_in_a_record_is_used_or_is_the_error_of_plans(field: str, value: Any) -> None:
+def test_any_value_in_a_record_is_used_or_raises_plan_error(field: str, value: Any) -> None:
     assert RolloutRecord.from_dict(RECORD.as_dict()) == RECORD
     with suppress(PlanError):
         RolloutRecord.from_dict({**RECORD.as_dict(), field: value})
@@ -42,16 +43,17 @@
 
 @given(value=any_json)
 @examples(max_examples=100, deadline=None, derandomize=True)
-def test_any_value_is_a_record_or_the_error_of_plans(value: Any) -> None:
+def test_any_value_is_a_record_or_raises_plan_error(value: Any) -> None:
     with suppress(PlanError):
         RolloutRecord.from_dict(value)
 
 
 @given(stages=any_json, old=any_json, zones=any_json)
 @examples(max_examples=100, deadline=None, derandomize=True)
-def test_any_plan_of_an_operator_is_used_or_is_the_error_of_plans(stages: Any, old: Any, zones: Any) -> None:
+def test_any_plan_of_an_operator_is_used_or_raises_plan_error(stages: Any, old: Any, zones: Any) -> None:
     content = {"stages": stages, "old": old, "new": {"program": "two", "settings": "conf"}, "zones": zones}
-    with suppress(PlanError, RecursionError):  # Python can't write the last as text.
+    # RecursionError: `json.dumps` can't write content that is nested this deeply.
+    with suppress(PlanError, RecursionError):
         try:
             text = json.dumps(content)
         except ValueError:
@@ -61,7 +63,7 @@
 
 @given(first_ms=any_json, request_class=any_json, end=any_json)
 @examples(max_examples=100, deadline=None, derandomize=True)
-def test_a_log_line_that_cannot_be_used_costs_no_other(first_ms: Any, request_class: Any, end: Any) -> None:
+def test_an_unusable_log_line_affects_no_other(first_ms: Any, request_class: Any, end: Any) -> None:
     row = {"event": "request", "request_class": request_class, "end": end, "first_ms": first_ms}
     good = {"event": "request", "request_class": "good", "end": "served", "first_ms": 5.0}
     try:
--- a/tests/fleet/test_log_metrics.py
+++ b/tests/fleet/test_log_metrics.py
@@ -40,10 +40,10 @@
 
 
 def test_rejections_of_both_log_formats_count_alike(tmp_path: Path) -> None:
-    """Story: a rollout changes what nodes write, "refused" or "rejected".
+    """Releases differ in the word that nodes log for a rejection: "refused" or "rejected".
 
-    An agent that knew only one of the words would report no rejections of the other release, and the
-    controllers would judge it by that.
+    An agent that knew only one of the words would report no rejections for the other release, and the
+    controllers would compare the releases by wrong counts.
     """
     path = tmp_path / "log"
     rows = [
--- a/tests/fleet/test_node_supervisor.py
+++ b/tests/fleet/test_node_supervisor.py
@@ -1,4 +1,4 @@
-"""A node that can't be started for a long time, and an agent whose watch meets a fault of its own."""
+"""A node that can't be started for a long time, and errors raised by the supervisor itself."""
 
 from __future__ import annotations
 
@@ -18,14 +18,17 @@
 from tuliptrack.proto import rollout_pb2 as pb
 
 FAILURES = 2_000
-"""In a row: at the largest backoff, nearly three hours of a release that can't be started."""
+"""Failed starts in a row; at the largest backoff they take nearly three hours."""
 
 
 def test_a_node_is_started_after_any_number_of_failures_in_a_row(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Failure: the growing backoff raises after some hours, the watch ends, and the host has no node for ever.
-    Each delay is within the maximum, and what failed is reported until a start succeeds."""
+    """A backoff that grows without bound would raise after some hours; then the watch would end, and the host
+    would stay without a node.
+
+    Each delay has to be within the maximum, and the error is reported until a start succeeds.
+    """
 
     def fail(*_: object) -> None:
         raise OSError(8, "Exec format error")
@@ -46,10 +49,10 @@
         os.kill(supervisor.pid, signal.SIGKILL)
 
 
-def test_the_watch_goes_on_after_a_fault_of_the_agent_itself(
+def test_the_watch_continues_after_an_error_of_the_agent_itself(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Failure: a step raises, the watch ends without a line, and a node that dies is never started again."""
+    """If an error in a step ended the watch silently, a node that exits later would never be restarted."""
 
     async def scenario() -> None:
         async with AgentUnderTest(prepare_host(tmp_path)) as host:
@@ -71,8 +74,8 @@
     return await host.order(0, 0, ONE)
 
 
-def test_trouble_of_an_earlier_start_is_not_reported_once_the_node_runs(tmp_path: Path) -> None:
-    """Failure: a rollout reads the trouble of a start that has long succeeded, and holds."""
+def test_the_fault_of_an_earlier_start_is_not_reported_once_the_node_runs(tmp_path: Path) -> None:
+    """If the fault were still reported after a successful start, a rollout would be held because of it."""
 
     async def scenario() -> None:
         root = prepare_host(tmp_path)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,7 +1,7 @@
 """Rollouts by real processes: three controllers, three agents with their nodes, engines and clients.
 
-Clients send requests all the time, while controllers are killed, paused or cut off. The tests judge by what
-clients and processes show.
+Clients send requests all the time, while controllers are killed, paused or cut off. The tests check only what
+clients and processes show from outside.
 """
 
 from __future__ import annotations
@@ -93,7 +93,7 @@
         self.agents: dict[str, Process] = {}
         self.controllers: list[Process] = []
         self.wires: dict[str, Wire] = {}
-        """Between controllers and each host's agent."""
+        """Connections between controllers and each host's agent, which tests can cut."""
         self.ends: Counter[str] = Counter()
         self.ended_twice = 0
         self.max_unready = 0
@@ -105,8 +105,8 @@
         """Return the answer of the controller that leads."""
         last_error: CallError | None = None
         for _ in range(400):
-            for one in self.controllers:
-                channel = self.channel(one.address)
+            for controller in self.controllers:
+                channel = self.channel(controller.address)
                 try:
                     state = await call_unary(
                         channel, f"Fleet/{method}", request, pb.FleetState, LEADER_CALL_TIMEOUT_US
@@ -235,8 +235,8 @@
             test_fleet.agents[host] = await Process(
                 "agent", host, str(root), "--program", GOOD, "--settings", CONF, log=folder / f"{host}.log"
             ).start()
-        for host, one in test_fleet.agents.items():
-            test_fleet.wires[host] = Wire(one.address)
+        for host, agent in test_fleet.agents.items():
+            test_fleet.wires[host] = Wire(agent.address)
             await test_fleet.wires[host].start()
         (folder / "hosts").write_text(
             json.dumps(
@@ -271,8 +271,8 @@
         for task in test_fleet.tasks:
             task.cancel()
         await asyncio.gather(*test_fleet.tasks, return_exceptions=True)
-        for one in [*test_fleet.controllers, *test_fleet.agents.values()]:
-            await one.end()
+        for process in [*test_fleet.controllers, *test_fleet.agents.values()]:
+            await process.end()
         for pid in test_fleet.node_pids():
             os.kill(pid, signal.SIGKILL)
         for channel in test_fleet._channels.values():
@@ -285,7 +285,7 @@
 
 
 def test_a_defect_is_found_and_rolled_back_by_real_processes(tmp_path: Path) -> None:
-    """Story: a release rejects half of its requests, which only its own log shows.
+    """A release rejects half of its requests, which only its own log shows.
 
     Without a comparison by host the rollout would go on to the whole fleet.
     """
@@ -311,17 +311,17 @@
     run(scenario, SCENARIO_TIMEOUT_S)
 
 
-def test_a_rollout_goes_on_when_the_leader_is_paused_and_comes_back(tmp_path: Path) -> None:
-    """Story: the leader is stopped in mid-rollout, another takes over, and the first one wakes up.
+def test_a_rollout_continues_while_the_leader_is_paused_and_after_it_resumes(tmp_path: Path) -> None:
+    """The leader is stopped during a rollout, another controller takes over, and the first one resumes.
 
-    It still believes that it leads; were its orders obeyed, two controllers would change hosts at once.
+    It still believes that it leads. If its orders were obeyed, two controllers would change hosts at once.
     """
 
     async def scenario() -> None:
         async with fleet(tmp_path) as f:
             await f.call_leader(
                 "Begin", f.plan(GOOD + "b")
-            )  # No host has it: the rollout begins and is not carried out.
+            )  # No host has this release, so the rollout begins and changes nothing.
             first_leader = await f.leader()
             f.controllers[first_leader].send(signal.SIGSTOP)
             while await f.leader() == first_leader:
@@ -338,7 +338,7 @@
 
 
 def test_nodes_serve_without_agents_and_the_next_agent_finds_its_node(tmp_path: Path) -> None:
-    """Story: all controllers and agents are killed, and the agents are started again later.
+    """All controllers and agents are killed, and the agents are started again later.
 
     Nodes must not depend on them. An agent that did not find its node would start a second one.
     """
@@ -346,8 +346,8 @@
     async def scenario() -> None:
         async with fleet(tmp_path) as f:
             before, nodes = await f.reports(), f.node_pids()
-            for one in [*f.controllers, *f.agents.values()]:
-                await one.end()
+            for process in [*f.controllers, *f.agents.values()]:
+                await process.end()
             served = f.ends["OK"]
             for _ in range(20):
                 for r in before.values():
@@ -371,7 +371,7 @@
 
 
 def test_a_release_that_does_not_start_is_rolled_back(tmp_path: Path) -> None:
-    """Story: the program of a release exits at once, so its host has no node until it is rolled back."""
+    """The program of a release exits at once, so its host has no node until it is rolled back."""
 
     async def scenario() -> None:
         async with fleet(tmp_path) as f:
@@ -384,10 +384,10 @@
 
 
 def test_an_agent_cut_off_one_way_counts_as_unready_and_obeys_once_it_is_back(tmp_path: Path) -> None:
-    """Story: orders reach an agent, but its answers are lost.
+    """Orders reach an agent, but its answers are lost.
 
-    The leader can't know what the host runs. If it did not count as unready, another host could be changed at
-    the same time, and more hosts than allowed would be unready.
+    The leader can't know what the host runs. If the host did not count as unready, another could be changed
+    at the same time, and more hosts than allowed would be unready.
     """
 
     async def scenario() -> None:
@@ -415,7 +415,7 @@
 def test_the_leader_is_killed_while_a_host_changes_and_the_defect_is_still_found(
     tmp_path: Path,
 ) -> None:
-    """Story: the leader is killed just after its first order.
+    """The leader is killed just after its first order.
 
     What it observed is lost with it; the next leader has to find the defect with its own observations.
     """
--- a/tests/sources/test_endpoint_list.py
+++ b/tests/sources/test_endpoint_list.py
@@ -79,10 +79,11 @@
         ({"started_unix_us": -5}, "servers[1].started_unix_us"),
     ],
 )
-def test_an_invalid_entry_is_left_out_and_named_and_costs_no_other(
+def test_an_invalid_entry_is_left_out_and_named_and_affects_no_other(
     fields: dict[str, object], path: str
 ) -> None:
-    """Failure: a list is refused whole for one entry, and requests go on to an engine that it says drains."""
+    """If one invalid entry made the whole list invalid, requests would still go to engines that it lists as
+    draining."""
     endpoints = EndpointList(["r"])
     endpoints.apply(pb.ServerList(version=1, servers=[entry(7)]), 1)
     invalid = entry(2)
@@ -93,15 +94,18 @@
     listed = endpoints.apply(pb.ServerList(version=2, servers=[entry(1), invalid, draining]), 2)
     assert [reason.partition(":")[0] for reason in listed.left_out] == [path]
     assert list(endpoints.entries) == [1, 7] and endpoints.version == 2
-    assert [one.state for one in listed.update.endpoints] == [EndpointState.READY, EndpointState.DRAINING]
+    assert [endpoint.state for endpoint in listed.update.endpoints] == [
+        EndpointState.READY,
+        EndpointState.DRAINING,
+    ]
 
 
 @pytest.mark.parametrize("state", [pb.ServerEntry.DRAINING, pb.ServerEntry.GONE])
 @pytest.mark.parametrize("fields", [{"kind": "x"}, {"address": "x"}, {"weight": 1e300}])
-def test_an_engine_is_not_ready_whose_invalid_entry_says_so(
+def test_an_invalid_entry_still_makes_a_leaving_engine_unready(
     fields: dict[str, object], state: pb.ServerEntry.State
 ) -> None:
-    """In a delta an entry that is left out would leave the engine as it was: ready."""
+    """In a delta, leaving out the invalid entry would keep the engine ready."""
     endpoints = EndpointList(["r"])
     endpoints.apply(pb.ServerList(version=1, servers=[entry(7), entry(8)]), 1)
     message = pb.ServerList(version=2, kind=pb.ServerList.DELTA, servers=[entry(7, state=state, **fields)])
@@ -109,7 +113,7 @@
     assert len(listed.left_out) == 1
     is_draining = state == pb.ServerEntry.DRAINING
     expected = EndpointState.DRAINING if is_draining else EndpointState.REMOVED
-    assert [(one.id, one.state) for one in listed.update.endpoints] == [(7, expected)]
+    assert [(endpoint.id, endpoint.state) for endpoint in listed.update.endpoints] == [(7, expected)]
     assert list(endpoints.entries) == ([7, 8] if is_draining else [8])
 
 
--- a/tests/sources/test_start_times.py
+++ b/tests/sources/test_start_times.py
@@ -12,7 +12,7 @@
 SLOW_START_US = 12 * SECOND_US
 
 
-def test_a_start_converts_the_same_whatever_the_clock_does_and_long_ago_stays() -> None:
+def test_a_start_converts_to_the_same_time_after_a_clock_step_and_0_stays_0() -> None:
     start_times = StartTimes()
     first = start_times.to_monotonic_us(1, WALL_US - 5 * SECOND_US, NOW_US, WALL_US)
     assert first == NOW_US - 5 * SECOND_US
--- a/tests/stored/test_files_of_c9c5611.py
+++ b/tests/stored/test_files_of_c9c5611.py
@@ -1,8 +1,8 @@
-"""Files that the version c9c5611 wrote are read by this one.
+"""Files that version c9c5611 wrote are read by the present version.
 
-Names in the code changed after it, and a field that is stored under its name in the code would change with it: an
-operator's ledger, plan or agent would then be unreadable after an upgrade. The files were written by running that
-version; none of them is written again here.
+Names in the code have changed since. If a field that is stored under its name in the code changed with it, an
+operator's ledger, plan or agent state would be unreadable after an upgrade. The files were written by running
+that version, and no test writes them again.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
     assert set(bills) == {"job-1", "job-2", "job-3"}
     first, second = bills["job-1"], bills["job-2"]
     assert (first.tenant, first.read, first.kept, first.written, first.amount) == ("north", 80, 20, 10, 280)
-    # Two parts of one job: the prompt is billed once, the second part's cached read is the installation's.
+    # Two records of one job: the prompt is billed once, the second record's cached read is at the operator's cost.
     assert (second.read, second.kept, second.written, second.amount) == (50, 0, 9, 190)
     assert first.whole and second.whole and not bills["job-3"].whole
     assert int(UsageOutcome.SERVED) == 1, "stored as a number"
 
 
-def test_an_endpoint_list_kept_on_disk_is_applied() -> None:
+def test_a_cached_endpoint_list_is_applied() -> None:
     received = EndpointList(("reader", "writer"))
     update = received.apply(
         load_cache(str(HERE / "endpoint-list")), 1_000_000, wall_us=1_700_000_000_000_000
@@ -57,7 +57,7 @@
     assert second.started_at_us == 1_000_000
 
 
-def test_the_record_of_a_rollout_is_read_and_written_alike() -> None:
+def test_the_record_of_a_rollout_is_read_and_written_unchanged() -> None:
     stored = json.loads((HERE / "rollout-record.json").read_text())
     record = RolloutRecord.from_dict(stored)
     assert (record.number, record.phase, record.stage, record.reason) == (
--- a/tuliptrack/fleet/__init__.py
+++ b/tuliptrack/fleet/__init__.py
@@ -1,4 +1,4 @@
 """The processes that run a fleet's rollouts: controllers and agents.
 
-What they do follows from `decisions/`; here are their calls, their files and the processes of nodes.
+The decisions are made in `decisions/`; this package has the calls, the files and the processes of nodes.
 """
--- a/tuliptrack/fleet/agent.py
+++ b/tuliptrack/fleet/agent.py
@@ -2,7 +2,7 @@
 
 Controllers that claim to lead call `Promise`, the leader has its record accepted by `Accept`, and all
 controllers gather reports by `Look`, with which the leader orders a release. The agent keeps the node
-running; the node goes on when the agent ends, and the next agent takes it over.
+running. The node keeps running when the agent ends, and the next agent takes it over.
 """
 
 from __future__ import annotations
@@ -43,10 +43,10 @@
         Args:
             host: The name of the host.
             root: The host's folder.
-            initial_release: What runs if nothing was ever ordered.
+            initial_release: The release to run until one is ordered.
 
         Raises:
-            SealedError: The stored state can't be read, or another agent has the folder.
+            SealedError: The stored state can't be read, or another agent uses the folder.
         """
         self.host = host
         self.incarnation = secrets.token_hex(INCARNATION_BYTES)
@@ -56,7 +56,7 @@
         self.state = load_state(self._folder.state) or initial_state
         self.node = NodeSupervisor(self._folder, self.state.release)
         self.order_fault = ""
-        """Why the last order could not be obeyed, for operators; empty where it was."""
+        """Why the last order could not be carried out, for operators; empty if it was."""
         self._server = Server()
         self._server.add(SERVICE, "Promise", unary_request(pb.PromiseRequest, self._handle_promise))
         self._server.add(SERVICE, "Accept", unary_request(pb.AcceptRequest, self._handle_accept))
@@ -92,7 +92,7 @@
         self._conclude(call, acceptor, agreed)
 
     def _conclude(self, call: ServerCall, acceptor: Acceptor, agreed: bool) -> None:
-        """Store what was agreed to, and only then answer: a promise that a crash undoes could be broken."""
+        """Store what was agreed to, and only then answer: a promise lost in a crash could be broken."""
         try:
             if agreed:
                 self._store(replace(self.state, acceptor=acceptor))
@@ -111,7 +111,7 @@
         call.end(Status(Code.OK))
 
     def _store(self, state: AgentState) -> None:
-        """Put a state on disk, and then in force; SealedError changes nothing."""
+        """Store a state on disk, then use it; after SealedError the old one stays in use."""
         save_state(self._folder.state, state)
         self.state = state
 
@@ -121,11 +121,11 @@
         obeyed = True
         if request.HasField("order"):
             release = NodeRelease(request.release.program, request.release.settings)
-            obeyed = self._obey(Ballot(request.order.epoch, request.order.number), release)
+            obeyed = self._carry_out(Ballot(request.order.epoch, request.order.number), release)
         call.send(self._report(obeyed).SerializeToString())
         call.end(Status(Code.OK))
 
-    def _obey(self, order: Ballot, release: NodeRelease) -> bool:
+    def _carry_out(self, order: Ballot, release: NodeRelease) -> bool:
         """Carry out an order; one without a release only shows that there is a leader.
 
         Returns:
@@ -140,7 +140,7 @@
         return True
 
     def _change_release(self, order: Ballot, release: NodeRelease) -> str:
-        """Run a release from now on; return why not, or an empty text."""
+        """Run a release from now on; return why that failed, or an empty text."""
         change_count = self.state.change_count + (release != self.state.release)
         try:
             self._store(replace(self.state, order=order, release=release, change_count=change_count))
--- a/tuliptrack/fleet/agent_calls.py
+++ b/tuliptrack/fleet/agent_calls.py
@@ -38,7 +38,7 @@
     ) -> None:
         """Call every agent, and return once `is_enough` is true of an answer, or all calls have ended.
 
-        The other calls go on: each agent is to receive the request.
+        The other calls continue, as every agent should receive the request.
         """
         loop = asyncio.get_running_loop()
         pending = {loop.create_task(self._call(host, method, request)) for host in self._channels}
@@ -61,7 +61,7 @@
             return host, None
 
     async def cancel(self) -> None:
-        """End all calls that are under way."""
+        """Cancel all pending calls."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
--- a/tuliptrack/fleet/agent_state.py
+++ b/tuliptrack/fleet/agent_state.py
@@ -1,4 +1,4 @@
-"""What an agent must not forget: its part in the consensus, and the last order that it carried out.
+"""The state that an agent keeps on disk: its part in the consensus, and the last order that it carried out.
 
 The stored form is JSON in a file with a checksum (`store/sealed.py`); its keys are part of the format.
 """
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentState:
-    """The state of an agent, as it was last stored. A changed one is stored before it takes effect."""
+    """The state of an agent. A change is stored before it takes effect."""
 
     acceptor: Acceptor
     order: Ballot
-    """Ballot of the record that the last order followed from."""
+    """Ballot of the record behind the last order."""
     release: NodeRelease
-    """What has to run."""
+    """The release that the node has to run."""
     change_count: int = 0
     """Orders that changed the release."""
 
--- a/tuliptrack/fleet/controller.py
+++ b/tuliptrack/fleet/controller.py
@@ -1,8 +1,8 @@
-"""A controller: leads a fleet's rollouts, or stands by to take over from the controller that does.
+"""A controller: leads a fleet's rollouts, or stands by to take over from the leader.
 
-The leader has each decision accepted by a quorum of agents, and only then orders it. A controller stores
-nothing itself: the record is with the agents. Any number of controllers run; which one leads follows from
-epochs alone. The waiting times here only keep two from claiming at once all the time.
+The leader has each decision accepted by a quorum of agents before it orders the change. A controller stores
+nothing itself: the agents keep the record. Any number of controllers may run; epochs alone determine which
+one leads. The delays here only keep controllers from repeatedly claiming to lead at the same time.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
 WINDOW_US = 5_000_000
 TAKEOVER_US = 3_000_000
 POLLS_PER_PERIOD = 5
-"""Looks at each agent within the shorter of window and takeover time."""
+"""Polls of each agent within the window or the takeover time, whichever is shorter."""
 TAKEOVER_STAGGER = 0.5
-"""By this share of the takeover time each controller waits longer than the one with the number before."""
+"""Each controller waits longer than the one before it, by this share of the takeover time."""
 
 
 class Controller:
@@ -56,7 +56,7 @@
         Args:
             number: This controller's own number, from 0.
             hosts: All hosts of the fleet.
-            window_us: How long reports are gathered before a decision.
+            window_us: How long reports are collected before a decision.
             takeover_us: How long there may be no leader before controller 0 claims to lead.
         """
         self._number, self._window_us, self._takeover_us = number, window_us, takeover_us
@@ -118,12 +118,12 @@
         return request
 
     async def _decide(self) -> None:
-        """Decide once a window while leading; claim to lead while nobody does."""
+        """Decide once a window while leading; claim to lead while no controller does."""
         for report in self._collector.latest.values():
             self._consensus.record_promised(report.promised)
         if not self._consensus.has_promises:
             self._learn()
-            await self._claim_if_unled()
+            await self._claim_if_leaderless()
         elif self._consensus.is_leader:
             await self._lead()
         else:
@@ -150,15 +150,15 @@
         self._window_began_at_us = now
         return True
 
-    async def _claim_if_unled(self) -> None:
+    async def _claim_if_leaderless(self) -> None:
         """Claim to lead if a quorum of agents has had no leader for the takeover time.
 
         Controllers with a higher number wait longer, so the lowest one that runs claims first.
         """
-        unled_us = sorted((report.unled_for for report in self._collector.latest.values()), reverse=True)
+        leaderless_us = sorted((report.unled_for for report in self._collector.latest.values()), reverse=True)
         quorum = self._consensus.quorum
         takeover_us = self._takeover_us * (1 + TAKEOVER_STAGGER * self._number)
-        if len(unled_us) < quorum or unled_us[quorum - 1] < takeover_us:
+        if len(leaderless_us) < quorum or leaderless_us[quorum - 1] < takeover_us:
             return
         if await self._consensus.claim():
             log.info("leads", controller=self._number, epoch=self._consensus.epoch)
@@ -180,7 +180,7 @@
             self._apply(value)
 
     def _apply(self, value: bytes) -> None:
-        """Put a settled record in force."""
+        """Apply a settled record to the rollout; resign if it can't be parsed."""
         before = self._rollout.record
         try:
             record = RolloutRecord.from_dict(parse_json(value)) if value else RolloutRecord()
--- a/tuliptrack/fleet/host.py
+++ b/tuliptrack/fleet/host.py
@@ -1,4 +1,4 @@
-"""The hosts of a fleet, as controllers are configured with them."""
+"""The hosts of a fleet, as configured for controllers."""
 
 from __future__ import annotations
 
--- a/tuliptrack/fleet/host_folder.py
+++ b/tuliptrack/fleet/host_folder.py
@@ -1,6 +1,6 @@
 """The folder of one host: the releases that can run there, and the files that the agent writes.
 
-`programs/DIGEST/run` is called with the path of the settings and prints one JSON line once it serves;
+`programs/DIGEST/run` is called with the path of the settings and prints one JSON line once it is ready;
 `settings/DIGEST` are the settings. The agent writes `state` (with a checksum), `owner` (a lock), and the
 node's output and log.
 """
@@ -17,18 +17,18 @@
 __all__ = ["HostFolder"]
 
 DIGEST = re.compile(r"[0-9A-Za-z][0-9A-Za-z_.-]{0,127}")
-"""What the names of programs and settings may be: nothing that leads out of their folder."""
+"""Names of programs and settings; the pattern excludes paths out of their folder."""
 LOCK_MODE = 0o644
 
 
 class HostFolder:
-    """Paths within a host's folder, and the lock that allows it one agent."""
+    """Paths within a host's folder, and the lock that allows only one agent to use it."""
 
     def __init__(self, root: Path) -> None:
         """Create the folder if need be.
 
         Raises:
-            SealedError: Another agent has the folder.
+            SealedError: Another agent uses the folder.
         """
         self.root = root.resolve()
         root.mkdir(parents=True, exist_ok=True)
@@ -50,14 +50,14 @@
         return self.root / "settings" / release.settings
 
     def missing(self, release: NodeRelease) -> str:
-        """Return what a release lacks to be run here, as a text for operators; empty if nothing."""
+        """Return why a release can't run on this host, as a text for operators; empty if it can."""
         for field, name in (("program", release.program), ("settings", release.settings)):
             if not DIGEST.fullmatch(name):
                 return f"{field}: {name!r} is no digest"
         if not self.program(release).is_file():
-            return f"program: {release.program!r} is not at hand"
+            return f"program: {release.program!r} is not installed on this host"
         if not self.settings(release).is_file():
-            return f"settings: {release.settings!r} are not at hand"
+            return f"settings: {release.settings!r} are not installed on this host"
         return ""
 
 
--- a/tuliptrack/fleet/log_metrics.py
+++ b/tuliptrack/fleet/log_metrics.py
@@ -26,7 +26,7 @@
 DEFAULT_LATE_MS = 1000.0
 MAX_LOGGED_MS = 1e12
 CHUNK_BYTES = 1 << 20
-"""How much of the log is read at once; also the longest line whose beginning is kept until its end comes."""
+"""Bytes of the log that are read at once; also the bound of an incomplete line that is kept until its end."""
 MAX_CLASSES = 64
 OTHER_CLASSES = "other"
 """All classes beyond the first `MAX_CLASSES`."""
@@ -101,8 +101,8 @@
 
 def _parse(line: bytes) -> _LoggedRequest | None:
     """Return the request of a log line, or None for any other line."""
-    # Failure: a line of another form raises as its values are compared. It would show as an agent that
-    # reports nothing from then on, though only this line cannot be read.
+    # The types are checked because comparing values of other types raises an error. The agent would then
+    # report nothing any more, though only this line can't be read.
     try:
         fields = parse_json(line)
         if fields["event"] != REQUEST_EVENT:
--- a/tuliptrack/fleet/node_process.py
+++ b/tuliptrack/fleet/node_process.py
@@ -1,7 +1,7 @@
-"""Processes of nodes, as the kernel shows them: started here, or left running by an earlier agent.
+"""Processes of nodes, in `/proc`: started by this agent, or left running by an earlier one.
 
-A node is a session of its own, so it goes on when the agent ends. Its environment carries a mark with the
-host's folder and the release, by which the next agent finds it, whenever the one before ended.
+A node runs in a session of its own, so it keeps running when the agent ends. Its environment holds a mark
+with the host's folder and the release, by which the next agent finds it, whenever the earlier one ended.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
     pid: int
     start_time: str
-    """By the kernel's count: with another one, the pid is that of another process."""
+    """By the kernel's clock; if it differs, the pid was reused by another process."""
     release: NodeRelease
     child: subprocess.Popen[bytes] | None = None
     """If this agent started it."""
@@ -72,7 +72,7 @@
 
 
 def _start_time(pid: int) -> str:
-    """Return when a process started, by the kernel's count; empty if there is none or it has ended."""
+    """Return when a process started, by the kernel's clock; empty if there is none or it has ended."""
     try:
         fields = (PROC / str(pid) / "stat").read_text().rpartition(")")[2].split()
     except OSError:
--- a/tuliptrack/fleet/node_supervisor.py
+++ b/tuliptrack/fleet/node_supervisor.py
@@ -1,7 +1,7 @@
 """Keeps the node of one host running: starts it, restarts it with backoff, replaces it by another release.
 
-The supervisor looks at the process in short intervals. It decides nothing: which release has to run is said
-by `run_release`.
+The supervisor polls the process at short intervals. It makes no decisions: `run_release` sets the release
+that has to run.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 log = structlog.get_logger("agent")
 POLL_INTERVAL_S = 0.05
 TERMINATION_GRACE_S = 10.0
-"""From SIGTERM to SIGKILL: a node that ignores the first would keep its host from ever changing."""
+"""From SIGTERM to SIGKILL. A node that ignores SIGTERM would otherwise block all later releases."""
 MIN_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
 
 
 @dataclass(slots=True)
 class _RestartBackoff:
-    """When a node may be started: after each failure in a row the delay doubles, up to a maximum."""
+    """When a node may be started again: the delay doubles with each failure in a row, up to a maximum."""
 
     delay_s: float = 0.0
-    """After the last failure; 0 if the last start was none."""
+    """Delay after the last failure; 0 if the last start did not fail."""
     not_before_s: float = 0.0
 
     def record_failure(self, now_s: float) -> None:
@@ -54,9 +54,9 @@
     def __init__(self, folder: HostFolder, release: NodeRelease) -> None:
         """Prepare to run `release`; nothing is started yet."""
         self.fault = ""
-        """Why the node could not be started last, for operators; empty once it could."""
+        """Why the last start or step failed, for operators; empty once a start succeeds."""
         self.step_errors = 0
-        """Steps of the watch that failed by a fault of this program."""
+        """Steps of `watch` that failed by a fault of this program."""
         self.address = ""
         """host:port of the node, once it is ready."""
         self.ready_at_us = 0
@@ -134,7 +134,7 @@
         _send(node, signal.SIGTERM)
 
     def _check_readiness(self) -> None:
-        """Read the line that the node prints once it serves; until then there is none, or a part of it."""
+        """Read the line that the node prints once it is ready; before, it is missing or incomplete."""
         with contextlib.suppress(OSError, ValueError, KeyError, TypeError):
             self.address = str(json.loads(self._folder.node_output.read_text())["address"])
             self.ready_at_us = now_us()
--- a/tuliptrack/fleet/operator_service.py
+++ b/tuliptrack/fleet/operator_service.py
@@ -1,6 +1,7 @@
-"""The gRPC service of a controller for operators: begin a rollout, pause, resume or abort it, show the state.
+"""The gRPC service of a controller for operators: controls rollouts and shows their state.
 
-A decision of an operator is answered once a quorum of agents has accepted the record that follows from it.
+The commands begin, pause, resume and abort a rollout. A decision of an operator is answered once a quorum
+of agents has accepted the record that follows from it.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
         consensus: RecordConsensus,
         collector: ReportCollector,
     ) -> None:
-        """Prepare to answer for controller `number`, from the parts that it works with."""
+        """Prepare to answer for controller `number`, whose other components are given."""
         self._number, self._hosts, self._rollout = number, hosts, rollout
         self._consensus, self._collector = consensus, collector
         self._pending: _PendingDecision | None = None
@@ -60,14 +61,14 @@
         return self._pending.record if self._pending else None
 
     def answer_decision(self) -> None:
-        """Answer the operator whose decision is settled, or was lost as another controller leads."""
+        """Answer the operator whose decision is settled, or is lost because another controller leads."""
         pending = self._pending
         if not pending:
             return
         if self._consensus.is_leader and self._rollout.record == pending.record:
             self._send_state(pending.call)
         elif not self._consensus.has_promises:
-            text = "another controller acts now; ask for the state"
+            text = "another controller leads now; query the state"
             pending.call.end(Status(Code.UNAVAILABLE, text))
         if not pending.call.open:
             self._pending = None
@@ -93,7 +94,7 @@
         zones = {name: host.zone for name, host in self._hosts.items()}
         if dict(plan.zones) != zones:
             name, zone = min(set(plan.zones.items()) ^ set(zones.items()))
-            raise PlanError(f"zones: {name!r} in {zone!r} is not what this fleet has")
+            raise PlanError(f"zones: {name!r} in {zone!r} does not match the hosts of this fleet")
 
     def _handle_command(self, call: ServerCall, request: pb.SayRequest) -> None:
         if not self._require_leader(call):
@@ -111,7 +112,7 @@
 
     def _decide(self, call: ServerCall, record: RolloutRecord) -> None:
         if self._pending:
-            text = "another decision is being settled; trying again is harmless"
+            text = "another decision is being settled; it is safe to try again"
             call.end(Status(Code.ABORTED, text))
         else:
             self._pending = _PendingDecision(call, record)
@@ -130,7 +131,7 @@
         call.end(Status(Code.OK))
 
     def _host_state(self, name: str) -> dict[str, Any]:
-        """Return what is known of a host; the keys are part of the interface for operators."""
+        """Return the last report of a host; the keys are part of the interface for operators."""
         report = self._collector.latest.get(name)
         if report is None:
             return {"heard": False}
--- a/tuliptrack/fleet/plan_parsing.py
+++ b/tuliptrack/fleet/plan_parsing.py
@@ -1,4 +1,4 @@
-"""Reads the plan of a rollout from the JSON that operators write."""
+"""Parses the plan of a rollout from the JSON that operators write."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     if not isinstance(content, dict):
         raise PlanError("plan: must be an object")
     if unknown := set(content) - {field.name for field in fields(RolloutPlan)}:
-        raise PlanError(f"{min(unknown)}: is no field of a plan")
+        raise PlanError(f"{min(unknown)}: is not a field of a plan")
     stages = tuple(
         RolloutStage(**{**stage, "hosts": tuple(stage["hosts"])}) for stage in content.pop("stages")
     )
--- a/tuliptrack/fleet/record_consensus.py
+++ b/tuliptrack/fleet/record_consensus.py
@@ -1,7 +1,7 @@
 """A controller's part in the consensus on the fleet's record: claims to lead, and has records accepted.
 
-A record counts once a quorum of agents has accepted it (`decisions/consensus.py` decides that). Who leads
-follows from epochs alone; nothing here depends on a clock.
+A record is valid once a quorum of agents has accepted it; `decisions/consensus.py` decides that. Epochs alone
+determine the leader; nothing here depends on a clock.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RecordConsensus:
-    """Calls agents for a `Proposer`."""
+    """Runs a `Proposer` by calls to agents."""
 
     def __init__(self, number: int, hosts: Iterable[str], calls: AgentCalls) -> None:
         """Prepare for controller `number`; `hosts` are those whose agents make up the quorum."""
--- a/tuliptrack/fleet/report_collector.py
+++ b/tuliptrack/fleet/report_collector.py
@@ -1,4 +1,4 @@
-"""What each host's node did in a window, from reports whose counts began with the agent's start."""
+"""Request counts of each host in a window, as differences of reports that count from the agent's start."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ReportCollector:
-    """The last report of each host, and that of the window before."""
+    """The last report of each host, and the one at the end of the window before."""
 
     def __init__(self, zones: Mapping[str, str]) -> None:
         """Begin without reports; `zones` are those of the hosts, by name."""
@@ -22,7 +22,7 @@
         self._at_last_window: dict[str, pb.HostReport] = {}
 
     def end_window(self) -> list[NodeReport]:
-        """Return what each host did since the last window, and begin the next."""
+        """Return what each host did since the last window ended, and begin the next."""
         reports = [self._difference(host, report) for host, report in self.latest.items()]
         self._at_last_window = dict(self.latest)
         return reports
@@ -30,7 +30,7 @@
     def _difference(self, host: str, report: pb.HostReport) -> NodeReport:
         earlier = self._at_last_window.get(host)
         if earlier is None or earlier.life != report.life:
-            # The counts of another incarnation of the agent began elsewhere: this window shows no requests.
+            # Counts of another incarnation of the agent can't be subtracted: this window shows no requests.
             earlier = report
         running = report.release
         return NodeReport(
@@ -45,7 +45,7 @@
 
 
 def _count_differences(earlier: pb.HostReport, later: pb.HostReport) -> dict[str, dict[str, RequestCounts]]:
-    """Return by class and measure how many requests ended between two reports, and how many of them badly."""
+    """Return by class and measure how many requests ended between two reports, and how many badly."""
     earlier_counts = {(counts.request_class, counts.measure): counts for counts in earlier.counts}
     by_class: dict[str, dict[str, RequestCounts]] = {}
     for counts in later.counts:
--- a/tuliptrack/fleet/unary_call.py
+++ b/tuliptrack/fleet/unary_call.py
@@ -18,10 +18,10 @@
 
 
 class CallError(Exception):
-    """A call ended without a usable response."""
+    """A call that ended without a usable response."""
 
     def __init__(self, code: Code, text: str) -> None:
-        """Describe the end of a call: its status code, and a text for people."""
+        """Describe the end of a call: its status code, and a text for operators."""
         super().__init__(f"{code.name}: {text}")
         self.code, self.text = code, text
 
--- a/tuliptrack/sources/endpoint_list.py
+++ b/tuliptrack/sources/endpoint_list.py
@@ -1,8 +1,8 @@
 """The endpoint list of a gRPC node: received messages are checked, applied and converted for the router.
 
 `EndpointList` is the sum of all updates so far. It converts the start times of engines from wall time to the
-node's monotonic time. An invalid entry is left out, and costs none of the others; a message of unknown kind
-is rejected, and the list before it stays in force. `save_cache` and `load_cache` store the list on disk for
+node's monotonic time. An invalid entry is left out without affecting the others; a message of unknown kind
+is rejected, and the previous list stays in force. `save_cache` and `load_cache` store the list on disk for
 the node's next start.
 """
 
@@ -33,7 +33,7 @@
 ]
 
 MAX_ENDPOINTS = 100_000
-"""Entries of one list: a bound, far above any fleet."""
+"""Entries of one list; far more than any fleet has."""
 MAX_PORT = 65_535
 MAX_WEIGHT = 1e9
 MAX_STARTED_UNIX_US = 2**62
@@ -71,7 +71,7 @@
     update: EndpointListUpdate
     entries: tuple[pb.ServerEntry, ...] = ()
     left_out: tuple[str, ...] = ()
-    """Why entries were left out: place, field and reason of each."""
+    """Why entries were left out: index, field and reason of each."""
 
     @property
     def addresses(self) -> dict[int, str]:
@@ -113,19 +113,19 @@
         kind: UpdateKind | None = None,
         wall_us: int | None = None,
     ) -> ListedUpdate:
-        """Apply a message and return what the router needs to know of it.
+        """Apply a message and return the update for the router.
 
         Args:
             message: A full list, a delta or the notice that a request for a list failed.
             now_us: The monotonic clock's reading.
-            kind: What the message is, if not what it says.
+            kind: Overrides the kind that the message states.
             wall_us: The wall clock's reading since 1970; read here if None.
 
         Raises:
             InvalidListError: The message is rejected, and nothing has changed.
         """
-        # Failure: one entry that cannot be used takes the whole list with it. It would show as requests sent
-        # to an engine that drains, as another entry of the same list says.
+        # Invalid entries are left out one by one. If one of them made the whole list invalid, requests would
+        # still be sent to engines that drain according to other entries of that list.
         update_kind = kind or _UPDATE_KINDS.get(message.kind)
         if update_kind is None:
             raise InvalidListError(f"kind: unknown value {message.kind}")
@@ -186,7 +186,7 @@
         _check_numbers(entry, path)
 
     def _leaving_entry(self, entry: pb.ServerEntry) -> pb.ServerEntry | None:
-        """Return the known entry of an endpoint whose invalid one still says that it is leaving."""
+        """Return the last valid entry with the new state, if an invalid one says that its endpoint leaves."""
         known = self.entries.get(entry.id)
         if known is None or entry.state not in (pb.ServerEntry.DRAINING, pb.ServerEntry.GONE):
             return None
--- a/tuliptrack/sources/feed.py
+++ b/tuliptrack/sources/feed.py
@@ -1,8 +1,8 @@
 """Endpoint lists pushed by a `tuliptrack.v1.ServerFeed`.
 
-The router decides when to subscribe, and when to do so again: the end of a stream is published as FAILED,
-nothing more. Within one stream a list that is not newer than the last is dropped; a new stream begins with
-the full list, whatever its version.
+The router decides when to subscribe, and when to do so again: the end of a stream is only published as
+FAILED. Within one stream a list that is not newer than the last is dropped; a new stream begins with the full
+list, whatever its version.
 """
 
 from __future__ import annotations
@@ -48,10 +48,10 @@
 
         Args:
             address: Where the feed listens, as host:port.
-            node: How this node names itself to the feed.
+            node: The name of this node in requests to the feed.
             connect_timeout_us: How long a connection attempt may take.
-            keepalive_us: Idle time before a keepalive, and the time-out of its answer. A feed that became
-                unreachable without closing the connection is found so.
+            keepalive_us: Idle time before a keepalive, and the time-out of its answer. It detects a feed that
+                became unreachable without closing the connection.
         """
         self.channel = Channel(
             address,
--- a/tuliptrack/sources/file.py
+++ b/tuliptrack/sources/file.py
@@ -20,7 +20,7 @@
 
 
 class _FileVersion(NamedTuple):
-    """What tells one state of the file from another; all zero if it can't be examined."""
+    """Metadata by which a change of the file is detected; all zero if it can't be read."""
 
     modified_ns: int = 0
     size_bytes: int = 0
--- a/tuliptrack/sources/start_times.py
+++ b/tuliptrack/sources/start_times.py
@@ -1,10 +1,10 @@
 """Start times of engines: wall times, as endpoint lists give them, converted to the node's monotonic time.
 
-The wall clock may be stepped at any time. Each start is converted once, and an engine that has just started
-is never taken for a warm one because of a clock that may be wrong: the offset between the clocks is read with
-the first list and again with each later one, and the reading by which the start is later counts. A start that
-was not in the list before, and that would lie far before that list was received, comes from a clock that
-differs from ours: it counts as now.
+The wall clock may be stepped at any time. Each start is converted once, and a wrong clock must never make an
+engine that has just started look warm. So the offset between the clocks is read with the first list and again
+with each later one, and the reading that makes the start later is used. A start that was not in the previous
+list, and that would lie far before that list was received, comes from a clock that differs from ours: it is
+replaced by the present time.
 
 All times are in microseconds.
 """
@@ -17,7 +17,7 @@
 __all__ = ["StartTimes"]
 
 MAX_ANNOUNCEMENT_DELAY_US = 30_000_000
-"""A start appears in the lists at most this much later: outages of discovery last some seconds."""
+"""A start appears in the lists at most this much later, as outages of discovery last some seconds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,8 @@
         last_list_at_us = self._last_list_at_us
         if last_list_at_us is not None and started_us < last_list_at_us - MAX_ANNOUNCEMENT_DELAY_US:
             started_us = now_us
-        # A start in the future comes from a clock ahead of ours: as now, the engine is warming up, not warm.
+        # A start in the future comes from a clock ahead of ours. It counts as now, so the engine is still
+        # treated as warming up.
         return max(min(started_us, now_us), 1)
 
     def record_list(self, now_us: int) -> None:
