--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -27,6 +27,7 @@
     "simulator_adapter",
     "sources",
     "state",
+    "store",
     "structures",
 )
 """Packages whose names were all gone through."""
