--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -18,7 +18,7 @@
 
 from tuliptrack.decisions.billing import TokenPrice, UsageOutcome, UsageRecord, compute_bills
 from tuliptrack.store.ledger import Ledger
-from tuliptrack.store.ledger_reading import read_parts, verify
+from tuliptrack.store.ledger_reading import read_usage_records, verify
 from tuliptrack.structures.heavy_hitters import HeavyHitterSketch
 from tuliptrack.structures.timing_wheel import TimingWheel
 
@@ -65,7 +65,7 @@
         ledger.close()
         click.echo(
             f"opened again in {timed(lambda: Ledger(path, 1 << 34).close()) * 1e3:.0f} ms, verified in "
-            f"{timed(lambda: verify(path)):.1f} s, billed in {timed(lambda: compute_bills(read_parts(path))):.1f} s"
+            f"{timed(lambda: verify(path)):.1f} s, billed in {timed(lambda: compute_bills(read_usage_records(path))):.1f} s"
         )
     count = 1_000_000
     whens = [chance.randrange(60_000_000) for _ in range(count)]
--- a/tests/store/test_billing_machine.py
+++ b/tests/store/test_billing_machine.py
@@ -17,7 +17,7 @@
 
 from tuliptrack.decisions.billing import TokenPrice, UsageOutcome, UsageRecord, compute_bills
 from tuliptrack.store.ledger import Ledger
-from tuliptrack.store.ledger_reading import read_parts, verify
+from tuliptrack.store.ledger_reading import read_usage_records, verify
 
 NODES, WORKS, LENGTH = 2, 3, 8
 
@@ -125,7 +125,7 @@
             copy.mkdir()
             self.ledgers[node].env.copy(str(copy))
             assert verify(str(copy))[1] == []
-            parts += list(read_parts(str(copy))) * (1 + twice)
+            parts += list(read_usage_records(str(copy))) * (1 + twice)
         bills = {bill.work: bill for bill in compute_bills(parts)}
         for work, committed in self.committed_tokens.items():
             billed = bills[work].written if work in bills else 0
--- a/tests/store/test_ledger.py
+++ b/tests/store/test_ledger.py
@@ -24,7 +24,7 @@
 from tuliptrack.decisions.billing import TokenPrice, UsageOutcome, UsageRecord, compute_bills, daily_totals
 from tuliptrack.store.ledger import Ledger, LedgerError, LedgerFull
 from tuliptrack.store.ledger_format import digest_of
-from tuliptrack.store.ledger_reading import read_parts, read_sums, verify
+from tuliptrack.store.ledger_reading import read_daily_totals, read_usage_records, verify
 
 PRICE = TokenPrice(2, 1, 10)
 WRITER = """
@@ -87,7 +87,7 @@
             if line.endswith("\n"):
                 number, step = map(int, line.split())
                 committed.update({f"writer{index}-{number + k}": 5 * step + 1 for k in range(4)})
-        bills = {bill.work: bill.written for bill in compute_bills(read_parts(str(path)))}
+        bills = {bill.work: bill.written for bill in compute_bills(read_usage_records(str(path)))}
         assert all(bills[work] >= tokens for work, tokens in committed.items())
         # Beyond what was reported there is at most one more commit: four works, one step further.
         more = {
@@ -100,7 +100,7 @@
     ledger.close()
     assert all(
         p.outcome in (UsageOutcome.SERVED, UsageOutcome.CUT)
-        for p in {p.key: p for p in read_parts(str(path))}.values()
+        for p in {p.key: p for p in read_usage_records(str(path))}.values()
     )
 
 
@@ -116,7 +116,7 @@
     with pytest.raises(LedgerError, match="another process"):
         subprocess_open(tmp_path)
     again.close()
-    last = {p.number: p for p in read_parts(str(tmp_path))}
+    last = {p.number: p for p in read_usage_records(str(tmp_path))}
     assert (last[1].next, last[1].outcome) == (7, UsageOutcome.CUT) and last[2].outcome == UsageOutcome.SERVED
     assert Ledger(str(tmp_path)).recovery.cut == 0
 
@@ -170,7 +170,7 @@
             else any(p.sequence == sequence and words in p.reason for p in problems)
         ), problems
     with pytest.raises(LedgerError, match="batch 3"):
-        list(read_parts(str(tmp_path / "flip")))
+        list(read_usage_records(str(tmp_path / "flip")))
     with pytest.raises(LedgerError, match="no ledger"):
         verify(str(tmp_path / "nothing"))
 
@@ -187,7 +187,7 @@
     waiting = {number for _, number in ledger.waiting}
     assert len(waiting) == 100 and ledger.size() <= 1 << 20
     ledger.close()
-    written = {p.number for p in read_parts(str(tmp_path))}
+    written = {p.number for p in read_usage_records(str(tmp_path))}
     assert written | waiting == set(range(number)) and verify(str(tmp_path))[1] == []
     again = Ledger(str(tmp_path), max_bytes=1 << 20)
     for n in waiting:
@@ -206,13 +206,13 @@
     )  # a work of the third batch continues
     ledger.commit()
     ledger.close()
-    before = daily_totals(compute_bills(read_parts(str(tmp_path))))[("a", 0)]
+    before = daily_totals(compute_bills(read_usage_records(str(tmp_path))))[("a", 0)]
     ledger = Ledger(str(tmp_path))
     assert ledger.compact(5_000) == 2  # the third batch holds the work that continues
     assert ledger.compact(5_000) == 0
     ledger.close()
-    rest = daily_totals(compute_bills(read_parts(str(tmp_path))))[("a", 0)]
-    folded = read_sums(str(tmp_path))[0]
+    rest = daily_totals(compute_bills(read_usage_records(str(tmp_path))))[("a", 0)]
+    folded = read_daily_totals(str(tmp_path))[0]
     for name in ("works", "read", "written", "amount"):
         assert getattr(rest, name) + getattr(folded, name) == getattr(before, name)
     assert folded.works == 10 and verify(str(tmp_path))[1] == []
@@ -225,7 +225,7 @@
 
 def test_the_usage_since_a_time_is_read_from_the_newest_batches(tmp_path: Path) -> None:
     ledger = filled(tmp_path, 6, 5)
-    found = ledger.used_since(4_000)
+    found = ledger.records_since(4_000)
     assert sorted(p.number for p in found) == list(range(20, 30))
     ledger.close()
 
@@ -246,7 +246,7 @@
         thread.join()
     ledger.commit()
     ledger.close()
-    assert len(list(read_parts(str(tmp_path / "l")))) == 240
+    assert len(list(read_usage_records(str(tmp_path / "l")))) == 240
 
 
 TEMPORARILY_FULL = """
@@ -289,7 +289,7 @@
     )
     assert done.stdout.split() == ["100", *["LedgerError"] * 6, "300"]
     assert verify(str(tmp_path)) == (2, [])
-    assert sorted(p.number for p in read_parts(str(tmp_path))) == list(range(400))
+    assert sorted(p.number for p in read_usage_records(str(tmp_path))) == list(range(400))
 
 
 class FailingRoot:
@@ -329,7 +329,7 @@
     assert ledger.commit() == (2 if written else 3)
     ledger.close()
     assert verify(str(tmp_path)) == (3 if written else 2, [])
-    last = {p.number: p.next for p in read_parts(str(tmp_path))}
+    last = {p.number: p.next for p in read_usage_records(str(tmp_path))}
     assert last == {0: 5, 1: 5, 10: 8, 11: 5, 12: 5}
 
 
@@ -371,7 +371,7 @@
 """
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.split() == ["1", "True", "1"]
-    assert [p.outcome for p in read_parts(str(tmp_path))] == [UsageOutcome.OPEN, UsageOutcome.CUT]
+    assert [p.outcome for p in read_usage_records(str(tmp_path))] == [UsageOutcome.OPEN, UsageOutcome.CUT]
 
 
 def test_a_folder_that_cannot_be_created_is_named_by_the_error(tmp_path: Path) -> None:
--- a/tests/stored/test_files_of_c9c5611.py
+++ b/tests/stored/test_files_of_c9c5611.py
@@ -28,7 +28,7 @@
     shutil.copytree(HERE / "ledger", tmp_path / "ledger")
     ledger = Ledger(str(tmp_path / "ledger"))
     try:
-        bills = {bill.work: bill for bill in compute_bills(ledger.used_since(0))}
+        bills = {bill.work: bill for bill in compute_bills(ledger.records_since(0))}
     finally:
         ledger.close()
     assert set(bills) == {"job-1", "job-2", "job-3"}
--- a/tests/test_bills_path.py
+++ b/tests/test_bills_path.py
@@ -22,7 +22,7 @@
 from tuliptrack.rpc.channel import Channel
 from tuliptrack.rpc.status import Code
 from tuliptrack.store.ledger import Ledger, LedgerFull
-from tuliptrack.store.ledger_reading import read_parts
+from tuliptrack.store.ledger_reading import read_usage_records
 
 PRICES = "price { read: 2 kept: 1 written: 10 } commit_ms: 20"
 
@@ -98,7 +98,7 @@
             most = max(len(one.tokens) for one in asked)
 
     run(go)
-    bills = compute_bills(read_parts(str(tmp_path / "l")))
+    bills = compute_bills(read_usage_records(str(tmp_path / "l")))
     assert len(bills) == 60 and {b.tenant for b in bills} == {"north", "south"}
     for tenant in ("north", "south"):
         billed = sum(b.written for b in bills if b.tenant == tenant)
@@ -114,7 +114,7 @@
     for _ in range(2):  # merged into another ledger, once or twice: the same bills
         merged = CliRunner().invoke(main, ["bills", "merge", str(tmp_path / "all"), str(tmp_path / "l")])
         assert merged.exit_code == 0, merged.output
-        assert compute_bills(read_parts(str(tmp_path / "all"))) == bills
+        assert compute_bills(read_usage_records(str(tmp_path / "all"))) == bills
     exported = CliRunner().invoke(main, ["bills", "export", str(tmp_path / "all")])
     assert len(exported.output.splitlines()) == 61
 
@@ -140,7 +140,7 @@
     again = Ledger(str(tmp_path / "killed"))
     assert again.recovery.cut == 1
     again.close()
-    bill = compute_bills(read_parts(str(tmp_path / "killed")))[0]
+    bill = compute_bills(read_usage_records(str(tmp_path / "killed")))[0]
     assert bill.work == "long" and bill.written >= 20 and not bill.whole
 
 
@@ -204,7 +204,7 @@
             assert (await w.ask(work="three").wait()).status.code is Code.OK
 
     run(go)
-    works = {b.work for b in compute_bills(read_parts(str(tmp_path / "l"))) if b.amount}
+    works = {b.work for b in compute_bills(read_usage_records(str(tmp_path / "l"))) if b.amount}
     assert works == ({"one", "two", "three"} if when == "SERVE" else {"one", "three"})
 
 
--- a/tuliptrack/cli/bills.py
+++ b/tuliptrack/cli/bills.py
@@ -19,7 +19,7 @@
     newest_states,
 )
 from tuliptrack.store.ledger import Ledger, LedgerError
-from tuliptrack.store.ledger_reading import read_parts, read_sums, verify
+from tuliptrack.store.ledger_reading import read_daily_totals, read_usage_records, verify
 
 __all__ = ["bills"]
 
@@ -34,7 +34,7 @@
 
 def _parts(ledgers: tuple[str, ...]) -> list[UsageRecord]:
     try:
-        return [part for path in ledgers for part in read_parts(path)]
+        return [part for path in ledgers for part in read_usage_records(path)]
     except LedgerError as error:
         raise click.ClickException(str(error)) from None
 
@@ -50,7 +50,7 @@
         key: asdict(t) for key, t in daily_totals(compute_bills(_parts(ledgers))).items()
     }
     for path in ledgers:
-        for old in read_sums(path):
+        for old in read_daily_totals(path):
             row = rows.setdefault((old.tenant, old.day), {})
             for name in DailyTotal.__dataclass_fields__:
                 row[name] = row.get(name, 0) + getattr(old, name)
@@ -107,7 +107,7 @@
     try:
         into = Ledger(target)
         into.close()
-        held = {part.key: part for part in read_parts(target)}
+        held = {part.key: part for part in read_usage_records(target)}
         best = newest_states(new)
         into = Ledger(target)
         for name, part in sorted(best.items()):
--- a/tuliptrack/node/usage_recorder.py
+++ b/tuliptrack/node/usage_recorder.py
@@ -72,7 +72,7 @@
             "ledger open",
             batches=recovery.batches,
             cut_off=recovery.cut,
-            ms=round(recovery.took_us / 1000, 1),
+            ms=round(recovery.duration_us / 1000, 1),
             trouble=recovery.trouble,
         )
 
@@ -80,7 +80,7 @@
         """Return the usage since a time, in microseconds since 1970; empty if there is no ledger."""
         if self.ledger is None:
             return []
-        return list(compute_bills(await asyncio.to_thread(self.ledger.used_since, wall_time_us)))
+        return list(compute_bills(await asyncio.to_thread(self.ledger.records_since, wall_time_us)))
 
     async def close(self) -> None:
         """Commit what is left and close the ledger."""
--- a/tuliptrack/store/ledger.py
+++ b/tuliptrack/store/ledger.py
@@ -56,7 +56,7 @@
     batches: int
     cut: int
     """Records that a crash left open; they end as CUT, with the usage that had been committed."""
-    took_us: int
+    duration_us: int
     trouble: str = ""
     """Why those could not be committed, and wait for the next commit; empty if they were."""
 
@@ -290,7 +290,7 @@
             txn.delete(b"\xff compacted", db=self.open_parts)
         return len(old)
 
-    def used_since(self, wall_us: int) -> list[UsageRecord]:
+    def records_since(self, wall_us: int) -> list[UsageRecord]:
         """Return the records of requests that came since a wall time, as budgets by calendar count them.
 
         Batches are read from the newest back to the first that has no such record.
--- a/tuliptrack/store/ledger_reading.py
+++ b/tuliptrack/store/ledger_reading.py
@@ -13,7 +13,7 @@
 from tuliptrack.proto import billing_pb2 as pb
 from tuliptrack.store.ledger_format import LedgerError, digest_of, parse_batch, record_from_message
 
-__all__ = ["Problem", "read_parts", "read_sums", "verify"]
+__all__ = ["Problem", "read_daily_totals", "read_usage_records", "verify"]
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
         raise LedgerError(f"{path}: {error}") from None
 
 
-def read_parts(path: str) -> Iterator[UsageRecord]:
+def read_usage_records(path: str) -> Iterator[UsageRecord]:
     """Yield every record of a ledger in the order of commits; LedgerError at the first damaged batch."""
     env, batches, _ = _open_for_reading(path)
     try:
@@ -47,7 +47,7 @@
         env.close()
 
 
-def read_sums(path: str) -> list[pb.BillSum]:
+def read_daily_totals(path: str) -> list[pb.BillSum]:
     """Return the daily totals of the batches that compactions removed."""
     env, _, sums = _open_for_reading(path)
     try:
