--- a/tests/relay/test_client_disconnects.py
+++ b/tests/relay/test_client_disconnects.py
@@ -1,6 +1,6 @@
-"""A client that has half-closed or reset its connection has disconnected: no attempt for it starts more than
-0.1 s later, whatever state its request is in and however late the node reads its socket. Judged by what
-engines saw."""
+"""A client that has closed, half-closed or reset its connection has disconnected. No attempt for it starts more than
+0.1 s later, whatever state its request is in and however late the node reads its socket. Judged by what engines
+received."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from relay_world import (
     SETTINGS,
     Platform,
-    Seen,
+    ReceivedRequest,
     Vanished,
+    answer_decode,
+    answer_prefill,
     delay_connections,
     platform,
-    reads,
     request,
-    writes,
 )
 from world import run, until
 
 NO_ATTEMPT_AFTER_S = 0.1
-"""The platform allows no attempt so long after a disconnect."""
+"""The platform allows no attempt later than this after a disconnect."""
 Disconnect = Callable[[socket.socket], None]
 
 
@@ -47,15 +47,15 @@
 
 
 def client(p: Platform, data: bytes) -> socket.socket:
-    """Return a connection on which these bytes have been written."""
+    """Open a connection, write these bytes and return its socket."""
     host, _, port = p.relay.front.server.address.rpartition(":")
     sock = socket.create_connection((host, int(port)))
     sock.sendall(data)
     return sock
 
 
-def asked(p: Platform, call_id: str) -> list[Seen]:
-    return [one for one in p.saw() if one.call_id == call_id]
+def attempts(p: Platform, call_id: str) -> list[ReceivedRequest]:
+    return [one for one in p.received() if one.call_id == call_id]
 
 
 async def wait_until_idle(p: Platform) -> None:
@@ -72,16 +72,16 @@
     async def go() -> None:
         may_end = asyncio.Event()
 
-        async def slow_prefill(one: Seen, writer: asyncio.StreamWriter) -> None:
-            if one.method == "POST":
+        async def slow_prefill(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if received.method == "POST":
                 await may_end.wait()
-            await reads(one, writer)
+            await answer_prefill(received, writer)
 
         # The node may not cancel attempts: the prefill ends well, after its client has left.
         limits = {**SETTINGS["limits"], "cancel": False}
-        async with platform({"settings": {"limits": limits}}, r0=slow_prefill, w0=writes) as p:
+        async with platform({"settings": {"limits": limits}}, r0=slow_prefill, w0=answer_decode) as p:
             sock = client(p, request("leaves"))
-            await until(lambda: bool(asked(p, "leaves")))
+            await until(lambda: bool(attempts(p, "leaves")))
             if ahead:
                 sock.setblocking(False)
                 more = request("ahead", b'"' + b"x" * 2_000 + b'"') * (ahead // 2_000)
@@ -93,8 +93,8 @@
             await asyncio.sleep(NO_ATTEMPT_AFTER_S)
             may_end.set()
             await wait_until_idle(p)
-            assert not p.engines["w0"].asked(), "no further attempt, and none for pipelined requests"
-            assert any(one.target == "/bootstrap/rooms/leaves" for one in p.saw("DELETE")), (
+            assert not p.engines["w0"].received(), "no further attempt, and none for pipelined requests"
+            assert any(one.target == "/bootstrap/rooms/leaves" for one in p.received("DELETE")), (
                 "the KV state is released"
             )
             assert not any(
@@ -114,7 +114,7 @@
 ) -> None:
     async def go() -> None:
         limits = {**SETTINGS["limits"], "cancel": may_cancel}
-        async with platform({"settings": {"limits": limits}}, r0=reads, w0=writes) as p:
+        async with platform({"settings": {"limits": limits}}, r0=answer_prefill, w0=answer_decode) as p:
             connecting: list[int] = []
 
             def delay(port: int) -> float:
@@ -126,7 +126,7 @@
             await until(lambda: p.engines["r0"].port in connecting)
             disconnect(sock)
             await wait_until_idle(p)
-            assert not asked(p, "leaves")
+            assert not attempts(p, "leaves")
             assert not any(
                 endpoint.ejections or endpoint.connection_failures
                 for endpoint in p.relay.router.endpoints.values()
@@ -142,17 +142,17 @@
     """The node has no processor time while clients connect, send and leave; one that stays is served."""
 
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
-            assert (await p.ask()).whole
-            gone = [client(p, request(f"gone-{n}")) for n in range(12)]
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
+            assert (await p.send_request()).is_complete
+            left = [client(p, request(f"gone-{n}")) for n in range(12)]
             stays = client(p, request("stays"))
-            for sock in gone:
+            for sock in left:
                 disconnect(sock)
-            time.sleep(2 * NO_ATTEMPT_AFTER_S)  # Nothing of it has been read.
-            await until(lambda: len(asked(p, "stays")) == 2)
+            time.sleep(2 * NO_ATTEMPT_AFTER_S)  # The node reads nothing meanwhile.
+            await until(lambda: len(attempts(p, "stays")) == 2)
             await wait_until_idle(p)
-            assert not [one.call_id for one in p.saw() if one.call_id.startswith("gone")]
-            for sock in [stays, *gone]:
+            assert not [one.call_id for one in p.received() if one.call_id.startswith("gone")]
+            for sock in [stays, *left]:
                 with contextlib.suppress(OSError):
                     sock.close()
 
@@ -164,23 +164,22 @@
     """An engine breaks the prefill off while the node is busy, after the client has left."""
 
     async def go() -> None:
-        breaks = asyncio.Event()
+        may_break = asyncio.Event()
 
-        async def broken(one: Seen, writer: asyncio.StreamWriter) -> None:
-            await breaks.wait()
+        async def break_prefill(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            await may_break.wait()
             writer.transport.abort()
 
-        async with platform(r0=broken, r1=broken, w0=writes) as p:
+        async with platform(r0=break_prefill, r1=break_prefill, w0=answer_decode) as p:
             sock = client(p, request("leaves"))
-            await until(lambda: bool(asked(p, "leaves")))
-            breaks.set()
+            await until(lambda: bool(attempts(p, "leaves")))
+            may_break.set()
             await asyncio.sleep(0)
             disconnect(sock)
-            time.sleep(
-                NO_ATTEMPT_AFTER_S
-            )  # Its end and the engine's are there to be read, in whatever order.
+            # Afterwards the node can read that client and engine have disconnected, in either order.
+            time.sleep(NO_ATTEMPT_AFTER_S)
             await wait_until_idle(p)
-            assert len(asked(p, "leaves")) == 1
+            assert len(attempts(p, "leaves")) == 1
             with contextlib.suppress(OSError):
                 sock.close()
 
@@ -188,21 +187,21 @@
 
 
 def test_an_attempt_cancelled_before_it_was_sent_is_retried() -> None:
-    """Its engine accepted no connection until the attempt's time-out. It never ran, so it is retried at another
-    engine, though its class may not be repeated."""
+    """The engine accepted no connection until the attempt timed out. The attempt never ran, so it is retried at
+    another engine, though its class may not be repeated."""
 
     async def go() -> None:
         keyed = {**SETTINGS["classes"][0], "effect": "guarded", "keyScope": "zone", "dedupWindow": 1}
         limits = {**SETTINGS["limits"], "connectTimeout": 4_000_000}
         async with platform(
-            {"settings": {"classes": [keyed], "limits": limits}}, m0=Vanished(), m1=writes
+            {"settings": {"classes": [keyed], "limits": limits}}, m0=Vanished(), m1=answer_decode
         ) as p:
-            p.tell(m1="Terminating")
+            p.publish(m1="Terminating")
             await until(lambda: p.relay.directory.revision == p.revision)
-            asking = asyncio.ensure_future(p.ask())
+            reply_task = asyncio.ensure_future(p.send_request())
             await until(lambda: bool(p.relay.table.open))
-            p.tell(m1="Ready")
-            reply = await asking
-            assert (reply.status, reply.whole, len(p.engines["m1"].asked())) == (200, True, 1)
+            p.publish(m1="Ready")
+            reply = await reply_task
+            assert (reply.status, reply.is_complete, len(p.engines["m1"].received())) == (200, True, 1)
 
     run(go)
--- a/tests/relay/test_config.py
+++ b/tests/relay/test_config.py
@@ -1,4 +1,4 @@
-"""Settings files of a node, good and bad, and the limits of the system."""
+"""Valid and invalid settings files of a node, and the system's limit on descriptors."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import settings as examples
 from json_values import any_json
-from relay_node import told
+from relay_node import settings_text
 from relay_world import config
 
 from tuliptrack.relay.config import MIN_DESCRIPTORS, RelayConfigError, load, parse
@@ -34,23 +34,23 @@
         config([], "127.0.0.1:1", **change)
 
 
-def test_too_few_descriptors_are_an_error_and_the_systems_limit_counts(tmp_path: Path) -> None:
+def test_too_few_descriptors_are_an_error_and_the_systems_limit_applies(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(told("127.0.0.1:1", limits={"sockets": MIN_DESCRIPTORS - 1}))
+    path.write_text(settings_text("127.0.0.1:1", limits={"sockets": MIN_DESCRIPTORS - 1}))
     with pytest.raises(RelayConfigError, match=r"limits\.sockets"):
         load({"RELAY_CONFIG": str(path)})
-    path.write_text(told("127.0.0.1:1", limits={"sockets": MIN_DESCRIPTORS}))
+    path.write_text(settings_text("127.0.0.1:1", limits={"sockets": MIN_DESCRIPTORS}))
     assert load({"RELAY_CONFIG": str(path)}).max_descriptors == MIN_DESCRIPTORS
     system_limits = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (200, system_limits[1]))
     try:
-        path.write_text(told("127.0.0.1:1", limits={"sockets": 4_096}))
+        path.write_text(settings_text("127.0.0.1:1", limits={"sockets": 4_096}))
         assert load({"RELAY_CONFIG": str(path)}).max_descriptors == 200
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, system_limits)
 
 
-PLACES = (
+SETTING_PATHS = (
     ("listen",),
     ("discovery",),
     ("seed",),
@@ -71,15 +71,15 @@
 )
 
 
-@pytest.mark.parametrize("place", PLACES, ids=".".join)
+@pytest.mark.parametrize("path", SETTING_PATHS, ids=".".join)
 @given(value=any_json)
 @examples(max_examples=60, deadline=None, derandomize=True)
-def test_any_value_in_the_settings_is_used_or_is_the_typed_error(place: tuple[str, ...], value: Any) -> None:
-    """Failure: an error of another type ends a start with a traceback, and a reload without any line."""
-    file: dict[str, Any] = json.loads(told("127.0.0.1:1"))
+def test_any_value_in_the_settings_is_used_or_is_the_typed_error(path: tuple[str, ...], value: Any) -> None:
+    """Guards against an error of another type, which would end a start with a traceback and a reload without a log line."""
+    file: dict[str, Any] = json.loads(settings_text("127.0.0.1:1"))
     parent = file
-    for name in place[:-1]:
+    for name in path[:-1]:
         parent = parent.setdefault(name, {})
-    parent[place[-1]] = value
+    parent[path[-1]] = value
     with patch("tuliptrack.relay.config.parse_json", return_value=file), suppress(RelayConfigError):
         parse(b"", {})
--- a/tests/relay/test_corroboration.py
+++ b/tests/relay/test_corroboration.py
@@ -1,5 +1,5 @@
-"""Attempts without a sign from their engine for longer than a lease: those that surely wait there, and those
-that never arrived."""
+"""Attempts whose engine sends nothing for longer than a lease: those that have arrived and wait there, and those that
+never arrived."""
 
 from __future__ import annotations
 
@@ -7,7 +7,17 @@
 from collections.abc import Callable
 
 import pytest
-from relay_world import SETTINGS, Peer, Platform, Script, Seen, platform, reads, request, writes
+from relay_world import (
+    SETTINGS,
+    Peer,
+    Platform,
+    ReceivedRequest,
+    Script,
+    answer_decode,
+    answer_prefill,
+    platform,
+    request,
+)
 from world import run
 
 from tuliptrack.lab.soak.proxy import Fault, FaultProxy
@@ -16,7 +26,7 @@
 ALLOWED_S = SETTINGS["specifics"]["letGoBy"] / 1e6
 IN_TIME_S = ALLOWED_S + 0.3
 OVERLOAD_S = 3 * ALLOWED_S
-PATIENT = {"settings": {"classes": [{**SETTINGS["classes"][0], "promise": 4_000_000}]}}
+LONG_OBJECTIVE = {"settings": {"classes": [{**SETTINGS["classes"][0], "promise": 4_000_000}]}}
 """Settings with a latency objective longer than the overload."""
 
 
@@ -59,29 +69,29 @@
         """For a platform."""
         return dict(self.by_name)
 
-    async def prefill(self, one: Seen, writer: asyncio.StreamWriter) -> None:
-        self.record(one)
-        await reads(one, writer)
+    async def prefill(self, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        self.record(received)
+        await answer_prefill(received, writer)
 
-    async def decode(self, one: Seen, writer: asyncio.StreamWriter) -> None:
-        self.record_release(one)
-        if one.method == "POST" and self.overloaded:
+    async def decode(self, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        self.record_release(received)
+        if received.method == "POST" and self.overloaded:
             await asyncio.sleep(OVERLOAD_S)
-        await writes(one, writer)
+        await answer_decode(received, writer)
 
-    def record(self, one: Seen) -> None:
-        self.record_release(one)
-        if one.method == "POST" and one.call_id == "watched":
+    def record(self, received: ReceivedRequest) -> None:
+        self.record_release(received)
+        if received.method == "POST" and received.call_id == "watched":
             self.prefilled_at = now()
 
-    def record_release(self, one: Seen) -> None:
-        if one.method == "DELETE" and one.target.endswith("/watched"):
+    def record_release(self, received: ReceivedRequest) -> None:
+        if received.method == "DELETE" and received.target.endswith("/watched"):
             self.released_at.append(now())
 
     async def warm_up(self, p: Platform) -> None:
         """Serve requests, so that there is one idle connection to each engine that got some."""
         for _ in range(4):
-            await p.ask()
+            await p.send_request()
             await asyncio.sleep(0.1)
 
     def before_attempt_arrives(self, action: Callable[[], None]) -> None:
@@ -100,11 +110,11 @@
 
     async def go() -> None:
         engines = Engines()
-        async with platform(PATIENT, **engines.scripts) as p:
+        async with platform(LONG_OBJECTIVE, **engines.scripts) as p:
             await engines.warm_up(p)
             engines.overloaded = True
-            reply = await p.say(request("watched"))
-            assert reply.status == 200 and reply.whole
+            reply = await p.send(request("watched"))
+            assert reply.status == 200 and reply.is_complete
             assert not engines.released_at
             assert p.relay.counter_values()["leases_ended_by_arrival"] == 1
 
@@ -116,7 +126,7 @@
 
 
 def silence_all_open_connections(engines: Engines) -> None:
-    """New ones work, to the writer's machine too."""
+    """New connections work, also those to the decode engine's machine."""
     for engine in engines.by_name.values():
         engine.proxy.fail_open_connections(Fault.DISCARD)
 
@@ -129,10 +139,10 @@
 
     async def go() -> None:
         engines = Engines()
-        async with platform(PATIENT, **engines.scripts) as p:
+        async with platform(LONG_OBJECTIVE, **engines.scripts) as p:
             await engines.warm_up(p)
             engines.before_attempt_arrives(lambda: silence(engines))
-            await p.say(request("watched", budget="2.0"))
+            await p.send(request("watched", budget="2.0"))
             assert engines.prefilled_at
             assert engines.released_at and engines.released_at[0] - engines.prefilled_at <= IN_TIME_S
 
@@ -144,10 +154,10 @@
 
     async def go() -> None:
         engines = Engines()
-        async with platform(PATIENT, **engines.scripts) as p:
+        async with platform(LONG_OBJECTIVE, **engines.scripts) as p:
             await engines.warm_up(p)
             engines.overloaded = True
-            reply = await p.say(request("watched", budget="0.7"))
+            reply = await p.send(request("watched", budget="0.7"))
             ended_at = now()
             assert reply.status != 200
             await asyncio.sleep(IN_TIME_S)
@@ -161,28 +171,27 @@
 
     async def go() -> None:
         engines = Engines()
-        async with platform(PATIENT, **engines.scripts) as p:
+        async with platform(LONG_OBJECTIVE, **engines.scripts) as p:
             await engines.warm_up(p)
             p.relay.channels.close_idle_connections(key("w0"))
             engines.overloaded = True
-            await p.say(request("watched"))
+            await p.send(request("watched"))
             assert engines.released_at and engines.released_at[0] - engines.prefilled_at <= IN_TIME_S
 
     run(go, virtual=True)
 
 
 def test_an_attempt_whose_connection_answered_its_probe_late_is_not_taken_to_have_arrived() -> None:
-    """Much may have happened to the connection since the probe."""
+    """The connection may have failed since it answered the probe."""
 
     async def go() -> None:
         engines = Engines()
-        async with platform(PATIENT, **engines.scripts) as p:
+        async with platform(LONG_OBJECTIVE, **engines.scripts) as p:
             await engines.warm_up(p)
-            engines.by_name[
-                "w0"
-            ].proxy.delay_s = 0.015  # each way, and so within the time that an idle connection has to answer
+            # In each direction, which is still within the time that an idle connection has to answer.
+            engines.by_name["w0"].proxy.delay_s = 0.015
             engines.overloaded = True
-            await p.say(request("watched"))
+            await p.send(request("watched"))
             assert engines.released_at and engines.released_at[0] - engines.prefilled_at <= IN_TIME_S
 
     run(go, virtual=True)
--- a/tests/relay/test_deadlines.py
+++ b/tests/relay/test_deadlines.py
@@ -1,99 +1,113 @@
-"""The deadline that an attempt tells its engine is at most what its client has left, on further attempts
-too."""
+"""The remaining time that an attempt states to its engine is at most what its client has left, also on retries."""
 
 from __future__ import annotations
 
 import asyncio
 
 import pytest
-from relay_world import Platform, Script, Seen, delay_connections, platform, reads, request, writes
+from relay_world import (
+    Platform,
+    ReceivedRequest,
+    Script,
+    answer_decode,
+    answer_prefill,
+    delay_connections,
+    platform,
+    request,
+)
 from world import run
 
 BUDGET_S = 3.0
-SLACK_S = 0.15  # the platform's
+TOLERANCE_S = 0.15  # the platform's tolerance
 
 
-class Told:
-    """What engines were told of the time left, beside what was truly left as the request came to them."""
+class StatedDeadlines:
+    """The remaining time that each attempt stated, and what was truly left as it reached its engine."""
 
     def __init__(self) -> None:
-        self.began = 0.0
-        self.deadlines: list[tuple[str, float, float]] = []
-
-    def breaks_late(self, script: Script, failures: int, after: float) -> Script:
-        """An engine that breaks the connection of its first requests `after` seconds, and then plays
-        `script`."""
-        left = failures
-
-        async def noting(one: Seen, writer: asyncio.StreamWriter) -> None:
-            nonlocal left
-            if one.method == "POST":
-                self.deadlines.append(
+        self.started_at = 0.0
+        self.attempts: list[tuple[str, float, float]] = []
+
+    def recording(self, script: Script, failures: int, after_s: float) -> Script:
+        """Return an engine that records the stated times. It breaks the connections of its first `failures` requests,
+        `after_s` seconds after each, and then runs `script`."""
+        failures_left = failures
+
+        async def record(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            nonlocal failures_left
+            if received.method == "POST":
+                self.attempts.append(
                     (
-                        one.call_id,
-                        float(one.head["x-budget"]),
-                        BUDGET_S - (asyncio.get_running_loop().time() - self.began),
+                        received.call_id,
+                        float(received.head["x-budget"]),
+                        BUDGET_S - (asyncio.get_running_loop().time() - self.started_at),
                     )
                 )
-                if left:
-                    left -= 1
-                    await asyncio.sleep(after)
+                if failures_left:
+                    failures_left -= 1
+                    await asyncio.sleep(after_s)
                     writer.transport.abort()
                     return
-            await script(one, writer)
+            await script(received, writer)
 
-        return noting
+        return record
 
-    async def ask(self, p: Platform) -> int:
-        """One request; the status of its answer."""
-        self.began = asyncio.get_running_loop().time()
-        return (await p.say(request("d1", budget=f"{BUDGET_S:.3f}"))).status
+    async def send_request(self, p: Platform) -> int:
+        """Send one request and return the status of its answer."""
+        self.started_at = asyncio.get_running_loop().time()
+        return (await p.send(request("d1", budget=f"{BUDGET_S:.3f}"))).status
 
     def excess(self) -> float:
-        """The most seconds that any attempt told beyond what its client had left."""
-        return max(told - left for _, told, left in self.deadlines)
+        """Return by how many seconds an attempt stated more than its client had left, at most."""
+        return max(stated - left for _, stated, left in self.attempts)
 
 
-def test_further_attempts_tell_no_more_time_than_the_client_has_left() -> None:
+def test_retries_state_no_more_time_than_the_client_has_left() -> None:
     async def go() -> None:
-        told = Told()
-        writer = told.breaks_late(writes, 1, 0.2)
-        async with platform(r0=told.breaks_late(reads, 1, 0.4), w0=writer, w1=writer) as p:
-            assert await told.ask(p) == 200
-            assert len(told.deadlines) >= 4, "two reads and two writes at least"
-            assert told.excess() < SLACK_S
+        deadlines = StatedDeadlines()
+        decode = deadlines.recording(answer_decode, 1, 0.2)
+        async with platform(r0=deadlines.recording(answer_prefill, 1, 0.4), w0=decode, w1=decode) as p:
+            assert await deadlines.send_request(p) == 200
+            assert len(deadlines.attempts) >= 4, "two prefill and two decode attempts at least"
+            assert deadlines.excess() < TOLERANCE_S
 
     run(go, virtual=True)
 
 
-def test_an_attempt_whose_connection_comes_up_late_tells_no_more_time_than_is_left(
+def test_an_attempt_whose_connection_opens_late_states_no_more_time_than_is_left(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
-        told = Told()
-        async with platform(r0=told.breaks_late(reads, 0, 0.0), w0=told.breaks_late(writes, 0, 0.0)) as p:
+        deadlines = StatedDeadlines()
+        async with platform(
+            r0=deadlines.recording(answer_prefill, 0, 0.0), w0=deadlines.recording(answer_decode, 0, 0.0)
+        ) as p:
             delay_connections(
                 monkeypatch, lambda port: 0.2 if port in (p.engines["r0"].port, p.engines["w0"].port) else 0
             )
-            assert await told.ask(p) == 200
-            assert told.excess() < SLACK_S
+            assert await deadlines.send_request(p) == 200
+            assert deadlines.excess() < TOLERANCE_S
 
     run(go, virtual=True)
 
 
-def test_a_node_that_tells_each_attempt_the_whole_time_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check above, with the count of what is left taken out."""
+def test_the_check_fails_for_a_node_that_states_the_whole_time_to_each_attempt(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The check of the tests above, on a node that does not subtract the time that has passed."""
 
     async def go() -> None:
-        told = Told()
-        async with platform(r0=told.breaks_late(reads, 1, 0.4), w0=told.breaks_late(writes, 0, 0.0)) as p:
-            begin = p.relay.engines.start
+        deadlines = StatedDeadlines()
+        async with platform(
+            r0=deadlines.recording(answer_prefill, 1, 0.4), w0=deadlines.recording(answer_decode, 0, 0.0)
+        ) as p:
+            start = p.relay.engines.start
             monkeypatch.setattr(
                 p.relay.engines,
                 "start",
-                lambda record, attempt, _: begin(record, attempt, int(BUDGET_S * 1e6)),
+                lambda record, attempt, _: start(record, attempt, int(BUDGET_S * 1e6)),
             )
-            assert await told.ask(p) == 200
-            assert told.excess() > SLACK_S
+            assert await deadlines.send_request(p) == 200
+            assert deadlines.excess() > TOLERANCE_S
 
     run(go, virtual=True)
--- a/tests/relay/test_endings.py
+++ b/tests/relay/test_endings.py
@@ -1,5 +1,4 @@
-"""What is owed in the instant in which something ends: a request, a connection, a node. Each test forces one
-crossing."""
+"""Races at the end of a request, a connection or a node. Each test forces one order of events."""
 
 from __future__ import annotations
 
@@ -10,20 +9,20 @@
 from typing import Any
 
 import pytest
-from relay_node import told
+from relay_node import settings_text
 from relay_world import (
-    OPENING,
     SETTINGS,
     STREAM,
-    TOKENS,
-    Seen,
+    STREAM_HEAD,
+    TOKEN_EVENTS,
+    ReceivedRequest,
+    answer_decode,
+    answer_prefill,
     chunk,
-    hangs,
+    never_answer,
     platform,
     read_reply,
-    reads,
     request,
-    writes,
 )
 from world import run, until
 
@@ -31,57 +30,57 @@
 
 
 def one_class(**changes: Any) -> dict[str, Any]:
-    """Settings whose one class differs from the usual one."""
+    """Return settings with a single class, the usual one with these changes."""
     return {"settings": {"classes": [{**CLASS, **changes}]}}
 
 
-async def hanging_reader(one: Seen, writer: asyncio.StreamWriter) -> None:
-    """Takes releases, and requests whole, and never answers those."""
-    await (reads if one.method == "DELETE" else hangs)(one, writer)
+async def hanging_prefill(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    """Answer releases, and read requests in full without ever answering them."""
+    await (answer_prefill if received.method == "DELETE" else never_answer)(received, writer)
 
 
 @pytest.mark.parametrize(("effect", "status"), [("free", 503), ("single_shot", 502)])
-def test_a_read_that_is_out_as_the_node_ends_is_refused_only_where_it_may_run_twice(
+def test_a_request_in_prefill_as_the_node_stops_is_rejected_only_if_it_may_run_twice(
     effect: str, status: int
 ) -> None:
-    """Its engine hangs and has the whole request: whatever becomes of the connection, it may run yet."""
+    """The engine hangs and has the complete request, so it may still run the request after its connection has closed."""
 
     async def go() -> None:
-        async with platform(one_class(effect=effect), r0=hanging_reader, w0=writes) as p:
+        async with platform(one_class(effect=effect), r0=hanging_prefill, w0=answer_decode) as p:
             reader, writer = await p.connect()
             writer.write(request("reading"))
-            await until(lambda: bool(p.saw()))
+            await until(lambda: bool(p.received()))
             p.relay.conclude_open_requests()
             reply = await asyncio.wait_for(read_reply(reader), 5.0)
-            assert (reply.status, reply.whole) == (status, True)
+            assert (reply.status, reply.is_complete) == (status, True)
             writer.close()
 
     run(go, virtual=True)
 
 
-def test_a_request_whose_last_byte_comes_with_its_clients_end_reaches_no_engine() -> None:
+def test_a_request_whose_last_byte_comes_with_its_clients_fin_reaches_no_engine() -> None:
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
             for pieces in (1, 2, 7, 40):
-                whole = request(f"pieces-{pieces}")
+                data = request(f"pieces-{pieces}")
                 _, writer = await p.connect()
-                size = -(-len(whole) // pieces)
-                for at in range(0, len(whole) - size, size):
-                    writer.write(whole[at : at + size])
+                size = -(-len(data) // pieces)
+                for at in range(0, len(data) - size, size):
+                    writer.write(data[at : at + size])
                     await asyncio.sleep(0)
-                writer.write(whole[len(whole) - size :])
-                writer.write_eof()  # In the same turn of the loop as the last byte.
+                writer.write(data[len(data) - size :])
+                writer.write_eof()  # In the same turn of the event loop as the last byte.
                 await until(lambda: not p.relay.front.server.links)
                 writer.close()
-            assert not p.saw("POST")
-            assert (await p.ask()).whole
+            assert not p.received("POST")
+            assert (await p.send_request()).is_complete
 
     run(go, virtual=True)
 
 
-def test_connections_that_are_reset_right_after_they_were_accepted_leave_nothing_behind() -> None:
+def test_connections_that_are_reset_right_after_they_were_accepted_are_forgotten() -> None:
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
             host, _, port = p.relay.front.server.address.rpartition(":")
             for number in range(60):
                 with socket.create_connection((host, int(port))) as sock:
@@ -90,73 +89,79 @@
                         sock.sendall(request(f"reset-{number}")[: number % 3 * 100])
                 await asyncio.sleep(0)
             await until(lambda: not p.relay.front.server.links)
-            assert not p.saw("POST")
-            assert (await p.ask()).whole
+            assert not p.received("POST")
+            assert (await p.send_request()).is_complete
 
     run(go, virtual=True)
 
 
 @pytest.mark.parametrize(
-    "half", [b"HTTP/1.1 20", b"HTTP/1.1 200 OK\r\ncontent-ty", OPENING + b"1", OPENING + chunk(TOKENS[0])[:9]]
+    "half",
+    [
+        b"HTTP/1.1 20",
+        b"HTTP/1.1 200 OK\r\ncontent-ty",
+        STREAM_HEAD + b"1",
+        STREAM_HEAD + chunk(TOKEN_EVENTS[0])[:9],
+    ],
 )
-def test_half_a_line_from_an_engine_that_ends_is_an_attempt_that_failed(half: bytes) -> None:
+def test_an_attempt_whose_engine_breaks_off_within_a_line_is_retried(half: bytes) -> None:
     async def go() -> None:
         tried: list[str] = []
 
-        async def half_at_first(one: Seen, writer: asyncio.StreamWriter) -> None:
-            if one.method == "POST" and not tried:
-                tried.append(one.call_id)
+        async def half_at_first(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if received.method == "POST" and not tried:
+                tried.append(received.call_id)
                 writer.write(half)
                 writer.close()
                 return
-            await writes(one, writer)
+            await answer_decode(received, writer)
 
-        async with platform(r0=reads, w0=half_at_first, w1=half_at_first) as p:
-            reply = await p.ask()
-            assert (reply.status, reply.whole, reply.body) == (200, True, STREAM)
+        async with platform(r0=answer_prefill, w0=half_at_first, w1=half_at_first) as p:
+            reply = await p.send_request()
+            assert (reply.status, reply.is_complete, reply.body) == (200, True, STREAM)
             assert len(tried) == 1
 
     run(go, virtual=True)
 
 
-def test_a_client_that_leaves_as_half_a_line_comes_from_its_engine_ends_alone() -> None:
+def test_a_client_that_leaves_as_half_a_line_comes_from_its_engine_affects_no_other_request() -> None:
     async def go() -> None:
-        begun: list[asyncio.StreamWriter] = []
+        streams: list[asyncio.StreamWriter] = []
 
-        async def half_a_line(one: Seen, writer: asyncio.StreamWriter) -> None:
-            if one.call_id == "leaves":
-                writer.write(OPENING + chunk(TOKENS[0]))
-                begun.append(writer)
-                await hangs(one, writer)
-            await writes(one, writer)
+        async def half_a_line(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if received.call_id == "leaves":
+                writer.write(STREAM_HEAD + chunk(TOKEN_EVENTS[0]))
+                streams.append(writer)
+                await never_answer(received, writer)
+            await answer_decode(received, writer)
 
-        async with platform(r0=reads, w0=half_a_line) as p:
+        async with platform(r0=answer_prefill, w0=half_a_line) as p:
             reader, writer = await p.connect()
             writer.write(request("leaves"))
-            await until(lambda: bool(begun))
-            await reader.readuntil(TOKENS[0])
+            await until(lambda: bool(streams))
+            await reader.readuntil(TOKEN_EVENTS[0])
             writer.close()
-            begun[0].write(chunk(TOKENS[1])[:7])
+            streams[0].write(chunk(TOKEN_EVENTS[1])[:7])
             await until(lambda: not p.relay.table.open)
-            assert (await p.ask()).whole
+            assert (await p.send_request()).is_complete
 
     run(go, virtual=True)
 
 
-def test_signals_that_come_again_while_the_node_ends_change_nothing(
+def test_repeated_signals_while_the_node_stops_change_nothing(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
             path = tmp_path / "config.json"
-            path.write_text(told("127.0.0.1:9"))
+            path.write_text(settings_text("127.0.0.1:9"))
             monkeypatch.setenv("RELAY_CONFIG", str(path))
             first = asyncio.ensure_future(p.relay.stop(0.2, 0.1))
             await asyncio.sleep(0)
             p.relay.reload()
             again = asyncio.ensure_future(p.relay.stop(0.2, 0.0))
             await asyncio.wait_for(asyncio.gather(first, again), 5.0)
-            p.relay.reload()  # Nothing is asked any more.
+            p.relay.reload()  # The agent is no longer polled.
             assert p.relay.source.address == "127.0.0.1:9"
 
     run(go, virtual=True)
--- a/tests/relay/test_event_stream.py
+++ b/tests/relay/test_event_stream.py
@@ -9,7 +9,7 @@
 
 NAMES = ("in_flight", "memory")
 EVENTS = b'data: {"a": 1}\n\ndata: {"b": 2}\n\n'
-LAST = b"data: [DONE]\n\n"
+FINAL_EVENT = b"data: [DONE]\n\n"
 USAGE = b'data: {"usage": {"completion_tokens": 7, "prompt_tokens_details": {"cached_tokens": 4}}}\n\n'
 
 
@@ -21,9 +21,9 @@
 def test_events_arrive_unchanged_in_pieces_of_any_size_and_comments_do_not(size: int) -> None:
     usages: list[StreamUsage] = []
     stream = new_stream(usages)
-    sent = b': X-Load-Report: {"in_flight": 2}\n\n' + EVENTS + b": ping\n\n" + USAGE + LAST
+    sent = b': X-Load-Report: {"in_flight": 2}\n\n' + EVENTS + b": ping\n\n" + USAGE + FINAL_EVENT
     pieces = [sent[start : start + size] for start in range(0, len(sent), size)]
-    assert b"".join(stream.feed(piece) for piece in pieces) == EVENTS + USAGE + LAST
+    assert b"".join(stream.feed(piece) for piece in pieces) == EVENTS + USAGE + FINAL_EVENT
     assert stream.is_complete and stream.load_report == (2.0, 0.0)
     assert usages == [StreamUsage(cached_tokens=4, output_tokens=7)]
 
@@ -33,7 +33,7 @@
     stream = new_stream()
     stream.feed(EVENTS)
     assert not stream.is_complete
-    stream.feed(LAST)
+    stream.feed(FINAL_EVENT)
     assert stream.is_complete
     stream.feed(b"data: x")
     assert not stream.is_complete
--- a/tests/relay/test_floods.py
+++ b/tests/relay/test_floods.py
@@ -1,5 +1,5 @@
-"""Clients that send hundreds at once, drip their heads, read a byte now and then or say nothing, all
-together: others are served as without them, and what the node keeps is bounded. One node as a process."""
+"""Some clients pipeline hundreds of requests, send a head byte by byte, read slowly or send nothing, all at once. Other
+clients are served as without them, and the node's memory is bounded. The node runs as a process."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from pathlib import Path
 
 from relay_node import Node, start_node
-from relay_world import platform, read_reply, reads, request, writes
+from relay_world import answer_decode, answer_prefill, platform, read_reply, request
 from world import run, until
 
 
-async def pipelines(node: Node) -> None:
-    """Hundreds of requests in one go, none of them with an id, again and again."""
+async def pipeline_requests(node: Node) -> None:
+    """Send hundreds of requests at once, none of them with an id, again and again."""
     while True:
-        with contextlib.suppress(OSError):  # A time-out is one too.
+        with contextlib.suppress(OSError):  # TimeoutError is an OSError too.
             reader, writer = await node.connect()
             writer.write(request("") * 300)
             async with asyncio.timeout(0.5):
@@ -26,8 +26,8 @@
             writer.close()
 
 
-async def drips(node: Node) -> None:
-    """A head that never ends, a byte at a time."""
+async def send_endless_head(node: Node) -> None:
+    """Send a head that never ends, a byte at a time."""
     while True:
         with contextlib.suppress(OSError):
             _, writer = await node.connect()
@@ -37,8 +37,8 @@
                 await asyncio.sleep(0.02)
 
 
-async def reads_slowly(node: Node) -> None:
-    """Asks, and takes a byte a tenth of a second of what it gets."""
+async def read_slowly(node: Node) -> None:
+    """Send requests and read their answers at a byte every 0.1 s."""
     for number in itertools.count():
         with contextlib.suppress(OSError):
             reader, writer = await node.connect()
@@ -48,23 +48,23 @@
             writer.close()
 
 
-async def silent(node: Node) -> None:
-    held: list[object] = []
-    while len(held) < 150:
+async def keep_silent_connections(node: Node) -> None:
+    connections: list[object] = []
+    while len(connections) < 150:
         with contextlib.suppress(OSError):
-            held.append(await node.connect())
+            connections.append(await node.connect())
     await asyncio.Event().wait()
 
 
 def memory(node: Node) -> int:
-    """Bytes of the process that are in memory."""
+    """Return the process's resident memory in bytes."""
     with open(f"/proc/{node.process.pid}/statm") as file:
         return int(file.read().split()[1]) * 4_096
 
 
-def test_floods_take_no_service_from_others_and_little_memory(tmp_path: Path) -> None:
+def test_floods_do_not_affect_other_clients_and_take_little_memory(tmp_path: Path) -> None:
     async def go() -> None:
-        async with platform(r0=reads, r1=reads, w0=writes, w1=writes) as p:
+        async with platform(r0=answer_prefill, r1=answer_prefill, w0=answer_decode, w1=answer_decode) as p:
             node = await start_node(
                 p.agent.address,
                 tmp_path / "config.json",
@@ -73,13 +73,13 @@
             ids = itertools.count()
 
             async def client(count: int) -> int:
-                """How many of so many requests, one after another, are served."""
+                """Send `count` requests one after another and return how many were served."""
                 served = 0
                 reader, writer = await node.connect()
                 for _ in range(count):
                     writer.write(request(f"good-{next(ids)}"))
                     reply = await asyncio.wait_for(read_reply(reader), 5)
-                    served += reply.status == 200 and reply.whole
+                    served += reply.status == 200 and reply.is_complete
                     await asyncio.sleep(0.02)
                 writer.close()
                 return served
@@ -87,19 +87,21 @@
             async def load() -> int:
                 return sum(await asyncio.gather(*(client(20) for _ in range(6))))
 
-            alone, before = await load(), memory(node)
+            served_alone, memory_before = await load(), memory(node)
             floods = [
-                asyncio.ensure_future(one(node)) for one in (pipelines, drips, reads_slowly) for _ in range(8)
+                asyncio.ensure_future(flood(node))
+                for flood in (pipeline_requests, send_endless_head, read_slowly)
+                for _ in range(8)
             ]
-            floods.append(asyncio.ensure_future(silent(node)))
+            floods.append(asyncio.ensure_future(keep_silent_connections(node)))
             await asyncio.sleep(0.3)
-            began = time.monotonic()
-            beside = await load()
-            assert alone == 120 and beside >= 0.97 * alone, (alone, beside)
-            assert time.monotonic() - began < 20
-            assert memory(node) - before < 16_777_216 and node.descriptors <= 256
-            for one in floods:
-                one.cancel()
+            started_at = time.monotonic()
+            served_beside = await load()
+            assert served_alone == 120 and served_beside >= 0.97 * served_alone, (served_alone, served_beside)
+            assert time.monotonic() - started_at < 20
+            assert memory(node) - memory_before < 16_777_216 and node.descriptors <= 256
+            for flood in floods:
+                flood.cancel()
             await asyncio.wait(floods)
             assert not [line for line in node.log if "Traceback" in line or "handler failed" in line]
             await node.kill()
@@ -107,11 +109,11 @@
     run(go, 60)
 
 
-def test_two_hundred_changes_of_the_list_leave_nothing_behind(tmp_path: Path) -> None:
-    """Every engine is replaced again and again, under load."""
+def test_two_hundred_list_changes_leak_no_memory_and_no_descriptors(tmp_path: Path) -> None:
+    """Every engine is replaced by each change, and a request is served after each."""
 
     async def go() -> None:
-        async with platform(r0=reads, r1=reads, w0=writes, w1=writes) as p:
+        async with platform(r0=answer_prefill, r1=answer_prefill, w0=answer_decode, w1=answer_decode) as p:
             node = await start_node(
                 p.agent.address,
                 tmp_path / "config.json",
@@ -121,22 +123,22 @@
             generation = 0
             members = p.members
 
-            def replaced() -> list[dict[str, object]]:
-                return [{**one, "id": f"{one['id']}-{generation}"} for one in members()]
+            def members_of_generation() -> list[dict[str, object]]:
+                return [{**member, "id": f"{member['id']}-{generation}"} for member in members()]
 
-            p.members = replaced  # type: ignore[method-assign]
-            held: list[tuple[int, int]] = []
+            p.members = members_of_generation  # type: ignore[method-assign]
+            usage: list[tuple[int, int]] = []
             for generation in range(1, 241):
-                p.tell()
+                p.publish()
                 await until(lambda: any(f"version={p.revision}" in line for line in node.log[-20:]))
                 writer.write(request(f"change-{generation}"))
                 reply = await asyncio.wait_for(read_reply(reader), 5)
-                assert reply.whole, (generation, reply)
+                assert reply.is_complete, (generation, reply)
                 if generation >= 160 and generation % 20 == 0:
-                    held.append((memory(node), node.descriptors))
-            assert len(held) == 5
-            assert held[-1][0] - held[0][0] < 2_097_152, held
-            assert max(count for _, count in held) < 40, held
+                    usage.append((memory(node), node.descriptors))
+            assert len(usage) == 5
+            assert usage[-1][0] - usage[0][0] < 2_097_152, usage
+            assert max(count for _, count in usage) < 40, usage
             writer.close()
             await node.kill()
 
--- a/tests/relay/test_hostile_advice.py
+++ b/tests/relay/test_hostile_advice.py
@@ -1,7 +1,7 @@
-"""Advice of engines that cannot be used: load reports, usage and cached tokens.
+"""Unusable numbers that engines report beside their answers: load reports, usage and cached tokens.
 
-Failure: an engine answers in full, and its answer is thrown away since a number beside it raises an error. An
-engine whose counter goes wrong would be out of service for every node at once.
+The tests guard against an engine's complete answer being discarded because such a number raises an error. An engine
+with a faulty counter would be out of service for every node at once.
 """
 
 from __future__ import annotations
@@ -15,7 +15,17 @@
 from hypothesis import example, given
 from hypothesis import settings as examples
 from json_values import BEYOND_FLOATS, any_json
-from relay_world import LAST, OPENING, STREAM, TOKENS, Script, Seen, chunk, platform, reads
+from relay_world import (
+    FINAL_EVENTS,
+    STREAM,
+    STREAM_HEAD,
+    TOKEN_EVENTS,
+    ReceivedRequest,
+    Script,
+    answer_prefill,
+    chunk,
+    platform,
+)
 from world import run
 
 from tuliptrack.relay.event_stream import EventStream, StreamUsage
@@ -34,11 +44,11 @@
 
 
 def decode_with(opening: bytes, *parts: bytes) -> Script:
-    """A decode engine whose answer is complete, with this head and these parts."""
+    """Return a decode engine whose answer is complete, with this head and these chunks."""
 
-    async def script(one: Seen, writer: asyncio.StreamWriter) -> None:
-        if one.method == "DELETE":
-            await reads(one, writer)
+    async def script(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        if received.method == "DELETE":
+            await answer_prefill(received, writer)
             return
         writer.write(opening)
         for part in parts:
@@ -49,11 +59,11 @@
 
 
 def prefill_with(head: bytes, body: bytes) -> Script:
-    """A prefill engine whose answer has this line in its head, and this body."""
+    """Return a prefill engine whose answer has this header line and this body."""
 
-    async def script(one: Seen, writer: asyncio.StreamWriter) -> None:
-        if one.method == "DELETE":
-            await reads(one, writer)
+    async def script(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        if received.method == "DELETE":
+            await answer_prefill(received, writer)
             return
         writer.write(b"HTTP/1.1 202 Accepted\r\n%bcontent-length: %d\r\n\r\n%b" % (head, len(body), body))
 
@@ -61,40 +71,40 @@
 
 
 @pytest.mark.parametrize("number", HOSTILE_NUMBERS.values(), ids=HOSTILE_NUMBERS)
-def test_a_load_report_that_cannot_be_used_costs_no_answer(number: str) -> None:
+def test_an_answer_with_an_unusable_load_report_is_served(number: str) -> None:
     """Both engines send it in the head, and the decode engine in a comment of its stream too."""
     report = f'{{"inflight":{number},"x0":0.5}}'
     head = f"x-load-report: {report}\r\n".encode()
-    opening = OPENING.replace(b"\r\n", b"\r\n" + head, 1)
+    opening = STREAM_HEAD.replace(b"\r\n", b"\r\n" + head, 1)
     comment = f": X-Load-Report: {report}\n\n".encode()
 
     async def go() -> None:
         prefill = prefill_with(head, b'{"cached_tokens":3}')
-        async with platform(r0=prefill, w0=decode_with(opening, *TOKENS, *LAST, comment)) as p:
+        async with platform(r0=prefill, w0=decode_with(opening, *TOKEN_EVENTS, *FINAL_EVENTS, comment)) as p:
             for _ in range(3):
-                reply = await p.ask()
-                assert (reply.status, reply.whole, reply.body) == (200, True, STREAM)
-            assert len(p.engines["w0"].asked()) == 3
+                reply = await p.send_request()
+                assert (reply.status, reply.is_complete, reply.body) == (200, True, STREAM)
+            assert len(p.engines["w0"].received()) == 3
             assert p.relay.counters.as_dict()["load_reports_ignored"] == 9
 
     run(go, virtual=True)
 
 
 @pytest.mark.parametrize("number", HOSTILE_NUMBERS.values(), ids=HOSTILE_NUMBERS)
-def test_token_counts_that_cannot_be_used_cost_no_answer(number: str) -> None:
+def test_an_answer_with_unusable_token_counts_is_served(number: str) -> None:
     """The prefill engine's cached tokens, and the usage at the end of the decode engine's stream."""
     usage = (
         f'{{"usage":{{"prompt_tokens_details":{{"cached_tokens":{number}}},"completion_tokens":{number}}}}}'
     )
     event = f"data: {usage}\n\n".encode()
-    decode = decode_with(OPENING, *TOKENS, event, *LAST)
+    decode = decode_with(STREAM_HEAD, *TOKEN_EVENTS, event, *FINAL_EVENTS)
 
     async def go() -> None:
         prefill = prefill_with(b"", f'{{"cached_tokens":{number}}}'.encode())
         async with platform(r0=prefill, w0=decode) as p:
-            reply = await p.ask()
-            assert (reply.status, reply.whole) == (200, True) and event in reply.body
-            assert len(p.engines["w0"].asked()) == 1
+            reply = await p.send_request()
+            assert (reply.status, reply.is_complete) == (200, True) and event in reply.body
+            assert len(p.engines["w0"].received()) == 1
 
     run(go, virtual=True)
 
@@ -111,7 +121,10 @@
 def _read_report(report: Any) -> tuple[float, ...]:
     try:
         text = json.dumps(report)
-    except (ValueError, RecursionError):  # Python writes no such text; the tests above have them as text.
+    except (
+        ValueError,
+        RecursionError,
+    ):  # json.dumps cannot write such values; the tests above send them as text.
         return ()
     return parse_load_report(text, NAMES)
 
--- a/tests/relay/test_hostile_lists.py
+++ b/tests/relay/test_hostile_lists.py
@@ -1,7 +1,7 @@
 """Endpoint lists with values that JSON allows and nobody expects.
 
-Failure: one field of one entry raises an error that the reader of lists does not foresee. The list is refused
-whole, over and over, and new requests go on to engines that it says are draining.
+The tests guard against a field of one entry that raises an unexpected error in the parser of lists. Every list with
+this entry would be rejected as a whole, and new requests would still go to engines that it states as draining.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from hypothesis import example, given
 from hypothesis import settings as examples
 from json_values import BEYOND_FLOATS, any_json
-from relay_world import Seen, platform, reads, writes
+from relay_world import ReceivedRequest, answer_decode, answer_prefill, platform
 from world import run, until
 
 from tuliptrack.interface import EndpointListUpdate, EndpointState, RequestClass, Role, Settings
@@ -23,7 +23,7 @@
 from tuliptrack.routing.router import Router
 
 RECEIVED_WITHIN_S = 6.0
-"""The platform counts a list as received after so long."""
+"""The platform expects a list to be applied within this time."""
 FIELDS = ("id", "host_port", "locality", "flavor", "phase", "size", "up_since_ms", "cell")
 NOW_US = 5_000_000
 
@@ -60,8 +60,8 @@
 @example(BEYOND_FLOATS)
 @examples(max_examples=80, deadline=None, derandomize=True)
 def test_no_value_of_an_entry_changes_what_is_read_of_its_neighbours(field: str, value: Any) -> None:
-    """A hostile entry stands before one that says that another engine drains, twice, and once as a delta. The
-    router can use what is left of it."""
+    """A hostile entry precedes one that states that another engine drains, in two full lists and in a delta. The router
+    accepts what is left of the hostile entry."""
     directory, router = EndpointDirectory(("reads",), ("z",)), new_router()
     hostile = {**entry("hostile"), field: value}
     for message in (
@@ -89,10 +89,8 @@
 
 @pytest.mark.parametrize("field", ["host_port", "locality", "flavor", "size", "up_since_ms", "cell"])
 @pytest.mark.parametrize("phase", ["Terminating", "Gone"])
-def test_an_engine_is_not_ready_whose_own_entry_says_so_beside_a_value_that_cannot_be_used(
-    field: str, phase: str
-) -> None:
-    """In a delta an entry that is left out would leave the engine as it was: ready."""
+def test_the_phase_of_an_entry_is_applied_although_another_field_is_unusable(field: str, phase: str) -> None:
+    """If such an entry of a delta were ignored, the engine would stay ready."""
     directory = EndpointDirectory(("reads",), ("z",))
     directory.apply(full_list(1, entry("a"), entry("b")))
     hostile = {**entry("a", phase), field: [BEYOND_FLOATS]}
@@ -104,27 +102,27 @@
 
 @pytest.mark.parametrize("field", ["size", "up_since_ms", "cell"])
 @pytest.mark.parametrize("digits", [400, 5_000])
-def test_no_request_reaches_an_engine_that_a_list_with_a_hostile_entry_calls_draining(
+def test_no_request_reaches_an_engine_that_drains_by_a_list_with_a_hostile_entry(
     field: str, digits: int
 ) -> None:
-    """The agent's lists have an entry with a number beyond floats, or beyond Python's limit on digits."""
+    """The agent's lists have an entry with a number beyond the range of floats or beyond Python's limit on digits."""
 
     async def go() -> None:
-        async with platform(r0=reads, r1=reads, r2=reads, w0=writes) as p:
+        async with platform(r0=answer_prefill, r1=answer_prefill, r2=answer_prefill, w0=answer_decode) as p:
             number = "1" + "0" * digits
             hostile = json.dumps({**entry("hostile"), field: "NUMBER"}).replace('"NUMBER"', number)
 
-            async def answer(one: Seen, writer: asyncio.StreamWriter) -> None:
+            async def answer(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
                 body = json.dumps({"revision": p.revision, "complete": True, "members": p.members()})
                 body = body.replace('"members": [', f'"members": [{hostile}, ')
                 writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body) + body.encode())
 
             p.agent.script = answer
-            p.tell(r0="Terminating")
+            p.publish(r0="Terminating")
             await until(lambda: p.relay.directory.revision == p.revision, RECEIVED_WITHIN_S)
-            before = len(p.engines["r0"].asked())
+            before = len(p.engines["r0"].received())
             for _ in range(10):
-                assert (await p.ask()).whole
-            assert len(p.engines["r0"].asked()) == before
+                assert (await p.send_request()).is_complete
+            assert len(p.engines["r0"].received()) == before
 
     run(go, virtual=True)
--- a/tests/relay/test_late_releases.py
+++ b/tests/relay/test_late_releases.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from relay_world import SETTINGS, Platform, Seen, platform, reads, request, writes
+from relay_world import SETTINGS, Platform, ReceivedRequest, answer_decode, answer_prefill, platform, request
 from world import run, until
 
 from tuliptrack.node.request_reader import key
@@ -24,15 +24,15 @@
     released_at: dict[str, list[float]] = field(default_factory=dict)
     _tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
-    async def __call__(self, one: Seen, writer: asyncio.StreamWriter) -> None:
-        if one.method == "POST":
-            self._tasks.append(asyncio.ensure_future(self._end_prefill(one.call_id)))
+    async def __call__(self, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        if received.method == "POST":
+            self._tasks.append(asyncio.ensure_future(self._end_prefill(received.call_id)))
         await self.continues.wait()
-        if one.method == "DELETE":
-            self.released_at.setdefault(one.target.rpartition("/")[2], []).append(
+        if received.method == "DELETE":
+            self.released_at.setdefault(received.target.rpartition("/")[2], []).append(
                 asyncio.get_running_loop().time()
             )
-        await reads(one, writer)
+        await answer_prefill(received, writer)
 
     async def _end_prefill(self, call_id: str) -> None:
         await self.continues.wait()
@@ -45,8 +45,8 @@
 
 
 async def time_out(p: Platform, call_id: str) -> None:
-    """A request whose prefill hangs until its client's time-out."""
-    reply = await p.say(request(call_id, budget="0.3"))
+    """Send a request whose prefill hangs until the client's deadline."""
+    reply = await p.send(request(call_id, budget="0.3"))
     assert reply.status == 504
 
 
@@ -56,7 +56,7 @@
 
     async def go() -> None:
         engine = StoppedPrefillEngine()
-        async with platform(r0=engine, w0=writes) as p:
+        async with platform(r0=engine, w0=answer_decode) as p:
             await time_out(p, "hung")
             await asyncio.sleep(3 * ALLOWED_S)  # All releases at running engines are over.
             engine.continues.set()
@@ -69,14 +69,14 @@
 
 
 def test_a_release_that_an_engine_may_process_before_the_prefill_is_followed_by_another() -> None:
-    """An engine that continues after a hang processes what it had waiting in any order."""
+    """An engine that continues after a hang processes the requests in its queue in any order."""
 
     async def go() -> None:
         engine = StoppedPrefillEngine()
-        async with platform(r0=engine, w0=writes) as p:
+        async with platform(r0=engine, w0=answer_decode) as p:
             await time_out(p, "hung")
             await until(
-                lambda: any(one.target.endswith("/hung") for one in p.engines["r0"].asked("DELETE")), 2.0
+                lambda: any(one.target.endswith("/hung") for one in p.engines["r0"].received("DELETE")), 2.0
             )
             engine.continues.set()
             await until(lambda: len(engine.released_at.get("hung", [])) >= late_releases.ROUNDS, 2.0)
@@ -89,12 +89,12 @@
 
     async def go() -> None:
         engine = StoppedPrefillEngine()
-        async with platform(r0=engine, w0=writes) as p:
+        async with platform(r0=engine, w0=answer_decode) as p:
             releases = p.relay.channels.late_releases
             for number in range(20):
                 releases.start(key("r0"), f"many-{number}")
             await asyncio.sleep(2.5 * ALLOWED_S)
-            assert 1 <= len(p.engines["r0"].asked("DELETE")) <= 4
+            assert 1 <= len(p.engines["r0"].received("DELETE")) <= 4
             p.relay.pools.update({key("w0"): p.engines["w0"].address})
             await until(lambda: not len(releases), 2.0)
 
@@ -106,7 +106,7 @@
 
     async def go() -> None:
         engine = StoppedPrefillEngine()
-        async with platform(r0=engine, w0=writes) as p:
+        async with platform(r0=engine, w0=answer_decode) as p:
             releases = p.relay.channels.late_releases
             for number in range(late_releases.MAX_PENDING + 5):
                 releases.start(key("r0"), f"many-{number}")
--- a/tests/relay/test_lean.py
+++ b/tests/relay/test_lean.py
@@ -1,11 +1,11 @@
-"""What `run` loads: nothing of the fronts, stores and tools that are off on the platform."""
+"""The relay imports none of the front ends, stores and tools that are not used on the platform."""
 
 from __future__ import annotations
 
 import subprocess
 import sys
 
-OFF = (
+UNUSED_MODULES = (
     "matplotlib",
     "grpc",
     "xds",
@@ -23,9 +23,13 @@
 )
 
 
-def test_the_node_on_the_platform_loads_nothing_that_is_off_there() -> None:
+def test_the_relay_imports_no_unused_module() -> None:
     code = "import sys, tuliptrack.relay.__main__; print('\\n'.join(sys.modules))"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    loaded = set(done.stdout.split())
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    loaded = set(process.stdout.split())
     assert "tuliptrack.relay.engine_client" in loaded
-    assert not [name for name in loaded if any(name == off or name.startswith(off + ".") for off in OFF)]
+    assert not [
+        name
+        for name in loaded
+        if any(name == module or name.startswith(module + ".") for module in UNUSED_MODULES)
+    ]
--- a/tests/relay/test_malformed_answers.py
+++ b/tests/relay/test_malformed_answers.py
@@ -6,24 +6,24 @@
 
 import pytest
 from relay_world import (
-    OPENING,
     STREAM,
-    TOKENS,
+    STREAM_HEAD,
+    TOKEN_EVENTS,
+    ReceivedRequest,
     Script,
-    Seen,
+    answer_decode,
+    answer_prefill,
     chunk,
-    hangs,
+    never_answer,
     platform,
-    reads,
-    writes,
 )
 from world import run, until
 
 
 def malformed(*parts: bytes) -> Script:
-    async def script(one: Seen, writer: asyncio.StreamWriter) -> None:
-        if one.method == "DELETE":
-            await reads(one, writer)
+    async def script(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        if received.method == "DELETE":
+            await answer_prefill(received, writer)
             return
         for part in parts:
             writer.write(part)
@@ -38,11 +38,11 @@
     [
         (b"\x00\xff\x13noise\r\n\r\n",),
         (b"HTTP/1.1 200 OK\r\nx: " + b"y" * 70_000,),
-        (OPENING + b"zz\r\n",),
-        (OPENING + b"5\r\nhello world, this does not fit\r\n",),
-        (OPENING + chunk(b"never an end " * 6_000),),
+        (STREAM_HEAD + b"zz\r\n",),
+        (STREAM_HEAD + b"5\r\nhello world, this does not fit\r\n",),
+        (STREAM_HEAD + chunk(b"never an end " * 6_000),),
         (b"HTTP/1.1 100 Continue\r\n\r\n" * 40,),
-        (OPENING + b"0\r\n\r\n",),
+        (STREAM_HEAD + b"0\r\n\r\n",),
     ],
     ids=[
         "noise",
@@ -59,18 +59,20 @@
     so another engine gets the request."""
 
     async def go() -> None:
-        tried: list[Seen] = []
+        attempts: list[ReceivedRequest] = []
         malformed_answer = malformed(*parts)
 
-        async def malformed_at_first(one: Seen, writer: asyncio.StreamWriter) -> None:
-            if one.method == "POST":
-                tried.append(one)
-            await (malformed_answer if len(tried) == 1 and one.method == "POST" else writes)(one, writer)
+        async def malformed_at_first(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if received.method == "POST":
+                attempts.append(received)
+            await (malformed_answer if len(attempts) == 1 and received.method == "POST" else answer_decode)(
+                received, writer
+            )
 
-        async with platform(r0=reads, w0=malformed_at_first, w1=malformed_at_first) as p:
-            reply = await p.ask()
-            assert (reply.status, reply.whole, reply.body) == (200, True, STREAM)
-            assert len(tried) == 2
+        async with platform(r0=answer_prefill, w0=malformed_at_first, w1=malformed_at_first) as p:
+            reply = await p.send_request()
+            assert (reply.status, reply.is_complete, reply.body) == (200, True, STREAM)
+            assert len(attempts) == 2
 
     run(go, virtual=True)
 
@@ -86,15 +88,17 @@
     ],
 )
 def test_a_stream_that_is_malformed_later_breaks_the_clients_answer(part: bytes) -> None:
-    """The client has got events already, so there is no retry: its answer ends without the last chunk."""
+    """The client has already got events, so there is no retry: its answer ends without the last chunk."""
 
     async def go() -> None:
-        async with platform(r0=reads, w0=malformed(OPENING + chunk(TOKENS[0]), part), w1=hangs) as p:
-            p.tell(w1="Terminating")
+        async with platform(
+            r0=answer_prefill, w0=malformed(STREAM_HEAD + chunk(TOKEN_EVENTS[0]), part), w1=never_answer
+        ) as p:
+            p.publish(w1="Terminating")
             await until(lambda: p.relay.directory.revision == p.revision)
-            reply = await asyncio.wait_for(p.ask(), 5.0)
-            assert (reply.status, reply.whole, reply.body) == (200, False, TOKENS[0])
-            assert len(p.engines["w0"].asked()) == 1
+            reply = await asyncio.wait_for(p.send_request(), 5.0)
+            assert (reply.status, reply.is_complete, reply.body) == (200, False, TOKEN_EVENTS[0])
+            assert len(p.engines["w0"].received()) == 1
 
     run(go, virtual=True)
 
@@ -103,14 +107,14 @@
     """An engine sends a second answer on a connection after the one to its request."""
 
     async def go() -> None:
-        async def sends_twice(one: Seen, writer: asyncio.StreamWriter) -> None:
-            await writes(one, writer)
+        async def sends_twice(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            await answer_decode(received, writer)
             await asyncio.sleep(0.005)
-            writer.write(OPENING + chunk(b"data: not yours\n\n") + b"0\r\n\r\n")
+            writer.write(STREAM_HEAD + chunk(b"data: not yours\n\n") + b"0\r\n\r\n")
 
-        async with platform(r0=reads, w0=sends_twice) as p:
+        async with platform(r0=answer_prefill, w0=sends_twice) as p:
             for _ in range(6):
-                reply = await p.ask()
-                assert (reply.status, reply.whole, reply.body) == (200, True, STREAM)
+                reply = await p.send_request()
+                assert (reply.status, reply.is_complete, reply.body) == (200, True, STREAM)
 
     run(go, virtual=True)
--- a/tests/relay/test_process_failures.py
+++ b/tests/relay/test_process_failures.py
@@ -1,5 +1,5 @@
-"""A node's own process: its log, settings' file, listening socket and signals, where the system fails for a
-while."""
+"""Failures around a node's process: its log cannot be written, its settings file cannot be read, its listening
+address is taken, signals come at bad moments."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from pathlib import Path
 
 import pytest
-from relay_node import CLOSED, spawn_node, start_node, told
-from relay_world import SETTINGS, Peer, Platform, platform, read_reply, reads, request, writes
+from relay_node import CLOSED, settings_text, spawn_node, start_node
+from relay_world import SETTINGS, Peer, Platform, answer_decode, answer_prefill, platform, read_reply, request
 from world import run, until
 
 READY_WITHIN_S = 10.0
-PATIENT_OBJECTIVE_US = 60_000_000
-TROUBLE_S = 0.8
-"""For so long the system fails a node that starts or reloads."""
-MOVED_WITHIN_S = 4.0
-"""After a signal whose settings could not be read at once."""
+LONG_OBJECTIVE_US = 60_000_000
+FAULT_S = 0.8
+"""How long the system fails for a node that starts or reloads."""
+RELOADED_WITHIN_S = 4.0
+"""After a SIGHUP at which the settings could not be read."""
 
 FAILING_OPEN = f"""
 import errno, io, os, time
-_open, _began = io.open, time.monotonic()
+_open, _started = io.open, time.monotonic()
 def failing(file, *args, **kwargs):
-    if str(file) == os.environ["RELAY_CONFIG"] and time.monotonic() < _began + {TROUBLE_S}:
+    if str(file) == os.environ["RELAY_CONFIG"] and time.monotonic() < _started + {FAULT_S}:
         raise OSError(int(os.environ["FAILS_WITH"]), "fails for a moment")
     return _open(file, *args, **kwargs)
 io.open = failing
@@ -38,12 +38,12 @@
 
 
 def free_port() -> int:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        return int(taken.getsockname()[1])
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        return int(listener.getsockname()[1])
 
 
-async def ask(port: int, name: str) -> int:
-    """The status of one request's answer; 0: nobody listens."""
+async def send_request(port: int, name: str) -> int:
+    """Send one request and return the status of its answer; 0: nobody listens, -1: the answer is incomplete."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
@@ -51,21 +51,21 @@
     try:
         writer.write(request(name))
         reply = await asyncio.wait_for(read_reply(reader), 5)
-        return reply.status if reply.whole else -1
+        return reply.status if reply.is_complete else -1
     finally:
         writer.close()
 
 
-async def serves(process: asyncio.subprocess.Process, port: int) -> None:
-    """Wait until a node serves; its log may be no help."""
+async def wait_until_it_serves(process: asyncio.subprocess.Process, port: int) -> None:
+    """Wait until a node serves, without its log, which may be unreadable."""
     async with asyncio.timeout(READY_WITHIN_S):
-        while await ask(port, "is-ready") != 200:
+        while await send_request(port, "is-ready") != 200:
             assert process.returncode is None, f"the node has ended: {process.returncode}"
             await asyncio.sleep(0.02)
 
 
-def known(p: Platform) -> dict[str, object]:
-    """The platform's engines as a node may know them from its settings."""
+def known_list(p: Platform) -> dict[str, object]:
+    """Return the platform's engines as the endpoint list of a settings file."""
     return {"revision": 1, "complete": True, "members": p.members()}
 
 
@@ -85,8 +85,8 @@
 
 
 @contextlib.contextmanager
-def pipe_that_is_full() -> Iterator[int]:
-    """Nobody reads it, and it has no room: a write to it waits for ever."""
+def full_pipe() -> Iterator[int]:
+    """Nobody reads the pipe and its buffer is full: a write to it blocks for ever."""
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
     with contextlib.suppress(BlockingIOError):
@@ -99,54 +99,53 @@
 
 
 @contextlib.contextmanager
-def nothing() -> Iterator[int]:
-    """No standard error at all."""
+def closed_descriptor() -> Iterator[int]:
     yield CLOSED
 
 
 LOGS: dict[str, Callable[[], contextlib.AbstractContextManager[int]]] = {
     "a full disk": full_disk,
     "a reader that has gone": pipe_without_reader,
-    "a reader that stands still": pipe_that_is_full,
-    "closed": nothing,
+    "a reader that stands still": full_pipe,
+    "closed": closed_descriptor,
 }
 
 
-def settings_that_shed_nothing() -> dict[str, object]:
-    """The stand-ins answer as fast as this machine is; a class that may wait is not shed where it is slow."""
-    classes = [{**one, "promise": PATIENT_OBJECTIVE_US} for one in SETTINGS["classes"]]
+def settings_without_shedding() -> dict[str, object]:
+    """On a slow machine the stub engines answer late; with a long latency objective no request is shed for it."""
+    classes = [{**request_class, "promise": LONG_OBJECTIVE_US} for request_class in SETTINGS["classes"]]
     return {**SETTINGS, "classes": classes}
 
 
 @pytest.mark.parametrize("log", LOGS)
-def test_a_log_that_cannot_be_written_costs_no_request(log: str, tmp_path: Path) -> None:
+def test_requests_are_served_if_the_log_cannot_be_written(log: str, tmp_path: Path) -> None:
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
             port = free_port()
             with LOGS[log]() as standard_error:
                 process = await spawn_node(
                     tmp_path / "config.json",
-                    told(
+                    settings_text(
                         p.agent.address,
                         listen=f"127.0.0.1:{port}",
-                        known=known(p),
-                        settings=settings_that_shed_nothing(),
+                        known=known_list(p),
+                        settings=settings_without_shedding(),
                     ),
                     standard_error,
                 )
                 try:
-                    await serves(process, port)
-                    statuses = await asyncio.gather(*(ask(port, f"q{n}") for n in range(20)))
+                    await wait_until_it_serves(process, port)
+                    statuses = await asyncio.gather(*(send_request(port, f"q{n}") for n in range(20)))
                     assert statuses == [200] * 20
                     process.send_signal(signal.SIGTERM)
                     assert await asyncio.wait_for(process.wait(), 10) == 0
                 finally:
-                    await killed(process)
+                    await kill(process)
 
     run(go)
 
 
-async def killed(process: asyncio.subprocess.Process) -> None:
+async def kill(process: asyncio.subprocess.Process) -> None:
     if process.returncode is None:
         process.kill()
     await process.wait()
@@ -156,13 +155,13 @@
 async def starting(
     path: Path, text: str, shim: str = "", **environment: str
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """A node's process that has begun, whose log nobody wants."""
+    """Start a node's process, whose log is discarded, and kill it at the end."""
     with open(os.devnull, "wb") as unread:
         process = await spawn_node(path, text, unread.fileno(), shim, environment)
         try:
             yield process
         finally:
-            await killed(process)
+            await kill(process)
 
 
 @pytest.mark.parametrize(
@@ -170,29 +169,29 @@
     [errno.ENFILE, errno.EMFILE, errno.EIO, errno.ENOMEM, errno.ENOENT],
     ids=["ENFILE", "EMFILE", "EIO", "ENOMEM", "ENOENT"],
 )
-def test_a_node_starts_where_its_settings_cannot_be_read_for_a_moment(number: int, tmp_path: Path) -> None:
+def test_a_node_starts_although_its_settings_cannot_be_read_at_first(number: int, tmp_path: Path) -> None:
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
             port = free_port()
-            text = told(p.agent.address, listen=f"127.0.0.1:{port}", known=known(p))
+            text = settings_text(p.agent.address, listen=f"127.0.0.1:{port}", known=known_list(p))
             async with starting(
                 tmp_path / "config.json", text, FAILING_OPEN, FAILS_WITH=str(number)
             ) as process:
-                await serves(process, port)
+                await wait_until_it_serves(process, port)
 
     run(go)
 
 
-def test_a_node_starts_where_its_address_is_still_taken_by_the_one_before(tmp_path: Path) -> None:
+def test_a_node_starts_although_its_predecessor_still_listens_at_first(tmp_path: Path) -> None:
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
             with socket.create_server(("127.0.0.1", 0)) as predecessor:
                 port = predecessor.getsockname()[1]
-                text = told(p.agent.address, listen=f"127.0.0.1:{port}", known=known(p))
+                text = settings_text(p.agent.address, listen=f"127.0.0.1:{port}", known=known_list(p))
                 async with starting(tmp_path / "config.json", text) as process:
-                    await asyncio.sleep(TROUBLE_S)
+                    await asyncio.sleep(FAULT_S)
                     predecessor.close()
-                    await serves(process, port)
+                    await wait_until_it_serves(process, port)
 
     run(go)
 
@@ -202,33 +201,32 @@
     return "tuliptrack.relay" in Path(f"/proc/{process.pid}/cmdline").read_text().split("\0")
 
 
-def test_signals_for_new_settings_that_come_while_a_node_starts_end_nothing_and_are_heeded(
+def test_a_node_survives_sighup_during_its_start_and_loads_the_new_settings(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
-            other = await Peer(p.answers).start()
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
+            other = await Peer(p.answer_poll).start()
             port, path = free_port(), tmp_path / "config.json"
-            changes = {"listen": f"127.0.0.1:{port}", "known": known(p)}
-            async with starting(path, told(p.agent.address, **changes)) as process:
+            changes = {"listen": f"127.0.0.1:{port}", "known": known_list(p)}
+            async with starting(path, settings_text(p.agent.address, **changes)) as process:
                 await until(lambda: program_has_begun(process))
-                for _ in range(
-                    20
-                ):  # From the program's first instruction on, through its imports and its start.
+                # From the program's first instruction on, through its imports and its start.
+                for _ in range(20):
                     process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.01)
-                write_whole(path, told(other.address, **changes))
-                while await ask(port, "is-ready") != 200:
+                replace_file(path, settings_text(other.address, **changes))
+                while await send_request(port, "is-ready") != 200:
                     assert process.returncode is None, f"the node has ended: {process.returncode}"
                     process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.002)
-                await until(lambda: bool(other.seen), MOVED_WITHIN_S)
+                await until(lambda: bool(other.all_received), RELOADED_WITHIN_S)
             await other.stop()
 
     run(go)
 
 
-SIGHUP_AS_THE_LOOP_TAKES_OVER = """
+SIGHUP_AS_THE_LOOP_REGISTERS_ITS_HANDLER = """
 import asyncio, os, signal
 _register = asyncio.unix_events._UnixSelectorEventLoop.add_signal_handler
 def register(loop, number, *args):
@@ -239,16 +237,20 @@
 """
 
 
-def test_a_signal_in_the_moment_in_which_the_loop_takes_over_reloads_the_settings_once(
+def test_a_sighup_as_the_loop_registers_its_handler_reloads_the_settings_once(
     tmp_path: Path,
 ) -> None:
-    """Failure: it is recorded as an early one and read from the loop's wakeup descriptor too."""
+    """Guards against two reloads for one signal: it could be recorded as one that came before the loop, and be read
+    from the loop's wakeup descriptor too."""
 
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
-            settings = told(p.agent.address, known=known(p))
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
+            settings = settings_text(p.agent.address, known=known_list(p))
             process = await spawn_node(
-                tmp_path / "config.json", settings, asyncio.subprocess.PIPE, SIGHUP_AS_THE_LOOP_TAKES_OVER
+                tmp_path / "config.json",
+                settings,
+                asyncio.subprocess.PIPE,
+                SIGHUP_AS_THE_LOOP_REGISTERS_ITS_HANDLER,
             )
             assert process.stderr
             try:
@@ -257,20 +259,20 @@
                 process.send_signal(signal.SIGTERM)
                 lines = (await process.stderr.read()).decode().splitlines()
                 assert await process.wait() == 0
-                assert not [line for line in lines if "settings reloaded" in line], "once"
+                assert not [line for line in lines if "settings reloaded" in line], "reloaded once"
             finally:
-                await killed(process)
+                await kill(process)
 
     run(go)
 
 
-STOPS = """
+STOP_FUNCTION = """
 import os, signal
 def stop():
     os.kill(os.getpid(), signal.SIGTERM)
 """
 STOP_WHILE_SETTINGS_FAIL = (
-    STOPS
+    STOP_FUNCTION
     + """
 import io
 _open = io.open
@@ -283,7 +285,7 @@
 """
 )
 STOP_AS_THE_LOOP_IS_MADE = (
-    STOPS
+    STOP_FUNCTION
     + """
 import asyncio
 _make = asyncio.new_event_loop
@@ -296,30 +298,29 @@
 
 
 @pytest.mark.parametrize("shim", [STOP_WHILE_SETTINGS_FAIL, STOP_AS_THE_LOOP_IS_MADE])
-def test_a_node_that_is_stopped_before_it_serves_ends_as_one_that_is_stopped(
-    shim: str, tmp_path: Path
-) -> None:
-    """Failure: SIGTERM during the start ends the process by the signal, or is heeded only after a retry."""
+def test_a_node_that_is_stopped_before_it_serves_exits_with_0(shim: str, tmp_path: Path) -> None:
+    """Guards against a SIGTERM during the start that kills the process, or that takes effect only after the next
+    attempt to read the settings."""
 
     async def go() -> None:
         async with (
-            platform(r0=reads, w0=writes) as p,
-            starting(tmp_path / "config.json", told(p.agent.address), shim) as process,
+            platform(r0=answer_prefill, w0=answer_decode) as p,
+            starting(tmp_path / "config.json", settings_text(p.agent.address), shim) as process,
         ):
             assert await asyncio.wait_for(process.wait(), READY_WITHIN_S) == 0
 
     run(go)
 
 
-def test_signals_in_series_up_to_the_end_do_not_replace_the_exit_code(tmp_path: Path) -> None:
-    """SIGHUP and SIGTERM in both orders, and both again until the process has ended."""
+def test_repeated_signals_until_the_end_do_not_change_the_exit_code(tmp_path: Path) -> None:
+    """SIGHUP and SIGTERM come in both orders, again and again until the process has ended."""
 
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
             port = free_port()
-            text = told(p.agent.address, listen=f"127.0.0.1:{port}", known=known(p))
+            text = settings_text(p.agent.address, listen=f"127.0.0.1:{port}", known=known_list(p))
             async with starting(tmp_path / "config.json", text) as process:
-                await serves(process, port)
+                await wait_until_it_serves(process, port)
                 handle = os.pidfd_open(process.pid)
                 try:
                     async with asyncio.timeout(15):
@@ -335,10 +336,10 @@
     run(go)
 
 
-def write_whole(path: Path, text: str) -> None:
-    beside = path.with_suffix(".new")
-    beside.write_text(text)
-    beside.replace(path)
+def replace_file(path: Path, text: str) -> None:
+    new = path.with_suffix(".new")
+    new.write_text(text)
+    new.replace(path)
 
 
 def half_written(path: Path, text: str) -> None:
@@ -350,31 +351,31 @@
 
 
 def not_readable(path: Path, text: str) -> None:
-    """A folder in the file's place fails as it is read."""
+    """Reading fails, since a folder has the file's path."""
     path.unlink()
     path.mkdir()
 
 
-@pytest.mark.parametrize("trouble", [half_written, missing, not_readable])
-def test_settings_that_cannot_be_read_at_the_signal_are_read_once_they_can(
-    trouble: Callable[[Path, str], None], tmp_path: Path
+@pytest.mark.parametrize("fault", [half_written, missing, not_readable])
+def test_settings_that_cannot_be_read_at_a_sighup_are_loaded_later(
+    fault: Callable[[Path, str], None], tmp_path: Path
 ) -> None:
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
-            other = await Peer(p.answers).start()
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
+            other = await Peer(p.answer_poll).start()
             path = tmp_path / "config.json"
-            node = await start_node(p.agent.address, path, known=known(p))
+            node = await start_node(p.agent.address, path, known=known_list(p))
             text = json.dumps({**json.loads(path.read_text()), "discovery": other.address})
             try:
-                trouble(path, text)
+                fault(path, text)
                 node.process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(TROUBLE_S)
-                assert not other.seen
+                await asyncio.sleep(FAULT_S)
+                assert not other.all_received
                 if path.is_dir():
                     path.rmdir()
-                write_whole(path, text)
-                await until(lambda: bool(other.seen), MOVED_WITHIN_S)
-                assert sum("settings not reloaded" in line for line in node.log) == 1, "said once"
+                replace_file(path, text)
+                await until(lambda: bool(other.all_received), RELOADED_WITHIN_S)
+                assert sum("settings not reloaded" in line for line in node.log) == 1, "logged once"
             finally:
                 await node.kill()
             await other.stop()
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -1,4 +1,4 @@
-"""The node on the platform's HTTP, whole paths on real sockets, judged by what engines and clients saw."""
+"""Whole request paths through a relay over HTTP, judged by what engines and clients received."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
     SETTINGS,
     STREAM,
     Peer,
-    Seen,
+    ReceivedRequest,
     Vanished,
+    answer_decode,
+    answer_prefill,
     chunk,
     delay_connections,
-    hangs,
+    never_answer,
     platform,
-    reads,
     request,
-    writes,
 )
 from world import run, until
 
@@ -29,32 +29,32 @@
 from tuliptrack.routing.idempotency import NODE_STALL_US
 
 
-def test_a_request_passes_unchanged_to_a_reader_and_a_writer_and_its_events_come_back() -> None:
+def test_a_request_reaches_a_prefill_and_a_decode_engine_unchanged_and_its_events_come_back() -> None:
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
             body = json.dumps({"stream": True, "messages": ["ü" * 3_000]}).encode()
-            reply = await p.say(request("call-1", body))
-            assert (reply.status, reply.whole, reply.body) == (200, True, STREAM)
-            first, second = p.saw()
+            reply = await p.send(request("call-1", body))
+            assert (reply.status, reply.is_complete, reply.body) == (200, True, STREAM)
+            first, second = p.received()
             for one in (first, second):
                 assert (one.method, one.target, one.body) == ("POST", "/v1/chat/completions?a=1", body)
                 assert one.call_id == "call-1" and 0 < float(one.head["x-budget"]) < 4.8
-            assert first in p.engines["r0"].seen and second in p.engines["w0"].seen
+            assert first in p.engines["r0"].all_received and second in p.engines["w0"].all_received
             endpoints = {s.role: s for s in p.relay.router.endpoints.values()}
-            # the reports, at its head and at its end
+            # The load report in the prefill engine's response head and the one at the end of the stream.
             assert endpoints[Role.PREFILL].reported_in_flight == 2.0
             assert endpoints[Role.DECODE].reported_memory_share == 0.25
-            assert not p.saw("DELETE")
+            assert not p.received("DELETE")
 
     run(go, virtual=True)
 
 
-def test_what_a_head_says_end_to_end_reaches_engines_and_what_is_of_one_connection_does_not() -> None:
-    """Classes that may be repeated with a key carry it in a field of their own, which no settings name."""
+def test_end_to_end_header_fields_reach_engines_and_hop_by_hop_fields_do_not() -> None:
+    """Requests of classes that may be repeated with a key carry it in a header field that no settings name."""
 
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
-            reply = await p.say(
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
+            reply = await p.send(
                 request(
                     "keyed",
                     Idempotency_Key="k-77",
@@ -68,66 +68,73 @@
                     Accept_Encoding="gzip",
                 )
             )
-            assert reply.status == 200 and reply.whole
+            assert reply.status == 200 and reply.is_complete
             sent = {
                 "idempotency-key": "k-77",
                 "accept-language": "de, en",
                 "x-name": "J\u00c3\u00b6rg",
                 "cookie": "a=1",
             }
-            for one in p.saw():
+            for one in p.received():
                 assert {name: one.head.get(name) for name in sent} == sent
                 assert not {"x-hop", "te", "keep-alive", "connection", "accept-encoding"} & one.head.keys()
-            assert len(p.saw()) == 2
+            assert len(p.received()) == 2
 
     run(go, virtual=True)
 
 
-def test_what_was_read_is_let_go_where_its_client_leaves_and_where_its_reader_is_silent() -> None:
+def test_a_state_is_released_if_its_client_leaves_and_if_its_prefill_engine_is_down() -> None:
     async def go() -> None:
-        async with platform(r0=reads, w0=hangs, w1=writes) as p:
-            p.tell(w1="Terminating")
+        async with platform(r0=answer_prefill, w0=never_answer, w1=answer_decode) as p:
+            p.publish(w1="Terminating")
             await until(lambda: p.relay.directory.revision == p.revision)
             _, writer = await p.connect()
             writer.write(request("leaves"))
-            await until(lambda: bool(p.engines["w0"].asked()))
+            await until(lambda: bool(p.engines["w0"].received()))
             writer.close()
-            await until(lambda: any(one.target == "/bootstrap/rooms/leaves" for one in p.saw("DELETE")))
-            assert "leaves" in p.engines["w0"].broke  # its attempt was given up with its connection
-            # Its reader takes no more connections: any other engine is told instead.
+            await until(lambda: any(one.target == "/bootstrap/rooms/leaves" for one in p.received("DELETE")))
+            assert "leaves" in p.engines["w0"].abandoned  # The attempt was cancelled with its connection.
+            # The prefill engine accepts no more connections: any other engine gets the release instead.
             await p.engines["r0"].stop()
-            p.relay.channels.release(next(iter(p.relay.table.open), 0) or 0, _record("lost"))
-            await until(lambda: any(one.target == "/bootstrap/rooms/lost" for one in p.saw("DELETE")))
+            p.relay.channels.release(next(iter(p.relay.table.open), 0) or 0, request_record("lost"))
+            await until(lambda: any(one.target == "/bootstrap/rooms/lost" for one in p.received("DELETE")))
 
     run(go, virtual=True)
 
 
-def test_a_state_is_not_held_while_one_connection_after_another_fails_to_come_up() -> None:
-    """With three writers that take no connection it was held for three times `connectTimeout`."""
+def test_a_state_is_released_in_time_while_one_connection_after_another_times_out() -> None:
+    """With three decode engines that accept no connection, the state once stayed reserved for three times
+    `connectTimeout`."""
 
     async def go() -> None:
-        held: list[float] = []
-        let_go: list[float] = []
+        prefilled_at: list[float] = []
+        released_at: list[float] = []
 
-        async def reader(one: Seen, writer: asyncio.StreamWriter) -> None:
-            (let_go if one.method == "DELETE" else held).append(asyncio.get_running_loop().time())
-            await reads(one, writer)
-
-        async with platform(r0=reader, w0=Vanished(), w1=Vanished(), w2=Vanished()) as p:
-            reply = await p.ask()
-            assert reply.status in (429, 503) and reply.whole
-            assert len(held) == len(let_go) >= 1
-            slack = (SETTINGS["specifics"]["letGoBy"] + 300_000) / 1e6  # the platform's, from its own page
-            assert all(gone - since <= slack for since, gone in zip(held, let_go, strict=True))
+        async def prefill(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            (released_at if received.method == "DELETE" else prefilled_at).append(
+                asyncio.get_running_loop().time()
+            )
+            await answer_prefill(received, writer)
+
+        async with platform(r0=prefill, w0=Vanished(), w1=Vanished(), w2=Vanished()) as p:
+            reply = await p.send_request()
+            assert reply.status in (429, 503) and reply.is_complete
+            assert len(prefilled_at) == len(released_at) >= 1
+            # The platform documents that it allows 0.3 s more than the time in the settings.
+            allowed_s = (SETTINGS["specifics"]["letGoBy"] + 300_000) / 1e6
+            assert all(
+                released - prefilled <= allowed_s
+                for prefilled, released in zip(prefilled_at, released_at, strict=True)
+            )
 
     run(go, virtual=True)
 
 
-def _record(call_id: str) -> Any:
+def request_record(call_id: str) -> Any:
     return SimpleNamespace(client_request=SimpleNamespace(call_id=call_id))
 
 
-RUDE = {
+INVALID_REQUESTS = {
     "noise": b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
     "two lengths": request("x1", Content_Length="15", Transfer_Encoding="chunked"),
     "negative length": request("x2", Content_Length="-5"),
@@ -147,76 +154,77 @@
 }
 
 
-@pytest.mark.parametrize("name", RUDE)
-def test_what_cant_be_read_or_used_is_answered_with_an_error_and_reaches_no_engine(name: str) -> None:
+@pytest.mark.parametrize("name", INVALID_REQUESTS)
+def test_an_invalid_request_is_answered_with_an_error_and_reaches_no_engine(name: str) -> None:
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
-            reply = await p.say(RUDE[name], 3.0)
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
+            reply = await p.send(INVALID_REQUESTS[name], 3.0)
             assert reply.status == 0 or 400 <= reply.status < 500, reply
             if reply.status:
                 assert json.loads(reply.body)["error"]
-            assert not p.saw()
-            assert (await p.ask()).whole
+            assert not p.received()
+            assert (await p.send_request()).is_complete
 
     run(go, virtual=True)
 
 
-def test_an_open_id_is_not_taken_twice_and_an_unusable_request_blames_no_engine() -> None:
+def test_the_id_of_an_open_request_is_rejected_and_a_400_of_an_engine_ejects_none() -> None:
     async def go() -> None:
-        async def unusable(one: Seen, writer: asyncio.StreamWriter) -> None:
-            if one.call_id == "odd":
+        async def unusable(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if received.call_id == "odd":
                 writer.write(b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n")
             else:
                 await asyncio.sleep(0.2)
-                await reads(one, writer)
+                await answer_prefill(received, writer)
 
-        async with platform(r0=unusable, w0=writes) as p:
-            first = asyncio.ensure_future(p.say(request("twice")))
-            await until(lambda: bool(p.saw()))
-            assert (await p.say(request("twice"))).status == 400
-            assert (await p.say(request("odd"))).status == 400
-            assert (await first).whole
-            assert [one.call_id for one in p.engines["r0"].asked()] == ["twice", "odd"]
-            assert not any(seat.ejections for seat in p.relay.router.endpoints.values())
+        async with platform(r0=unusable, w0=answer_decode) as p:
+            first = asyncio.ensure_future(p.send(request("twice")))
+            await until(lambda: bool(p.received()))
+            assert (await p.send(request("twice"))).status == 400
+            assert (await p.send(request("odd"))).status == 400
+            assert (await first).is_complete
+            assert [one.call_id for one in p.engines["r0"].received()] == ["twice", "odd"]
+            assert not any(endpoint.ejections for endpoint in p.relay.router.endpoints.values())
 
     run(go, virtual=True)
 
 
-def test_readiness_and_advice_on_refusals() -> None:
+def test_readiness_and_retry_after_of_rejections() -> None:
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
-            assert (await p.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200
-            head = await p.say(b"HEAD /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
+            assert (await p.send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200
+            head = await p.send(b"HEAD /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             assert head.status == 200 and head.head["content-length"] != "0"
             assert (
-                await p.say(b"PUT /-/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+                await p.send(b"PUT /-/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
             ).status == 405
             handle = p.relay.router.handle
 
-            def refuses(now: int, events: list[Event]) -> list[Action]:
+            def reject_all(now: int, events: list[Event]) -> list[Action]:
                 return [
-                    Reject(e.request_id, 250_000) if isinstance(e, Request) else LogMessage("")
-                    for e in events
+                    Reject(event.request_id, 250_000) if isinstance(event, Request) else LogMessage("")
+                    for event in events
                 ]
 
-            p.relay.router.handle = refuses  # type: ignore[method-assign]
-            reply = await p.ask()
+            p.relay.router.handle = reject_all  # type: ignore[method-assign]
+            reply = await p.send_request()
             assert (reply.status, reply.head["retry-after"]) == (503, "0.250")
             p.relay.router.handle = handle  # type: ignore[method-assign]
-            assert (await p.ask()).whole
+            assert (await p.send_request()).is_complete
 
     run(go, virtual=True)
 
 
-def test_silent_and_slow_connections_end_in_time_and_make_room() -> None:
+def test_silent_and_slow_connections_are_closed_in_time_and_displaced_by_active_ones() -> None:
     async def go() -> None:
-        async with platform(r0=reads, w0=writes) as p:
+        async with platform(r0=answer_prefill, w0=answer_decode) as p:
             limits = p.relay.front.server.limits
             assert limits.connections < p.relay.config.max_descriptors / 2
             silent = [await p.connect() for _ in range(limits.connections + 40)]
             assert len(p.relay.front.server.links) <= limits.connections
-            assert (await p.ask()).whole  # there is room for who says something
-            began = asyncio.get_running_loop().time()
+            # A connection that sends a request displaces a silent one.
+            assert (await p.send_request()).is_complete
+            started_at = asyncio.get_running_loop().time()
             _, half = silent[-1]
             half.write(b"POST / HTTP/1.1\r\nX-A: b")
             for reader, writer in silent:
@@ -225,50 +233,56 @@
                 except OSError:
                     pass
                 writer.close()
-            assert asyncio.get_running_loop().time() - began < 5.0
+            assert asyncio.get_running_loop().time() - started_at < 5.0
 
     run(go, virtual=True)
 
 
-def test_what_may_have_run_is_not_refused_as_the_node_ends() -> None:
-    """Its prompt is being read anew, after an attempt at a writer that broke: a refusal would say that it
+def test_a_request_that_may_have_run_is_not_rejected_as_the_node_stops() -> None:
+    """Its second prefill is in progress, after a decode attempt that broke. A rejection would state that the request
     never ran."""
 
     async def go() -> None:
-        async def breaks(one: Seen, writer: asyncio.StreamWriter) -> None:
-            if one.method == "POST":
+        async def break_decode(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if received.method == "POST":
                 raise OSError
-            await reads(one, writer)
+            await answer_prefill(received, writer)
 
-        async def state_gone(one: Seen, writer: asyncio.StreamWriter) -> None:
+        async def state_gone(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 410 Gone\r\nx-rejected: 1\r\ncontent-length: 0\r\n\r\n")
 
-        async def reads_once(one: Seen, writer: asyncio.StreamWriter) -> None:
-            await (hangs if len(p.engines["r0"].asked()) > 1 and one.method == "POST" else reads)(one, writer)
+        async def answer_first_prefill(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            await (
+                never_answer
+                if len(p.engines["r0"].received()) > 1 and received.method == "POST"
+                else answer_prefill
+            )(received, writer)
 
         keyed = {**SETTINGS["classes"][0], "effect": "guarded", "keyScope": "zone", "dedupWindow": 5_000_000}
-        async with platform({"settings": {"classes": [keyed]}}, r0=reads_once, w0=breaks, w1=breaks) as p:
-            asking = asyncio.ensure_future(p.ask())
-            await until(lambda: bool(p.engines["w0"].asked() or p.engines["w1"].asked()))
+        async with platform(
+            {"settings": {"classes": [keyed]}}, r0=answer_first_prefill, w0=break_decode, w1=break_decode
+        ) as p:
+            reply = asyncio.ensure_future(p.send_request())
+            await until(lambda: bool(p.engines["w0"].received() or p.engines["w1"].received()))
             for name in ("w0", "w1"):
                 p.engines[name].script = state_gone
-            await until(lambda: len(p.engines["r0"].asked()) > 1)
+            await until(lambda: len(p.engines["r0"].received()) > 1)
             p.relay.conclude_open_requests()
-            assert (await asking).status == 502
+            assert (await reply).status == 502
 
     run(go, virtual=True)
 
 
-def test_an_engine_that_began_to_drain_while_its_connection_came_up_is_sent_nothing(
+def test_an_engine_that_began_to_drain_while_a_connection_opened_is_sent_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
         limits = {**SETTINGS["limits"], "connectTimeout": 2_000_000}
         obligations = {**SETTINGS["obligations"], "drainGrace": 200_000}
         async with platform(
-            {"settings": {"limits": limits, "obligations": obligations}}, r0=reads, w0=writes
+            {"settings": {"limits": limits, "obligations": obligations}}, r0=answer_prefill, w0=answer_decode
         ) as p:
-            p.engines["r1"] = await Peer(reads).start()
+            p.engines["r1"] = await Peer(answer_prefill).start()
             connecting = asyncio.Event()
 
             def delay(port: int) -> float:
@@ -278,35 +292,34 @@
                 return 0.6
 
             delay_connections(monkeypatch, delay)
-            asking = asyncio.ensure_future(p.ask())
+            reply = asyncio.ensure_future(p.send_request())
             await connecting.wait()
-            p.tell(r0="Terminating")
-            reply = await asking
-            assert (reply.status, reply.whole) == (200, True)
-            assert not p.engines["r0"].asked() and len(p.engines["r1"].asked()) == 1
+            p.publish(r0="Terminating")
+            answer = await reply
+            assert (answer.status, answer.is_complete) == (200, True)
+            assert not p.engines["r0"].received() and len(p.engines["r1"].received()) == 1
 
     run(go, virtual=True)
 
 
-def test_no_repeat_is_sent_after_its_window_when_its_connection_comes_up_late(
+def test_no_retry_is_sent_on_a_connection_that_opens_after_the_deduplication_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The first attempt breaks within the window; the second one's connection comes up after it."""
+    """The first attempt breaks within the window; the connection of the second one opens after it."""
 
     async def go() -> None:
-        async def breaks(one: Seen, writer: asyncio.StreamWriter) -> None:
+        async def breaks(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.1)
             writer.transport.abort()
 
-        held_up = (
-            NODE_STALL_US / 1e6
-        )  # A node may be held up for so long before it writes: its window is that much shorter.
+        # A node may stall for so long before it writes, so the window that it applies is that much shorter.
+        stall_s = NODE_STALL_US / 1e6
         window = 0.4
         keyed = {
             **SETTINGS["classes"][0],
             "effect": "guarded",
             "keyScope": "zone",
-            "dedupWindow": int((window + held_up) * 1e6),
+            "dedupWindow": int((window + stall_s) * 1e6),
         }
         limits = {**SETTINGS["limits"], "connectTimeout": 2_000_000}
         loop = asyncio.get_running_loop()
@@ -314,18 +327,18 @@
             async with platform(
                 {"settings": {"classes": [keyed], "limits": limits}}, m0=breaks, m1=breaks
             ) as p:
-                waits = iter((0.0, *[late] * 9))
+                delays = iter((0.0, *[late] * 9))
                 ports = [engine.port for engine in p.engines.values()]
 
-                def delay(port: int, waits: Iterator[float] = waits, ports: list[int] = ports) -> float:
-                    return next(waits) if port in ports else 0.0
+                def delay(port: int, delays: Iterator[float] = delays, ports: list[int] = ports) -> float:
+                    return next(delays) if port in ports else 0.0
 
                 with monkeypatch.context() as patch:
                     delay_connections(patch, delay)
-                    began = loop.time()
-                    reply = await p.ask()
+                    started_at = loop.time()
+                    reply = await p.send_request()
                 assert reply.status == 502, "it may have run"
-                assert loop.time() - began < window + 0.2
-                assert len(p.saw()) == (1 if late else 4), "as often as there is time for"
+                assert loop.time() - started_at < window + 0.2
+                assert len(p.received()) == (1 if late else 4), "as many attempts as the window has time for"
 
     run(go, virtual=True)
--- a/tests/relay/test_view.py
+++ b/tests/relay/test_view.py
@@ -1,5 +1,5 @@
-"""What the router's books say is out, the node's table, and the connections on which something is out: the
-same at every event, while engines break, hang, drain and are replaced and clients leave."""
+"""The attempts in flight by the router's accounts, by the node's request table and by its connections are the same after
+every event, while engines break, hang, drain and are replaced and clients leave."""
 
 from __future__ import annotations
 
@@ -8,7 +8,17 @@
 import itertools
 from random import Random
 
-from relay_world import OPENING, TOKENS, Seen, chunk, platform, read_reply, reads, request, writes
+from relay_world import (
+    STREAM_HEAD,
+    TOKEN_EVENTS,
+    ReceivedRequest,
+    answer_decode,
+    answer_prefill,
+    chunk,
+    platform,
+    read_reply,
+    request,
+)
 from world import run, until
 
 from tuliptrack import interface as io
@@ -17,24 +27,26 @@
 from tuliptrack.routing.router import Router
 
 
-def test_what_is_out_is_the_same_in_the_books_the_table_and_on_the_sockets_at_every_event() -> None:
+def test_router_table_and_connections_agree_on_attempts_in_flight_after_every_event() -> None:
     async def go() -> None:
         random = Random(7)
 
-        async def unsteady(one: Seen, writer: asyncio.StreamWriter) -> None:
-            if one.method == "DELETE" or (lot := random.random()) < 0.5:
+        async def unsteady(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if received.method == "DELETE" or (draw := random.random()) < 0.5:
                 await asyncio.sleep(random.random() / 30)
-                await (reads if one.method == "DELETE" or one.head.get("host") in readers else writes)(
-                    one, writer
-                )
-            elif lot < 0.6:
+                await (
+                    answer_prefill
+                    if received.method == "DELETE" or received.head.get("host") in prefill_addresses
+                    else answer_decode
+                )(received, writer)
+            elif draw < 0.6:
                 writer.transport.abort()
-            elif lot < 0.7:
+            elif draw < 0.7:
                 writer.write(b"HTTP/1.1 503 No\r\nx-rejected: 1\r\ncontent-length: 0\r\n\r\n")
-            elif lot < 0.8:
+            elif draw < 0.8:
                 writer.write(b"HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n")
-            elif lot < 0.9:
-                writer.write(OPENING + chunk(TOKENS[0]))
+            elif draw < 0.9:
+                writer.write(STREAM_HEAD + chunk(TOKEN_EVENTS[0]))
                 await asyncio.sleep(0.05)
                 writer.transport.abort()
             else:
@@ -42,43 +54,49 @@
 
         names = ("r0", "r1", "r2", "w0", "w1", "w2", "w3")
         async with platform(None, **{name: unsteady for name in names}) as p:
-            readers = {p.engines[name].address for name in names if name[0] == "r"}
-            core, engines, looked, most = p.relay, p.relay.channels, 0, 0
+            prefill_addresses = {p.engines[name].address for name in names if name[0] == "r"}
+            relay, engines, comparisons, max_in_flight = p.relay, p.relay.channels, 0, 0
             assert isinstance(engines, HttpEngineClient)
-            handle = core.dispatch
-            differ: list[tuple[int, ...]] = []
+            dispatch = relay.dispatch
+            mismatches: list[tuple[int, ...]] = []
 
-            def same() -> None:
-                nonlocal looked, most
-                router = core.router
-                books = {
-                    (number, seat.info.id)
-                    for seat in router.endpoints.values()
-                    for number in (*seat.waiting, *seat.streams)
+            def compare() -> None:
+                nonlocal comparisons, max_in_flight
+                router = relay.router
+                by_router = {
+                    (number, endpoint.info.id)
+                    for endpoint in router.endpoints.values()
+                    for number in (*endpoint.waiting, *endpoint.streams)
+                }
+                by_table = {
+                    record.id: record.attempt for record in relay.table.open.values() if record.attempt
                 }
-                out = {record.id: record.attempt for record in core.table.open.values() if record.attempt}
                 pools = engines.pools.all()
-                on_links = {link.exchange for pool in pools for link in pool.links if link.exchange}
-                coming_up = {borrow.exchange for pool in pools for borrow in pool.borrows}
-                carried = {
+                on_connections = {link.exchange for pool in pools for link in pool.links if link.exchange}
+                connecting = {borrow.exchange for pool in pools for borrow in pool.borrows}
+                by_connections = {
                     exchange
-                    for exchange in on_links | coming_up
+                    for exchange in on_connections | connecting
                     if exchange.open and exchange.method == "POST"
                 }
-                calls = {call.exchange for a in out.values() if isinstance(call := a.call, HttpAttempt)}
-                if carried != calls or books != {
-                    (number, attempt.endpoint_id) for number, attempt in out.items()
+                exchanges = {
+                    call.exchange
+                    for attempt in by_table.values()
+                    if isinstance(call := attempt.call, HttpAttempt)
+                }
+                if by_connections != exchanges or by_router != {
+                    (number, attempt.endpoint_id) for number, attempt in by_table.items()
                 }:
-                    differ.append((len(books), len(out), len(calls), len(carried)))
-                looked, most = looked + 1, max(most, len(calls))
+                    mismatches.append((len(by_router), len(by_table), len(exchanges), len(by_connections)))
+                comparisons, max_in_flight = comparisons + 1, max(max_in_flight, len(exchanges))
 
-            def tell(event: io.Event, router: Router | None = None) -> None:
-                outermost = not core.dispatcher.is_running
-                handle(event, router)
-                if outermost:
-                    same()
+            def dispatch_and_compare(event: io.Event, router: Router | None = None) -> None:
+                is_outermost = not relay.dispatcher.is_running
+                dispatch(event, router)
+                if is_outermost:
+                    compare()
 
-            core.dispatch = tell  # type: ignore[method-assign]
+            relay.dispatch = dispatch_and_compare  # type: ignore[method-assign]
             ids = itertools.count()
 
             async def client() -> None:
@@ -92,19 +110,21 @@
 
             clients = [asyncio.ensure_future(client()) for _ in range(8)]
             phases = ("Ready", "Terminating", "Gone")
-            while not all(one.done() for one in clients):
+            while not all(task.done() for task in clients):
                 await asyncio.sleep(0.05)
-                p.tell(
+                p.publish(
                     **{
                         name: phases[random.randrange(3)] if random.random() < 0.3 else "Ready"
                         for name in names
                     }
                 )
             await asyncio.gather(*clients)
-            await until(lambda: not core.table.open)
-            same()
-            assert not differ, (len(differ), differ[:5])
-            assert looked > 500 and most > 4, (looked, most)
-            assert not any(seat.waiting or seat.streams for seat in core.router.endpoints.values())
+            await until(lambda: not relay.table.open)
+            compare()
+            assert not mismatches, (len(mismatches), mismatches[:5])
+            assert comparisons > 500 and max_in_flight > 4, (comparisons, max_in_flight)
+            assert not any(
+                endpoint.waiting or endpoint.streams for endpoint in relay.router.endpoints.values()
+            )
 
     run(go, 60, virtual=True)
--- a/tests/relay_node.py
+++ b/tests/relay_node.py
@@ -1,4 +1,5 @@
-"""The deploy file's `run` as a process, as the platform starts it; what the platform refuses ends it."""
+"""Starts a node as a process, with the `run` command of the deploy file, as the platform does. System calls that
+the platform denies end the process."""
 
 from __future__ import annotations
 
@@ -13,27 +14,27 @@
 
 from relay_world import SETTINGS
 
-__all__ = ["CLOSED", "ROOT", "Node", "spawn_node", "start_node", "told"]
+__all__ = ["CLOSED", "ROOT", "Node", "settings_text", "spawn_node", "start_node"]
 
 ROOT = Path(__file__).resolve().parents[1]
 CLOSED = -100
-"""In the place of a descriptor: the process has no standard error at all."""
-# What the whole fleet's platform refuses a node, each made to end it at once.
-REFUSED = """
+"""Instead of a descriptor: the process starts with standard error closed."""
+# Calls that the platform denies to a node. Here each of them ends the process at once.
+DENIED_CALLS = """
 import os, sys
-def refuse(event, args):
+def deny(event, args):
     unix = event in ("socket.bind", "socket.connect") and not isinstance(args[1], tuple)
     if unix or event in ("os.fork", "os.forkpty", "os.exec", "os.posix_spawn", "os.system", "subprocess.Popen"):
-        os.write(2, f"refused: {event}\\n".encode())
+        os.write(2, f"denied: {event}\\n".encode())
         os._exit(99)
-sys.addaudithook(refuse)
+sys.addaudithook(deny)
 for name in ("sendfile", "splice", "copy_file_range"):
-    setattr(os, name, lambda *a, name=name: refuse("os.system", ()))
+    setattr(os, name, lambda *a, name=name: deny("os.system", ()))
 """
 
 
 class Node:
-    """One process that serves. Its log is read, lest a full pipe stop it."""
+    """The process of a node that serves. Its log is read all the time, since a full pipe would block it."""
 
     def __init__(self, process: asyncio.subprocess.Process, address: str) -> None:
         self.process, self.address = process, address
@@ -60,8 +61,8 @@
         await self._reading
 
 
-def told(agent: str, **changes: Any) -> str:
-    """A settings file."""
+def settings_text(agent: str, **changes: Any) -> str:
+    """Return the text of a settings file."""
     return json.dumps(
         {
             "name": "n0",
@@ -84,13 +85,13 @@
     environment: Mapping[str, str] | None = None,
     descriptors: int = 0,
 ) -> asyncio.subprocess.Process:
-    """A node's process with these settings, which may not serve yet. `standard_error`: a descriptor, PIPE or
-    CLOSED; `shim`: what else is run as it starts; `descriptors`: the system's limit on them, 0 for the usual
-    one.
+    """Start a node's process with these settings; it may not serve yet. `standard_error`: a descriptor, PIPE or
+    CLOSED; `shim`: Python code that is run as it starts; `descriptors`: the system's limit on open descriptors,
+    0 for the usual one.
     """
     path.write_text(settings)
-    (path.parent / "sitecustomize.py").write_text(REFUSED + shim)
-    line = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"].replace(
+    (path.parent / "sitecustomize.py").write_text(DENIED_CALLS + shim)
+    command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"].replace(
         ".venv/bin/python", sys.executable
     )
     limit = f"ulimit -n {descriptors}; " if descriptors else ""
@@ -98,7 +99,7 @@
     return await asyncio.create_subprocess_exec(
         "/bin/sh",
         "-c",
-        limit + ("exec 2>&-; " if closed else "") + line,
+        limit + ("exec 2>&-; " if closed else "") + command,
         stderr=asyncio.subprocess.DEVNULL if closed else standard_error,
         cwd=ROOT,
         env={**os.environ, "RELAY_CONFIG": str(path), "PYTHONPATH": str(path.parent), **(environment or {})},
@@ -106,12 +107,14 @@
 
 
 async def start_node(agent: str, path: Path, descriptors: int = 0, **changes: Any) -> Node:
-    """A node with these settings, once it serves; with so many descriptors at most by the system."""
-    process = await spawn_node(path, told(agent, **changes), asyncio.subprocess.PIPE, descriptors=descriptors)
+    """Start a node with these settings and return it once it serves. `descriptors`: see `spawn_node`."""
+    process = await spawn_node(
+        path, settings_text(agent, **changes), asyncio.subprocess.PIPE, descriptors=descriptors
+    )
     assert process.stderr
-    said = []
-    while text := (await process.stderr.readline()).decode():
-        said.append(text)
-        if "serving" in text:
-            return Node(process, text.split("address=")[1].split()[0])
-    raise AssertionError(f"it never served: {said}")
+    log = []
+    while line := (await process.stderr.readline()).decode():
+        log.append(line)
+        if "serving" in line:
+            return Node(process, line.split("address=")[1].split()[0])
+    raise AssertionError(f"the node has ended before it served: {log}")
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -1,5 +1,5 @@
-"""A platform to test the relay against: discovery, engines and clients on raw sockets, which note what they
-saw."""
+"""A platform to test the relay against, in one process: discovery, engines and clients on raw sockets, which
+record the requests that they receive."""
 
 from __future__ import annotations
 
@@ -61,16 +61,16 @@
         "writersRead": True,
     },
 }
-OPENING = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
-TOKENS = [
+STREAM_HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
+TOKEN_EVENTS = [
     b'data: {"choices":[{"index":0,"delta":{"content":"t%d"},"finish_reason":null}]}\n\n' % n
     for n in range(4)
 ]
-LAST = [
+FINAL_EVENTS = [
     b'data: {"choices":[],"usage":{"prompt_tokens":9,"prompt_tokens_details":{"cached_tokens":4}}}\n\n',
     b"data: [DONE]\n\n",
 ]
-STREAM = b"".join(TOKENS + LAST)
+STREAM = b"".join(TOKEN_EVENTS + FINAL_EVENTS)
 
 
 def chunk(data: bytes) -> bytes:
@@ -78,8 +78,8 @@
 
 
 @dataclass
-class Seen:
-    """One request as an engine, or discovery, saw it whole."""
+class ReceivedRequest:
+    """A request that an engine or discovery has received in full."""
 
     method: str
     target: str
@@ -91,17 +91,17 @@
         return self.head.get("x-call-id", "")
 
 
-Script = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+Script = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 
 @dataclass
 class Peer:
-    """A listener that reads whole requests and plays a script for each."""
+    """A listener that reads complete requests and runs a script for each."""
 
     script: Script
-    seen: list[Seen] = field(default_factory=list)
-    broke: list[str] = field(default_factory=list)
-    """Ids of requests whose connection the node ended before the script was through."""
+    all_received: list[ReceivedRequest] = field(default_factory=list)
+    abandoned: list[str] = field(default_factory=list)
+    """Ids of requests whose connection the node closed before the script had ended."""
     address: str = ""
     connections: int = 0
     _server: asyncio.Server | None = None
@@ -116,7 +116,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         self._writers.add(writer)
-        one = None
+        received = None
         try:
             while head := await reader.readuntil(b"\r\n\r\n"):
                 lines = head.decode("latin-1").split("\r\n")
@@ -125,21 +125,21 @@
                     (k.lower(), v.strip()) for k, _, v in (x.partition(":") for x in lines[1:] if x)
                 )
                 body = await reader.readexactly(int(fields.get("content-length", 0)))
-                one = Seen(method, target, fields, body)
-                self.seen.append(one)
-                playing = asyncio.ensure_future(self.script(one, writer))
-                gone = asyncio.ensure_future(reader.read(1))
-                await asyncio.wait({playing, gone}, return_when=asyncio.FIRST_COMPLETED)
-                if not playing.done():
-                    self.broke.append(one.call_id)
-                    playing.cancel()
+                received = ReceivedRequest(method, target, fields, body)
+                self.all_received.append(received)
+                script = asyncio.ensure_future(self.script(received, writer))
+                disconnect = asyncio.ensure_future(reader.read(1))
+                await asyncio.wait({script, disconnect}, return_when=asyncio.FIRST_COMPLETED)
+                if not script.done():
+                    self.abandoned.append(received.call_id)
+                    script.cancel()
                     return
-                if gone.done():
+                if disconnect.done():
                     return
-                gone.cancel()
+                disconnect.cancel()
                 with contextlib.suppress(asyncio.CancelledError):
-                    await gone
-                await playing
+                    await disconnect
+                await script
         except (asyncio.IncompleteReadError, OSError, asyncio.CancelledError):
             pass
         finally:
@@ -151,8 +151,7 @@
         return int(self.address.rpartition(":")[2])
 
     @property
-    def live(self) -> int:
-        """Connections that are open."""
+    def open_connections(self) -> int:
         return len(self._writers)
 
     async def stop(self) -> None:
@@ -162,46 +161,46 @@
             writer.transport.abort()
         await asyncio.sleep(0)
 
-    def asked(self, method: str = "POST") -> list[Seen]:
-        return [one for one in self.seen if one.method == method]
+    def received(self, method: str = "POST") -> list[ReceivedRequest]:
+        return [received for received in self.all_received if received.method == method]
 
 
 def delay_connections(patch: pytest.MonkeyPatch, delay: Callable[[int], float]) -> None:
-    """Connections that this loop opens come up so many seconds late, told by the port that they go to."""
+    """Delay each connection that this loop opens by `delay(port)` seconds, where `port` is its destination."""
     loop = asyncio.get_running_loop()
     connect: Any = loop.create_connection
 
-    async def late(made: Any, host: str, port: int, **more: Any) -> Any:
+    async def connect_late(protocol_factory: Any, host: str, port: int, **options: Any) -> Any:
         await asyncio.sleep(delay(port))
-        return await connect(made, host, port, **more)
+        return await connect(protocol_factory, host, port, **options)
 
-    patch.setattr(loop, "create_connection", late)
+    patch.setattr(loop, "create_connection", connect_late)
 
 
 class Vanished(Peer):
-    """An engine whose machine takes no connection and says nothing of it: its queue of them is full."""
+    """An engine whose machine neither accepts nor rejects connections: its listen backlog is full."""
 
     def __init__(self) -> None:
-        super().__init__(hangs)
-        self._held: list[socket.socket] = []
+        super().__init__(never_answer)
+        self._sockets: list[socket.socket] = []
 
     async def start(self) -> Peer:
-        full = socket.create_server(("127.0.0.1", 0), backlog=0)
-        self.address = "{}:{}".format(*full.getsockname())
-        self._held = [full, *(socket.socket() for _ in range(4))]
-        for one in self._held[1:]:
-            one.setblocking(False)
-            one.connect_ex(full.getsockname())
+        listener = socket.create_server(("127.0.0.1", 0), backlog=0)
+        self.address = "{}:{}".format(*listener.getsockname())
+        self._sockets = [listener, *(socket.socket() for _ in range(4))]
+        for client in self._sockets[1:]:
+            client.setblocking(False)
+            client.connect_ex(listener.getsockname())
         return self
 
     async def stop(self) -> None:
-        for one in self._held:
-            one.close()
+        for sock in self._sockets:
+            sock.close()
 
 
-async def reads(one: Seen, writer: asyncio.StreamWriter) -> None:
-    """A reader: 202 with what was kept; 204 to a release."""
-    if one.method == "DELETE":
+async def answer_prefill(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    """Answer as a prefill engine: 202 with the count of cached tokens, or 204 to a release."""
+    if received.method == "DELETE":
         writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
         return
     body = b'{"cached_tokens":3}'
@@ -211,30 +210,30 @@
     )
 
 
-async def writes(one: Seen, writer: asyncio.StreamWriter) -> None:
-    """A writer: the whole stream, a report at its end."""
-    if one.method == "DELETE":
-        await reads(one, writer)
+async def answer_decode(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    """Answer as a decode engine: the complete stream with a load report at its end, or 204 to a release."""
+    if received.method == "DELETE":
+        await answer_prefill(received, writer)
         return
-    writer.write(OPENING)
-    for event in TOKENS + LAST:
+    writer.write(STREAM_HEAD)
+    for event in TOKEN_EVENTS + FINAL_EVENTS:
         writer.write(chunk(event))
         await asyncio.sleep(0)
     writer.write(chunk(b': X-Load-Report: {"inflight":7,"x0":0.25}\n\n') + b"0\r\n\r\n")
 
 
-async def hangs(one: Seen, writer: asyncio.StreamWriter) -> None:
+async def never_answer(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     await asyncio.Event().wait()
 
 
 @dataclass
 class Reply:
-    """What a client got: the status (0: none), the head, the body so far, and whether it was whole."""
+    """What a client got: the status (0: none), the head, the body so far, and whether it was complete."""
 
     status: int
     head: dict[str, str]
     body: bytes
-    whole: bool
+    is_complete: bool
 
 
 def request(call_id: str, body: bytes = b'{"stream":true}', budget: str = "4.8", **fields: str) -> bytes:
@@ -254,7 +253,7 @@
 
 
 async def read_reply(reader: asyncio.StreamReader, head_within: float | None = None) -> Reply:
-    """Read an answer to its end; TimeoutError where its head takes longer than so many seconds."""
+    """Read an answer to its end; TimeoutError if its head takes longer than `head_within` seconds."""
     try:
         raw = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), head_within)
         head = raw.decode("latin-1").split("\r\n")
@@ -277,7 +276,7 @@
 
 def config(members: list[dict[str, Any]], discovery: str, **changes: Any) -> RelayConfig:
     settings = {**SETTINGS, **changes.pop("settings", {})}
-    told = {
+    document = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "discovery": discovery,
@@ -287,16 +286,16 @@
         "settings": settings,
         **changes,
     }
-    return parse(json.dumps(told).encode(), {})
+    return parse(json.dumps(document).encode(), {})
 
 
 class Platform:
-    """A relay with its engines and its discovery."""
+    """A relay with its engines and its discovery agent."""
 
     def __init__(self, engines: dict[str, Peer], agent: Peer) -> None:
         self.engines, self.agent = engines, agent
         self.revision = 1
-        self.changed = asyncio.Event()
+        self.list_changed = asyncio.Event()
         self.phases: dict[str, str] = {}
         self.relay: RelayNode
         self.ids = (f"c-{n}" for n in itertools.count())
@@ -306,7 +305,7 @@
         return [
             {
                 "id": name,
-                "host_port": one.address,
+                "host_port": engine.address,
                 "locality": "z",
                 "flavor": kinds[name[0]],
                 "cell": 1,
@@ -314,22 +313,24 @@
                 "size": 1.0,
                 "up_since_ms": 0,
             }
-            for name, one in self.engines.items()
+            for name, engine in self.engines.items()
         ]
 
-    def tell(self, **phases: str) -> None:
+    def publish(self, **phases: str) -> None:
+        """Publish a new revision of the endpoint list, in which these engines have these phases."""
         self.phases |= phases
         self.revision += 1
-        self.changed.set()
-        self.changed = asyncio.Event()
-
-    async def answers(self, one: Seen, writer: asyncio.StreamWriter) -> None:
-        """Discovery's script: the whole list, or a wait for what is newer."""
-        if (since := re.search(r"since=(\d+)", one.target)) and int(since[1]) >= self.revision:
-            wait = re.search(r"timeout_ms=(\d+)", one.target)
+        self.list_changed.set()
+        self.list_changed = asyncio.Event()
+
+    async def answer_poll(self, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        """Answer as the discovery agent, with the whole list. A watch is answered once the list is newer than its
+        revision, or after its time-out."""
+        if (since := re.search(r"since=(\d+)", received.target)) and int(since[1]) >= self.revision:
+            wait = re.search(r"timeout_ms=(\d+)", received.target)
             assert wait
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.changed.wait(), int(wait[1]) / 1e3)
+                await asyncio.wait_for(self.list_changed.wait(), int(wait[1]) / 1e3)
         body = json.dumps({"revision": self.revision, "complete": True, "members": self.members()}).encode()
         writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body))
 
@@ -337,8 +338,8 @@
         host, _, port = self.relay.front.server.address.rpartition(":")
         return await asyncio.open_connection(host, int(port))
 
-    async def say(self, data: bytes, within: float = 10.0) -> Reply:
-        """Send these bytes on a connection of their own; the reply."""
+    async def send(self, data: bytes, within: float = 10.0) -> Reply:
+        """Send these bytes on a new connection and return the reply."""
         reader, writer = await self.connect()
         try:
             with contextlib.suppress(OSError):
@@ -347,34 +348,38 @@
         finally:
             writer.close()
 
-    async def ask(self) -> Reply:
-        return await self.say(request(next(self.ids)))
+    async def send_request(self) -> Reply:
+        """Send a request with an id of its own and return the reply."""
+        return await self.send(request(next(self.ids)))
 
-    def saw(self, method: str = "POST") -> list[Seen]:
-        return [one for engine in self.engines.values() for one in engine.asked(method)]
+    def received(self, method: str = "POST") -> list[ReceivedRequest]:
+        """Return what all engines have received, engine by engine."""
+        return [received for engine in self.engines.values() for received in engine.received(method)]
 
 
 @contextlib.asynccontextmanager
 async def platform(
     changes: dict[str, Any] | None = None, **scripts: Script | Peer
 ) -> AsyncIterator[Platform]:
-    """A relay before these engines: `r…` read, `w…` write, `m…` do both."""
+    """Run a relay with these engines: names in `r` are prefill engines, in `w` decode engines, in `m` both."""
     engines = {
-        name: await (one if isinstance(one, Peer) else Peer(one)).start() for name, one in scripts.items()
+        name: await (script if isinstance(script, Peer) else Peer(script)).start()
+        for name, script in scripts.items()
     }
-    made = Platform(engines, Peer(hangs))
-    made.agent.script = made.answers
-    await made.agent.start()
-    made.relay = RelayNode(config(made.members(), made.agent.address, **(changes or {})))
-    await made.relay.start()
+    running = Platform(engines, Peer(never_answer))
+    running.agent.script = running.answer_poll
+    await running.agent.start()
+    running.relay = RelayNode(config(running.members(), running.agent.address, **(changes or {})))
+    await running.relay.start()
     try:
-        yield made
+        yield running
     finally:
-        made.relay.front.server.cut_short()
-        await made.relay.stop(0.0, 0.0)
-        for peer in [*engines.values(), made.agent]:
+        running.relay.front.server.cut_short()
+        await running.relay.stop(0.0, 0.0)
+        for peer in [*engines.values(), running.agent]:
             await peer.stop()
-        assert not made.relay.table.open and not made.relay.front.open_requests, "requests left"
+        assert not running.relay.table.open and not running.relay.front.open_requests, "requests left open"
         assert (
-            made.relay.front.body_budget.used_bytes == 0 and made.relay.front.server.bodies.used_bytes == 0
-        ), "bytes left"
+            running.relay.front.body_budget.used_bytes == 0
+            and running.relay.front.server.bodies.used_bytes == 0
+        ), "bytes left in the body budgets"
