--- a/tests/relay/test_kv_state_releases.py
+++ b/tests/relay/test_kv_state_releases.py
@@ -74,8 +74,8 @@
 
 
 class SilentMachine(Peer):
-    """An engine whose machine has fallen silent: connections come up, most of what is written to them is
-    never confirmed."""
+    """An engine whose machine has fallen silent: connections open, but most of what is written to them is never
+    acknowledged by TCP."""
 
     def __init__(self) -> None:
         super().__init__(never_answer)
@@ -121,8 +121,8 @@
 
 
 def test_a_state_is_released_in_time_if_its_decode_attempt_never_arrived() -> None:
-    """The machine of the decode engine has fallen silent: connections come up, and most of the attempt's bytes
-    are never confirmed."""
+    """The machine of the decode engine has fallen silent: connections open, but most of the attempt's bytes are never
+    acknowledged by TCP."""
 
     async def go() -> None:
         timeline = Timeline()
