--- a/tests/relay/test_kv_state_releases.py
+++ b/tests/relay/test_kv_state_releases.py
@@ -358,7 +358,7 @@
             _, writer = await p.connect()
             writer.write(request("open"))
             await until(lambda: bool(p.engines["w0"].received()))
-            p.relay.front.server.cut_short()
+            p.relay.front.server.abort_connections()
             await p.relay.stop(0.0, 0.0)
             assert "open" in timeline.released_at
             assert now() - timeline.prefilled_at["open"] < 2.0
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -374,7 +374,7 @@
     try:
         yield running
     finally:
-        running.relay.front.server.cut_short()
+        running.relay.front.server.abort_connections()
         await running.relay.stop(0.0, 0.0)
         for peer in [*engines.values(), running.agent]:
             await peer.stop()
