--- a/tests/node/test_leases_on_grpc.py
+++ b/tests/node/test_leases_on_grpc.py
@@ -5,7 +5,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-from relay_world import Vanished
+from relay_harness import UnreachableEngine
 from world import World, run, until, world
 
 from tuliptrack.rpc.status import Code
@@ -17,7 +17,9 @@
 async def unreachable_decode_engines(engines: str, settings: str = "") -> AsyncIterator[World]:
     """A node and engines; no connection to a decode engine can be made."""
     async with world(engines, settings=settings) as w:
-        decode_engines = {name: await Vanished().start() for name in w.engines if name.startswith("w")}
+        decode_engines = {
+            name: await UnreachableEngine().start() for name in w.engines if name.startswith("w")
+        }
         try:
             await w.list_at({name: engine.address for name, engine in decode_engines.items()})
             yield w
--- a/tests/relay/test_agents.py
+++ b/tests/relay/test_agents.py
@@ -5,7 +5,7 @@
 import asyncio
 import re
 
-from relay_world import (
+from relay_harness import (
     SETTINGS,
     Peer,
     ReceivedRequest,
--- a/tests/relay/test_attempts_in_flight.py
+++ b/tests/relay/test_attempts_in_flight.py
@@ -8,7 +8,7 @@
 import itertools
 from random import Random
 
-from relay_world import (
+from relay_harness import (
     STREAM_HEAD,
     TOKEN_EVENTS,
     ReceivedRequest,
--- a/tests/relay/test_client_disconnects.py
+++ b/tests/relay/test_client_disconnects.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 
 import pytest
-from relay_world import (
+from relay_harness import (
     SETTINGS,
     Platform,
     ReceivedRequest,
-    Vanished,
+    UnreachableEngine,
     answer_decode,
     answer_prefill,
     delay_connections,
@@ -194,7 +194,7 @@
         keyed = {**SETTINGS["classes"][0], "effect": "guarded", "keyScope": "zone", "dedupWindow": 1}
         limits = {**SETTINGS["limits"], "connectTimeout": 4_000_000}
         async with platform(
-            {"settings": {"classes": [keyed], "limits": limits}}, m0=Vanished(), m1=answer_decode
+            {"settings": {"classes": [keyed], "limits": limits}}, m0=UnreachableEngine(), m1=answer_decode
         ) as p:
             p.publish(m1="Terminating")
             await until(lambda: p.relay.directory.revision == p.revision)
--- a/tests/relay/test_config.py
+++ b/tests/relay/test_config.py
@@ -13,8 +13,8 @@
 from hypothesis import given
 from hypothesis import settings as examples
 from json_values import any_json
-from relay_node import settings_text
-from relay_world import config
+from relay_harness import config
+from relay_process import settings_text
 
 from tuliptrack.relay.config import MIN_DESCRIPTORS, RelayConfigError, load, parse
 
--- a/tests/relay/test_corroboration.py
+++ b/tests/relay/test_corroboration.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 import pytest
-from relay_world import (
+from relay_harness import (
     SETTINGS,
     Peer,
     Platform,
--- a/tests/relay/test_counters.py
+++ b/tests/relay/test_counters.py
@@ -6,7 +6,7 @@
 import json
 
 import pytest
-from relay_world import ReceivedRequest, answer_decode, answer_prefill, platform, request
+from relay_harness import ReceivedRequest, answer_decode, answer_prefill, platform, request
 from world import run, until
 
 
--- a/tests/relay/test_descriptors.py
+++ b/tests/relay/test_descriptors.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 
 import pytest
-from relay_node import settings_text, start_node
-from relay_world import Reply, answer_decode, answer_prefill, never_answer, platform, read_reply, request
+from relay_harness import Reply, answer_decode, answer_prefill, never_answer, platform, read_reply, request
+from relay_process import settings_text, start_node
 from world import run, until
 
 from tuliptrack.relay.config import MIN_DESCRIPTORS
--- a/tests/relay/test_discovery.py
+++ b/tests/relay/test_discovery.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from relay_world import (
+from relay_harness import (
     Peer,
     Platform,
     ReceivedRequest,
--- a/tests/relay/test_endings.py
+++ b/tests/relay/test_endings.py
@@ -9,8 +9,7 @@
 from typing import Any
 
 import pytest
-from relay_node import settings_text
-from relay_world import (
+from relay_harness import (
     SETTINGS,
     STREAM,
     STREAM_HEAD,
@@ -24,6 +23,7 @@
     read_reply,
     request,
 )
+from relay_process import settings_text
 from world import run, until
 
 CLASS: dict[str, Any] = SETTINGS["classes"][0]
--- a/tests/relay/test_floods.py
+++ b/tests/relay/test_floods.py
@@ -9,8 +9,8 @@
 import time
 from pathlib import Path
 
-from relay_node import Node, start_node
-from relay_world import answer_decode, answer_prefill, platform, read_reply, request
+from relay_harness import answer_decode, answer_prefill, platform, read_reply, request
+from relay_process import Node, start_node
 from world import run, until
 
 
--- a/tests/relay/test_hostile_advice.py
+++ b/tests/relay/test_hostile_advice.py
@@ -15,7 +15,7 @@
 from hypothesis import example, given
 from hypothesis import settings as examples
 from json_values import BEYOND_FLOATS, any_json
-from relay_world import (
+from relay_harness import (
     FINAL_EVENTS,
     STREAM,
     STREAM_HEAD,
--- a/tests/relay/test_hostile_lists.py
+++ b/tests/relay/test_hostile_lists.py
@@ -14,7 +14,7 @@
 from hypothesis import example, given
 from hypothesis import settings as examples
 from json_values import BEYOND_FLOATS, any_json
-from relay_world import ReceivedRequest, answer_decode, answer_prefill, platform
+from relay_harness import ReceivedRequest, answer_decode, answer_prefill, platform
 from world import run, until
 
 from tuliptrack.interface import EndpointListUpdate, EndpointState, RequestClass, Role, Settings
--- a/tests/relay/test_kv_state_releases.py
+++ b/tests/relay/test_kv_state_releases.py
@@ -11,12 +11,12 @@
 from typing import Any, cast
 
 import pytest
-from relay_world import (
+from relay_harness import (
     SETTINGS,
     Peer,
     Platform,
     ReceivedRequest,
-    Vanished,
+    UnreachableEngine,
     answer_decode,
     answer_prefill,
     never_answer,
@@ -172,7 +172,13 @@
                 await never_answer(received, writer)
             await timeline.prefill(received, writer)
 
-        async with platform(r0=breaks, r1=Vanished(), r2=Vanished(), r3=Vanished(), w0=timeline.prefill) as p:
+        async with platform(
+            r0=breaks,
+            r1=UnreachableEngine(),
+            r2=UnreachableEngine(),
+            r3=UnreachableEngine(),
+            w0=timeline.prefill,
+        ) as p:
             requests = 0
             while not broken_at:  # The prefix decides which engine is first.
                 requests += 1
--- a/tests/relay/test_late_releases.py
+++ b/tests/relay/test_late_releases.py
@@ -5,7 +5,15 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from relay_world import SETTINGS, Platform, ReceivedRequest, answer_decode, answer_prefill, platform, request
+from relay_harness import (
+    SETTINGS,
+    Platform,
+    ReceivedRequest,
+    answer_decode,
+    answer_prefill,
+    platform,
+    request,
+)
 from world import run, until
 
 from tuliptrack.node.request_reader import key
--- a/tests/relay/test_malformed_answers.py
+++ b/tests/relay/test_malformed_answers.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from relay_world import (
+from relay_harness import (
     STREAM,
     STREAM_HEAD,
     TOKEN_EVENTS,
--- a/tests/relay/test_process_failures.py
+++ b/tests/relay/test_process_failures.py
@@ -15,8 +15,17 @@
 from pathlib import Path
 
 import pytest
-from relay_node import CLOSED, settings_text, spawn_node, start_node
-from relay_world import SETTINGS, Peer, Platform, answer_decode, answer_prefill, platform, read_reply, request
+from relay_harness import (
+    SETTINGS,
+    Peer,
+    Platform,
+    answer_decode,
+    answer_prefill,
+    platform,
+    read_reply,
+    request,
+)
+from relay_process import CLOSED, settings_text, spawn_node, start_node
 from world import run, until
 
 READY_WITHIN_S = 10.0
--- a/tests/relay/test_ready.py
+++ b/tests/relay/test_ready.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import pytest
-from relay_node import Node, start_node
-from relay_world import Peer, answer_decode, answer_prefill, never_answer, platform, read_reply, request
+from relay_harness import Peer, answer_decode, answer_prefill, never_answer, platform, read_reply, request
+from relay_process import Node, start_node
 from world import run, until
 
 READY_WITHIN_S = 10.0  # the platform's limit for nine nodes in ten
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 import pytest
-from relay_world import (
+from relay_harness import (
     SETTINGS,
     STREAM,
     Peer,
     ReceivedRequest,
-    Vanished,
+    UnreachableEngine,
     answer_decode,
     answer_prefill,
     chunk,
@@ -116,7 +116,9 @@
             )
             await answer_prefill(received, writer)
 
-        async with platform(r0=prefill, w0=Vanished(), w1=Vanished(), w2=Vanished()) as p:
+        async with platform(
+            r0=prefill, w0=UnreachableEngine(), w1=UnreachableEngine(), w2=UnreachableEngine()
+        ) as p:
             reply = await p.send_request()
             assert reply.status in (429, 503) and reply.is_complete
             assert len(prefilled_at) == len(released_at) >= 1
--- a/tests/relay/test_restarts.py
+++ b/tests/relay/test_restarts.py
@@ -10,8 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from relay_node import settings_text, start_node
-from relay_world import (
+from relay_harness import (
     SETTINGS,
     STREAM_HEAD,
     TOKEN_EVENTS,
@@ -25,6 +24,7 @@
     read_reply,
     request,
 )
+from relay_process import settings_text, start_node
 from world import run, until
 
 
--- a/tests/relay/test_silent_connections.py
+++ b/tests/relay/test_silent_connections.py
@@ -13,8 +13,7 @@
 from pathlib import Path
 
 import pytest
-from relay_node import Node, start_node
-from relay_world import (
+from relay_harness import (
     SETTINGS,
     Peer,
     ReceivedRequest,
@@ -24,6 +23,7 @@
     read_reply,
     request,
 )
+from relay_process import Node, start_node
 from world import run
 
 from tuliptrack.lab.soak.proxy import Fault, FaultProxy
--- a/tests/relay/test_streams_in_time.py
+++ b/tests/relay/test_streams_in_time.py
@@ -9,7 +9,7 @@
 import socket
 from dataclasses import dataclass, field
 
-from relay_world import (
+from relay_harness import (
     FINAL_EVENTS,
     SETTINGS,
     STREAM_HEAD,
--- a/tests/relay_world.py
+++ b/tests/relay_harness.py
@@ -177,7 +177,7 @@
     patch.setattr(loop, "create_connection", connect_late)
 
 
-class Vanished(Peer):
+class UnreachableEngine(Peer):
     """An engine whose machine neither accepts nor rejects connections: its listen backlog is full."""
 
     def __init__(self) -> None:
--- a/tests/relay_node.py
+++ b/tests/relay_process.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from relay_world import SETTINGS
+from relay_harness import SETTINGS
 
 __all__ = ["CLOSED", "ROOT", "Node", "settings_text", "spawn_node", "start_node"]
 
--- a/tests/rpc/test_failing_calls.py
+++ b/tests/rpc/test_failing_calls.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from relay_world import Vanished
+from relay_harness import UnreachableEngine
 from world import run, until
 
 from tuliptrack.decisions.concurrency_limit import ByteBudget
@@ -267,7 +267,7 @@
     """asyncio then raises IndexError in place of the cancellation or the timeout."""
 
     async def go() -> None:
-        nobody = await Vanished().start()
+        nobody = await UnreachableEngine().start()
         pool = Pool(nobody.address, ClientOptions(connect_timeout=100_000), ConnectionBudget(4))
         faults.close, faults.share = (errno.EIO,), 1.0
         for _ in range(3):
