--- a/tuliptrack/lab/soak/agent.py
+++ b/tuliptrack/lab/soak/agent.py
@@ -1,4 +1,4 @@
-"""The agent of the server list in a soak: what each node is told of engines, and when."""
+"""The agent that serves the endpoint list to the nodes of a soak."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import re
 from typing import Any
 
-from tuliptrack.lab.soak.engine import accept_everything, nothing_early
+from tuliptrack.lab.soak.engine import large_byte_budget, no_early_rejection
 from tuliptrack.lab.soak.hostile_values import HOSTILE_ENTRIES
 from tuliptrack.lab.soak.records import Recorder
 from tuliptrack.lab.soak.settings import World
@@ -21,14 +21,14 @@
 def members_of(
     world: World, phases: dict[str, str] | None = None, starts_ms: dict[str, int] | None = None
 ) -> list[dict[str, Any]]:
-    """The whole list."""
-    kinds = {"r": "reads", "w": "writes", "m": "both"}
+    """Return all members of the list, with each engine behind the address of its proxy."""
+    flavors = {"r": "reads", "w": "writes", "m": "both"}
     return [
         {
             "id": name,
             "host_port": address,
             "locality": "z",
-            "flavor": kinds[name[0]],
+            "flavor": flavors[name[0]],
             "cell": 1,
             "phase": (phases or {}).get(name, "Ready"),
             "size": 1.0,
@@ -39,22 +39,22 @@
 
 
 class SoakAgent:
-    """The agents of all nodes, in one process; they share what they know."""
+    """The agents of all nodes, in one process. They share one list."""
 
     def __init__(self, world: World, recorder: Recorder) -> None:
         self.world, self.recorder = world, recorder
         self.revision = 2
         self.silent = False
-        """Calls are taken and nothing is said."""
+        """Whether the agent accepts calls without answering them."""
         self.hostile_turn: int | None = None
-        """Which entry that cannot be used stands first in the list; None: there is none."""
+        """Number of the unusable entry that is inserted at the start of the list; None: no such entry."""
         self._phases: dict[str, str] = {}
         self._starts_ms: dict[str, int] = {}
         self._changed = asyncio.Event()
-        self._waiting: set[asyncio.Task[None]] = set()
+        self._answering: set[asyncio.Task[None]] = set()
         limits = HttpLimits(request_within=60_000_000, idle=60_000_000, connections=4_096)
         self.servers = {
-            address: HttpServer(self._handle, nothing_early, limits, accept_everything())
+            address: HttpServer(self._handle, no_early_rejection, limits, large_byte_budget())
             for pair in world.agents.values()
             for address in pair
         }
@@ -64,8 +64,8 @@
             host, _, port = address.rpartition(":")
             await server.listen(host, int(port))
 
-    def tell(self, name: str, phase: str = "", start_ms: int = 0) -> None:
-        """An engine has changed."""
+    def update_member(self, name: str, phase: str = "", start_ms: int = 0) -> None:
+        """Record a change of an engine and notify the waiting nodes."""
         if phase:
             self._phases[name] = phase
         if start_ms:
@@ -79,30 +79,30 @@
             revision=self.revision,
             silent=self.silent,
         )
-        self._wake()
+        self._notify_watchers()
 
-    def speak(self, silent: bool) -> None:
-        """Fall silent, or speak again."""
+    def set_silent(self, silent: bool) -> None:
+        """Stop answering, or answer again."""
         self.silent = silent
         self.recorder.note("agent", silent=silent)
         if not silent:
-            self._wake()
+            self._notify_watchers()
 
     def insert_hostile_entry(self, turn: int | None) -> None:
-        """Put an entry that cannot be used into the list, or take it out."""
+        """Insert an unusable entry at the start of the list, or remove it (None)."""
         self.hostile_turn = turn
         self.revision += 1
         self.recorder.note("hostile entry", turn=turn, revision=self.revision)
-        self._wake()
+        self._notify_watchers()
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
     def _handle(self, call: HttpCall) -> None:
         task = asyncio.get_running_loop().create_task(self._answer(call))
-        self._waiting.add(task)
-        task.add_done_callback(self._waiting.discard)
+        self._answering.add(task)
+        task.add_done_callback(self._answering.discard)
 
     async def _answer(self, call: HttpCall) -> None:
         if watch := _WATCH.search(call.target):
--- a/tuliptrack/lab/soak/crowd.py
+++ b/tuliptrack/lab/soak/crowd.py
@@ -1,4 +1,4 @@
-"""A crowd before a node: idle clients that fill its descriptors, and one that sends many commands at once."""
+"""Plays the CROWD fault: idle clients that use up a node's descriptors, and one that pipelines many commands."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 __all__ = ["run_crowds"]
 
 _IDLE_CLIENTS = 260
-"""More than a node with 512 descriptors takes."""
+"""More than a node with 512 descriptors accepts."""
 _COMMANDS = 40
 _COMMAND = b"GET /-/healthy HTTP/1.1\r\nHost: api\r\n\r\n"
 _ANSWER = b"HTTP/1.1 200"
-_ANSWERED_WITHIN_S = 2.0
+_ANSWER_TIMEOUT_S = 2.0
 
 
 async def run_crowds(world: World, recorder: Recorder) -> None:
-    """Play the crowds of a schedule."""
+    """Play all CROWD faults of the schedule."""
     crowds = [fault for fault in world.schedule.faults if fault.kind is FaultKind.CROWD]
     await asyncio.gather(*(_play(world, recorder, fault) for fault in crowds))
 
@@ -47,14 +47,14 @@
 
 
 async def _send_commands(recorder: Recorder, node: str, host: str, port: int) -> None:
-    """Send many commands in one piece; each is owed an answer, in their order."""
+    """Send many commands in one write. Each must be answered, in order."""
     try:
         reader, writer = await asyncio.open_connection(host, port)
     except OSError:
         return
     received = bytearray()
     with contextlib.suppress(TimeoutError, OSError):
-        async with asyncio.timeout(_ANSWERED_WITHIN_S):
+        async with asyncio.timeout(_ANSWER_TIMEOUT_S):
             writer.write(_COMMAND * _COMMANDS)
             while received.count(_ANSWER) < _COMMANDS and (data := await reader.read(1 << 16)):
                 received += data
--- a/tuliptrack/lab/soak/hostile_values.py
+++ b/tuliptrack/lab/soak/hostile_values.py
@@ -1,11 +1,13 @@
-"""Values in lists and answers that JSON allows and that a reader of numbers and names may not expect."""
+"""Values that JSON allows in lists and answers, but that code reading numbers and names may not expect."""
 
 from __future__ import annotations
 
-__all__ = ["HOSTILE_ENTRIES", "HOSTILE_NUMBERS", "hostile_head", "hostile_usage"]
+__all__ = ["HOSTILE_ENTRIES", "HOSTILE_NUMBERS", "hostile_headers", "hostile_usage"]
 
 HOSTILE_NUMBERS = ("1" + "0" * 400, "9" * 5_000, "1e999", "NaN", "-1", "[" * 2_000 + "]" * 2_000)
-"""As JSON text: beyond floats, beyond Python's limit on digits, infinite, none, negative, nested deeply."""
+"""As JSON text: too large for a float, beyond Python's limit on digits, infinite, not a number, negative, deeply
+nested.
+"""
 _FIELDS = ("size", "up_since_ms", "cell")
 _ENTRY = '{"id":"hostile","host_port":"127.0.0.1:9","locality":"z","flavor":"reads","cell":1,"phase":"Ready","size":1.0'
 HOSTILE_ENTRIES = (
@@ -15,16 +17,18 @@
     "7",
     "null",
 )
-"""Entries of a list, as JSON text, none of which can be used; the last of two members of one name counts."""
+"""Entries of a list, as JSON text, none of which can be used. Where a member's name comes twice, the last one
+counts.
+"""
 
 
-def hostile_head(turn: int) -> list[tuple[str, str]]:
-    """The head fields of an answer whose load report cannot be used."""
+def hostile_headers(turn: int) -> list[tuple[str, str]]:
+    """Return head fields with an unusable load report."""
     return [("x-load-report", f'{{"inflight":{_number(turn)},"x0":0.5}}')]
 
 
 def hostile_usage(turn: int) -> bytes:
-    """A comment with a load report and an event with token counts, none of which can be used."""
+    """Return a comment with an unusable load report and an event with unusable token counts."""
     number = _number(turn)
     usage = f'{{"prompt_tokens_details":{{"cached_tokens":{number}}},"completion_tokens":{number}}}'
     report = f': X-Load-Report: {{"inflight":{number},"x0":0.5}}'
--- a/tuliptrack/lab/soak/judge.py
+++ b/tuliptrack/lab/soak/judge.py
@@ -1,5 +1,5 @@
-"""The invariants of a soak, judged by what reached the engines and what clients got, never by what a node
-believes.
+"""Checks the invariants of a soak against the records of engines, proxies and clients. A node's own account is
+not used.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 __all__ = ["judge"]
 
-_AFTER_LEAVING_S, _TOLD_SLACK_S, _ANSWER_SLACK_S, _BAD_CLIENT_S = 0.1, 0.15, 0.5, 3.0
-_HELD_UP_S = 0.15
-_HELD_BACK_S = 0.3
-_TERM_FORGIVEN_S = 0.7
+_AFTER_DISCONNECT_S, _DEADLINE_SLACK_S, _ANSWER_SLACK_S, _STALLED_CLIENT_S = 0.1, 0.15, 0.5, 3.0
+_NODE_PAUSE_S = 0.15
+_MAX_EVENT_DELAY_S = 0.3
+_LOSS_AFTER_SIGTERM_S = 0.7
 _LONG_DELAY_S = 0.1
-_WRITERS = "wm"  # first letters of engines at which a request may have its effect
-_AWAY = {
+_DECODE_ROLES = "wm"  # first letters of engines at which a request may have its effect
+_UNRESPONSIVE_KINDS = {
     kind.value
     for kind in (
         FaultKind.SILENCE_MACHINE,
@@ -33,23 +33,21 @@
         FaultKind.ENGINE_RESTARTS,
     )
 }
-"""Faults in which an engine answers nothing."""
-
-
-_NO_EXCUSE = {
+"""Faults during which an engine answers nothing."""
+_TOLERATED_KINDS = {
     kind.value
     for kind in (FaultKind.SIGNALS, FaultKind.HOSTILE_LIST, FaultKind.HOSTILE_ADVICE, FaultKind.CROWD)
 }
-"""Faults that a node has to bear without any loss."""
-_ENDING_S = 5.0
-"""For so long after SIGTERM a node may still end."""
-_ANSWERED_BEFORE_S = 0.3
-"""An engine's answer that is complete so long before the client's time has to reach the client."""
+"""Faults that excuse no violation: a node must tolerate them without losing anything."""
+_SHUTDOWN_S = 5.0
+"""Time after SIGTERM within which a node may still be shutting down."""
+_ANSWER_LEAD_S = 0.3
+"""An answer that the engine completed this long before the client's deadline must reach the client."""
 
 
 @dataclass
 class _Request:
-    """What is known of one request."""
+    """What the records say about one request."""
 
     name: str
     node: str = ""
@@ -61,61 +59,63 @@
     """Whether it was sent on a kept connection."""
     answer: dict[str, Any] | None = None
     bytes: list[tuple[float, str, float]] = field(default_factory=list)
-    """When an attempt's bytes left the node, for which engine, and the time left that it told."""
+    """For each attempt: when its bytes left the node, for which engine, and the time budget it carried."""
     taken: list[tuple[float, str]] = field(default_factory=list)
     rejected: int = 0
-    """Attempts that an engine turned away unseen."""
+    """Attempts that an engine rejected without running them."""
 
     @property
-    def places(self) -> list[str]:
+    def engines_and_node(self) -> list[str]:
         """The engines that took it, and its node."""
         return [*(engine for _, engine in self.taken), self.node]
 
 
 def judge(world: World, records: list[dict[str, Any]], lag_s: float) -> list[Violation]:
-    """Every violation; `lag_s` is by how much the stand-ins themselves were late."""
+    """Return every violation. `lag_s` is the largest event loop delay measured in the proxies, the agent and the
+    clients.
+    """
     margin = 0.05 + lag_s
-    requests, troubles = _collect(records), _Troubles(world, records, margin)
-    lives = _Lives(records, margin)
+    requests, fault_spans = _collect(records), _FaultSpans(world, records, margin)
+    process_ends = _ProcessEnds(records, margin)
     return [
-        *_answers(requests.values(), lives, _Crowds(world, records), margin),
-        *_streams(requests.values(), troubles, lives),
-        *_events(requests.values(), troubles, margin),
-        *_states(world, records, _Reachable(world, records), lives, margin),
-        *_repeats(requests.values(), margin),
-        *_after_leaving(requests.values(), margin),
-        *_deadlines(requests.values(), RunQueueWaits(records), margin),
-        *_advice(world, records, requests, troubles, lives, margin),
-        *_commands(records, lives, margin),
-        *_drains(records, requests, margin),
+        *_check_answers(requests.values(), process_ends, _CrowdSpans(world, records), margin),
+        *_check_streams(requests.values(), fault_spans, process_ends),
+        *_check_events(requests.values(), fault_spans, margin),
+        *_check_states(world, records, _EngineReachability(world, records), process_ends, margin),
+        *_check_repeats(requests.values(), margin),
+        *_check_disconnects(requests.values(), margin),
+        *_check_deadlines(requests.values(), RunQueueWaits(records), margin),
+        *_check_advice(world, records, requests, fault_spans, process_ends, margin),
+        *_check_commands(records, process_ends, margin),
+        *_check_drains(records, requests, margin),
         *slow_starts(world, records, margin),
-        *_stalled(records, lives, margin),
+        *_check_stalled_clients(records, process_ends, margin),
     ]
 
 
-class _Lives:
-    """When nodes and engines were told to end and were killed."""
+class _ProcessEnds:
+    """When nodes and engines were sent SIGTERM and SIGKILL."""
 
     def __init__(self, records: list[dict[str, Any]], margin: float) -> None:
-        """`margin`: so shortly before a kill no request can be answered, and for so long after one is noted
-        its process may take connections.
+        """A request sent less than `margin` before a kill can't be answered any more. For as long after a kill
+        is recorded, the process may still accept connections.
         """
         self.margin = margin
         self.killed: dict[str, list[float]] = defaultdict(list)
         self.terminated: dict[str, list[float]] = defaultdict(list)
-        for one in records:
-            if one["event"] == "killed":
-                self.killed[one["target"]].append(one["t"])
-            elif one["event"] == "terminated":
-                self.terminated[one["target"]].append(one["t"])
+        for record in records:
+            if record["event"] == "killed":
+                self.killed[record["target"]].append(record["t"])
+            elif record["event"] == "terminated":
+                self.terminated[record["target"]].append(record["t"])
 
     def kill_after(self, name: str, moment: float) -> float:
-        """The first kill from a moment on; infinite where there is none."""
+        """The first kill at or after a moment; infinity if there is none."""
         return min((at for at in self.killed[name] if at >= moment), default=float("inf"))
 
-    def forgiven(self, name: str, sent: float, answered_by: float) -> bool:
-        """Whether a request may have been lost with its node: one that was killed without a word, or soon
-        after its end was announced where the request had come before or shortly after that.
+    def may_have_lost(self, name: str, sent: float, answered_by: float) -> bool:
+        """Whether a request may have been lost with its node. It may if the node was killed without a SIGTERM, or
+        if it was killed soon after a SIGTERM and the request came before the SIGTERM or shortly after it.
         """
         kill = self.kill_after(name, sent - self.margin)
         if kill > answered_by:
@@ -123,321 +123,368 @@
         if sent > kill - self.margin:
             return True
         term = max((at for at in self.terminated[name] if at <= kill), default=None)
-        return term is None or kill - term > 5.0 or sent <= term + _TERM_FORGIVEN_S
+        return term is None or kill - term > 5.0 or sent <= term + _LOSS_AFTER_SIGTERM_S
 
 
 def _collect(records: list[dict[str, Any]]) -> dict[str, _Request]:
     requests: dict[str, _Request] = {}
-    for one in records:
-        if "id" not in one:
+    for record in records:
+        if "id" not in record:
             continue
-        known = requests.setdefault(one["id"], _Request(one["id"]))
-        match one["event"]:
+        request = requests.setdefault(record["id"], _Request(record["id"]))
+        match record["event"]:
             case "sent":
-                known.node, known.effect, known.sent, known.budget = (
-                    one["node"],
-                    one["effect"],
-                    one["t"],
-                    one["budget"],
+                request.node, request.effect, request.sent, request.budget = (
+                    record["node"],
+                    record["effect"],
+                    record["t"],
+                    record["budget"],
                 )
-                known.kept = one["kept"]
+                request.kept = record["kept"]
             case "left":
-                known.left = one["t"]
+                request.left = record["t"]
             case "answer":
-                known.answer = one
+                request.answer = record
             case "bytes":
-                known.bytes.append((one["t"], one["who"].removeprefix("p-"), one["budget"]))
+                request.bytes.append((record["t"], record["who"].removeprefix("p-"), record["budget"]))
             case "taken":
-                known.taken.append((one["t"], one["who"]))
+                request.taken.append((record["t"], record["who"]))
             case "rejected":
-                known.rejected += 1
+                request.rejected += 1
     return requests
 
 
-class _Crowds:
-    """When idle clients may have filled a node's descriptors: new connections may be shut unread then."""
+class _CrowdSpans:
+    """When idle clients may have used up a node's descriptors. The node may then close new connections unread."""
 
     def __init__(self, world: World, records: list[dict[str, Any]]) -> None:
         self._spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
-        for one in records:
-            if one["event"] == "fault" and one["kind"] == FaultKind.CROWD.value:
-                self._spans[one["target"]].append((one["t"], world.began + one["until"]))
-
-    def may_have_shut(self, one: _Request, margin: float) -> bool:
-        """Whether a request's new connection may have been shut unread."""
-        assert one.answer
-        is_shut = one.answer["status"] == 0 and not one.kept and not one.bytes
-        return is_shut and any(
-            begin - margin <= one.sent <= end + margin for begin, end in self._spans[one.node]
+        for record in records:
+            if record["event"] == "fault" and record["kind"] == FaultKind.CROWD.value:
+                self._spans[record["target"]].append((record["t"], world.began + record["until"]))
+
+    def may_have_closed(self, request: _Request, margin: float) -> bool:
+        """Whether the node may have closed the request's new connection unread."""
+        assert request.answer
+        is_closed = request.answer["status"] == 0 and not request.kept and not request.bytes
+        return is_closed and any(
+            begin - margin <= request.sent <= end + margin for begin, end in self._spans[request.node]
         )
 
 
-def _answers(requests: Any, lives: _Lives, crowds: _Crowds, margin: float) -> list[Violation]:
-    """Each request has one final answer in time."""
+def _check_answers(
+    requests: Any, process_ends: _ProcessEnds, crowd_spans: _CrowdSpans, margin: float
+) -> list[Violation]:
+    """Each request gets a final answer in time."""
     found = []
-    for one in requests:
-        if not one.sent or one.answer is None or one.answer.get("unreachable"):
+    for request in requests:
+        if not request.sent or request.answer is None or request.answer.get("unreachable"):
             continue
-        by = one.sent + one.budget + _ANSWER_SLACK_S + margin
-        if one.answer["status"] <= 0:
-            is_lost_with_node = lives.forgiven(one.node, one.sent, one.sent + one.budget + 1)
-            if not is_lost_with_node and not crowds.may_have_shut(one, margin):
+        by = request.sent + request.budget + _ANSWER_SLACK_S + margin
+        if request.answer["status"] <= 0:
+            is_lost_with_node = process_ends.may_have_lost(
+                request.node, request.sent, request.sent + request.budget + 1
+            )
+            if not is_lost_with_node and not crowd_spans.may_have_closed(request, margin):
                 found.append(
-                    Violation("answer", one.name, f"none: {one.answer} sent {one.sent:.3f} to {one.node}")
+                    Violation(
+                        "answer",
+                        request.name,
+                        f"none: {request.answer} sent {request.sent:.3f} to {request.node}",
+                    )
                 )
-        elif one.answer["status"] != 200 and one.sent + one.answer["after"] > by:
-            found.append(Violation("answer", one.name, f"late: {one.answer} of {one.budget:.3f}"))
+        elif request.answer["status"] != 200 and request.sent + request.answer["after"] > by:
+            found.append(Violation("answer", request.name, f"late: {request.answer} of {request.budget:.3f}"))
     return found
 
 
-class _Troubles:
-    """When something went wrong at an engine, on the way to it, or at a node."""
+class _FaultSpans:
+    """When a fault affected an engine, the connections to it, or a node."""
 
     def __init__(self, world: World, records: list[dict[str, Any]], margin: float) -> None:
-        """`margin`: so late the stand-ins may end a fault."""
+        """`margin` is how late the process that plays a fault may end it."""
         self._spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
-        for one in records:
-            if one["event"] == "fault" and one["kind"] not in _NO_EXCUSE:
-                delay = one["amount"] if one["kind"] == FaultKind.DELAY.value else 0.0
-                # Other processes play their part by the schedule, a little before the runner notes it.
-                start = min(one["t"], world.began + one.get("at", float("inf")))
-                self._spans[one["target"]].append((start, world.began + one["until"] + delay + margin))
-
-    def met_by(self, one: _Request) -> bool:
-        """Whether a request's node or one of its engines was in trouble before its answer ended."""
-        assert one.answer
-        ended = one.sent + one.answer["after"]
+        for record in records:
+            if record["event"] == "fault" and record["kind"] not in _TOLERATED_KINDS:
+                delay = record["amount"] if record["kind"] == FaultKind.DELAY.value else 0.0
+                # Other processes start the fault by the schedule, shortly before the runner records it.
+                start = min(record["t"], world.began + record.get("at", float("inf")))
+                self._spans[record["target"]].append((start, world.began + record["until"] + delay + margin))
+
+    def affected(self, request: _Request) -> bool:
+        """Whether a fault affected the request's node or one of its engines before its answer ended."""
+        assert request.answer
+        ended = request.sent + request.answer["after"]
         return any(
-            start <= ended and end >= one.sent for place in one.places for start, end in self._spans[place]
+            start <= ended and end >= request.sent
+            for name in request.engines_and_node
+            for start, end in self._spans[name]
         )
 
 
-def _streams(requests: Any, troubles: _Troubles, lives: _Lives) -> list[Violation]:
-    """An answer that has begun goes on or is cut off, unless something went wrong at its engine or its node
-    meanwhile. One that is cut off is the client's to resume, as the settings have it.
+def _check_streams(requests: Any, fault_spans: _FaultSpans, process_ends: _ProcessEnds) -> list[Violation]:
+    """An answer that has begun continues or is cut off; it may only get stuck if a fault affected its engine or
+    node meanwhile. The settings leave it to the client to resume an answer that was cut off.
     """
     return [
-        Violation("stream", one.name, f"stuck: {one.answer} from {one.places}")
-        for one in requests
-        if one.answer
-        and one.answer["status"] == 200
-        and one.answer.get("given_up")
-        and not troubles.met_by(one)
-        and not lives.forgiven(one.node, one.sent, one.sent + one.answer["after"])
+        Violation("stream", request.name, f"stuck: {request.answer} from {request.engines_and_node}")
+        for request in requests
+        if request.answer
+        and request.answer["status"] == 200
+        and request.answer.get("given_up")
+        and not fault_spans.affected(request)
+        and not process_ends.may_have_lost(request.node, request.sent, request.sent + request.answer["after"])
     ]
 
 
-def _events(requests: Any, troubles: _Troubles, margin: float) -> list[Violation]:
-    """Events reach their clients as they come, where nothing went wrong."""
-    allowed = _HELD_BACK_S + margin
+def _check_events(requests: Any, fault_spans: _FaultSpans, margin: float) -> list[Violation]:
+    """Events reach the client without delay unless a fault affected the request."""
+    allowed = _MAX_EVENT_DELAY_S + margin
     return [
-        Violation("event held back", one.name, f"{one.answer['held_back']:.3f} s, from {one.places}")
-        for one in requests
-        if one.answer and one.answer.get("held_back", 0.0) > allowed and not troubles.met_by(one)
+        Violation(
+            "event held back",
+            request.name,
+            f"{request.answer['held_back']:.3f} s, from {request.engines_and_node}",
+        )
+        for request in requests
+        if request.answer
+        and request.answer.get("held_back", 0.0) > allowed
+        and not fault_spans.affected(request)
     ]
 
 
-def _takes_away(fault: dict[str, Any]) -> bool:
-    """Whether an engine can't answer in time during a fault."""
-    return fault["kind"] in _AWAY or (
+def _is_unresponsive(fault: dict[str, Any]) -> bool:
+    """Whether the fault keeps an engine from answering in time."""
+    return fault["kind"] in _UNRESPONSIVE_KINDS or (
         fault["kind"] == FaultKind.DELAY.value and fault["amount"] > _LONG_DELAY_S
     )
 
 
-class _Reachable:
-    """When at least one engine could be reached and answered."""
+class _EngineReachability:
+    """When at least one engine was reachable and answered."""
 
     def __init__(self, world: World, records: list[dict[str, Any]]) -> None:
-        away: dict[str, list[tuple[float, float]]] = {name: [] for name in world.schedule.engines}
-        for one in records:
-            if one["event"] == "fault" and one["target"] in away and _takes_away(one):
-                away[one["target"]].append((one["t"], world.began + one["until"]))
-        self._away = list(away.values())
+        unresponsive: dict[str, list[tuple[float, float]]] = {name: [] for name in world.schedule.engines}
+        for record in records:
+            if record["event"] == "fault" and record["target"] in unresponsive and _is_unresponsive(record):
+                unresponsive[record["target"]].append((record["t"], world.began + record["until"]))
+        self._unresponsive = list(unresponsive.values())
 
     def seconds(self, since: float, until: float) -> float:
-        """How much of a span that was; while none can be reached, nothing can be let go."""
+        """Seconds of a span with a reachable engine. Without one, no KV state can be released."""
         if until <= since:
             return 0.0
         edges = {since, until}
-        for spans in self._away:
+        for spans in self._unresponsive:
             edges.update(moment for span in spans for moment in span if since < moment < until)
         points = sorted(edges)
-        return sum(end - start for start, end in pairwise(points) if not self._none((start + end) / 2))
+        return sum(
+            end - start for start, end in pairwise(points) if not self._none_reachable((start + end) / 2)
+        )
 
-    def _none(self, moment: float) -> bool:
-        return all(any(start <= moment <= end for start, end in spans) for spans in self._away)
+    def _none_reachable(self, moment: float) -> bool:
+        return all(any(start <= moment <= end for start, end in spans) for spans in self._unresponsive)
 
 
-def _states(
-    world: World, records: list[dict[str, Any]], reachable: _Reachable, lives: _Lives, margin: float
+def _check_states(
+    world: World,
+    records: list[dict[str, Any]],
+    reachable: _EngineReachability,
+    process_ends: _ProcessEnds,
+    margin: float,
 ) -> list[Violation]:
-    """A read state is taken or let go in time, by what reached a running engine. A read is out until its
-    answer comes to its node, or the node gives it up.
+    """Each KV state is taken by a decode attempt or released in time, measured by what reached a running engine.
+    The time counts from when the prefill's answer reaches its node or the node gives the prefill up.
     """
     allowed = world.schedule.release_within_s + SLACK_S + margin
-    end = max(one["t"] for one in records)
+    end = max(record["t"] for record in records)
     held: dict[str, tuple[float, str]] = {}
     over: dict[tuple[str, str], list[float]] = defaultdict(list)
-    for one in records:
-        if one["event"] in ("heard", "given up"):
-            over[one["id"], one["who"].removeprefix("p-")].append(one["t"])
-    sent = {one["id"]: (one["node"], one["t"]) for one in records if one["event"] == "sent"}
+    for record in records:
+        if record["event"] in ("heard", "given up"):
+            over[record["id"], record["who"].removeprefix("p-")].append(record["t"])
+    sent = {record["id"]: (record["node"], record["t"]) for record in records if record["event"] == "sent"}
     found = []
 
     def settle(name: str, moment: float) -> None:
         since, where = held.pop(name, (moment, ""))
         node, asked = sent.get(name, ("", since))
-        gone = min(lives.kill_after(where, since), lives.kill_after(node, asked))
+        gone = min(process_ends.kill_after(where, since), process_ends.kill_after(node, asked))
         if reachable.seconds(since, min(moment, gone)) > allowed:
             found.append(Violation("held state", name, f"{moment - since:.3f} s at {where} from {since:.3f}"))
 
-    for one in records:
-        match one["event"]:
+    for record in records:
+        match record["event"]:
             case "read" | "held again":
-                since = min((at for at in over[one["id"], one["who"]] if at >= one["t"]), default=one["t"])
-                held[one["id"]] = (since, one["who"])
+                since = min(
+                    (at for at in over[record["id"], record["who"]] if at >= record["t"]), default=record["t"]
+                )
+                held[record["id"]] = (since, record["who"])
             case "taken" | "released":
-                settle(one["id"], one["t"])
+                settle(record["id"], record["t"])
     for name in list(held):
         settle(name, end)
     return found
 
 
-def _repeats(requests: Any, margin: float) -> list[Violation]:
-    """Nothing runs twice that may not, and a keyed repeat comes within its window."""
+def _check_repeats(requests: Any, margin: float) -> list[Violation]:
+    """Requests that may run only once do so, and repeats with a key come within the deduplication window."""
     found = []
-    for one in requests:
-        writes = [at for at, engine in one.taken if engine[0] in _WRITERS]
-        counted = len(writes) - one.rejected
-        if one.effect == "single_shot" and counted > 1:
-            found.append(Violation("repeat", one.name, f"{counted} times at writers"))
-        sent = [at for at, engine, _ in one.bytes if engine[0] in _WRITERS]
+    for request in requests:
+        writes = [at for at, engine in request.taken if engine[0] in _DECODE_ROLES]
+        counted = len(writes) - request.rejected
+        if request.effect == "single_shot" and counted > 1:
+            found.append(Violation("repeat", request.name, f"{counted} times at writers"))
+        sent = [at for at, engine, _ in request.bytes if engine[0] in _DECODE_ROLES]
         if (
-            one.effect == "guarded"
-            and not one.rejected
+            request.effect == "guarded"
+            and not request.rejected
             and sent
             and max(sent) - min(sent) > REPEAT_WINDOW_S + margin
         ):
-            found.append(Violation("repeat", one.name, f"after its window: {sent}"))
+            found.append(Violation("repeat", request.name, f"after its window: {sent}"))
     return found
 
 
-def _after_leaving(requests: Any, margin: float) -> list[Violation]:
-    """No attempt begins once the client has gone."""
+def _check_disconnects(requests: Any, margin: float) -> list[Violation]:
+    """No attempt begins after the client has disconnected."""
     return [
-        Violation("left", one.name, f"{at - one.left:.3f} s after, to {engine}")
-        for one in requests
-        if one.left
-        for at, engine, _ in one.bytes
-        if at > one.left + _AFTER_LEAVING_S + _HELD_UP_S + margin
+        Violation("left", request.name, f"{at - request.left:.3f} s after, to {engine}")
+        for request in requests
+        if request.left
+        for at, engine, _ in request.bytes
+        if at > request.left + _AFTER_DISCONNECT_S + _NODE_PAUSE_S + margin
     ]
 
 
-def _deadlines(requests: Any, waits: RunQueueWaits, margin: float) -> list[Violation]:
-    """An engine is told no more time than its client has left, but for what the node was kept from running:
-    it learns of a request, and above all of a new connection, some turns of its loop after the client's write.
+def _check_deadlines(requests: Any, waits: RunQueueWaits, margin: float) -> list[Violation]:
+    """An attempt carries no larger time budget than its client has left. Time in which the node waited for a
+    processor is allowed for: the node learns of a request, and especially of a new connection, some iterations
+    of its event loop after the client's write.
     """
     return [
-        Violation("deadline", one.name, f"told {told:.3f} of {one.sent + one.budget - at:.3f}")
-        for one in requests
-        if one.sent
-        for at, _, told in one.bytes
-        if told > one.sent + one.budget - at + _TOLD_SLACK_S + margin + waits.seconds(one.node, one.sent, at)
+        Violation("deadline", request.name, f"told {budget:.3f} of {request.sent + request.budget - at:.3f}")
+        for request in requests
+        if request.sent
+        for at, _, budget in request.bytes
+        if budget
+        > request.sent
+        + request.budget
+        - at
+        + _DEADLINE_SLACK_S
+        + margin
+        + waits.seconds(request.node, request.sent, at)
     ]
 
 
-def _drains(records: list[dict[str, Any]], requests: dict[str, _Request], margin: float) -> list[Violation]:
-    """Nothing new goes to an engine that drains, once that has been told for the grace."""
+def _check_drains(
+    records: list[dict[str, Any]], requests: dict[str, _Request], margin: float
+) -> list[Violation]:
+    """A draining engine gets no new attempts once the list has said so for the drain grace period."""
     spans: dict[str, list[list[float]]] = defaultdict(list)
-    silent_until = _agent_silences(records)
-    for one in records:
-        if one["event"] == "list changed" and one["phase"]:
-            if one["phase"] == "Terminating":
-                told = max([one["t"], *(end for begin, end in silent_until if begin <= one["t"] < end)])
-                spans[one["engine"]].append([told, float("inf")])
-            for span in spans[one["engine"]]:
-                if one["phase"] == "Ready":
-                    span[1] = min(span[1], one["t"])
+    silences = _agent_silences(records)
+    for record in records:
+        if record["event"] == "list changed" and record["phase"]:
+            if record["phase"] == "Terminating":
+                announced = max(
+                    [record["t"], *(end for begin, end in silences if begin <= record["t"] < end)]
+                )
+                spans[record["engine"]].append([announced, float("inf")])
+            for span in spans[record["engine"]]:
+                if record["phase"] == "Ready":
+                    span[1] = min(span[1], record["t"])
     return [
-        Violation("drain", one.name, f"{at - begin:.3f} s after the drain of {engine}")
-        for one in requests.values()
-        for at, engine, _ in one.bytes
+        Violation("drain", request.name, f"{at - begin:.3f} s after the drain of {engine}")
+        for request in requests.values()
+        for at, engine, _ in request.bytes
         for begin, end in spans[engine]
-        if begin + DRAIN_GRACE_S + _HELD_UP_S + margin < at < end
+        if begin + DRAIN_GRACE_S + _NODE_PAUSE_S + margin < at < end
     ]
 
 
 def _agent_silences(records: list[dict[str, Any]]) -> list[tuple[float, float]]:
-    """When the agent said nothing; what it had counts as told up to 6 s after that began, or as it speaks
-    again.
+    """The spans in which the agent was silent. Changes that it made meanwhile count as delivered when the span
+    ends.
     """
     found: list[tuple[float, float]] = []
-    for one in records:
-        if one["event"] == "agent":
-            if one["silent"]:
-                found.append((one["t"], float("inf")))
+    for record in records:
+        if record["event"] == "agent":
+            if record["silent"]:
+                found.append((record["t"], float("inf")))
             elif found:
-                found[-1] = (found[-1][0], one["t"])
+                found[-1] = (found[-1][0], record["t"])
     return found
 
 
-def _advice(
+def _check_advice(
     world: World,
     records: list[dict[str, Any]],
     requests: dict[str, _Request],
-    troubles: _Troubles,
-    lives: _Lives,
+    fault_spans: _FaultSpans,
+    process_ends: _ProcessEnds,
     margin: float,
 ) -> list[Violation]:
-    """What an engine has answered in full, and in time, reaches its client, whatever advice came with it. A
-    stream may be handed back to be resumed, but not because of advice.
+    """A complete answer that an engine sent in time reaches the client, whatever load reports and token counts
+    came with it. A stream may be handed back to the client to be resumed, but not because of these values.
     """
     hostile = [
-        (one["target"], one["t"] - margin, world.began + one["until"] + margin)
-        for one in records
-        if one["event"] == "fault" and one["kind"] == FaultKind.HOSTILE_ADVICE.value
+        (record["target"], record["t"] - margin, world.began + record["until"] + margin)
+        for record in records
+        if record["event"] == "fault" and record["kind"] == FaultKind.HOSTILE_ADVICE.value
     ]
-    given_up = {(one["id"], one["who"].removeprefix("p-")) for one in records if one["event"] == "given up"}
+    given_up = {
+        (record["id"], record["who"].removeprefix("p-"))
+        for record in records
+        if record["event"] == "given up"
+    }
     found = []
     for record in records:
         if record["event"] != "answered" or (record["id"], record["who"]) in given_up:
             continue
-        one = requests[record["id"]]
-        is_in_time = record["t"] <= one.sent + one.budget - _ANSWERED_BEFORE_S - margin
-        if one.answer is None or one.left or not is_in_time or troubles.met_by(one):
+        request = requests[record["id"]]
+        is_in_time = record["t"] <= request.sent + request.budget - _ANSWER_LEAD_S - margin
+        if request.answer is None or request.left or not is_in_time or fault_spans.affected(request):
             continue
-        if lives.forgiven(one.node, one.sent, one.sent + one.answer["after"] + margin):
+        if process_ends.may_have_lost(
+            request.node, request.sent, request.sent + request.answer["after"] + margin
+        ):
             continue
         is_advised = any(
             engine == record["who"] and begin <= record["t"] <= end for engine, begin, end in hostile
         )
-        is_ending = any(abs(record["t"] - at) < _ENDING_S for at in lives.terminated[one.node])
-        is_cut_off = is_advised and not is_ending and not one.answer["whole"]
-        if one.answer["status"] != 200 or is_cut_off:
-            found.append(Violation("advice", one.name, f"answered by {record['who']}: {one.answer}"))
+        is_ending = any(abs(record["t"] - at) < _SHUTDOWN_S for at in process_ends.terminated[request.node])
+        is_cut_off = is_advised and not is_ending and not request.answer["whole"]
+        if request.answer["status"] != 200 or is_cut_off:
+            found.append(Violation("advice", request.name, f"answered by {record['who']}: {request.answer}"))
     return found
 
 
-def _commands(records: list[dict[str, Any]], lives: _Lives, margin: float) -> list[Violation]:
-    """Commands that come at once on one connection are all answered, or none where it was shut unread; a node
-    that ends closes its connections with their answers.
+def _check_commands(
+    records: list[dict[str, Any]], process_ends: _ProcessEnds, margin: float
+) -> list[Violation]:
+    """Commands pipelined on one connection are all answered, or none if the node closed the connection unread. A
+    node that is shutting down may close the connection after some of the answers.
     """
     return [
-        Violation("commands", one["node"], f"{one['answered']} of {one['sent']} answered")
-        for one in records
-        if one["event"] == "commands"
-        and 0 < one["answered"] < one["sent"]
-        and not any(abs(one["t"] - at) < _ENDING_S + margin for at in lives.terminated[one["node"]])
-        and lives.kill_after(one["node"], one["t"] - _ENDING_S) > one["t"] + margin
+        Violation("commands", record["node"], f"{record['answered']} of {record['sent']} answered")
+        for record in records
+        if record["event"] == "commands"
+        and 0 < record["answered"] < record["sent"]
+        and not any(
+            abs(record["t"] - at) < _SHUTDOWN_S + margin for at in process_ends.terminated[record["node"]]
+        )
+        and process_ends.kill_after(record["node"], record["t"] - _SHUTDOWN_S) > record["t"] + margin
     ]
 
 
-def _stalled(records: list[dict[str, Any]], lives: _Lives, margin: float) -> list[Violation]:
-    """A client that stops in the middle of its request gets an error or a close."""
+def _check_stalled_clients(
+    records: list[dict[str, Any]], process_ends: _ProcessEnds, margin: float
+) -> list[Violation]:
+    """A client that stalls in the middle of a request gets an error, or its connection is closed."""
     return [
-        Violation("stalled client", one["id"], f"nothing for {one['after']:.3f} s")
-        for one in records
-        if one["event"] == "stalled"
-        and one["after"] > _BAD_CLIENT_S + _HELD_UP_S + margin
-        and lives.kill_after(one["node"], one["t"] - one["after"]) > one["t"]
+        Violation("stalled client", record["id"], f"nothing for {record['after']:.3f} s")
+        for record in records
+        if record["event"] == "stalled"
+        and record["after"] > _STALLED_CLIENT_S + _NODE_PAUSE_S + margin
+        and process_ends.kill_after(record["node"], record["t"] - record["after"]) > record["t"]
     ]
--- a/tuliptrack/lab/soak/participant.py
+++ b/tuliptrack/lab/soak/participant.py
@@ -1,6 +1,6 @@
-"""One process of a soak besides the nodes: `python -m tuliptrack.lab.soak.participant ROLE NAME WORLD`.
+"""A process of a soak other than a node: `python -m tuliptrack.lab.soak.participant ROLE NAME WORLD`.
 
-Each reads the schedule and plays its own part of it; nobody tells it anything while the soak runs.
+Each process reads the schedule and plays its own part of it. There is no coordination while the soak runs.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
     rb"x-budget: ([0-9.]+)",
     re.IGNORECASE,
 )
-_LAG_LOOK_S = 0.02
+_LAG_INTERVAL_S = 0.02
 
 
-def _at(world: World, moment: float, what: Callable[[], None]) -> None:
-    """Do something at a moment of the soak."""
+def _at(world: World, moment: float, action: Callable[[], None]) -> None:
+    """Schedule an action, `moment` seconds after the soak's beginning."""
     loop = asyncio.get_running_loop()
-    loop.call_later(max(world.began + moment - time.monotonic(), 0), what)
+    loop.call_later(max(world.began + moment - time.monotonic(), 0), action)
 
 
 def _faults_of(world: World, name: str, *kinds: FaultKind) -> list[ScheduledFault]:
@@ -43,19 +43,19 @@
 async def _engine(world: World, name: str, recorder: Recorder) -> None:
     engine = SoakEngine(name, world.folder, world.schedule.seed, recorder)
 
-    def hang(on: bool) -> None:
-        engine.hangs = on
+    def set_hanging(on: bool) -> None:
+        engine.is_hanging = on
 
     for fault in _faults_of(world, name, FaultKind.ENGINE_HANGS):
-        _at(world, fault.at, lambda: hang(True))
-        _at(world, fault.until, lambda: hang(False))
+        _at(world, fault.at, lambda: set_hanging(True))
+        _at(world, fault.until, lambda: set_hanging(False))
 
-    def advise(turn: int | None) -> None:
-        engine.advice_turn = turn
+    def set_hostile_values(turn: int | None) -> None:
+        engine.hostile_turn = turn
 
     for fault in _faults_of(world, name, FaultKind.HOSTILE_ADVICE):
-        _at(world, fault.at, lambda fault=fault: advise(int(fault.amount)))  # type: ignore[misc]
-        _at(world, fault.until, lambda: advise(None))
+        _at(world, fault.at, lambda fault=fault: set_hostile_values(int(fault.amount)))  # type: ignore[misc]
+        _at(world, fault.until, lambda: set_hostile_values(None))
     host, _, port = world.engines[name].rpartition(":")
     await engine.server.listen(host, int(port))
 
@@ -63,24 +63,24 @@
 async def _proxy(world: World, name: str, recorder: Recorder) -> None:
     proxy = FaultProxy(world.engines[name])
 
-    on_connection: dict[object, str] = {}
+    call_ids: dict[object, str] = {}
 
-    def sent(connection: object, data: bytes) -> None:
+    def request_bytes_arrived(connection: object, data: bytes) -> None:
         if found := _CALL_ID.search(data):
-            on_connection[connection] = found[1].decode()
-            recorder.note("bytes", id=on_connection[connection], budget=float(found[2]))
+            call_ids[connection] = found[1].decode()
+            recorder.note("bytes", id=call_ids[connection], budget=float(found[2]))
         elif data.startswith(b"DELETE "):
-            on_connection.pop(connection, None)
+            call_ids.pop(connection, None)
 
-    def answered(connection: object) -> None:
-        if call_id := on_connection.get(connection):
+    def answer_arrived(connection: object) -> None:
+        if call_id := call_ids.get(connection):
             recorder.note("heard", id=call_id)
 
-    def given_up(connection: object) -> None:
-        if call_id := on_connection.pop(connection, ""):
+    def attempt_abandoned(connection: object) -> None:
+        if call_id := call_ids.pop(connection, ""):
             recorder.note("given up", id=call_id)
 
-    def begin(fault: ScheduledFault) -> None:
+    def begin_fault(fault: ScheduledFault) -> None:
         if fault.kind is FaultKind.SILENCE_OPEN:
             proxy.fail_open_connections(Fault.DISCARD)
         elif fault.kind is FaultKind.SILENCE_MACHINE:
@@ -92,7 +92,8 @@
         else:
             proxy.reset_open_connections()
 
-    proxy.on_request_bytes, proxy.on_answer_bytes, proxy.on_given_up = sent, answered, given_up
+    proxy.on_request_bytes = request_bytes_arrived
+    proxy.on_answer_bytes, proxy.on_abandoned = answer_arrived, attempt_abandoned
     kinds = (
         FaultKind.SILENCE_OPEN,
         FaultKind.SILENCE_MACHINE,
@@ -101,7 +102,7 @@
         FaultKind.RESET,
     )
     for fault in _faults_of(world, name, *kinds):
-        _at(world, fault.at, lambda fault=fault: begin(fault))  # type: ignore[misc]
+        _at(world, fault.at, lambda fault=fault: begin_fault(fault))  # type: ignore[misc]
         if fault.kind is not FaultKind.RESET:
             _at(world, fault.until, proxy.heal)
     host, _, port = world.proxies[name].rpartition(":")
@@ -112,22 +113,22 @@
     agent = SoakAgent(world, recorder)
     for fault in world.schedule.faults:
         if fault.kind is FaultKind.AGENT_SILENT:
-            _at(world, fault.at, lambda: agent.speak(True))
-            _at(world, fault.until, lambda: agent.speak(False))
+            _at(world, fault.at, lambda: agent.set_silent(True))
+            _at(world, fault.until, lambda: agent.set_silent(False))
         elif fault.kind is FaultKind.HOSTILE_LIST:
             turn = int(fault.amount)
             _at(world, fault.at, lambda turn=turn: agent.insert_hostile_entry(turn))  # type: ignore[misc]
             _at(world, fault.until, lambda: agent.insert_hostile_entry(None))
         elif fault.kind is FaultKind.DRAIN:
-            _at(world, fault.at, lambda fault=fault: agent.tell(fault.target, "Terminating"))  # type: ignore[misc]
-            _at(world, fault.until, lambda fault=fault: agent.tell(fault.target, "Ready"))  # type: ignore[misc]
+            _at(world, fault.at, lambda fault=fault: agent.update_member(fault.target, "Terminating"))  # type: ignore[misc]
+            _at(world, fault.until, lambda fault=fault: agent.update_member(fault.target, "Ready"))  # type: ignore[misc]
         elif fault.kind is FaultKind.ENGINE_RESTARTS:
-            # The runner starts the process anew at this moment; the list tells of it a little later.
+            # The runner starts the new process at `until`; the list shows it 0.2 s later.
             start_ms = int((time.time() + world.began + fault.until - time.monotonic()) * 1e3)
             _at(
                 world,
                 fault.until + 0.2,
-                lambda fault=fault, start_ms=start_ms: agent.tell(  # type: ignore[misc]
+                lambda fault=fault, start_ms=start_ms: agent.update_member(  # type: ignore[misc]
                     fault.target, "Ready", start_ms
                 ),
             )
@@ -135,13 +136,15 @@
 
 
 async def _measure_lag(recorder: Recorder) -> None:
-    """Note how late this process is: a machine that is too busy shows nothing of the nodes."""
+    """Record the delay of this process's event loop. On a machine that is too busy, a soak says nothing about the
+    nodes.
+    """
     worst = 0.0
     loop = asyncio.get_running_loop()
     while True:
         began = loop.time()
-        await asyncio.sleep(_LAG_LOOK_S)
-        late = loop.time() - began - _LAG_LOOK_S
+        await asyncio.sleep(_LAG_INTERVAL_S)
+        late = loop.time() - began - _LAG_INTERVAL_S
         if late > max(worst, 0.02):
             worst = late
             recorder.note("lag", seconds=round(late, 3))
@@ -159,13 +162,13 @@
     recorder.note("ready")
     await asyncio.sleep(
         max(world.began + world.schedule.seconds + 30 - time.monotonic(), 0)
-    )  # It is ended before.
+    )  # The runner kills it before that.
     if lag:
         lag.cancel()
 
 
 def main(arguments: list[str]) -> int:
-    """Play one role."""
+    """Play one role until the end of the soak."""
     role, name, path = arguments
     asyncio.run(_run(role, name, World.read(Path(path))))
     return 0
--- a/tuliptrack/lab/soak/proxy.py
+++ b/tuliptrack/lab/soak/proxy.py
@@ -1,8 +1,8 @@
-"""A TCP proxy in front of one server that can be told to fail.
+"""A TCP proxy in front of one server, with injectable faults.
 
-The proxy accepts connections and reads whatever is sent, so the sender's kernel sees every byte confirmed,
-whether or not it is handed on. That is what a middlebox, a load balancer or a machine whose process is gone
-looks like from the other side.
+The proxy accepts connections and reads whatever is sent, so the sender's kernel gets every byte acknowledged,
+whether or not the proxy forwards it. To the sender, a middlebox, a load balancer or a machine whose process is
+gone looks the same.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
     """What happens to the bytes of a connection."""
 
     NONE = "none"
-    """They are handed on as they come."""
+    """They are forwarded as they come."""
     DISCARD = "discard"
-    """They are read and thrown away: the connection is silent for good."""
+    """They are read and discarded: the connection stays silent for good."""
     HOLD = "hold"
-    """They are read and kept, and handed on when the fault is over: they arrive late."""
+    """They are read and buffered, and forwarded late, when the fault is over."""
 
 
 def _ignore(*_: object) -> None:
@@ -40,42 +40,47 @@
         connection: _Connection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        watched: bool,
+        is_from_client: bool,
     ) -> None:
-        self.connection, self.reader, self.writer, self.watched = connection, reader, writer, watched
-        self.held: list[bytes] = []
+        self.connection, self.reader, self.writer, self.is_from_client = (
+            connection,
+            reader,
+            writer,
+            is_from_client,
+        )
+        self.buffered: list[bytes] = []
 
     async def pump(self) -> None:
-        """Hand bytes on until the sender ends."""
+        """Forward bytes until the sender closes."""
         with contextlib.suppress(OSError):
             while data := await self.reader.read(_READ_BYTES):
-                if self.watched:
+                if self.is_from_client:
                     self.connection.answered = False
                     self.connection.proxy.on_request_bytes(self.connection, data)
                 if self.connection.proxy.delay_s:
                     await asyncio.sleep(self.connection.proxy.delay_s)
-                self.hand_on(data)
-        if self.watched and not self.connection.answered:
-            self.connection.proxy.on_given_up(self.connection)
+                self.forward(data)
+        if self.is_from_client and not self.connection.answered:
+            self.connection.proxy.on_abandoned(self.connection)
         self.connection.ended = True
         if self.connection.fault is Fault.NONE:
             self.connection.close()
 
-    def hand_on(self, data: bytes) -> None:
-        """Do with these bytes what the connection's fault says."""
+    def forward(self, data: bytes) -> None:
+        """Forward, buffer or discard these bytes, depending on the connection's fault."""
         if self.connection.fault is Fault.HOLD:
-            self.held.append(data)
+            self.buffered.append(data)
         elif self.connection.fault is Fault.NONE and not self.writer.is_closing():
-            if not self.watched and not self.connection.answered:
+            if not self.is_from_client and not self.connection.answered:
                 self.connection.answered = True
                 self.connection.proxy.on_answer_bytes(self.connection)
             self.writer.write(data)
 
     def release(self) -> None:
-        """Hand on what was held."""
-        held, self.held = self.held, []
-        for data in held:
-            self.hand_on(data)
+        """Forward the buffered bytes."""
+        buffered, self.buffered = self.buffered, []
+        for data in buffered:
+            self.forward(data)
 
 
 class _Connection:
@@ -84,9 +89,9 @@
     def __init__(self, proxy: FaultProxy, fault: Fault) -> None:
         self.proxy, self.fault = proxy, fault
         self.ended = False
-        """One side has closed it."""
+        """Whether one side has closed the connection."""
         self.answered = True
-        """Something was handed back since the client last sent."""
+        """Whether answer bytes were forwarded since the client last sent something."""
         self.writers: list[asyncio.StreamWriter] = []
         self.directions: list[_Direction] = []
 
@@ -107,16 +112,14 @@
         self.close()
 
     def heal(self) -> None:
-        """The fault is over. What was thrown away is missing, so such a connection can't go on: it is
-        reset.
-        """
+        """End the fault. A connection whose bytes were discarded can't continue, so it is reset."""
         if self.fault is Fault.DISCARD:
             self.close()
             return
         self.fault = Fault.NONE
         for direction in self.directions:
             direction.release()
-        if self.ended:  # What one side had sent before it closed arrives, and then its end.
+        if self.ended:  # The bytes sent before one side closed arrive first, then the close.
             for writer in self.writers:
                 writer.close()
 
@@ -126,23 +129,21 @@
 
 
 class FaultProxy:
-    """A listener that hands connections on to `target` (host:port). `close` ends every connection and task of
-    it.
-    """
+    """A listener that forwards connections to `target` (host:port). `close` ends all of its connections and tasks."""
 
     def __init__(self, target: str) -> None:
         self.target = target
         self.address = ""
         self.delay_s = 0.0
-        """Seconds by which bytes arrive late, in both directions."""
+        """Seconds by which bytes are delayed, in both directions."""
         self.new_connections = Fault.NONE
-        """What new connections are opened with."""
+        """The fault of new connections."""
         self.on_request_bytes: Callable[[object, bytes], None] = _ignore
-        """Called with a connection and what its client sends, as it comes and whatever becomes of it."""
+        """Called with a connection and the bytes that its client sends, as they come, forwarded or not."""
         self.on_answer_bytes: Callable[[object], None] = _ignore
-        """Called with a connection as the first bytes of an answer are handed back on it."""
-        self.on_given_up: Callable[[object], None] = _ignore
-        """Called with a connection that its client has closed without an answer to what it had sent last."""
+        """Called with a connection when the first bytes of an answer are forwarded on it."""
+        self.on_abandoned: Callable[[object], None] = _ignore
+        """Called with a connection that its client closed before an answer to its last bytes."""
         self._server: asyncio.Server | None = None
         self._connections: dict[_Connection, asyncio.Task[None]] = {}
 
@@ -180,7 +181,7 @@
         self.fail_open_connections(fault)
 
     def reset_open_connections(self) -> None:
-        """End the connections that are open now."""
+        """Reset the connections that are open now."""
         for connection in list(self._connections):
             connection.close()
 
--- a/tuliptrack/lab/soak/violation.py
+++ b/tuliptrack/lab/soak/violation.py
@@ -1,4 +1,4 @@
-"""What a judge of a soak finds."""
+"""The violation of a soak's invariant."""
 
 from __future__ import annotations
 
