--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -294,9 +294,9 @@
         os.sched_setaffinity(busy[0].pid, {0})
         os.sched_setaffinity(busy[1].pid, {0})
         watch = RunQueueWatch(recorder)
-        watch.look("n0", busy[0].pid)
+        watch.sample("n0", busy[0].pid)
         time.sleep(0.5)
-        watch.look("n0", busy[0].pid)
+        watch.sample("n0", busy[0].pid)
     finally:
         for process in busy:
             process.kill()
--- a/tuliptrack/lab/soak/client.py
+++ b/tuliptrack/lab/soak/client.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: they send requests to every node, keep connections, and note what they got."""
+"""Clients of a soak. They send requests to all nodes, reuse connections and record the answers."""
 
 from __future__ import annotations
 
@@ -15,21 +15,22 @@
 
 __all__ = ["run_clients"]
 
-_LEAVE_EARLY, _STALL, _LITTLE_TIME, _NEW_CONNECTION, _REST = 0.06, 0.02, 0.04, 0.3, 0.05
-"""Shares of requests: whose client leaves soon, stops in the middle, has hardly any time, connects anew,
-rests long before."""
+_LEAVE_EARLY, _STALL, _SMALL_BUDGET, _NEW_CONNECTION, _LONG_REST = 0.06, 0.02, 0.04, 0.3, 0.05
+"""Shares of requests: the client disconnects early; stalls in the middle of the request; gives a very small time
+budget; opens a new connection although it has one; rests for a long time before it.
+"""
 _RETRY_AT_ONCE, _HEDGED = 0.5, 0.05
-"""Shares: of refused requests that are asked again at once, of requests that are sent twice at a time, under
-two ids."""
+"""Shares: refused requests that are retried at once; requests that are sent twice at the same time, under two ids.
+"""
 _PAUSE_S, _LONG_REST_S = (0.02, 0.25), (1.0, 4.0)
-_LAST_PAUSE_S = (0.0, 0.03)
-"""While a node ends, its clients go on using what is open, up to the kill."""
-_AT_ENDING_NODE = 0.8
-"""Share of the requests that go to a node that ends, if one does."""
-_WAITS_LONGER_S = 3.0
-"""For so long past its time a client still looks for its answer."""
-_BAD_CLIENT_S = 3.5
-_MOST_LINES = 1 << 20
+_SHUTDOWN_PAUSE_S = (0.0, 0.03)
+"""Pause while a node shuts down: its clients continue to use their open connections up to the SIGKILL."""
+_AT_NODE_SHUTTING_DOWN = 0.8
+"""Share of the requests that go to a node that is shutting down, if there is one."""
+_WAIT_AFTER_DEADLINE_S = 3.0
+"""How long after its deadline a client still waits for its answer."""
+_STALL_S = 3.5
+_MAX_HEAD_BYTES = 1 << 20
 _REFUSED = 503
 _WRITTEN_AT = re.compile(rb'"at":([0-9.]+)')
 
@@ -39,14 +40,14 @@
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     status: int = -1
-    """Of the answer that has begun; -1: none has."""
+    """Status of the answer that has begun; -1: none has."""
     given_up: bool = False
-    """The client waits no longer."""
+    """Whether the client has stopped waiting."""
     held_back: float = 0.0
-    """The longest time from an engine's write of an event to its arrival here."""
+    """The longest time in seconds from an engine's write of an event to its arrival here."""
 
     def note_events(self, data: bytes, now: float) -> None:
-        """Events have come."""
+        """Update `held_back` from the write times in these events."""
         for written in _WRITTEN_AT.findall(data):
             self.held_back = max(self.held_back, now - float(written))
 
@@ -62,12 +63,12 @@
 
 
 class _Client:
-    """One client: one request after another."""
+    """A client that sends one request after another."""
 
     def __init__(self, world: World, recorder: Recorder, name: str) -> None:
         self.world, self.recorder, self.name = world, recorder, name
         self.random = random.Random(f"{world.schedule.seed} client {name}")
-        self.kept: dict[str, _Connection] = {}
+        self.connections: dict[str, _Connection] = {}
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
@@ -76,61 +77,64 @@
         while loop.time() < until:
             await asyncio.sleep(self._pause_s())
             if self.random.random() < _HEDGED:
-                await asyncio.gather(self._ask(f"{self.name}-{number}"), self._ask(f"{self.name}-{number}h"))
+                await asyncio.gather(
+                    self._send(f"{self.name}-{number}"), self._send(f"{self.name}-{number}h")
+                )
             elif (
-                await self._ask(f"{self.name}-{number}") == _REFUSED and self.random.random() < _RETRY_AT_ONCE
+                await self._send(f"{self.name}-{number}") == _REFUSED
+                and self.random.random() < _RETRY_AT_ONCE
             ):
-                await self._ask(f"{self.name}-{number}r")
+                await self._send(f"{self.name}-{number}r")
             number += 1
-        for connection in self.kept.values():
+        for connection in self.connections.values():
             connection.close()
 
     def _pause_s(self) -> float:
-        if self._ending_nodes():
-            return self.random.uniform(*_LAST_PAUSE_S)
-        return self.random.uniform(*(_LONG_REST_S if self.random.random() < _REST else _PAUSE_S))
+        if self._nodes_shutting_down():
+            return self.random.uniform(*_SHUTDOWN_PAUSE_S)
+        return self.random.uniform(*(_LONG_REST_S if self.random.random() < _LONG_REST else _PAUSE_S))
 
-    def _ending_nodes(self) -> list[str]:
-        """Nodes that were told to end and may still be alive, to which this client has a connection."""
+    def _nodes_shutting_down(self) -> list[str]:
+        """Nodes that have got SIGTERM, may still run, and to which this client has a connection."""
         now = asyncio.get_running_loop().time() - self.world.began
         return [
             fault.target
             for fault in self.world.schedule.faults
             if fault.kind is FaultKind.NODE_RESTARTS
             and fault.at <= now <= fault.until
-            and fault.target in self.kept
+            and fault.target in self.connections
         ]
 
     def _choose_node(self) -> str:
-        ending = self._ending_nodes()
-        if ending and self.random.random() < _AT_ENDING_NODE:
-            return self.random.choice(ending)
+        shutting_down = self._nodes_shutting_down()
+        if shutting_down and self.random.random() < _AT_NODE_SHUTTING_DOWN:
+            return self.random.choice(shutting_down)
         return self.random.choice(self.world.schedule.node_names)
 
-    async def _ask(self, call_id: str) -> int:
-        """Send one request; its answer's status, 0 or less where there was none."""
+    async def _send(self, call_id: str) -> int:
+        """Send one request and return its answer's status; 0 or less if there was no answer."""
         node = self._choose_node()
-        connection, kept = await self._connection(node)
+        connection, kept = await self._connect(node)
         if connection is None:
             return 0
         effect = self.random.choice(EFFECTS)
         deadline = self.world.schedule.deadlines_s[EFFECTS.index(effect)]
-        budget = 0.02 if self.random.random() < _LITTLE_TIME else self.random.uniform(0.5, 1.0) * deadline
-        data = self._request(call_id, effect, budget)
+        budget = 0.02 if self.random.random() < _SMALL_BUDGET else self.random.uniform(0.5, 1.0) * deadline
+        data = self._encode_request(call_id, effect, budget)
         if self.random.random() < _STALL:
             await self._stall(connection, node, call_id, data)
             return 0
         sent = asyncio.get_running_loop().time()
         self.recorder.note("sent", id=call_id, node=node, effect=effect, budget=budget, kept=kept)
-        leaves = self.random.uniform(0.0, 0.3) if self.random.random() < _LEAVE_EARLY else None
-        status, whole, reusable = await self._exchange(connection, data, budget, leaves)
-        if leaves is not None and connection.given_up:
+        leaves_after = self.random.uniform(0.0, 0.3) if self.random.random() < _LEAVE_EARLY else None
+        status, is_complete, is_reusable = await self._exchange(connection, data, budget, leaves_after)
+        if leaves_after is not None and connection.given_up:
             connection.close()
             self.recorder.note("left", id=call_id)
             return 0
-        if status == 0 and kept:  # Its end crossed the request: it is sent once more, on a new connection.
+        if status == 0 and kept:  # The close crossed the request: it is sent once more, on a new connection.
             connection.close()
-            again, _ = await self._connection(node, new=True)
+            again, _ = await self._connect(node, must_be_new=True)
             if again is None:
                 self.recorder.note(
                     "answer",
@@ -144,23 +148,23 @@
                 return 0
             connection = again
             self.recorder.note("sent again", id=call_id)
-            status, whole, reusable = await self._exchange(connection, data, budget, None)
+            status, is_complete, is_reusable = await self._exchange(connection, data, budget, None)
         self.recorder.note(
             "answer",
             id=call_id,
             status=status,
-            whole=whole,
+            whole=is_complete,
             after=asyncio.get_running_loop().time() - sent,
             given_up=connection.given_up,
             held_back=round(connection.held_back, 4),
         )
-        if reusable and status > 0 and node not in self.kept:
-            self.kept[node] = connection
+        if is_reusable and status > 0 and node not in self.connections:
+            self.connections[node] = connection
         else:
             connection.close()
         return status
 
-    def _request(self, call_id: str, effect: str, budget: float) -> bytes:
+    def _encode_request(self, call_id: str, effect: str, budget: float) -> bytes:
         body = b'{"stream":true,"x":"%s"}' % (b"x" * self.random.choice((10, 2_000, 60_000)))
         head = (
             f"POST /v1/chat/completions HTTP/1.1\r\nHost: api\r\nX-Call-Id: {call_id}\r\nX-Call-Class: {effect}\r\n"
@@ -170,63 +174,63 @@
         )
         return head.encode() + body
 
-    async def _connection(self, node: str, new: bool = False) -> tuple[_Connection | None, bool]:
-        """A connection to a node, and whether it was kept; none where the node can't be reached."""
-        is_ending = node in self._ending_nodes()
-        kept = self.kept.pop(node, None)
-        if kept and not new and (is_ending or self.random.random() >= _NEW_CONNECTION):
+    async def _connect(self, node: str, must_be_new: bool = False) -> tuple[_Connection | None, bool]:
+        """A connection to a node, or None if the node can't be reached, and whether the connection is a reused one."""
+        is_shutting_down = node in self._nodes_shutting_down()
+        kept = self.connections.pop(node, None)
+        if kept and not must_be_new and (is_shutting_down or self.random.random() >= _NEW_CONNECTION):
             return kept, True
         if kept:
             kept.close()
         host, _, port = self.world.nodes[node].rpartition(":")
         try:
-            return _Connection(*await asyncio.open_connection(host, int(port), limit=_MOST_LINES)), False
+            return _Connection(*await asyncio.open_connection(host, int(port), limit=_MAX_HEAD_BYTES)), False
         except OSError:
             return None, False
 
     async def _stall(self, connection: _Connection, node: str, call_id: str, data: bytes) -> None:
-        """Stop in the middle of a request and stay: an error or a close is owed."""
+        """Stall in the middle of a request with the connection open. The node must answer with an error or close it."""
         loop, began = asyncio.get_running_loop(), asyncio.get_running_loop().time()
         with contextlib.suppress(OSError):
             connection.writer.write(data[: len(data) // 2])
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(connection.reader.read(1), _BAD_CLIENT_S)
+                await asyncio.wait_for(connection.reader.read(1), _STALL_S)
         self.recorder.note("stalled", id=call_id, node=node, after=loop.time() - began)
         connection.close()
 
     async def _exchange(
-        self, connection: _Connection, data: bytes, budget: float, leaves: float | None
+        self, connection: _Connection, data: bytes, budget: float, leaves_after: float | None
     ) -> tuple[int, bool, bool]:
-        """Status (0: none, the connection ended; -1: none in time), whether the answer was whole, whether the
-        connection may be used again. An answer that has begun and does not end in time has its status and is
-        not whole.
+        """Return the status (0: the connection was closed without an answer; -1: no answer in time), whether the
+        answer was complete, and whether the connection may be reused. An answer that has begun but does not end
+        in time keeps its status and is not complete.
         """
-        within = budget + _WAITS_LONGER_S if leaves is None else min(leaves, budget)
+        timeout = budget + _WAIT_AFTER_DEADLINE_S if leaves_after is None else min(leaves_after, budget)
         connection.status, connection.held_back = -1, 0.0
         try:
             connection.writer.write(data)
-            return await asyncio.wait_for(self._answer(connection), within)
+            return await asyncio.wait_for(self._read_answer(connection), timeout)
         except TimeoutError:
             connection.given_up = True
             return connection.status, False, False
         except (OSError, asyncio.IncompleteReadError, ValueError):
             return 0, False, False
 
-    async def _answer(self, connection: _Connection) -> tuple[int, bool, bool]:
+    async def _read_answer(self, connection: _Connection) -> tuple[int, bool, bool]:
         reader = connection.reader
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower().split("\r\n")
         status = connection.status = int(head[0].split(" ")[1])
         fields = {
             name: value.strip() for name, _, value in (line.partition(":") for line in head[1:] if line)
         }
-        reusable = fields.get("connection") != "close"
+        is_reusable = fields.get("connection") != "close"
         if "content-length" in fields:
             await reader.readexactly(int(fields["content-length"]))
-            return status, True, reusable
+            return status, True, is_reusable
         try:
             while size := int((await reader.readuntil(b"\r\n")).strip(), 16):
                 connection.note_events(await reader.readexactly(size + 2), asyncio.get_running_loop().time())
             await reader.readexactly(2)
         except (asyncio.IncompleteReadError, OSError, ValueError):
             return status, False, False
-        return status, True, reusable
+        return status, True, is_reusable
--- a/tuliptrack/lab/soak/judge.py
+++ b/tuliptrack/lab/soak/judge.py
@@ -403,8 +403,8 @@
 
 
 def _agent_silences(records: list[dict[str, Any]]) -> list[tuple[float, float]]:
-    """The spans in which the agent was silent. Changes that it made meanwhile count as delivered when the span
-    ends.
+    """The spans in which the agent was silent. A change made meanwhile counts as announced when the agent
+    answers again, or up to 6 s after the silence began.
     """
     found: list[tuple[float, float]] = []
     for record in records:
--- a/tuliptrack/lab/soak/ports.py
+++ b/tuliptrack/lab/soak/ports.py
@@ -1,7 +1,7 @@
-"""Addresses of a soak's processes, which no other soak on this machine takes meanwhile.
+"""Allocates the addresses of a soak's processes, so that soaks on the same machine don't take each other's.
 
-Ports below those that the system gives to outgoing connections are dealt out in blocks. Who listens on a
-block's first port has the block.
+The ports below the system's range for outgoing connections are divided into blocks. A soak owns a block while it
+listens on the block's first port.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 __all__ = ["loopback_addresses"]
 
-_FIRST, _END, _BLOCK = 10_000, 32_700, 100
+_FIRST_PORT, _END_PORT, _BLOCK_SIZE = 10_000, 32_700, 100
 _HOST = "127.0.0.1"
 
 
 @contextmanager
 def loopback_addresses(count: int) -> Iterator[list[str]]:
-    """So many addresses as host:port, until the block's end; OSError where no block is free."""
-    if count >= _BLOCK:
-        raise ValueError(f"count: at most {_BLOCK - 1}, is {count}")
-    blocks = list(range(_FIRST, _END, _BLOCK))
+    """Reserve `count` addresses (host:port) until the `with` block ends. Raises OSError if no block is free."""
+    if count >= _BLOCK_SIZE:
+        raise ValueError(f"count: at most {_BLOCK_SIZE - 1}, is {count}")
+    blocks = list(range(_FIRST_PORT, _END_PORT, _BLOCK_SIZE))
     start = os.getpid() % len(blocks)
     for block in blocks[start:] + blocks[:start]:
-        with socket.socket() as owner:
-            if not _listen(owner, block):
+        with socket.socket() as block_owner:
+            if not _listen(block_owner, block):
                 continue
-            free = [port for port in range(block + 1, block + _BLOCK) if _is_free(port)]
+            free = [port for port in range(block + 1, block + _BLOCK_SIZE) if _is_free(port)]
             if len(free) >= count:
                 yield [f"{_HOST}:{port}" for port in free[:count]]
                 return
@@ -45,5 +45,5 @@
 
 
 def _is_free(port: int) -> bool:
-    with socket.socket() as probe:
-        return _listen(probe, port)
+    with socket.socket() as listener:
+        return _listen(listener, port)
--- a/tuliptrack/lab/soak/records.py
+++ b/tuliptrack/lab/soak/records.py
@@ -1,5 +1,5 @@
-"""What the processes of a soak write down: a line of JSON for each event, with monotonic time, which all of
-them share.
+"""The event records of a soak's processes: one line of JSON for each event, with its time on the monotonic clock,
+which all processes share.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class Recorder:
-    """The record of one process."""
+    """Writes the event records of one process."""
 
     def __init__(self, folder: Path, name: str) -> None:
         self._file = (folder / f"{name}.jsonl").open("a", buffering=1)
         self._name = name
 
     def note(self, event: str, **facts: Any) -> None:
-        """Write an event down."""
+        """Append an event."""
         self._file.write(
             json.dumps({"t": time.monotonic(), "who": self._name, "event": event, **facts}) + "\n"
         )
@@ -31,10 +31,10 @@
 
 
 def read_records(folder: Path, name: str = "*") -> list[dict[str, Any]]:
-    """The records of all processes, or of the one named, in order of time. A last line that a kill cut off is
-    left out.
+    """Return the records of all processes, or of the one named, ordered by time. A last line that was cut off by a
+    kill is left out.
     """
-    return sorted(_lines(folder, name), key=lambda one: float(one["t"]))
+    return sorted(_lines(folder, name), key=lambda record: float(record["t"]))
 
 
 def _lines(folder: Path, name: str) -> Iterator[dict[str, Any]]:
--- a/tuliptrack/lab/soak/runner.py
+++ b/tuliptrack/lab/soak/runner.py
@@ -106,7 +106,7 @@
         watch = RunQueueWatch(self.recorder)
         while True:
             for node in self.world.nodes:
-                watch.look(node, self.processes[node].pid)
+                watch.sample(node, self.processes[node].pid)
             await asyncio.sleep(_RUN_QUEUE_LOOK_S)
 
     async def _start_all(self) -> None:
--- a/tuliptrack/lab/soak/settings.py
+++ b/tuliptrack/lab/soak/settings.py
@@ -1,4 +1,4 @@
-"""The settings that a soak's nodes are told, and the names that its processes share."""
+"""The settings of a soak's nodes, and the names and addresses that its processes share."""
 
 from __future__ import annotations
 
@@ -22,46 +22,46 @@
 ]
 
 EFFECTS = ("free", "guarded", "single_shot")
-"""A class of each effect, named after it."""
+"""One request class for each effect, with the same name."""
 DRAIN_GRACE_S, REPEAT_WINDOW_S, COLD_S, FALL_S = 0.5, 1.5, 8.0, 1.0
 SLACK_S = 0.3
-"""What the platform adds to the time for which a state may be held."""
+"""What the platform adds to the time for which a KV state may be held."""
 _REVISION_OF_SETTINGS = 1
 
 
 @dataclass(frozen=True)
 class World:
-    """A soak's schedule, folder and addresses, as each of its processes reads them."""
+    """The schedule, folder and addresses of a soak, read by each of its processes."""
 
     schedule: Schedule
     folder: Path
     began: float
-    """On the monotonic clock."""
+    """Second 0 of the soak, on the monotonic clock."""
     engines: dict[str, str]
     """The engines' own addresses."""
     proxies: dict[str, str]
-    """What the list says instead."""
+    """The addresses that the list gives instead."""
     agents: dict[str, tuple[str, str]]
-    """Two addresses of the list's agent for each node."""
+    """Two addresses of the agent for each node."""
     nodes: dict[str, str]
 
     def write(self) -> Path:
-        """Write it down for the other processes."""
+        """Write `world.json` for the other processes."""
         path = self.folder / "world.json"
-        told = {**self.__dict__, "schedule": self.schedule.as_json(), "folder": str(self.folder)}
-        path.write_text(json.dumps(told))
+        fields = {**self.__dict__, "schedule": self.schedule.as_json(), "folder": str(self.folder)}
+        path.write_text(json.dumps(fields))
         return path
 
     @staticmethod
     def read(path: Path) -> World:
-        """The world of a file."""
-        told = json.loads(path.read_text())
-        agents = {name: (first, second) for name, (first, second) in told["agents"].items()}
+        """Read a file that `write` has written."""
+        fields = json.loads(path.read_text())
+        agents = {name: (first, second) for name, (first, second) in fields["agents"].items()}
         return World(
             **{
-                **told,
-                "schedule": Schedule.from_json(told["schedule"]),
-                "folder": Path(told["folder"]),
+                **fields,
+                "schedule": Schedule.from_json(fields["schedule"]),
+                "folder": Path(fields["folder"]),
                 "agents": agents,
             }
         )
@@ -80,7 +80,7 @@
 
 
 def node_settings(schedule: Schedule) -> dict[str, Any]:
-    """What the platform tells every node alike."""
+    """The settings that the platform gives to all nodes alike."""
     classes = [
         _class(effect, deadline, schedule.aim_s)
         for effect, deadline in zip(EFFECTS, schedule.deadlines_s, strict=True)
--- a/tuliptrack/lab/soak/slow_start.py
+++ b/tuliptrack/lab/soak/slow_start.py
@@ -1,6 +1,6 @@
-"""Slow start, judged by what all nodes together sent to an engine after its start.
+"""Checks slow start by the calls that all nodes together sent to an engine after its start.
 
-What an engine bears when it is warm is its part of the tenants' quotas, as nodes know it from the settings.
+The capacity of a warm engine is its part of the tenants' quotas, as nodes know it from the settings.
 """
 
 from __future__ import annotations
@@ -16,73 +16,73 @@
 
 __all__ = ["budget", "slow_starts"]
 
-_FEW = 30.0
+_FEW_CALLS = 30.0
 
 
 def budget(fair: float) -> float:
-    """The calls that an engine in slow start bears in the time that the settings name, where they allow
-    `fair` in the mean.
+    """The most calls that an engine in slow start may get within the window of the settings (`fall`), where they
+    allow `fair` on average.
     """
     root = math.sqrt(fair)
-    return fair + 2 * root + 2 if fair >= _FEW else fair + 3 * root + 3
+    return fair + 2 * root + 2 if fair >= _FEW_CALLS else fair + 3 * root + 3
 
 
 def slow_starts(world: World, records: list[dict[str, Any]], margin: float) -> list[Violation]:
-    """No engine is sent more, by all nodes together, than it bears while it is cold and all nodes have been
-    told.
+    """While an engine is cold, and once the list has announced its start to all nodes, all nodes together send it no
+    more calls than it may get.
     """
-    sent = _sent(records)
+    times = _call_times(records)
     found = []
-    for engine, started, told in _starts(world, records):
-        calls = [at for at in sent[engine] if told + margin <= at <= started + COLD_S]
+    for engine, started, announced in _starts(world, records):
+        calls = [at for at in times[engine] if announced + margin <= at <= started + COLD_S]
         for number, first in enumerate(calls):
             end = first + FALL_S
-            inside = bisect_right(calls, end) - number
-            allowed = budget(_fair(world, engine, started, end))
-            if inside > allowed:
+            count = bisect_right(calls, end) - number
+            allowed = budget(_fair_calls(world, engine, started, end))
+            if count > allowed:
                 found.append(
                     Violation(
                         "slow start",
                         engine,
-                        f"{inside} calls of {allowed:.1f} from {first:.3f}, {first - started:.3f} s after its start",
+                        f"{count} calls of {allowed:.1f} from {first:.3f}, {first - started:.3f} s after its start",
                     )
                 )
                 break
     return found
 
 
-def _sent(records: list[dict[str, Any]]) -> dict[str, list[float]]:
-    """When calls were sent, by engine."""
-    sent: dict[str, list[float]] = defaultdict(list)
-    for one in records:
-        if one["event"] == "bytes":
-            sent[one["who"].removeprefix("p-")].append(one["t"])
-    return sent
+def _call_times(records: list[dict[str, Any]]) -> dict[str, list[float]]:
+    """The times of calls, by engine."""
+    times: dict[str, list[float]] = defaultdict(list)
+    for record in records:
+        if record["event"] == "bytes":
+            times[record["who"].removeprefix("p-")].append(record["t"])
+    return times
 
 
 def _starts(world: World, records: list[dict[str, Any]]) -> list[tuple[str, float, float]]:
-    """Each engine that has started anew, when it did, and when the list had told that."""
+    """Each restarted engine, the time of its start, and when the list announced it."""
     found = []
-    for one in records:
-        if one["event"] == "fault" and one["kind"] == FaultKind.ENGINE_RESTARTS.value:
-            started = world.began + one["until"]
-            told = [
+    for record in records:
+        if record["event"] == "fault" and record["kind"] == FaultKind.ENGINE_RESTARTS.value:
+            started = world.began + record["until"]
+            announcements = [
                 other["t"]
                 for other in records
                 if other["event"] == "list changed"
-                and other["engine"] == one["target"]
+                and other["engine"] == record["target"]
                 and other["start_ms"]
                 and other["t"] >= started
                 and not other["silent"]
             ]
-            if told:
-                found.append((one["target"], started, told[0]))
+            if announcements:
+                found.append((record["target"], started, announcements[0]))
     return found
 
 
-def _fair(world: World, engine: str, started: float, moment: float) -> float:
-    """What the settings allow an engine, in the time that they name, at a moment."""
+def _fair_calls(world: World, engine: str, started: float, moment: float) -> float:
+    """The calls that the settings allow an engine within their window, at a moment."""
     schedule = world.schedule
     part = schedule.quota_per_s / sum(name[0] in (engine[0], "m") for name in schedule.engines)
-    warmth = schedule.cold_from + (1 - schedule.cold_from) * min((moment - started) / COLD_S, 1.0)
-    return schedule.fall_multiple * warmth * part * FALL_S
+    capacity_share = schedule.cold_from + (1 - schedule.cold_from) * min((moment - started) / COLD_S, 1.0)
+    return schedule.fall_multiple * capacity_share * part * FALL_S
