--- a/tests/deploy/test_sites.py
+++ b/tests/deploy/test_sites.py
@@ -1,4 +1,4 @@
-"""`deploy/sites/apply.py` makes another customer's site, or says in one line what it can't use."""
+"""`deploy/sites/apply.py` derives a site from another one, or reports invalid input in one line."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
 
 
 @pytest.fixture
-def given(tmp_path: Path) -> Path:
-    """A site with the files that belong beside it."""
+def site_path(tmp_path: Path) -> Path:
+    """Path of a site file; the files that it needs are in the same folder."""
     (tmp_path / "given").mkdir()
     for name in ("real.json", "wire.json", "unlock.txt"):
         (tmp_path / "given" / name).write_text(name)
@@ -57,18 +57,18 @@
     )
 
 
-def made(given: Path, overrides: str) -> dict[str, Any]:
-    """The site that these overrides make."""
-    path = given.parents[1] / "variant.toml"
+def derived_site(site_path: Path, overrides: str) -> dict[str, Any]:
+    """Return the site that results from applying the overrides."""
+    path = site_path.parents[1] / "variant.toml"
     path.write_text(overrides)
-    done = apply(path, given, given.parents[1] / "out")
-    assert done.returncode == 0, done.stderr
-    return tomllib.loads(Path(done.stdout.strip()).read_text())
+    process = apply(path, site_path, site_path.parents[1] / "out")
+    assert process.returncode == 0, process.stderr
+    return tomllib.loads(Path(process.stdout.strip()).read_text())
 
 
-def test_what_an_override_names_changes_and_all_else_stays(given: Path) -> None:
-    site = made(
-        given,
+def test_only_the_overridden_values_change(site_path: Path) -> None:
+    site = derived_site(
+        site_path,
         """
 name = "other"
 [fam]
@@ -92,11 +92,11 @@
     expected["class"] = [{"name": "only", "aim_ms": 2000, "window_ms": 1500}]
     assert site == expected
     for name in ("real.json", "wire.json", "unlock.txt"):
-        assert (given.parents[1] / "out" / name).read_text() == name
+        assert (site_path.parents[1] / "out" / name).read_text() == name
 
 
 @pytest.mark.parametrize(
-    ("overrides", "named"),
+    ("overrides", "message"),
     [
         ("name = ", "variant.toml: not TOML"),
         ("[[class]]\nlike = 2", "class[0].like: must be from 0 to 1, is 2"),
@@ -108,42 +108,44 @@
         ("[day.tick_ms]\nx = 1", "day.tick_ms: a table"),
     ],
 )
-def test_an_override_that_cant_be_used_is_named_in_one_line(given: Path, overrides: str, named: str) -> None:
-    path = given.parent / "variant.toml"
+def test_an_invalid_override_is_reported_in_one_line(site_path: Path, overrides: str, message: str) -> None:
+    path = site_path.parent / "variant.toml"
     path.write_text(overrides)
-    done = apply(path, given, given.parent / "out")
-    assert done.returncode == 2 and done.stdout == ""
-    assert named in done.stderr and done.stderr.count("\n") == 1
-    assert not (given.parent / "out").exists()
+    process = apply(path, site_path, site_path.parent / "out")
+    assert process.returncode == 2 and process.stdout == ""
+    assert message in process.stderr and process.stderr.count("\n") == 1
+    assert not (site_path.parent / "out").exists()
 
 
-def test_files_that_are_missing_are_named_in_one_line(given: Path, tmp_path: Path) -> None:
+def test_missing_files_are_reported_in_one_line(site_path: Path, tmp_path: Path) -> None:
     variant = SITES / "press-archive.toml"
-    (given.parent / "wire.json").unlink()
-    for arguments, named in (
+    (site_path.parent / "wire.json").unlink()
+    for arguments, message in (
         ((variant, tmp_path / "none.toml", tmp_path / "out"), "none.toml: No such file"),
-        ((tmp_path / "none.toml", given, tmp_path / "out"), "none.toml: No such file"),
-        ((variant, given, tmp_path / "out"), "wire.json: no such file"),
-        ((variant, given), "usage: "),
+        ((tmp_path / "none.toml", site_path, tmp_path / "out"), "none.toml: No such file"),
+        ((variant, site_path, tmp_path / "out"), "wire.json: no such file"),
+        ((variant, site_path), "usage: "),
     ):
-        done = apply(*arguments)
-        assert done.returncode == 2 and named in done.stderr and done.stderr.count("\n") == 1, done.stderr
+        process = apply(*arguments)
+        assert process.returncode == 2 and message in process.stderr and process.stderr.count("\n") == 1, (
+            process.stderr
+        )
 
 
-def test_the_variants_differ_as_they_are_meant_to(given: Path) -> None:
-    """One has a connect time-out longer than its release time, a keyed class with a short window and an
-    unsafe one; one has a single class. The settings of both are in the files; the rest comes from the site
-    that they are applied to.
+def test_the_variants_cover_the_intended_differences(site_path: Path) -> None:
+    """`clinic-notes` has a connect time-out longer than its release time, a keyed class whose window is shorter
+    than its deadline, and an unsafe class. `press-archive` has a single class. The files hold only these
+    settings; the rest comes from the site that they are applied to.
     """
-    notes, archive = (
+    clinic, archive = (
         tomllib.loads((SITES / f"{name}.toml").read_text()) for name in ("clinic-notes", "press-archive")
     )
-    assert notes["tier"][0]["conn"]["connect_timeout_ms"] > notes["fam"]["release_ms"]
-    effects = {one["effect"]: one for one in notes["class"]}
+    assert clinic["tier"][0]["conn"]["connect_timeout_ms"] > clinic["fam"]["release_ms"]
+    effects = {entry["effect"]: entry for entry in clinic["class"]}
     assert (
         set(effects) == {"safe", "keyed", "unsafe"}
         and effects["keyed"]["window_ms"] < effects["keyed"]["deadline_ms"]
     )
     assert len(archive["class"]) == len(archive["fam"]["class"]) == 1
-    for variant in (notes, archive):
+    for variant in (clinic, archive):
         assert len(variant["class"]) == len(variant["fam"]["class"])
--- a/tests/simulator_adapter/test_wire.py
+++ b/tests/simulator_adapter/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire's bytes, both ways, and what malformed frames get."""
+"""Encoding and decoding of frames, and the rejection of malformed ones."""
 
 from __future__ import annotations
 
@@ -11,8 +11,7 @@
 
 import pytest
 
-from tuliptrack import interface as face
-from tuliptrack import simulator_adapter
+from tuliptrack import interface, simulator_adapter
 
 ENV: dict[str, Any] = {
     "replicasOfMe": 2,
@@ -44,59 +43,73 @@
     return struct.pack("<IQI", len(body), now, len(records)) + body
 
 
-REF = "4444444444440400"  # 0x4444444444444 as eight bytes
-NUMBER = 0x4444444444444
+REQUEST_ID_HEX = "4444444444440400"  # 0x4444444444444 as eight bytes
+REQUEST_ID = 0x4444444444444
 
 EVENTS: list[tuple[int, str, Any]] = [
     (
         257,
         "07000003000000010000000100 0a00000000000000 63000000 0200 01 0000803f 0500",
-        face.EndpointListUpdate(
-            face.UpdateKind.DELTA, 3, (face.EndpointInfo(99, 2, face.EndpointState.DRAINING, 1.0, 5, 1, 10),)
+        interface.EndpointListUpdate(
+            interface.UpdateKind.DELTA,
+            3,
+            (interface.EndpointInfo(99, 2, interface.EndpointState.DRAINING, 1.0, 5, 1, 10),),
         ),
     ),
     (
         258,
         "0700"
-        + REF
+        + REQUEST_ID_HEX
         + "05000000 e8030000 0000803f 00000040 0100000000000000 0200000000000000 0000404001000000 01 13",
-        face.Request(NUMBER, 1, 1000, 3.0, 1.0, 2.0, 1, 2, 1, 5, True, True),
+        interface.Request(REQUEST_ID, 1, 1000, 3.0, 1.0, 2.0, 1, 2, 1, 5, True, True),
     ),
-    (259, "0700" + REF + "02 63000000 0a000000", face.StreamStarted(NUMBER, 2, 99, 10)),
+    (259, "0700" + REQUEST_ID_HEX + "02 63000000 0a000000", interface.StreamStarted(REQUEST_ID, 2, 99, 10)),
     (
         260,
-        "0700" + REF + "01 09000000 63000000 02 ca 0a000000 01 0000803f",
-        face.AttemptEnded(NUMBER, 2, 99, face.Status.PREFILLED, 10, True, 9, False, (1.0,)),
+        "0700" + REQUEST_ID_HEX + "01 09000000 63000000 02 ca 0a000000 01 0000803f",
+        interface.AttemptEnded(REQUEST_ID, 2, 99, interface.Status.PREFILLED, 10, True, 9, False, (1.0,)),
     ),
     (
         260,
-        "0700" + REF + "00 01000000 63000000 02 02 0a000000 00",
-        face.AttemptEnded(NUMBER, 2, 99, face.Status.AT_CAPACITY, 10, False, 0, True, ()),
+        "0700" + REQUEST_ID_HEX + "00 01000000 63000000 02 02 0a000000 00",
+        interface.AttemptEnded(REQUEST_ID, 2, 99, interface.Status.AT_CAPACITY, 10, False, 0, True, ()),
+    ),
+    (261, "0700" + REQUEST_ID_HEX, interface.ClientDisconnected(REQUEST_ID)),
+    (262, "0700" + REQUEST_ID_HEX, interface.TimerFired(REQUEST_ID)),
+    (
+        263,
+        "0700 63000000 04 0a000000 00",
+        interface.HealthCheckResult(99, interface.Status.CONNECT_FAILED, 10, ()),
+    ),
+    (264, "0700 0300 0200 6869", interface.GossipReceived(3, b"hi")),
+    (
+        266,
+        "0700" + REQUEST_ID_HEX + "02 63000000 01 00000000",
+        interface.ReservationResult(REQUEST_ID, 2, 99, True),
+    ),
+    (
+        266,
+        "0700" + REQUEST_ID_HEX + "02 63000000 02 00000000",
+        interface.ReservationResult(REQUEST_ID, 2, 99, False),
     ),
-    (261, "0700" + REF, face.ClientDisconnected(NUMBER)),
-    (262, "0700" + REF, face.TimerFired(NUMBER)),
-    (263, "0700 63000000 04 0a000000 00", face.HealthCheckResult(99, face.Status.CONNECT_FAILED, 10, ())),
-    (264, "0700 0300 0200 6869", face.GossipReceived(3, b"hi")),
-    (266, "0700" + REF + "02 63000000 01 00000000", face.ReservationResult(NUMBER, 2, 99, True)),
-    (266, "0700" + REF + "02 63000000 02 00000000", face.ReservationResult(NUMBER, 2, 99, False)),
 ]
 
-ACTIONS: list[tuple[face.Action, int, str]] = [
-    (face.SetTimer(500_000, 77), 256, "0700 20a10700 4d00000000000000"),
-    (face.FetchEndpointList(), 257, "0700"),
-    (face.SendGossip(b"hi"), 258, "0700 ffffffff 0200 6869"),
-    (face.SendGossip(b"hi", 3), 258, "0700 03000000 0200 6869"),
-    (face.MigrateStream(NUMBER), 259, "0700" + REF),
-    (face.Fail(NUMBER), 260, "0700" + REF),
-    (face.CancelAttempt(NUMBER, 2), 261, "0700" + REF + "02"),
-    (face.Subscribe(True), 262, "0700 01"),
-    (face.CheckHealth(99), 263, "0700 63000000"),
-    (face.SendAttempt(NUMBER, 99, 1000), 265, "0700" + REF + "63000000 e8030000"),
-    (face.CloseIdleConnections(99), 266, "0700 63000000"),
-    (face.ReserveCapacity(NUMBER, 99), 267, "0700" + REF + "63000000"),
-    (face.Release(NUMBER), 268, "0700" + REF),
-    (face.LogMessage("hi"), 269, "0700 0200 6869"),
-    (face.Reject(NUMBER, 1000), 270, "0700" + REF + "e8030000"),
+ACTIONS: list[tuple[interface.Action, int, str]] = [
+    (interface.SetTimer(500_000, 77), 256, "0700 20a10700 4d00000000000000"),
+    (interface.FetchEndpointList(), 257, "0700"),
+    (interface.SendGossip(b"hi"), 258, "0700 ffffffff 0200 6869"),
+    (interface.SendGossip(b"hi", 3), 258, "0700 03000000 0200 6869"),
+    (interface.MigrateStream(REQUEST_ID), 259, "0700" + REQUEST_ID_HEX),
+    (interface.Fail(REQUEST_ID), 260, "0700" + REQUEST_ID_HEX),
+    (interface.CancelAttempt(REQUEST_ID, 2), 261, "0700" + REQUEST_ID_HEX + "02"),
+    (interface.Subscribe(True), 262, "0700 01"),
+    (interface.CheckHealth(99), 263, "0700 63000000"),
+    (interface.SendAttempt(REQUEST_ID, 99, 1000), 265, "0700" + REQUEST_ID_HEX + "63000000 e8030000"),
+    (interface.CloseIdleConnections(99), 266, "0700 63000000"),
+    (interface.ReserveCapacity(REQUEST_ID, 99), 267, "0700" + REQUEST_ID_HEX + "63000000"),
+    (interface.Release(REQUEST_ID), 268, "0700" + REQUEST_ID_HEX),
+    (interface.LogMessage("hi"), 269, "0700 0200 6869"),
+    (interface.Reject(REQUEST_ID, 1000), 270, "0700" + REQUEST_ID_HEX + "e8030000"),
 ]
 
 
@@ -106,9 +119,9 @@
 
 
 @pytest.mark.parametrize(("action", "code", "body"), ACTIONS)
-def test_actions_to_golden_bytes(action: face.Action, code: int, body: str) -> None:
-    one = record(code, body)
-    assert simulator_adapter.encode_reply([(7, action)]) == struct.pack("<II", 1, len(one)) + one
+def test_actions_to_golden_bytes(action: interface.Action, code: int, body: str) -> None:
+    encoded = record(code, body)
+    assert simulator_adapter.encode_reply([(7, action)]) == struct.pack("<II", 1, len(encoded)) + encoded
 
 
 def test_start_and_halt_from_golden_bytes() -> None:
@@ -116,17 +129,17 @@
     start = record(256, "0700 0900000000000000" + struct.pack("<I", len(text)).hex() + text.hex())
     ((node, event), (_, halt)) = simulator_adapter.decode_batch(start + record(265, "0700"), 2)
     assert node == 7 and event.seed == 9 and isinstance(halt, simulator_adapter.Halt)
-    assert event.settings.roles == (face.Role.PREFILL, face.Role.DECODE)
+    assert event.settings.roles == (interface.Role.PREFILL, interface.Role.DECODE)
     assert event.settings.report_fields == ("in_flight", "memory_share")
     assert event.settings.max_attempts == 4 and event.settings.release_within_us == 300000
 
 
-def start(node: int, env: dict[str, Any] | None = None) -> bytes:
+def start_record(node: int, env: dict[str, Any] | None = None) -> bytes:
     text = json.dumps(env or ENV).encode()
     return record(256, struct.pack("<HQI", node, 1, len(text)).hex() + text.hex())
 
 
-def roster(node: int) -> bytes:
+def list_record(node: int) -> bytes:
     entry = struct.Struct("<HQIHBfH")
     body = (
         struct.pack("<HBII", node, 2, 1, 2)
@@ -136,8 +149,10 @@
     return record(257, body.hex())
 
 
-def knock(node: int, ref: int) -> bytes:
-    return record(258, struct.pack("<HQIIffQQfIBB", node, ref, 0, 5000000, 0, 9, 1, 0, 9, 0, 0, 0).hex())
+def request_record(node: int, request_id: int) -> bytes:
+    return record(
+        258, struct.pack("<HQIIffQQfIBB", node, request_id, 0, 5000000, 0, 9, 1, 0, 9, 0, 0, 0).hex()
+    )
 
 
 def run(*frames: bytes) -> bytes:
@@ -150,38 +165,49 @@
     assert run(frame()) == bytes(8)
 
 
-def test_nodes_are_kept_apart_and_a_restart_forgets() -> None:
-    alone = run(frame(start(1), roster(1)), frame(knock(1, 4)))
-    both = run(frame(start(1), roster(1), start(2)), frame(knock(1, 4)))
-    assert alone == both
-    again = run(
-        frame(start(1), roster(1), knock(1, 4), record(265, "0100"), start(1), roster(1)), frame(knock(1, 4))
+def test_nodes_are_independent_and_a_restart_discards_earlier_events() -> None:
+    single = run(frame(start_record(1), list_record(1)), frame(request_record(1, 4)))
+    both = run(frame(start_record(1), list_record(1), start_record(2)), frame(request_record(1, 4)))
+    assert single == both
+    restarted = run(
+        frame(
+            start_record(1),
+            list_record(1),
+            request_record(1, 4),
+            record(265, "0100"),
+            start_record(1),
+            list_record(1),
+        ),
+        frame(request_record(1, 4)),
     )
-    assert again == alone, "a life's events before its halt leave nothing behind"
+    assert restarted == single, "events before a halt have no effect on the restarted node"
 
 
 @pytest.mark.parametrize(
-    ("data", "words"),
+    ("data", "expected"),
     [
         (b"abc", "batch header: 3 bytes, 16 needed"),
         (struct.pack("<IQI", 9, 1, 1) + b"x", "batch: 9 bytes told, 1 there"),
         (frame(record(999, "0100")), "record 0: code: unknown value 999"),
         (frame(record(262, "0100 01")), "record 0 (DEADLINE_HIT): fields end at byte 3, 10 needed"),
-        (frame(record(262, "0100" + REF + "00")), "record 0 (DEADLINE_HIT): 1 bytes left over"),
-        (frame(record(262, "0100" + REF)), "node 1: an event for a node that has not started"),
+        (frame(record(262, "0100" + REQUEST_ID_HEX + "00")), "record 0 (DEADLINE_HIT): 1 bytes left over"),
+        (frame(record(262, "0100" + REQUEST_ID_HEX)), "node 1: an event for a node that has not started"),
         (frame(record(256, "0100 0900000000000000 02000000 6869")), "settings: not JSON"),
-        (frame(start(1, {**ENV, "limits": {}})), "settings: key 'mostTries' is missing"),
-        (frame(start(1, {**ENV, "replicasOfMe": 0})), "settings: replicas: must be above 0"),
-        (frame(record(260, "0100" + REF + "00 00000000 05000000 00 63 00000000 00")), "disposition: unknown"),
+        (frame(start_record(1, {**ENV, "limits": {}})), "settings: key 'mostTries' is missing"),
+        (frame(start_record(1, {**ENV, "replicasOfMe": 0})), "settings: replicas: must be above 0"),
+        (
+            frame(record(260, "0100" + REQUEST_ID_HEX + "00 00000000 05000000 00 63 00000000 00")),
+            "disposition: unknown",
+        ),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data: bytes, words: str) -> None:
-    done = subprocess.run(
+def test_malformed_input_exits_with_one_line_on_standard_error(data: bytes, expected: str) -> None:
+    process = subprocess.run(
         [sys.executable, "-m", "tuliptrack.simulator_adapter"], input=data, capture_output=True
     )
-    assert done.returncode == 2
-    lines = done.stderr.decode().splitlines()
-    assert len(lines) == 1 and words in lines[0], lines
+    assert process.returncode == 2
+    lines = process.stderr.decode().splitlines()
+    assert len(lines) == 1 and expected in lines[0], lines
 
 
 @pytest.mark.parametrize(
@@ -195,7 +221,7 @@
         ("drain_grace_us", -1),
     ],
 )
-def test_invalid_settings_raise_with_the_fields_name(field: str, value: Any) -> None:
+def test_invalid_settings_raise_an_error_that_names_the_field(field: str, value: Any) -> None:
     from helpers import settings
 
     with pytest.raises(ValueError, match=field):
--- a/tuliptrack/interface/__init__.py
+++ b/tuliptrack/interface/__init__.py
@@ -1,9 +1,9 @@
-"""The interface of the router: settings, events and actions, in the terms of the field.
+"""The interface of the router: settings, events and actions, in the usual terms of model serving.
 
 A host builds one `tuliptrack.routing.router.Router` for each model of a node, passes it events with
 `handle(now, events)` and carries out the actions that come back, in order. All times are whole microseconds
 on the host's own clock, which never goes backwards. Sizes are tokens where no name or docstring says bytes.
-Nothing is decided here.
+This package makes no decisions.
 """
 
 from tuliptrack.interface.actions import (
--- a/tuliptrack/interface/actions.py
+++ b/tuliptrack/interface/actions.py
@@ -1,4 +1,4 @@
-"""What a router wants done. Times are microseconds.
+"""The actions that a router returns for its host to carry out. Times are microseconds.
 
 `routing.Router` does not use `CheckHealth`, `ReserveCapacity`, `CloseIdleConnections`, `FetchEndpointList`
 and `SendGossip`, and ignores the events that answer them. Hosts carry them out, for routers that do.
@@ -36,14 +36,15 @@
     request_id: int
     endpoint_id: int
     timeout_us: int = 0
-    """When to give the attempt up; 0: not before the client's deadline."""
+    """After how long to abandon the attempt; 0: not before the client's deadline."""
     cross_zone_cause: CrossZoneCause | None = None
-    """Why it may move bytes between zones; None if it moves none, or cross-zone traffic is not budgeted."""
+    """Why the attempt may move bytes between zones; None if it moves none, or cross-zone traffic is not
+    budgeted."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Give an attempt up; its `AttemptEnded` still follows."""
+    """Cancel an attempt; its `AttemptEnded` still follows."""
 
     request_id: int
     attempt: int
--- a/tuliptrack/interface/events.py
+++ b/tuliptrack/interface/events.py
@@ -1,4 +1,4 @@
-"""What a router is told. Each docstring says when the event occurs. Times are microseconds."""
+"""The events that a router handles. Each docstring says when the event occurs. Times are microseconds."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class EndpointState(Enum):
-    """What the endpoint list last said of an endpoint."""
+    """The state of an endpoint in the latest endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -35,9 +35,9 @@
     """How an update is applied to the endpoint list."""
 
     DELTA = "delta"
-    """The endpoints that are named have changed."""
+    """Only the endpoints in the update have changed."""
     FULL = "full"
-    """Endpoints that are not named have been removed."""
+    """Endpoints that are not in the update have been removed."""
     CACHED = "cached"
     """As `FULL`, but from before the start of this process."""
     FAILED = "failed"
@@ -58,10 +58,10 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     ABANDONED = "abandoned"
-    """The attempt was not sent: it was no longer wanted, or not allowed any more."""
+    """The attempt was not sent, because it was no longer needed or no longer allowed."""
 
     def may_have_executed(self, is_prefill: bool) -> bool:
-        """Whether an attempt that ended so may have had an effect.
+        """Whether an attempt with this status may have had an effect.
 
         A prefill has none, unless it timed out: an engine that hangs may execute it later.
         """
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has ended, in whatever way."""
+    """An attempt has ended, with any status."""
 
     request_id: int
     attempt: int
@@ -149,21 +149,21 @@
     cached_tokens: int = 0
     """Prompt tokens that needed no prefill."""
     is_state_lost: bool = False
-    """The KV state that the attempt came for is gone, or most likely so: the prompt is prefilled again.
-    With any status that is a failure."""
+    """The KV state that the attempt needed is lost, or most likely is: the prompt is prefilled again. It can
+    accompany any failure status."""
     load_report: tuple[float, ...] = ()
     """The values named by `Settings.report_fields`, or nothing."""
     cross_zone_bytes: float = 0.0
-    """What this attempt has moved between zones."""
+    """Bytes that this attempt has moved between zones."""
     is_connection_only: bool = False
-    """With `RESET` or `CONNECT_FAILED`: the failure is one of this connection, not of the endpoint. It had
-    been idle and was closed by its peer, or brought an answer that cannot be parsed, or others to the
-    endpoint still stand."""
+    """With `RESET` or `CONNECT_FAILED`: only this connection failed, not the endpoint. Either the connection
+    was idle and its peer closed it, or it delivered an answer that cannot be parsed, or other connections to
+    the endpoint are still open."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has left: no answer is owed any more, but attempts still end with `AttemptEnded`."""
+    """The client has disconnected: no answer is owed any more, but attempts still end with `AttemptEnded`."""
 
     request_id: int
 
--- a/tuliptrack/interface/settings.py
+++ b/tuliptrack/interface/settings.py
@@ -1,4 +1,4 @@
-"""What a node is configured with. Times are microseconds."""
+"""The settings of a node. Times are microseconds."""
 
 from __future__ import annotations
 
@@ -51,9 +51,9 @@
     name: str
     priority_weight: float
     latency_objective_us: int
-    """For the first token."""
+    """For the time to the first token."""
     deadline_us: int
-    """For a final answer."""
+    """For the time to the final answer."""
     objective_us_per_1000_tokens: float = 0.0
     """Added to the latency objective for each 1,000 tokens of the prompt."""
     inter_token_objective_us: float = 0.0
@@ -89,9 +89,9 @@
     """Why an attempt moves bytes between zones."""
 
     BUDGET = "budget"
-    """It was chosen, and the budget had capacity."""
+    """The endpoint was chosen, and the budget had capacity."""
     FORCED = "forced"
-    """Nothing else could serve, or serve in time, and the budget had no capacity."""
+    """No other endpoint could serve the request, or serve it in time, and the budget had no capacity."""
     RETRY = "retry"
     """A retry of a request's stage, within the budget."""
 
@@ -127,9 +127,10 @@
     """The configuration of a node; the same for all nodes except for `replica_index`.
 
     How much an endpoint in slow start is sent follows from `replica_index`, `replicas` and the tenants'
-    quotas, whose sum is taken for the capacity of the whole fleet: each node needs an index of its own.
+    quotas, whose sum is used as the capacity of the whole fleet: each node needs an index of its own.
 
-    Without `zone_budgets` zones cost nothing. ValueError names a field that is out of range.
+    Without `zone_budgets`, traffic between zones is neither limited nor priced. ValueError names a field that
+    is out of range.
     """
 
     replicas: int
@@ -139,25 +140,25 @@
     """The role of each kind of endpoint, by the kind's index."""
     tenants: tuple[Tenant, ...] = ()
     replica_index: int = 0
-    """Of this node, below `replicas`."""
+    """Index of this node, below `replicas`."""
     zone: int = 0
-    """Of this node."""
+    """Zone of this node."""
     over_quota_weight_factor: float = 1.0
     """Multiplies the priority weight of requests above their tenant's quota."""
     max_attempts: int = 1
     """Attempts of one request, the prefill included."""
     release_within_us: int = 300_000
-    """For how long a KV state may be reserved without an attempt at an endpoint."""
+    """How long a KV state may stay reserved without an attempt at an endpoint."""
     drain_grace_us: int = 0
     """After an endpoint is listed as draining, how long new attempts there are tolerated."""
     must_subscribe: bool = False
     """Whether the endpoint list has to be subscribed to."""
     slow_start_us: int = 0
-    """For how long after its start an endpoint is warming up."""
+    """How long an endpoint is in slow start after its start."""
     slow_start_initial_share: float = 1.0
     """Share of its capacity that an endpoint has at its start."""
     slow_start_overload_factor: float = 1.0
-    """Multiple of its capacity in a window at which a warming endpoint fails."""
+    """Multiple of its capacity in a window at which an endpoint in slow start fails."""
     slow_start_window_us: int = 1_000_000
     connect_timeout_us: int = 250_000
     may_cancel: bool = False
@@ -170,13 +171,13 @@
     `memory_share` (0 to 1) and `tokens_waiting_k` (thousands of tokens to prefill or fetch)."""
     zone_budgets: tuple[ZoneBudget, ...] = ()
     prompt_bytes: float = 0.0
-    """Bytes of a token of the prompt on its way between zones."""
+    """Bytes of a token of the prompt in cross-zone traffic."""
     state_bytes: float = 0.0
     """Bytes of a token of KV state."""
     answer_bytes: float = 0.0
     """Bytes of a token of output."""
     epoch_offset_us: int = 0
-    """What to add to the host's clock for a time that all nodes share."""
+    """Offset from the host's clock to a clock that all nodes share."""
 
     def __post_init__(self) -> None:
         """Check the values."""
--- a/tuliptrack/simulator_adapter/actions.py
+++ b/tuliptrack/simulator_adapter/actions.py
@@ -1,4 +1,4 @@
-"""Actions, as the records of a reply."""
+"""Encodes actions as the records of a reply."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 MAX_U32 = 0xFFFFFFFF
 ALL_PEERS = MAX_U32
-"""Stands for a message to all other nodes."""
+"""Peer number of a message to all other nodes."""
 MAX_TEXT_BYTES = 0xFFFF
 NODE_BYTES = 2
-"""Of the node's number, which each record begins with."""
+"""Size of the node number that each record begins with."""
 
 
 def encode_reply(actions: list[tuple[int, io.Action]]) -> bytes:
@@ -31,7 +31,7 @@
 
 
 def _unsigned(value: int) -> int:
-    """Return the nearest value that fits into 32 bits."""
+    """Clamp a value to the range of an unsigned 32-bit integer."""
     return min(max(value, 0), MAX_U32)
 
 
--- a/tuliptrack/simulator_adapter/errors.py
+++ b/tuliptrack/simulator_adapter/errors.py
@@ -11,12 +11,16 @@
 
 
 class WireError(Exception):
-    """A frame, record or settings text that cannot be understood; its text says what and where."""
+    """A frame, record or settings text that cannot be decoded; the message says what is wrong and where."""
 
 
-def lookup(table: Mapping[Any, T], code: object, what: str) -> T:
-    """Return what a code of the protocol stands for; WireError names the field (`what`) if it is unknown."""
+def lookup(table: Mapping[Any, T], code: object, field: str) -> T:
+    """Return the value for a code of the protocol.
+
+    Raises:
+        WireError: the code is unknown; the message names the field.
+    """
     try:
         return table[code]
     except KeyError:
-        raise WireError(f"{what}: unknown value {code!r}") from None
+        raise WireError(f"{field}: unknown value {code!r}") from None
--- a/tuliptrack/simulator_adapter/events.py
+++ b/tuliptrack/simulator_adapter/events.py
@@ -1,4 +1,4 @@
-"""The records of a batch, as events."""
+"""Decodes the records of a batch to events."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
     2: io.UpdateKind.CACHED,
     3: io.UpdateKind.FAILED,
 }
-ENTRY_FORM = "HQIHBfH"
-"""Of one entry of the endpoint list."""
+ENTRY_FORMAT = "HQIHBfH"
+"""`struct` format of one entry of the endpoint list."""
 HAS_HINT, IS_RETRY, IS_RESUMED = 1, 2, 16
 """Bits of a request's flags."""
 STATE_LOST = 1
-"""Note of an attempt at capacity: the KV state is gone."""
+"""Note of an attempt that ended with `AT_CAPACITY`: the KV state is lost."""
 RESERVED = 1
 """Code of a reservation that was granted."""
 
@@ -51,19 +51,19 @@
 
     settings: io.Settings
     seed: int
-    """Of its random numbers."""
+    """Seed of the node's random numbers."""
 
 
 @dataclass(frozen=True)
 class Halt:
-    """A node was killed: everything it knew is lost."""
+    """A node was killed: its state is lost."""
 
 
 def decode_batch(body: bytes, count: int) -> Iterator[tuple[int, Any]]:
     """Yield (node, event) for each record of a batch.
 
     Raises:
-        WireError: a record cannot be understood, or bytes are left over.
+        WireError: a record cannot be decoded, or bytes are left over.
     """
     position = 0
     for index in range(count):
@@ -100,7 +100,7 @@
 
 
 def _entry(reader: RecordReader) -> io.EndpointInfo:
-    zone, started_at_us, endpoint_id, kind, state, weight, cell = reader.read(ENTRY_FORM)
+    zone, started_at_us, endpoint_id, kind, state, weight, cell = reader.read(ENTRY_FORMAT)
     known_state = lookup(ENDPOINT_STATES, state, f"{reader.record}: health")
     return io.EndpointInfo(endpoint_id, kind, known_state, weight, cell, zone, started_at_us)
 
--- a/tuliptrack/simulator_adapter/host.py
+++ b/tuliptrack/simulator_adapter/host.py
@@ -15,14 +15,14 @@
 __all__ = ["serve"]
 
 BATCH_HEADER = struct.Struct("<IQI")
-"""Bytes of the batch, the time in microseconds, and the number of records."""
+"""Size of the batch in bytes, the time in microseconds, and the number of records."""
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends.
 
     Raises:
-        WireError: a batch cannot be understood.
+        WireError: a batch cannot be decoded.
     """
     routers: dict[int, Router] = {}
     while header := source.read(BATCH_HEADER.size):
@@ -39,7 +39,7 @@
 def _handle_batch(
     routers: dict[int, Router], now_us: int, records: Iterator[tuple[int, Any]]
 ) -> list[tuple[int, io.Action]]:
-    """Give each node its own events, in order.
+    """Let each node handle its own events, in order, and return the actions of all nodes.
 
     A start or halt within the batch discards the events before it: they belong to an earlier incarnation.
     """
--- a/tuliptrack/simulator_adapter/records.py
+++ b/tuliptrack/simulator_adapter/records.py
@@ -10,7 +10,7 @@
 __all__ = ["RECORD", "RecordReader"]
 
 RECORD = struct.Struct("<HI")
-"""Code of a record, and the bytes that follow."""
+"""Code of a record, and the number of bytes that follow."""
 
 
 class RecordReader:
@@ -19,32 +19,32 @@
     def __init__(self, body: bytes, record: str) -> None:
         self.body, self.record, self.position = body, record, 0
 
-    def read(self, form: str) -> tuple[Any, ...]:
+    def read(self, field_format: str) -> tuple[Any, ...]:
         """Return the next fields, in the notation of `struct` (little endian).
 
         Raises:
             WireError: the record has fewer bytes.
         """
-        size = struct.calcsize("<" + form)
+        size = struct.calcsize("<" + field_format)
         if self.position + size > len(self.body):
             needed = self.position + size
             raise WireError(f"{self.record}: fields end at byte {len(self.body)}, {needed} needed")
-        values = struct.unpack_from("<" + form, self.body, self.position)
+        values = struct.unpack_from("<" + field_format, self.body, self.position)
         self.position += size
         return values
 
-    def read_bytes(self, length_form: str) -> bytes:
-        """Return bytes whose number comes before them."""
-        (size,) = self.read(length_form)
+    def read_bytes(self, length_format: str) -> bytes:
+        """Return bytes that are preceded by their number."""
+        (size,) = self.read(length_format)
         return bytes(self.read(f"{size}s")[0])
 
     def read_floats(self) -> tuple[float, ...]:
-        """Return numbers whose count, one byte, comes before them."""
+        """Return floats that are preceded by their number, as one byte."""
         (count,) = self.read("B")
         return self.read(f"{count}f")
 
     def end(self) -> None:
-        """Check that all of the record was read; WireError if not."""
+        """Raise WireError unless all of the record was read."""
         if self.position != len(self.body):
-            rest = len(self.body) - self.position
-            raise WireError(f"{self.record}: {rest} bytes left over after its fields")
+            remaining = len(self.body) - self.position
+            raise WireError(f"{self.record}: {remaining} bytes left over after its fields")
--- a/tuliptrack/simulator_adapter/settings.py
+++ b/tuliptrack/simulator_adapter/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a node as the protocol's JSON gives them."""
+"""Translates the protocol's JSON settings to `Settings`."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def settings_of(environment: object) -> io.Settings:
-    """Translate a settings object, from wherever it was read; unknown keys are ignored.
+    """Translate a settings object that is already parsed; unknown keys are ignored.
 
     Raises:
         WireError: a key is missing or a value is wrong; it is named.
@@ -60,18 +60,18 @@
 
 
 def _settings(environment: dict[str, Any]) -> io.Settings:
-    facts, limits = environment["specifics"], environment["limits"]
+    specifics, limits = environment["specifics"], environment["limits"]
     obligations = environment["obligations"]
     return io.Settings(
         replicas=int(environment["replicasOfMe"]),
-        classes=_classes(environment, facts),
-        roles=tuple(_role(name) for name in facts["dutyByKind"]),
+        classes=_classes(environment, specifics),
+        roles=tuple(_role(name) for name in specifics["dutyByKind"]),
         tenants=_tenants(environment),
         replica_index=int(environment.get("slotNo", 0)),
         zone=int(environment.get("az", 0)),
         over_quota_weight_factor=float(environment.get("overShareWorth", 1.0)),
         max_attempts=int(limits["mostTries"]),
-        release_within_us=int(facts["letGoBy"]),
+        release_within_us=int(specifics["letGoBy"]),
         drain_grace_us=int(obligations["drainGrace"]),
         must_subscribe=environment.get("discovery") == "subscribe",
         slow_start_us=int(obligations["cold"]),
@@ -81,15 +81,15 @@
         connect_timeout_us=int(limits.get("connectTimeout", 0)),
         may_cancel=bool(limits.get("cancel", False)),
         may_send_retry_after=bool(limits.get("retryAfter", False)),
-        may_resume=bool(facts.get("resume", False)),
+        may_resume=bool(specifics.get("resume", False)),
         max_retry_after_us=int(limits.get("maxRetryAfter", 0)),
         report_fields=_report_fields(environment.get("reporting") or {}),
     )
 
 
-def _classes(environment: dict[str, Any], facts: dict[str, Any]) -> tuple[io.RequestClass, ...]:
-    per_1000_tokens = facts.get("aimUsPer1000PromptTokens") or []
-    inter_token = facts.get("tokenAim") or []
+def _classes(environment: dict[str, Any], specifics: dict[str, Any]) -> tuple[io.RequestClass, ...]:
+    per_1000_tokens = specifics.get("aimUsPer1000PromptTokens") or []
+    inter_token = specifics.get("tokenAim") or []
     return tuple(
         io.RequestClass(
             name=str(entry.get("name", index)),
@@ -109,7 +109,7 @@
 
 
 def _number_at(numbers: Sequence[Any], index: int) -> float:
-    """Return a number of a list that may be too short; 0 then."""
+    """Return the number at an index, or 0 if the list is too short."""
     return float(numbers[index]) if index < len(numbers) else 0.0
 
 
@@ -126,11 +126,11 @@
     return tuple(REPORT_FIELDS.get(name, name) for name in reporting.get("fields") or ())
 
 
-def _member(kind: type[Enum], value: str, what: str) -> Any:
+def _member(enum: type[Enum], value: str, field: str) -> Any:
     try:
-        return kind(value)
+        return enum(value)
     except ValueError:
-        raise WireError(f"settings: {what} {value!r} is unknown") from None
+        raise WireError(f"settings: {field} {value!r} is unknown") from None
 
 
 def _role(name: object) -> io.Role:
