--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,11 +1,11 @@
-"""`KNOWN-RED.txt` at the root: faults that are known and not mended yet, a line each:
+"""Lets the tests listed in `KNOWN-RED.txt` fail. The file holds known faults that are not fixed yet, one a line:
 
     test id | command and seed | what was seen | issue
 
-Only these tests may fail, each only by the failure that its entry names: the text in backquotes in what was
-seen has to stand in the failure's report. Each is printed, and one that passes is printed as ready to be taken
-out. What is no test (a bench's day, a soak's seed) begins with `bench:` or `soak:` and is printed with the others.
-A line that is incomplete, names no test or no issue's number, or names a test twice fails the run.
+Only these tests may fail, and only with the failure that their entry names: the text in backquotes in the third
+field must occur in the report of the failure. Each listed test is printed; one that passes is printed as ready to
+be removed from the file. Entries that are not tests (a bench run, a soak seed) begin with `bench:` or `soak:` and
+are printed too. A line that is incomplete, names no test or no issue number, or repeats a test fails the run.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 from tuliptrack.node.counters import Counters
 
-NAME = "KNOWN-RED.txt"
-FORM = "'test id | command and seed | what was seen | issue'"
-NO_TEST = ("bench:", "soak:")
-"""Beginnings of entries that are no tests of this runner."""
+FILE_NAME = "KNOWN-RED.txt"
+LINE_FORMAT = "'test id | command and seed | what was seen | issue'"
+NON_TEST_PREFIXES = ("bench:", "soak:")
+"""Prefixes of entries that are not pytest tests."""
 
 
 @dataclass(frozen=True)
@@ -36,11 +36,11 @@
 
     @property
     def is_test(self) -> bool:
-        return not self.test.startswith(NO_TEST)
+        return not self.test.startswith(NON_TEST_PREFIXES)
 
     @property
     def failure(self) -> str:
-        """The text by which its failure is known; empty where there is none."""
+        """The text that identifies the failure; empty if the entry has none."""
         quoted = self.seen.split("`")
         return quoted[1] if len(quoted) > 2 else ""
 
@@ -49,33 +49,36 @@
 
 
 def known_red(root: Path) -> dict[str, KnownRed]:
-    """The file's entries by test; none where there is no file. pytest.UsageError names a line that can't be
-    used.
+    """Return the entries of the file by test id, or none if there is no file.
+
+    Raises:
+        pytest.UsageError: a line is invalid; the message names it.
     """
-    file = root / NAME
+    file = root / FILE_NAME
     lines = file.read_text().splitlines() if file.exists() else []
     found: dict[str, KnownRed] = {}
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
-        parts = [part.strip() for part in line.split("|")]
-        if len(parts) != 4 or not all(parts):
-            raise pytest.UsageError(f"{NAME}:{number}: must be {FORM}, is {line!r}")
-        entry = KnownRed(*parts)
+        fields = [part.strip() for part in line.split("|")]
+        if len(fields) != 4 or not all(fields):
+            raise pytest.UsageError(f"{FILE_NAME}:{number}: must be {LINE_FORMAT}, is {line!r}")
+        entry = KnownRed(*fields)
         if not entry.issue.isdecimal():
-            raise pytest.UsageError(f"{NAME}:{number}: {entry.issue!r} is no issue's number")
+            raise pytest.UsageError(f"{FILE_NAME}:{number}: {entry.issue!r} is no issue's number")
         if entry.is_test and not entry.failure:
-            raise pytest.UsageError(f"{NAME}:{number}: what was seen names no failure in backquotes")
+            raise pytest.UsageError(f"{FILE_NAME}:{number}: what was seen names no failure in backquotes")
         if entry.test in found:
-            raise pytest.UsageError(f"{NAME}:{number}: {entry.test} stands twice")
+            raise pytest.UsageError(f"{FILE_NAME}:{number}: {entry.test} stands twice")
         found[entry.test] = entry
     return found
 
 
 @pytest.fixture(autouse=True)
 def no_invariant_is_violated() -> Iterator[list[str]]:
-    """What nodes in this process count as a broken invariant fails the test; one that means to break it
-    empties the list.
+    """Fail a test in which a node of this process counts an invariant violation.
+
+    A test that causes a violation on purpose checks the list and clears it.
     """
     broken: list[str] = []
     Counters.watchers.append(broken.append)
@@ -88,14 +91,14 @@
 
 
 class NoSuchTest(pytest.Item):
-    """Fails in the place of a test that is listed and isn't there."""
+    """Fails in place of a listed test that does not exist."""
 
     def runtest(self) -> None:
-        pytest.fail(f"{NAME}: {self.name} names no test", pytrace=False)
+        pytest.fail(f"{FILE_NAME}: {self.name} names no test", pytrace=False)
 
 
 def _plain_tracebacks() -> None:
-    """Log like a node does: a traceback with all locals takes a second in which the loop stands still."""
+    """Log plain tracebacks, as a node does: formatting all local variables blocks the event loop for a second."""
     processors = structlog.get_config()["processors"]
     console = structlog.dev.ConsoleRenderer(colors=False, exception_formatter=structlog.dev.plain_traceback)
     structlog.configure(processors=[*processors[:-1], console])
@@ -111,7 +114,7 @@
     files = {nodeid.partition("::")[0] for nodeid in collected}
     chosen = any(
         "::" in arg for arg in config.args
-    )  # Single tests were asked for: others of their file aren't collected.
+    )  # With single tests selected, the others of their file are not collected.
     for test, known in known_red(config.rootpath).items():
         file = test.partition("::")[0]
         if not known.is_test:
@@ -126,7 +129,7 @@
 def pytest_runtest_makereport(
     item: pytest.Item, call: pytest.CallInfo[None]
 ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Let a listed test fail by the failure that its entry names, and by no other."""
+    """Let a listed test fail with the failure that its entry names, and with no other."""
     report = yield
     known = item.stash.get(_KNOWN, None)
     if known and report.when == "call":
@@ -139,13 +142,13 @@
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
     known = known_red(config.rootpath)
-    for outcome, says in (
+    for outcome, label in (
         ("xfailed", "KNOWN RED, fails"),
         ("xpassed", "KNOWN RED, passes: ready to be taken out"),
     ):
         for report in terminalreporter.stats.get(outcome, []):
-            if one := known.get(report.nodeid):
-                terminalreporter.write_line(f"{says}: {one}")
-    for one in known.values():
-        if not one.is_test:
-            terminalreporter.write_line(f"KNOWN RED, not played here: {one}")
+            if entry := known.get(report.nodeid):
+                terminalreporter.write_line(f"{label}: {entry}")
+    for entry in known.values():
+        if not entry.is_test:
+            terminalreporter.write_line(f"KNOWN RED, not played here: {entry}")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small world for tests of the decision module: settings, servers and events, made by hand."""
+"""Settings, endpoint lists and events for tests of the router."""
 
 from __future__ import annotations
 
@@ -91,7 +91,7 @@
 
 @dataclass
 class World:
-    """One router with a clock, and what it has been told and has said."""
+    """One router with a clock, the actions that it has returned, and the attempt number of each request."""
 
     router: Router
     now: int = 100 * S
--- a/tests/json_values.py
+++ b/tests/json_values.py
@@ -1,4 +1,4 @@
-"""Values that JSON allows and that readers tend not to expect, for property tests."""
+"""Values that JSON allows but that parsers often do not expect, for property tests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 __all__ = ["NESTED_DEEPLY", "any_json"]
 
 BEYOND_FLOATS = int("1" + "0" * 400)
-"""A whole number that no float holds."""
+"""An integer that is too large for a float."""
 
 
 def _nested(depth: int) -> Any:
@@ -20,10 +20,10 @@
 
 
 NESTED_DEEPLY = _nested(5_000)
-"""Deeper than Python compares or prints."""
+"""Nested too deeply for Python to compare or print."""
 
 _UNPRINTABLE = {"5,000 digits": 10**5_000, "nested deeply": NESTED_DEEPLY}
-"""By a name, since the test runner prints the values that it draws from."""
+"""Strategies draw the names, because the test runner prints the values that it draws from."""
 
 
 def _unprintable(name: str) -> Any:
@@ -68,4 +68,4 @@
         max_leaves=5,
     )
 )
-"""Any value, hostile ones often."""
+"""Any JSON value; hostile ones are drawn often."""
--- a/tests/tcp_state.py
+++ b/tests/tcp_state.py
@@ -1,6 +1,4 @@
-"""What the kernel holds between the TCP sockets of one process: bytes, connections and ends that have not
-arrived yet.
-"""
+"""Detects bytes and connections in transit in the kernel between the TCP sockets of one process."""
 
 from __future__ import annotations
 
@@ -10,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ["anything_on_its_way"]
+__all__ = ["has_data_in_transit"]
 
 # Offsets in Linux's struct tcp_info.
 _STATE, _BYTES_RECEIVED, _BYTES_SENT, _BYTES_RETRANSMITTED = 0, 128, 200, 208
@@ -19,64 +17,77 @@
 
 
 @dataclass(frozen=True)
-class _End:
-    """One end of a connection, or a listener."""
+class _SocketState:
+    """State of one socket: an end of a connection, or a listener."""
 
     state: int
     sent: int = 0
     received: int = 0
 
 
-def anything_on_its_way(descriptors: Iterable[int]) -> bool:
-    """Whether something that one of these sockets did has not arrived at the other end yet, as far as both
-    are among them. The end of a connection can't be told so.
+def has_data_in_transit(descriptors: Iterable[int]) -> bool:
+    """Whether bytes or a connection attempt of one of these sockets have not arrived at the other end yet.
+
+    Only connections with both ends among the sockets count. The close of a connection is not detected.
     """
-    ends: dict[tuple[Any, Any], _End] = {}
+    ends: dict[tuple[Any, Any], _SocketState] = {}
     listeners: set[Any] = set()
     for descriptor in descriptors:
-        if found := _look(descriptor):
-            local, peer, end = found
-            if end.state == _LISTEN:
+        if found := _socket_state(descriptor):
+            local, peer, own = found
+            if own.state == _LISTEN:
                 listeners.add(local)
             else:
-                ends[local, peer] = end
+                ends[local, peer] = own
     return any(
-        _on_its_way(end, ends.get((peer, local)), peer in listeners) for (local, peer), end in ends.items()
+        _is_in_transit(own, ends.get((peer, local)), peer in listeners) for (local, peer), own in ends.items()
     )
 
 
-def _on_its_way(end: _End, other: _End | None, peer_listens: bool) -> bool:
-    if end.state == _SYN_SENT:
+def _is_in_transit(own: _SocketState, other: _SocketState | None, peer_listens: bool) -> bool:
+    if own.state == _SYN_SENT:
         return peer_listens
     if other is None:
         return False
-    return end.sent > other.received
+    return own.sent > other.received
 
 
-def _look(descriptor: int) -> tuple[Any, Any, _End] | None:
-    """A socket's addresses and state; None where it is no TCP socket with addresses."""
+def _socket_state(descriptor: int) -> tuple[Any, Any, _SocketState] | None:
+    """Return the local address, peer address and state of a socket; None if it is not a usable TCP socket."""
     try:
-        one = socket.socket(fileno=descriptor)
+        sock = socket.socket(fileno=descriptor)
     except OSError:
         return None
     try:
-        if one.family != socket.AF_INET or one.type != socket.SOCK_STREAM:
+        if sock.family != socket.AF_INET or sock.type != socket.SOCK_STREAM:
             return None
-        info = one.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_SIZE)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_SIZE)
         state = info[_STATE]
-        local = one.getsockname()
-        peer = None if state == _LISTEN else one.getpeername() if state != _SYN_SENT else _dialled(one)
-        sent, again = (struct.unpack_from("<Q", info, at)[0] for at in (_BYTES_SENT, _BYTES_RETRANSMITTED))
-        return local, peer, _End(state, sent - again, struct.unpack_from("<Q", info, _BYTES_RECEIVED)[0])
+        local = sock.getsockname()
+        peer = (
+            None
+            if state == _LISTEN
+            else sock.getpeername()
+            if state != _SYN_SENT
+            else _peer_while_connecting(sock)
+        )
+        sent, retransmitted = (
+            struct.unpack_from("<Q", info, at)[0] for at in (_BYTES_SENT, _BYTES_RETRANSMITTED)
+        )
+        return (
+            local,
+            peer,
+            _SocketState(state, sent - retransmitted, struct.unpack_from("<Q", info, _BYTES_RECEIVED)[0]),
+        )
     except OSError:
         return None
     finally:
-        one.detach()
+        sock.detach()
 
 
-def _dialled(one: socket.socket) -> Any:
-    """Whom a socket dials whose connection isn't up."""
+def _peer_while_connecting(sock: socket.socket) -> Any:
+    """Return the address that a socket is connecting to, or None if it is not known."""
     try:
-        return one.getpeername()
+        return sock.getpeername()
     except OSError:
         return None
--- a/tests/test_bills_path.py
+++ b/tests/test_bills_path.py
@@ -1,5 +1,6 @@
-"""Budgets and bills on real sockets: against what the stand-in engines wrote, through faults, retries,
-resumes and kills.
+"""Token budgets and bills on real sockets, compared with the tokens that the simulated engines wrote.
+
+The tests include faults, retries, resumed streams and killed nodes.
 """
 
 from __future__ import annotations
@@ -31,8 +32,8 @@
     return f'billing {{ ledger: "{path}" {PRICES} {more} }}'
 
 
-def written(w: World) -> dict[str, int]:
-    """Tokens that engines say they wrote, by tenant."""
+def tokens_written(w: World) -> dict[str, int]:
+    """Return the tokens that the engines wrote according to their logs, by tenant."""
     found: dict[str, int] = defaultdict(int)
     works = {work.request_id: work for e in w.engines.values() for _, work, _ in e.moved}
     for row in w.seen():
@@ -42,15 +43,15 @@
     return dict(found)
 
 
-def test_bills_are_what_the_engines_wrote_to_within_a_request_through_faults_and_leavers(
+def test_bills_match_the_tokens_written_within_one_request_despite_faults_and_disconnects(
     tmp_path: Path,
 ) -> None:
     seen: dict[str, int] = {}
-    most = 0
-    again_asked: set[str] = set()
+    longest_answer = 0
+    resumed_works: set[str] = set()
 
     async def go() -> None:
-        nonlocal most
+        nonlocal longest_answer
         async with world(
             settings=billing(tmp_path / "l"), model="answer_least: 20 answer_most: 40 step_ms: 3"
         ) as w:
@@ -66,7 +67,7 @@
                     one.call.cancel()
             for one in asked:
                 await one.wait()
-            # Broken ones are resumed: an engine writes only what is missing, and the work stays one.
+            # Broken streams are resumed: an engine writes only the missing tokens, and the bill is the same.
             for name in ("w0", "w1"):
                 w.engines[name].apply(lab_pb2.Trouble())
             for n, one in enumerate(asked):
@@ -82,8 +83,8 @@
                         repeat=True,
                     )
                     assert (await again.wait()).status.code is Code.OK
-                    again_asked.add(f"w{n}")
-            # And one that was served is asked for once more.
+                    resumed_works.add(f"w{n}")
+            # A request that was served is sent once more.
             served = next(n for n, one in enumerate(asked) if one.end.status.code is Code.OK)
             twice = w.ask(
                 tenant=("north", "south")[served % 2],
@@ -93,25 +94,27 @@
             )
             assert (await twice.wait()).status.code is Code.OK
             await until(lambda: not w.node.table.open)
-            seen.update(written(w))
+            seen.update(tokens_written(w))
             seen[("north", "south")[served % 2]] -= len(twice.tokens)
-            most = max(len(one.tokens) for one in asked)
+            longest_answer = max(len(one.tokens) for one in asked)
 
     run(go)
     bills = compute_bills(read_parts(str(tmp_path / "l")))
     assert len(bills) == 60 and {b.tenant for b in bills} == {"north", "south"}
     for tenant in ("north", "south"):
         billed = sum(b.written for b in bills if b.tenant == tenant)
-        assert abs(billed - seen[tenant]) <= most, (tenant, billed, seen)  # leavers: what was on its way
+        # The difference is the tokens in transit to clients that disconnect.
+        assert abs(billed - seen[tenant]) <= longest_answer, (tenant, billed, seen)
     assert all(b.amount == 2 * b.read + b.kept + 10 * b.written for b in bills)
-    resumed = [b for b in bills if b.work in again_asked]  # others may have parts too, of several commits
+    # Other bills may have several parts too, one for each commit.
+    resumed = [b for b in bills if b.work in resumed_works]
     assert len(resumed) >= 3
     assert [b for b in resumed if not (b.whole and b.parts > 1)] == []
     shown = CliRunner().invoke(main, ["bills", "show", str(tmp_path / "l"), "--json"])
     assert sum(row["amount"] for row in json.loads(shown.output)) == sum(b.amount for b in bills)
     checked = CliRunner().invoke(main, ["bills", "verify", str(tmp_path / "l")])
     assert checked.exit_code == 0 and "0 problems" in checked.output
-    for _ in range(2):  # merged into another ledger, once or twice: the same bills
+    for _ in range(2):  # merging into another ledger twice does not change the bills
         merged = CliRunner().invoke(main, ["bills", "merge", str(tmp_path / "all"), str(tmp_path / "l")])
         assert merged.exit_code == 0, merged.output
         assert compute_bills(read_parts(str(tmp_path / "all"))) == bills
@@ -119,7 +122,7 @@
     assert len(exported.output.splitlines()) == 61
 
 
-def test_what_has_streamed_is_in_the_ledger_before_it_ends(tmp_path: Path) -> None:
+def test_streamed_tokens_are_in_the_ledger_before_the_stream_ends(tmp_path: Path) -> None:
     async def go() -> None:
         async with world(
             settings=billing(tmp_path / "l"), model="answer_least: 400 answer_most: 400 step_ms: 4"
@@ -129,7 +132,7 @@
             ledger = w.node.billing.recorder.ledger
             assert ledger
             await until(lambda: ledger.sequence >= 2)
-            # The file as a kill would leave it, for the next life to look at.
+            # A copy of the ledger as a killed node leaves it, to be opened by a new process.
             (tmp_path / "killed").mkdir()
             ledger.env.copy(str(tmp_path / "killed"))
             assert one.call
@@ -150,12 +153,12 @@
 billing { lend: false kept_weight: 0 written_weight: 1 }"""
 
 
-def test_over_budget_is_refused_with_the_true_time_or_served_at_a_lower_worth(
+def test_over_budget_requests_are_rejected_with_the_retry_time_or_served_at_lower_priority(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def go() -> None:
         async with world(settings=BUDGET) as w:
-            await asyncio.sleep(1.1)  # turns that come after the start
+            await asyncio.sleep(1.1)  # only grants issued after the start are usable
             asked = [w.ask(tenant="small", request_class="strict", max_tokens=20) for _ in range(10)]
             ends = [await one.wait() for one in asked]
             refused = [e for e in ends if e.status.code is Code.UNAVAILABLE]
@@ -165,8 +168,8 @@
             assert (
                 await w.ask(tenant="small", request_class="strict", max_tokens=20).wait()
             ).status.code is Code.OK
-            # Another class of the same tenant is served while there is room, though over budget; others don't
-            # notice.
+            # Another class of the same tenant is served over budget while there is capacity; other tenants are
+            # not affected.
             for tenant in ("small", "rich"):
                 asked = [w.ask(tenant=tenant, max_tokens=20) for _ in range(8)]
                 assert {(await one.wait()).status.code for one in asked} == {Code.OK}
@@ -183,7 +186,7 @@
 
 
 @pytest.mark.parametrize("when", ["SERVE", "REFUSE_ALL"])
-def test_a_full_ledger_refuses_or_serves_as_it_is_set_and_says_so(tmp_path: Path, when: str) -> None:
+def test_a_full_ledger_rejects_or_serves_as_configured(tmp_path: Path, when: str) -> None:
     async def go() -> None:
         async with world(settings=billing(tmp_path / "l", f"when_full: {when}")) as w:
             assert (await w.ask(work="one").wait()).status.code is Code.OK
@@ -208,7 +211,7 @@
     assert works == ({"one", "two", "three"} if when == "SERVE" else {"one", "three"})
 
 
-def test_a_days_use_counts_on_after_a_restart(tmp_path: Path) -> None:
+def test_the_usage_of_a_daily_budget_survives_a_restart(tmp_path: Path) -> None:
     day = (
         billing(tmp_path / "l", "spread: 1")
         + """tenant { name: "small" share: 0 quota_per_s: 100
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""Only `rpc/clock.py` reads a clock that can be stepped; everything else counts on monotonic time."""
+"""Only `rpc/clock.py` reads the wall clock, which can be stepped; everything else uses monotonic time."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 PACKAGE = Path(__file__).resolve().parents[1] / "tuliptrack"
 STEPPED = {"time", "time_ns", "localtime", "gmtime", "now", "utcnow", "today"}
-LAB = PACKAGE / "lab"  # plays the platform, whose lists tell wall times
+LAB = PACKAGE / "lab"  # simulates the platform, whose endpoint lists contain wall-clock times
 ALLOWED = {PACKAGE / "rpc" / "clock.py"}
 
 
 def readings(source: str) -> list[int]:
-    """Lines that read the wall clock."""
+    """Return the numbers of the lines that read the wall clock."""
     found = []
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Attribute) and node.attr in STEPPED:
@@ -55,5 +55,5 @@
         "from datetime import datetime\nx = datetime.now()",
     ],
 )
-def test_a_reading_is_found(source: str) -> None:
+def test_a_wall_clock_reading_is_found(source: str) -> None:
     assert readings(source)
--- a/tests/test_full_path.py
+++ b/tests/test_full_path.py
@@ -1,4 +1,4 @@
-"""The whole path on real sockets: client, node, stand-in engines. What was seen on the sockets is judged."""
+"""The full path on real sockets: client, node and simulated engines, checked at the sockets."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 def test_answers_stream_token_by_token_and_end_once() -> None:
-    """Of a class with a long aim: one process plays all parts, and its own slowness must not look like a
-    queue.
+    """The class has a long latency objective: one process runs client, node and engines, and its own delays must
+    not count as a queue.
     """
 
     async def go() -> None:
@@ -33,7 +33,7 @@
     run(go, virtual=True)
 
 
-def test_a_client_that_leaves_in_mid_stream_ends_the_engines_stream_and_no_other() -> None:
+def test_a_disconnect_in_mid_stream_ends_the_engines_stream_and_no_other() -> None:
     async def go() -> None:
         async with world(model="answer_least: 200 answer_most: 200 step_ms: 5") as w:
             leaver, stayer = w.ask(), w.ask()
@@ -49,7 +49,7 @@
     run(go, virtual=True)
 
 
-def test_a_client_that_leaves_while_its_prompt_is_read_leaves_nothing_pinned() -> None:
+def test_a_disconnect_during_the_prefill_leaves_no_kv_state_reserved() -> None:
     async def go() -> None:
         async with world(model="read_per_s: 2000") as w:
             leaver = w.ask()
@@ -64,7 +64,7 @@
     run(go, virtual=True)
 
 
-def test_a_slow_client_stops_its_own_stream_and_no_other_on_the_same_connection() -> None:
+def test_a_slow_client_pauses_its_own_stream_and_no_other_on_the_same_connection() -> None:
     async def go() -> None:
         async with world(
             model="answer_least: 20000 answer_most: 20000 step_ms: 0.2 per_answer_ms: 0",
@@ -81,7 +81,7 @@
             quick.check_tokens()
             await until(lambda: any(j.unread for e in w.engines.values() for j in e.writing))
             call = next(c for link in w.node.server.links for c in link.calls.values())
-            # What waits at the node is bounded: its own bound and one window of the engine's stream.
+            # The bytes that wait at the node are bounded by its limit and one window of the engine's stream.
             assert call.link.core.pending(call.stream) < 4096 + 65_535 + 16_384
             had = len(slow.tokens)
             slow.call.resume()
@@ -93,7 +93,7 @@
     run(go)
 
 
-def test_a_stream_that_breaks_is_told_and_resumes_without_a_token_twice_or_missing() -> None:
+def test_a_broken_stream_is_reported_and_resumed_without_repeated_or_missing_tokens() -> None:
     async def go() -> None:
         async with world(model="answer_least: 30 answer_most: 30") as w:
             for name in ("w0", "w1"):
@@ -123,14 +123,14 @@
                 engine.apply(lab_pb2.Trouble(lose_before=1.0))
             one = w.ask(timeout=1.5)
             end = await one.wait()
-            # The node's own answer, not the client's timer: it has the node's words in it.
+            # The message shows that this is the node's answer, not the client's own time-out.
             assert (end.status.code, end.how.value) == (Code.DEADLINE_EXCEEDED, "status")
             assert end.status.message.startswith("failed")
 
     run(go, virtual=True)
 
 
-def test_shutdown_lets_open_streams_end_and_turns_new_ones_away() -> None:
+def test_shutdown_completes_open_streams_and_rejects_new_ones() -> None:
     async def go() -> None:
         async with world(model="answer_least: 100 answer_most: 100 step_ms: 5") as w:
             first = w.ask()
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Hard cases of the running node, each caused on purpose, judged by what engines and clients saw."""
+"""Rare cases of a running node, each provoked, checked by what the engines and clients see."""
 
 from __future__ import annotations
 
@@ -21,23 +21,25 @@
 LONG = "answer_least: 150 answer_most: 150 step_ms: 5"
 
 
-def states(w: World) -> int:
+def kv_state_count(w: World) -> int:
     return sum(len(e.states) for e in w.engines.values())
 
 
-def test_a_client_that_leaves_while_its_state_waits_for_a_writer_lets_it_go() -> None:
+def test_a_disconnect_before_decode_starts_releases_the_kv_state() -> None:
     async def go() -> None:
         async with world("r0 w0") as w:
             w.engines["w0"].apply(lab_pb2.Trouble(pause_ms=5000))
-            w.engines["w0"].m["slots"] = 0  # It waits in the writer's queue; its state, at the reader.
+            w.engines["w0"].m["slots"] = (
+                0  # It waits in the decode engine's queue; its KV state is held by the prefill engine.
+            )
             one = w.ask()
             await until(lambda: w.seen("call", kind="write"))
-            assert states(w) == 1 and one.call
-            left = now_us()
+            assert kv_state_count(w) == 1 and one.call
+            disconnected_at = now_us()
             one.call.cancel()
             await until(lambda: w.seen("let go"))
             assert w.seen("let go")[0]["why"] == "released"
-            assert w.seen("let go")[0]["t"] - left < 300_000
+            assert w.seen("let go")[0]["t"] - disconnected_at < 300_000
             await until(lambda: not w.node.table.open)
 
     run(go, virtual=True)
@@ -48,28 +50,30 @@
         async with world(model="answer_least: 3 answer_most: 3 step_ms: 1") as w:
             asked = [w.ask(request_class="bulk") for _ in range(30)]
 
-            def leave_at_the_end(one: object) -> None:
+            def cancel_finished() -> None:
                 for a in asked:
                     if a.call and a.call.open and a.tokens and a.tokens[-1].finish_reason:
                         a.call.cancel()
 
             while not all(a.ends for a in asked):
-                leave_at_the_end(None)
+                cancel_finished()
                 await asyncio.sleep(0)
             assert {a.end.how for a in asked} <= {How.STATUS, How.CANCELLED}
             await until(lambda: not w.node.table.open)
             ends = w.node.table.end_counts
-            assert ends[RequestState.SERVED] + ends[RequestState.DISCONNECTED] == 30 and states(w) == 0
+            assert (
+                ends[RequestState.SERVED] + ends[RequestState.DISCONNECTED] == 30 and kv_state_count(w) == 0
+            )
 
     run(go, virtual=True)
 
 
-def test_a_reader_that_dies_with_states_waiting_has_them_read_anew_elsewhere() -> None:
+def test_kv_states_lost_with_a_prefill_engine_are_prefilled_again_elsewhere() -> None:
     async def go() -> None:
         async with world("r0 r1 w0", settings="routing { max_attempts: 8 }") as w:
             w.engines["w0"].m["slots"] = 0
             asked = [w.ask(session=f"s{n}", timeout=8) for n in range(12)]
-            await until(lambda: states(w) == 12)
+            await until(lambda: kv_state_count(w) == 12)
             dead = "r0" if w.engines["r0"].states else "r1"
             lost = len(w.engines[dead].states)
             assert lost
@@ -84,7 +88,7 @@
     run(go, virtual=True)
 
 
-def test_a_deadline_between_read_and_write_is_answered_in_time_and_lets_the_state_go() -> None:
+def test_a_deadline_between_prefill_and_decode_is_answered_in_time_and_releases_the_kv_state() -> None:
     async def go() -> None:
         async with world("r0 w0") as w:
             w.engines["w0"].m["slots"] = 0
@@ -97,7 +101,7 @@
     run(go, virtual=True)
 
 
-def test_an_engine_that_goes_away_gracefully_ends_its_open_streams_first() -> None:
+def test_an_engine_that_shuts_down_gracefully_completes_its_open_streams() -> None:
     async def go() -> None:
         async with world("r0 w0 w1", model=LONG) as w:
             asked = [w.ask() for _ in range(6)]
@@ -114,7 +118,7 @@
     run(go, virtual=True)
 
 
-def test_a_stream_runs_on_where_the_list_says_its_engine_is_gone() -> None:
+def test_a_stream_continues_after_its_engine_is_removed_from_the_list() -> None:
     async def go() -> None:
         async with world("r0 w0 w1", model=LONG) as w:
             one = w.ask()
@@ -127,12 +131,12 @@
                 assert (await each.wait()).status.code is Code.OK
                 each.check_tokens()
             assert len(w.seen("call", kind="write", engine=name)) == 1
-            await until(lambda: not w.node.channels._retired)  # its channel ends once the stream has
+            await until(lambda: not w.node.channels._retired)  # its channel closes after the stream has ended
 
     run(go, virtual=True)
 
 
-def test_an_engine_that_starts_again_at_its_address_is_reached_anew() -> None:
+def test_an_engine_restarted_at_its_address_is_connected_to_again() -> None:
     async def go() -> None:
         async with world("r0 w0") as w:
             assert (await w.ask().wait()).status.code is Code.OK
@@ -154,12 +158,12 @@
     run(go, virtual=True)
 
 
-def test_a_peer_that_falls_silent_is_found_by_keepalive_and_ends_its_calls() -> None:
+def test_keepalive_detects_a_silent_peer_and_ends_its_calls() -> None:
     async def go() -> None:
         writers: list[asyncio.StreamWriter] = []
 
         async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            writers.append(writer)  # It accepts, reads nothing, says nothing.
+            writers.append(writer)  # It accepts the connection, but neither reads nor writes.
 
         server = await asyncio.start_server(silent, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
@@ -181,7 +185,7 @@
     run(go, virtual=True)
 
 
-def test_messages_behind_our_reset_are_dropped_and_the_connection_goes_on() -> None:
+def test_messages_after_a_local_reset_are_dropped_and_the_connection_stays_open() -> None:
     client, server = Core(True), Core(False)
 
     def exchange() -> list[object]:
@@ -192,7 +196,7 @@
     exchange()
     server.send(one, b"late" * 100)
     server.send(two, b"fine")
-    client.reset(one)  # crosses what the server sends
+    client.reset(one)  # crosses the server's message
     seen = exchange()
     assert [e.data for e in seen if hasattr(e, "data")] == [b"fine"]
     assert not client.dead and list(client.calls) == [two]
@@ -201,7 +205,7 @@
 
 
 @pytest.mark.parametrize(
-    "garbage",
+    "malformed",
     [
         b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
         b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03" + b"\0" * 64,
@@ -210,17 +214,17 @@
         b"",
     ],
 )
-def test_broken_http2_ends_its_own_connection_and_disturbs_no_other(garbage: bytes) -> None:
+def test_malformed_http2_closes_its_own_connection_and_affects_no_other(malformed: bytes) -> None:
     async def go() -> None:
         async with world("r0 w0", model=LONG) as w:
             neighbour = w.ask()
             await until(lambda: neighbour.tokens)
             host, port = w.address.split(":")
             reader, writer = await asyncio.open_connection(host, int(port))
-            writer.write(garbage)
-            if not garbage:
+            writer.write(malformed)
+            if not malformed:
                 writer.write_eof()
-            await asyncio.wait_for(reader.read(-1), 5)  # The node ends it.
+            await asyncio.wait_for(reader.read(-1), 5)  # The node closes the connection.
             writer.close()
             await until(lambda: len(w.node.server.links) == 1)
             assert (await neighbour.wait()).status.code is Code.OK
@@ -229,7 +233,7 @@
     run(go, virtual=True)
 
 
-def test_calls_opened_and_reset_in_a_loop_cost_their_own_connection_only() -> None:
+def test_calls_opened_and_reset_in_a_loop_affect_only_their_own_connection() -> None:
     async def go() -> None:
         async with world("r0 w0", model=LONG) as w:
             neighbour = w.ask()
@@ -252,7 +256,7 @@
     run(go, virtual=True)
 
 
-def test_a_malformed_load_report_is_left_out_and_the_answer_served(
+def test_a_malformed_load_report_is_ignored_and_the_answer_is_served(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def go() -> None:
@@ -261,13 +265,13 @@
                 engine.report = (now_us() + 60_000_000, b"\xff\xff\xff")
             one = w.ask()
             assert (await one.wait()).status.code is Code.OK
-            assert all(seat.reported_at_us == 0 for seat in w.node.router.endpoints.values())
+            assert all(endpoint.reported_at_us == 0 for endpoint in w.node.router.endpoints.values())
 
     run(go, virtual=True)
     assert "load report not taken" in capsys.readouterr().out
 
 
-def test_a_malformed_entry_of_a_list_is_left_out_and_the_others_hold(
+def test_a_malformed_list_entry_is_ignored_and_the_others_are_applied(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def go() -> None:
@@ -280,7 +284,7 @@
             await until(lambda: w.node.endpoint_list.version == 99)
             assert (await w.ask().wait()).status.code is Code.OK
             entries = w.node.endpoint_list.entries
-            assert sorted(entries) == sorted(one.id for one in servers if one is not bad)
+            assert sorted(entries) == sorted(server.id for server in servers if server is not bad)
             assert w.node.router.endpoints[draining.id].info.state is EndpointState.DRAINING
 
     run(go, virtual=True)
@@ -293,7 +297,7 @@
             asked = [w.ask(timeout=20) for _ in range(60)]
             await until(
                 lambda: sum(bool(a.tokens) for a in asked) >= 10
-            )  # Of those that came at once some are refused.
+            )  # Some of the simultaneous requests are rejected.
             doubtful = [w.ask(request_class="order") for _ in range(4)]
             for name in ("w0", "w1"):
                 w.engines[name].apply(lab_pb2.Trouble(pause_ms=5000))
@@ -306,19 +310,19 @@
                 if r.state is RequestState.DECODING and r.client_request.request_class == "order"
             }
             await w.node.stop(0.1)
-            for one in doubtful:  # What may have run is not called harmless.
+            for one in doubtful:  # A request that may have been executed is not reported as safe to retry.
                 assert (await one.wait()).status.code is (
                     Code.UNKNOWN if one.prompt in writing else Code.UNAVAILABLE
                 )
             for one in asked:
                 end = await one.wait()
                 one.check_tokens()
-                # Every answer is the node's own: served, resumable, or refused with advice.
+                # Every answer comes from the node: served, resumable, or rejected with retry advice.
                 assert end.how is How.STATUS and end.status.code in (Code.OK, Code.ABORTED, Code.UNAVAILABLE)
                 assert end.status.code is Code.OK or end.status.parsed()
                 assert bool(one.tokens) == (end.status.code is not Code.UNAVAILABLE)
             assert w.node.server.open_calls() == 0 and not w.node.table.open
-            await until(lambda: states(w) == 0 and not any(e.jobs for e in w.engines.values()))
+            await until(lambda: kv_state_count(w) == 0 and not any(e.jobs for e in w.engines.values()))
 
     run(go, virtual=True)
 
@@ -336,7 +340,7 @@
     assert all(TRANSITIONS[state] & cut_short for state in RequestState if TRANSITIONS[state])
 
 
-def test_the_last_list_is_kept_for_a_restart_without_its_feed() -> None:
+def test_the_cached_list_is_used_after_a_restart_without_a_feed() -> None:
     async def go() -> None:
         async with world("r0 w0") as w:
             await until(lambda: w.node.list_cache.task is not None and w.node.list_cache.task.done())
@@ -354,7 +358,7 @@
     run(go, virtual=True)
 
 
-def test_a_client_that_never_reads_its_answer_is_ended_after_the_time_allowed() -> None:
+def test_the_call_of_a_client_that_never_reads_its_answer_ends_after_the_stall_limit() -> None:
     async def go() -> None:
         model = "answer_least: 20000 answer_most: 20000 step_ms: 0.2 per_answer_ms: 0"
         async with world(
@@ -374,7 +378,7 @@
     run(go)
 
 
-def test_an_engine_that_goes_silent_in_mid_stream_is_given_up_after_the_time_allowed() -> None:
+def test_a_stream_from_an_engine_that_falls_silent_ends_after_the_silence_limit() -> None:
     async def go() -> None:
         async with world("r0 w0", model=LONG, settings="engines { token_silence_ms: 400 }") as w:
             one = w.ask(timeout=20)
@@ -388,16 +392,16 @@
     run(go, virtual=True)
 
 
-def test_a_stream_whose_last_token_came_is_served_though_its_engine_dies_before_the_status() -> None:
+def test_a_stream_with_its_last_token_counts_as_served_if_the_engine_fails_before_the_status() -> None:
     async def go() -> None:
         async with world("r0 w0") as w:
             engine = w.engines["w0"]
 
-            def die(job: Any, status: object) -> None:
+            def reset_instead(job: Any, status: object) -> None:
                 engine._off(job)
-                asyncio.get_running_loop().call_later(0.05, job.call.reset)  # once the last token has gone
+                asyncio.get_running_loop().call_later(0.05, job.call.reset)  # after the last token was sent
 
-            engine._finish = die  # type: ignore[method-assign]
+            engine._finish = reset_instead  # type: ignore[method-assign]
             one = w.ask()
             assert (await one.wait()).status.code is Code.OK
             one.check_tokens()
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -1,4 +1,4 @@
-"""Limits of the decision module, and the README's example run as it stands."""
+"""Size limits of the decision modules, and a run of the README's example."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 POLICY = [ROOT / name for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]]
 
 
-def test_policy_names_every_module_that_decides_and_the_first_its_interface() -> None:
+def test_the_policy_lists_every_decision_module_and_the_first_names_its_interface() -> None:
     modules = [
         path
         for folder in ("decisions", "routing", "state")
@@ -25,9 +25,9 @@
     assert "`tuliptrack.interface`" in "\n".join(ROUTER.read_text().splitlines()[:5])
 
 
-def test_no_module_that_decides_grows_large_or_has_lines_past_what_ruff_allows() -> None:
-    """The users have lifted their limit on all lines together; each module stays one that can be read in a
-    sitting.
+def test_decision_modules_stay_small_and_within_the_line_length() -> None:
+    """The users no longer limit the total number of lines, but each module must stay short enough to read at
+    once.
     """
     for path in POLICY:
         lines = path.read_text().splitlines()
@@ -36,8 +36,8 @@
             assert len(line) <= 110, f"{path.name}:{number}"
 
 
-def test_every_constant_of_a_routing_module_is_documented_or_says_its_unit() -> None:
-    """A constant is explained by the string below it, its block's last string, or a name that tells all."""
+def test_every_constant_of_a_routing_module_is_documented() -> None:
+    """The documentation is a string below the constant or at the end of its block of constants."""
     found = 0
     for path in sorted((ROOT / "tuliptrack" / "routing").glob("*.py")):
         lines = path.read_text().splitlines()
@@ -52,7 +52,7 @@
     assert found > 30
 
 
-def test_the_readme_example_runs_as_it_stands() -> None:
+def test_the_readme_example_runs_unchanged() -> None:
     code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.DOTALL)
     assert code
     done = subprocess.run([sys.executable, "-c", code.group(1)], capture_output=True, text=True, cwd=ROOT)
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -1,6 +1,4 @@
-"""Each of the five rules on real sockets: kept by the node as it is, and seen to break once its guard is
-taken out.
-"""
+"""Each rule on real sockets: the node keeps it, and breaks it when the code that enforces it is disabled."""
 
 from __future__ import annotations
 
@@ -24,8 +22,8 @@
 from tuliptrack.rpc.clock import now_us
 from tuliptrack.rpc.status import Code, Status
 
-Trouble = Callable[[World], Any]
-Break = Callable[[World, pytest.MonkeyPatch], None]
+Fault = Callable[[World], Any]
+GuardRemoval = Callable[[World, pytest.MonkeyPatch], None]
 
 
 def day(per_s: float = 25, seconds: float = 2.0, **load: Any) -> lab_pb2.Scenario:
@@ -43,51 +41,51 @@
     return scenario
 
 
-async def play(w: World, scenario: lab_pb2.Scenario, trouble: Trouble) -> dict[str, Any]:
-    """Clients and a trouble against the node of this world; the judge's verdict."""
+async def play(w: World, scenario: lab_pb2.Scenario, fault: Fault) -> dict[str, Any]:
+    """Run clients and a fault against the node of this world; return the judge's verdict."""
     config: NodeConfig = w.node.config
-    told: list[dict[str, Any]] = [
+    list_events: list[dict[str, Any]] = [
         {"t": now_us(), "what": "entry", "id": str(n), "engine": name} for n, name in enumerate(w.engines, 1)
     ]
-    w.feed.note = lambda what, **facts: told.append({"t": now_us(), "what": what, **facts})
+    w.feed.note = lambda what, **facts: list_events.append({"t": now_us(), "what": what, **facts})
     life = Life("node-0", w.node.instance, now_us() - 1)
     classes = {c.name: c for c in config.settings.classes}
     client = Client([w.channel], classes)
-    coming = sorted(arrivals(scenario, 3), key=lambda a: a.at)
+    planned_arrivals = sorted(arrivals(scenario, 3), key=lambda a: a.at)
     begin = time.monotonic()
-    happening = asyncio.ensure_future(trouble(w))
+    fault_task = asyncio.ensure_future(fault(w))
 
-    async def one(arrival: Any) -> None:
+    async def play_arrival(arrival: Any) -> None:
         await asyncio.sleep(max(begin + arrival.at - time.monotonic(), 0))
         await client.play(arrival)
 
-    await asyncio.gather(*(one(a) for a in coming))
-    await happening
-    await asyncio.sleep(0.8)  # past the times that the rules allow, so that what is overdue shows
-    return judge(Traffic(coming, w.seen(), told, [life], classes, end=now_us()))
+    await asyncio.gather(*(play_arrival(a) for a in planned_arrivals))
+    await fault_task
+    await asyncio.sleep(0.8)  # longer than the rules allow, so that overdue actions are detected
+    return judge(Traffic(planned_arrivals, w.seen(), list_events, [life], classes, end=now_us()))
 
 
-async def lost_answers(w: World) -> None:
+async def lose_half_of_the_answers(w: World) -> None:
     for name in ("r0", "r1", "w0", "w1"):
         w.engines[name].apply(lab_pb2.Trouble(lose_before=0.5))
 
 
-async def silent_reader(w: World) -> None:
+async def silence_a_prefill_engine(w: World) -> None:
     w.engines["r0"].apply(lab_pb2.Trouble(lose_before=1.0))
 
 
-async def drain(w: World) -> None:
+async def drain_a_decode_engine(w: World) -> None:
     await asyncio.sleep(0.3)
     w.feed.change(w.entry("w0", fleet_pb2.ServerEntry.DRAINING))
 
 
-async def leavers(w: World) -> None:
+async def pause_decode_engines(w: World) -> None:
     for name in ("w0", "w1"):
         w.engines[name].apply(lab_pb2.Trouble(pause_ms=2500))
 
 
-async def cold_start(w: World) -> None:
-    """Only cold writers are left: all traffic would go to them."""
+async def restart_decode_engines(w: World) -> None:
+    """Restart all decode engines, so that all of them are in slow start and would get all traffic."""
     for name in ("w0", "w1"):
         old = w.engines[name]
         address = old.server.address
@@ -98,15 +96,15 @@
     w.feed.change(*(w.entry(name, started_unix_us=started) for name in ("w0", "w1")))
 
 
-def no_timeouts(w: World, patch: pytest.MonkeyPatch) -> None:
+def disable_timeouts(w: World, patch: pytest.MonkeyPatch) -> None:
     patch.setattr(w.node.attempt_starter, "expire", lambda record, attempt: None)
 
 
-def answers_dropped(w: World, patch: pytest.MonkeyPatch) -> None:
+def drop_failures(w: World, patch: pytest.MonkeyPatch) -> None:
     patch.setitem(w.node.action_handlers, io.Fail, lambda action: None)
 
 
-def timed_out_calls_go_on(w: World, patch: pytest.MonkeyPatch) -> None:
+def keep_cancelled_calls_running(w: World, patch: pytest.MonkeyPatch) -> None:
     def cancel(self: ClientCall, how: How = How.CANCELLED) -> None:
         if self.open:
             self.ended(End(how, Status(Code.DEADLINE_EXCEEDED, how.value)))
@@ -114,19 +112,19 @@
     patch.setattr(ClientCall, "cancel", cancel)
 
 
-def drains_not_told(w: World, patch: pytest.MonkeyPatch) -> None:
+def drop_list_updates(w: World, patch: pytest.MonkeyPatch) -> None:
     patch.setattr(w.node.model_routers, "dispatch", lambda update, router: None)
 
 
-def cold_counts_as_warm(w: World, patch: pytest.MonkeyPatch) -> None:
+def treat_all_as_warm(w: World, patch: pytest.MonkeyPatch) -> None:
     patch.setattr(w.node.router.slow_start, "slot_for", lambda endpoint, request: WARM)
 
 
-def releases_dropped(w: World, patch: pytest.MonkeyPatch) -> None:
+def drop_releases(w: World, patch: pytest.MonkeyPatch) -> None:
     patch.setattr(w.node.engines, "release", lambda server, record, unsure=False: None)
 
 
-def tokens_not_counted(w: World, patch: pytest.MonkeyPatch) -> None:
+def repeat_a_token(w: World, patch: pytest.MonkeyPatch) -> None:
     for engine in w.engines.values():
         emit = engine._emit
 
@@ -140,36 +138,36 @@
     patch.setattr(grpc_engine_client, "_is_next_token", lambda record, message: True)
 
 
-COLD = (
+SLOW_START_MODEL = (
     "slots: 4 cold_from: 0.1 cold_ms: 4000 fall_window_ms: 500 answer_least: 10 answer_most: 10 step_ms: 40"
 )
-TURNS = "routing { cold_for_ms: 4000 cold_from: 0.1 fall_window_ms: 500 }"
+SLOW_START_SETTINGS = "routing { cold_for_ms: 4000 cold_from: 0.1 fall_window_ms: 500 }"
 
 
 @pytest.mark.parametrize(
-    ("rule", "trouble", "guard", "load", "model", "settings"),
+    ("rule", "fault", "guard", "load", "model", "settings"),
     [
-        (1, lost_answers, no_timeouts, {}, "", ""),
-        (1, lost_answers, answers_dropped, {}, "", ""),
-        (2, silent_reader, timed_out_calls_go_on, {"deadline_ms": 4000}, "", ""),
-        (3, drain, drains_not_told, {}, "", ""),
+        (1, lose_half_of_the_answers, disable_timeouts, {}, "", ""),
+        (1, lose_half_of_the_answers, drop_failures, {}, "", ""),
+        (2, silence_a_prefill_engine, keep_cancelled_calls_running, {"deadline_ms": 4000}, "", ""),
+        (3, drain_a_decode_engine, drop_list_updates, {}, "", ""),
         (
             4,
-            cold_start,
-            cold_counts_as_warm,
+            restart_decode_engines,
+            treat_all_as_warm,
             {"per_s": 60.0},
-            COLD,
-            TURNS,
-        ),  # two writers do 20 a second, warm
-        (5, leavers, releases_dropped, {"leave": 1.0, "leave_within_ms": 600}, "", ""),
-        (6, drain, tokens_not_counted, {}, "", ""),
+            SLOW_START_MODEL,
+            SLOW_START_SETTINGS,
+        ),  # two warm decode engines serve 20 requests per second
+        (5, pause_decode_engines, drop_releases, {"leave": 1.0, "leave_within_ms": 600}, "", ""),
+        (6, drain_a_decode_engine, repeat_a_token, {}, "", ""),
     ],
     ids=["1-times-out", "1-answers", "2", "3", "4", "5", "6"],
 )
 def test_the_rule_is_kept_and_breaks_without_its_guard(
     rule: int,
-    trouble: Trouble,
-    guard: Break,
+    fault: Fault,
+    guard: GuardRemoval,
     load: dict[str, Any],
     model: str,
     settings: str,
@@ -177,14 +175,14 @@
 ) -> None:
     verdicts: list[dict[str, Any]] = []
 
-    async def go(broken: bool) -> None:
-        # One process plays clients, node and engines: the final answers leave early enough for a slow
+    async def go(is_guard_removed: bool) -> None:
+        # One process runs clients, node and engines, so final answers are sent early enough for a slow
         # machine.
-        ahead = settings + " limits { answer_ahead_ms: 300 }"
-        async with world(model=model, settings=ahead, quota=20 if rule == 4 else 1000) as w:
-            if broken:
+        settings_with_margin = settings + " limits { answer_ahead_ms: 300 }"
+        async with world(model=model, settings=settings_with_margin, quota=20 if rule == 4 else 1000) as w:
+            if is_guard_removed:
                 guard(w, monkeypatch)
-            verdicts.append(await play(w, day(**load), trouble))
+            verdicts.append(await play(w, day(**load), fault))
 
     run(lambda: go(False))
     kept = verdicts[0]
--- a/tests/test_zones_path.py
+++ b/tests/test_zones_path.py
@@ -1,5 +1,6 @@
-"""Crossings on real sockets: the node's account against what its engines saw, by class, tenant, stage and
-pair.
+"""Cross-zone traffic on real sockets: the node's account compared with the bytes at the engines' sockets.
+
+The comparison is by request class, tenant, stage and pair of zones.
 """
 
 from __future__ import annotations
@@ -25,12 +26,13 @@
   budget { bytes_per_s: 1000000 burst_bytes: 4000000 } }"""
 
 
-def seen(
+def bytes_at_engines(
     w: World, relabelled: dict[str, tuple[int, int]] | None = None
 ) -> dict[tuple[str, str, str, str, str], int]:
-    """Bytes that crossed, as the engines' sockets saw them: class, tenant, stage, from, to. `relabelled`
-    tells of engines (readers only) how many calls they had had, and what zone, before the one that they are
-    in now.
+    """Return the cross-zone bytes at the engines' sockets by class, tenant, stage, source and target zone.
+
+    `relabelled` holds, for prefill engines whose zone has changed, the number of calls before the change and
+    the zone at that time.
     """
     names = ["here", "there", "beyond"]
     found: dict[tuple[str, str, str, str, str], int] = defaultdict(int)
@@ -62,7 +64,7 @@
     return {key: size for key, size in found.items() if size}
 
 
-def booked(w: World) -> dict[tuple[str, str, str, str, str], int]:
+def accounted_bytes(w: World) -> dict[tuple[str, str, str, str, str], int]:
     w.node.cross_zone_account.close_interval()
     found: dict[tuple[str, str, str, str, str], int] = defaultdict(int)
     for key, row in w.node.cross_zone_account.total.items():
@@ -70,23 +72,24 @@
     return dict(found)
 
 
-async def settled(w: World, relabelled: dict[str, tuple[int, int]] | None = None) -> None:
-    """Wait until the account has all that the engines saw; what it lacks is shown where that takes too
-    long.
+async def wait_for_account(w: World, relabelled: dict[str, tuple[int, int]] | None = None) -> None:
+    """Wait until the account equals the bytes at the engines' sockets; after 12 s the assertion shows the
+    difference.
     """
     with contextlib.suppress(AssertionError):
-        await until(lambda: booked(w) == seen(w, relabelled), seconds=12)
-    assert booked(w) == seen(w, relabelled)
+        await until(lambda: accounted_bytes(w) == bytes_at_engines(w, relabelled), seconds=12)
+    assert accounted_bytes(w) == bytes_at_engines(w, relabelled)
 
 
-def test_the_account_is_what_the_engines_sockets_saw_also_for_cancelled_and_broken_attempts(
+def test_the_account_matches_the_engines_sockets_also_for_cancelled_and_broken_attempts(
     tmp_path: Path,
 ) -> None:
     report = tmp_path / "zones.jsonl"
     settings = BUDGET.replace("report_every_ms", f'report: "{report}" report_every_ms')
 
     async def go() -> None:
-        # Readers only there, writers only here and beyond: each prompt and each state must cross.
+        # No prefill engine is in the node's zone: each prompt crosses zones, and so does each KV state unless
+        # both of its engines are in 'beyond'.
         async with world("r1 r2 w0 w2", settings=settings, zones=ZONES, model="step_ms: 3") as w:
             for name in ("w0", "w2"):
                 w.engines[name].apply(lab_pb2.Trouble(lose_after=0.3, lose_after_tokens=4))
@@ -103,8 +106,8 @@
             ends = [(await one.wait()).status.code for one in asked]
             assert {Code.OK, Code.ABORTED, Code.CANCELLED} <= set(ends)
             await until(lambda: not w.node.table.open)
-            await settled(w)
-            assert any(key[2] == "state" for key in seen(w)) and len(seen(w)) > 8
+            await wait_for_account(w)
+            assert any(key[2] == "state" for key in bytes_at_engines(w)) and len(bytes_at_engines(w)) > 8
             causes = {key.cause for key in w.node.cross_zone_account.total}
             assert causes <= {"budget", "forced", "retry"} and "forced" in causes
             assert all(not b.reservations for b in [w.node.router.locality.budgets] if b)
@@ -121,10 +124,10 @@
     assert (tmp_path / "p.png").read_bytes().startswith(b"\x89PNG")
 
 
-def test_the_budget_of_each_class_holds_in_every_window_while_home_can_serve() -> None:
-    """Home has slots for all of it, so serving within the budget is possible throughout: whatever crosses, by
-    the engines' sockets, counts. One class has a narrow budget; the other, with the same load, shows what
-    would have crossed.
+def test_the_budget_of_each_class_holds_in_every_window_while_the_local_zone_has_capacity() -> None:
+    """The local zone has slots for all requests, so they can always be served within the budget. All cross-zone
+    bytes at the engines' sockets count. One class has a narrow budget; the other, with the same load, shows
+    how much traffic would otherwise have crossed zones.
     """
     rate, burst, quantum = 20_000, 24_000, 12_000
     settings = f"""zones {{ name: "here" name: "there"
@@ -138,7 +141,7 @@
             zones={"w1": 1},
             model="step_ms: 8 answer_least: 150 answer_most: 150 slots: 200",
         ) as w:
-            await asyncio.sleep(1.3)  # turns that come after the start
+            await asyncio.sleep(1.3)  # only grants issued after the start are usable
             asked = []
             for _ in range(45):
                 asked += [w.ask(request_class=cls, max_tokens=400) for cls in ("summary", "order")]
@@ -157,7 +160,7 @@
                     assert total <= rate * (end - start) / 1e6 + burst + quantum
             narrow, wide = (sum(size for _, size in crossed[cls]) for cls in ("summary", "order"))
             assert 0 < narrow < wide / 2, (narrow, wide)
-            assert booked(w) == seen(w)
+            assert accounted_bytes(w) == bytes_at_engines(w)
             assert {key.cause for key in w.node.cross_zone_account.total} == {"budget"}
 
     run(go, virtual=True)
@@ -182,8 +185,8 @@
             assert (await again.wait()).status.code is Code.OK
             again.check_tokens(first=9)
             assert w.seen("begun")[-1]["engine"] == other
-            await settled(w)
-            # Both readers change their label while streams run whose prompts they have read.
+            await wait_for_account(w)
+            # The zone labels of both prefill engines change while streams run whose prompts they prefilled.
             running = [w.ask(max_tokens=400, prefix=f"p{n}") for n in range(12)]
             await until(lambda: all(a.tokens or a.ends for a in running))
             before = {name: (len(w.engines[name].moved), w.zones.get(name, 0)) for name in ("r0", "r1")}
@@ -195,15 +198,15 @@
             for a in running + more:
                 await a.wait()
             await until(lambda: not w.node.table.open)
-            await settled(w, before)
-            assert len(w.engines["r1"].moved) > before["r1"][0]  # it is the one at home now
+            await wait_for_account(w, before)
+            assert len(w.engines["r1"].moved) > before["r1"][0]  # it is in the local zone now
 
     run(go, virtual=True)
 
 
-def test_a_second_fetch_of_one_state_is_booked_once_each() -> None:
-    """Both writers fetch and fall silent: the reader's word is asked for, and counts all that it has sent
-    since ever.
+def test_each_fetch_of_a_kv_state_is_booked_once() -> None:
+    """Both decode engines fetch the state and fall silent. The node then asks the prefill engine, whose count
+    covers all bytes that it has ever sent for the state.
     """
 
     async def go() -> None:
@@ -219,13 +222,14 @@
             assert len(next(iter(w.engines["r0"].fetched.values()))) >= 2
             sent = sum(t.sent for moved in w.engines["r0"].fetched.values() for t in moved)
             await until(
-                lambda: sum(s for key, s in booked(w).items() if key[2] == "state") == sent, seconds=12
+                lambda: sum(s for key, s in accounted_bytes(w).items() if key[2] == "state") == sent,
+                seconds=12,
             )
 
     run(go, virtual=True)
 
 
-def test_a_zone_without_readers_or_writers_is_told_once(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_zone_without_prefill_or_decode_engines_is_logged_once(capsys: pytest.CaptureFixture[str]) -> None:
     async def go() -> None:
         async with world("r0 w0 r1", settings=BUDGET, zones=ZONES) as w:
             w.feed.change(w.entry("r0"))
@@ -233,26 +237,26 @@
 
     run(go, virtual=True)
     lines = [line for line in capsys.readouterr().out.splitlines() if "zone lacks a role" in line]
-    told = sorted(
+    logged = sorted(
         (" ".join(line.split()).split("role=")[1].split()[0], line.split("zone=")[1].split()[0])
         for line in lines
     )
-    assert told == [("decode", "beyond"), ("decode", "there"), ("prefill", "beyond")]
+    assert logged == [("decode", "beyond"), ("decode", "there"), ("prefill", "beyond")]
 
 
-def test_what_can_be_served_at_home_stays_there_and_a_dark_zone_is_left_and_returned_to() -> None:
+def test_requests_stay_in_the_local_zone_until_it_fails() -> None:
     async def go() -> None:
         async with world("r0 w0 r1 w1", settings=BUDGET, zones=ZONES) as w:
             for _ in range(10):
                 assert (await w.ask().wait()).status.code is Code.OK
-            assert not booked(w) and not seen(w)
+            assert not accounted_bytes(w) and not bytes_at_engines(w)
             for name in ("r0", "w0"):
                 await w.engines[name].stop()
             served = 0
             for _ in range(12):
                 served += (await w.ask(timeout=5).wait()).status.code is Code.OK
                 await asyncio.sleep(0.05)
-            assert served >= 9 and sum(booked(w).values()) > 0
-            await settled(w)
+            assert served >= 9 and sum(accounted_bytes(w).values()) > 0
+            await wait_for_account(w)
 
     run(go, virtual=True)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,10 +1,10 @@
-"""An event loop on virtual time, for worlds whose parties all live in this process.
+"""An event loop on virtual time, for tests whose clients, nodes and engines all run in this process.
 
-The loop's clock stands still while anything is to be done or to be read, and jumps to the next timer when
-nothing is. So what a test measures in seconds is what its timers say, whatever else the machine does. Sockets
-are real: a jump is made only after they have brought nothing for `GRACE_S` of real time, and while the kernel
-holds nothing that is on its way between two of them, for which a busy machine takes longer. Threads of the loop's
-executor are waited for. Processes and other threads would be overtaken by it: tests with those run on real time.
+The loop's clock hardly moves while callbacks are ready or sockets are readable, and jumps to the next timer
+otherwise. So the durations that a test measures depend on its timers only, not on the load of the machine.
+Sockets are real: the clock jumps only after no socket has become ready for `GRACE_S` of real time and the kernel
+holds no bytes in transit between two of them, which takes longer on a busy machine. The loop waits for threads of its
+executor. It does not wait for other threads and processes, so tests with those run on real time.
 """
 
 from __future__ import annotations
@@ -18,55 +18,55 @@
 from typing import Any
 
 import pytest
-from tcp_state import anything_on_its_way
+from tcp_state import has_data_in_transit
 
 from tuliptrack.rpc import clock
 
 __all__ = ["Stuck", "VirtualTimeLoop", "virtual_time"]
 
-GRACE_S = 0.002  # real seconds in which bytes within the machine usually arrive
-ON_THE_WAY_S = 0.1  # real seconds for which a jump waits at most for what is on its way
-EXECUTOR_S = 0.01  # real seconds between looks at whether the time allowed is over, while a thread works
-TURN_S = 10e-6  # virtual seconds that each turn of the loop takes, so that no two moments of a chain are one
-START_S = 1_000.0  # virtual time at the start: monotonic clocks are not near zero
+GRACE_S = 0.002  # real seconds in which bytes on loopback usually arrive
+MAX_TRANSIT_S = 0.1  # maximum real seconds that a jump waits for bytes in transit
+EXECUTOR_POLL_S = 0.01  # real seconds between checks of the real-time limit while an executor thread runs
+ITERATION_S = 10e-6  # virtual seconds per loop iteration, so that successive callbacks have different times
+START_S = 1_000.0  # virtual time at the start, because monotonic clocks are not near zero
 
 
 class Stuck(AssertionError):
-    """The real time allowed is over."""
+    """The real-time limit is exceeded."""
 
 
 class _VirtualSelector(selectors.EpollSelector):
-    """Waits by moving the virtual clock; its owner's timers decide how far."""
+    """Waits by advancing the virtual clock by the time-out, which the loop derives from its next timer."""
 
     def __init__(self, real_limit: float) -> None:
         super().__init__()
         self.now = START_S
         self.executor_calls = 0
-        """Calls that a thread of the executor works on."""
-        self._until = time.monotonic() + real_limit
+        """Number of calls that executor threads are running."""
+        self._real_deadline = time.monotonic() + real_limit
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """What is ready; where nothing is, the clock moves on by `timeout`."""
-        if time.monotonic() > self._until:
-            raise Stuck("a test on virtual time has taken all the real time that it may")
-        self.now += TURN_S
+        """Return the ready descriptors; if there are none, advance the clock by `timeout`."""
+        if time.monotonic() > self._real_deadline:
+            raise Stuck("a test on virtual time has exceeded its real-time limit")
+        self.now += ITERATION_S
         ready = super().select(0)
         if ready or (timeout is not None and timeout <= 0):
             return ready
-        ready = self._select_patiently()
+        ready = self._select_after_transit()
         if not ready and timeout is not None:
             self.now += timeout
         return ready
 
-    def _select_patiently(self) -> list[tuple[selectors.SelectorKey, int]]:
-        """What is ready, where nothing was, once nothing is on its way any more."""
+    def _select_after_transit(self) -> list[tuple[selectors.SelectorKey, int]]:
+        """Return the ready descriptors after no more bytes are in transit and no executor call is running."""
         ready: list[tuple[selectors.SelectorKey, int]] = []
-        while self.executor_calls and not ready and time.monotonic() <= self._until:
-            ready = super().select(EXECUTOR_S)  # A thread that ends wakes the loop.
-        give_up = time.monotonic() + ON_THE_WAY_S
+        while self.executor_calls and not ready and time.monotonic() <= self._real_deadline:
+            ready = super().select(EXECUTOR_POLL_S)  # The end of a thread wakes the loop.
+        deadline = time.monotonic() + MAX_TRANSIT_S
         while not (ready := ready or super().select(GRACE_S)):
             descriptors = [key.fd for key in self.get_map().values()]
-            if time.monotonic() > give_up or not anything_on_its_way(descriptors):
+            if time.monotonic() > deadline or not has_data_in_transit(descriptors):
                 break
         return ready
 
@@ -75,19 +75,19 @@
     """An event loop whose `time()` is virtual."""
 
     def __init__(self, real_limit: float = 120.0) -> None:
-        """`real_limit`: real seconds after which the loop gives up."""
+        """Create a loop that raises `Stuck` after `real_limit` real seconds."""
         self._virtual = _VirtualSelector(real_limit)
         super().__init__(self._virtual)
 
     def time(self) -> float:
-        """Virtual seconds."""
+        """Return the virtual time in seconds."""
         return self._virtual.now
 
     def run_in_executor(self, executor: Any, func: Any, *args: Any) -> Any:  # type: ignore[override]
-        """As usual; the clock does not jump until the thread has ended.
+        """Run a call in an executor; the clock does not jump until its thread has ended.
 
-        A thread that wrote a file was overtaken by the clock: the test that waited for it timed out though
-        nothing was late. It showed on a busy machine.
+        Otherwise a test that waits for a thread, such as one that writes a file on a busy machine, would time
+        out because the clock jumps ahead of the thread.
         """
         future = super().run_in_executor(executor, func, *args)
         self._virtual.executor_calls += 1
@@ -100,7 +100,7 @@
 
 @contextmanager
 def _program_clock(loop: VirtualTimeLoop) -> Iterator[None]:
-    """The program's monotonic clock is the loop's; its wall clock stays the machine's."""
+    """Make the loop's clock the monotonic clock of the program; its wall clock stays that of the machine."""
     virtual = SimpleNamespace(monotonic_ns=lambda: int(loop.time() * 1e9), time_ns=time.time_ns)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(clock, "time", virtual)
@@ -109,7 +109,7 @@
 
 @contextmanager
 def virtual_time() -> Iterator[Callable[[Coroutine[Any, Any, None]], None]]:
-    """A runner of coroutines on virtual time, the program's clock included."""
+    """Provide a function that runs a coroutine on virtual time, which the program's clock follows too."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         loop = runner.get_loop()
         assert isinstance(loop, VirtualTimeLoop)
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A node with stand-in engines on loopback, in one process, for full-path tests."""
+"""A node with simulated engines on loopback, in one process, for tests of the full path."""
 
 from __future__ import annotations
 
@@ -41,38 +41,39 @@
 
 
 def run(make: Callable[[], Coroutine[Any, Any, None]], seconds: float = 30, virtual: bool = False) -> None:
-    """Run a test's coroutine; afterwards no task may be left behind. `virtual`: on virtual time, see
-    `virtual_time`.
+    """Run a test's coroutine and check that no task is left over.
+
+    With `virtual` it runs on virtual time, see `virtual_time`.
     """
 
-    async def whole() -> None:
+    async def run_and_check() -> None:
         await asyncio.wait_for(make(), seconds)
-        for _ in range(50):  # Transports that were closed end in the next turns of the loop.
+        for _ in range(50):  # Closed transports end within the next iterations of the loop.
             left = asyncio.all_tasks() - {asyncio.current_task()}
             if not left:
                 return
             await asyncio.wait(left, timeout=0.1)
-        raise AssertionError(f"tasks left behind: {left}")
+        raise AssertionError(f"tasks left over: {left}")
 
     if virtual:
         with virtual_time() as run_virtually:
-            run_virtually(whole())
+            run_virtually(run_and_check())
     else:
-        asyncio.run(whole())
+        asyncio.run(run_and_check())
 
 
-async def until(what: Callable[[], object], seconds: float = 10) -> None:
-    """Wait for an event that shows in some state."""
+async def until(condition: Callable[[], object], seconds: float = 10) -> None:
+    """Wait until a condition holds; AssertionError if it does not within so many seconds."""
     for _ in range(int(seconds * 200)):
-        if what():
+        if condition():
             return
         await asyncio.sleep(0.005)
-    raise AssertionError("what was awaited has not come")
+    raise AssertionError(f"the condition does not hold after {seconds} s")
 
 
 @dataclass
 class Asked:
-    """One call of a client, and what it saw on its socket."""
+    """One call of a client, with the tokens and the end that it received."""
 
     prompt: str
     call: ClientCall | None = None
@@ -91,16 +92,16 @@
         return self.end
 
     def check_tokens(self, first: int = 0) -> None:
-        """Each token once, in order, and the right one."""
-        for place, token in enumerate(self.tokens, first):
-            assert (token.index, token.text) == (place, answer_token(self.prompt, place))
+        """Check that each token was received once, in order, with the right text."""
+        for index, token in enumerate(self.tokens, first):
+            assert (token.index, token.text) == (index, answer_token(self.prompt, index))
 
     def whole(self, model: lab_pb2.EngineModel) -> bool:
         return len(self.tokens) == answer_length(self.prompt, model.answer_least, model.answer_most)
 
 
 class World:
-    """A node, its engines, a feed that lists them, and a client's channel."""
+    """A node, its engines, the feed that lists them, and a client's channel to the node."""
 
     def __init__(self) -> None:
         self.engines: dict[str, Engine] = {}
@@ -115,14 +116,14 @@
 
     @property
     def rest(self) -> str:
-        """Address of the REST form, where the settings have one."""
+        """Address of the REST listener, if the settings have one."""
         return self.node.listeners[0].server.address  # type: ignore[attr-defined,no-any-return]
 
-    def seen(self, what: str = "", **facts: object) -> list[dict[str, Any]]:
-        """What engines saw, in time's order."""
+    def seen(self, what: str = "", **fields: object) -> list[dict[str, Any]]:
+        """Return the log entries of the engines in order of time, filtered by event name and fields."""
         rows = [json.loads(line) for log in self.logs.values() for line in log.getvalue().splitlines()]
         rows.sort(key=lambda row: row["t"])
-        return [r for r in rows if what in ("", r["what"]) and all(r.get(k) == v for k, v in facts.items())]
+        return [r for r in rows if what in ("", r["what"]) and all(r.get(k) == v for k, v in fields.items())]
 
     def entry(
         self, name: str, state: fleet_pb2.ServerEntry.State = fleet_pb2.ServerEntry.READY, **more: Any
@@ -141,7 +142,7 @@
         )
 
     async def list_at(self, addresses: dict[str, str]) -> None:
-        """Have these engines listed at other addresses, and wait until the node knows."""
+        """List these engines at other addresses, and wait until the node has the new list."""
         entries = [self.entry(name) for name in addresses]
         for entry, address in zip(entries, addresses.values(), strict=True):
             entry.address = address
@@ -149,27 +150,27 @@
         await until(lambda: set(self.node.channels.addresses.values()) >= set(addresses.values()))
 
     def ask(self, prompt: str = "", timeout: float | None = 10, **fields: Any) -> Asked:
-        """Start a call; see `Asked` for what comes of it."""
+        """Start a call; its tokens and end are collected in the `Asked` that is returned."""
         self.names += 1
-        one = Asked(prompt or f"q{self.names} what?")
+        asked = Asked(prompt or f"q{self.names} what?")
         request = pb.GenerateRequest(
-            request_class="question", tenant="north", prompt=one.prompt, prompt_tokens=400
+            request_class="question", tenant="north", prompt=asked.prompt, prompt_tokens=400
         )
         request.MergeFrom(pb.GenerateRequest(**fields))
 
         def ended(end: End) -> None:
-            one.ends.append(end)
-            one.ended_at = now_us()
-            one.over.set()
+            asked.ends.append(end)
+            asked.ended_at = now_us()
+            asked.over.set()
 
-        one.call = self.channel.call(
+        asked.call = self.channel.call(
             GENERATE,
             message=request.SerializeToString(),
             timeout=int(timeout * 1e6) if timeout else None,
-            on_message=lambda data: one.tokens.append(pb.GenerateResponse.FromString(data)),
+            on_message=lambda data: asked.tokens.append(pb.GenerateResponse.FromString(data)),
             on_end=ended,
         )
-        return one
+        return asked
 
 
 @asynccontextmanager
@@ -182,37 +183,44 @@
     zones: dict[str, int] | None = None,
     models: dict[str, tuple[str, str]] | None = None,
 ) -> AsyncIterator[World]:
-    """Engines by name (r, w, m: their kind), with changes to the model in text format, settings to add, and
-    what each tenant may ask a second; `zones` puts engines into zones other than 0, `models` labels them with
-    model and version.
+    """Start engines, a feed and a node, and stop them at the end.
+
+    Args:
+        engines: names of the engines; the first letter is the kind (`KINDS`).
+        settings: text to append to the settings.
+        model: changes to the engine model, in text format.
+        start: whether to start the node.
+        quota: requests per second of each tenant's quota.
+        zones: zones of engines that are not in zone 0.
+        models: model and version of engines that serve a named model.
     """
-    made = World()
-    made.zones, made.models = zones or {}, models or {}
+    new_world = World()
+    new_world.zones, new_world.models = zones or {}, models or {}
     with tempfile.TemporaryDirectory() as folder:
         for name in engines.split():
-            made.logs[name] = io.StringIO()
-            m = lab_pb2.EngineModel(answer_least=10, answer_most=30)
-            m.MergeFrom(text_format.Parse(model, lab_pb2.EngineModel()))
-            m.role = KINDS[name[0]][1]
-            made.engines[name] = Engine(name, m, made.logs[name])
-            await made.engines[name].start()
-        feed = await made.feed.start()
-        made.feed.change(*(made.entry(name) for name in made.engines))
+            new_world.logs[name] = io.StringIO()
+            engine_model = lab_pb2.EngineModel(answer_least=10, answer_most=30)
+            engine_model.MergeFrom(text_format.Parse(model, lab_pb2.EngineModel()))
+            engine_model.role = KINDS[name[0]][1]
+            new_world.engines[name] = Engine(name, engine_model, new_world.logs[name])
+            await new_world.engines[name].start()
+        feed = await new_world.feed.start()
+        new_world.feed.change(*(new_world.entry(name) for name in new_world.engines))
         base = SETTINGS.replace("quota_per_s: 1000", f"quota_per_s: {quota}")
-        made.node = Node(
+        new_world.node = Node(
             parse(f'{base} servers {{ feed: "{feed}" cache: "{Path(folder) / "list"}" }} {settings}')
         )
         try:
             if start:
-                made.address = await made.node.start()
-                made.channel = Channel(made.address, Options(connect_timeout=2_000_000))
-                await until(lambda: len(made.node.endpoint_list.entries) == len(made.engines))
-            yield made
+                new_world.address = await new_world.node.start()
+                new_world.channel = Channel(new_world.address, Options(connect_timeout=2_000_000))
+                await until(lambda: len(new_world.node.endpoint_list.entries) == len(new_world.engines))
+            yield new_world
         finally:
             if start:
-                await made.channel.close()
-                await made.node.stop(0)
-                assert not made.node.table.open, "requests left in the table"
-            for engine in made.engines.values():
+                await new_world.channel.close()
+                await new_world.node.stop(0)
+                assert not new_world.node.table.open, "requests left over in the table"
+            for engine in new_world.engines.values():
                 await engine.stop()
-            await made.feed.stop()
+            await new_world.feed.stop()
