--- a/tests/oracle/__init__.py
+++ b/tests/oracle/__init__.py
@@ -1,3 +1,1 @@
-"""The decisions as they were before the indexes, scanning every server: what `tuliptrack.brain` is compared
-with.
-"""
+"""A former version of the router without indexes, which scans all endpoints; see `brain.py`."""
--- a/tests/oracle/brain.py
+++ b/tests/oracle/brain.py
@@ -1,9 +1,10 @@
-"""The decision module as it stood before the indexes: each question looks at every server.
+"""A former version of the router without indexes: each decision examines every endpoint.
 
-Kept as the oracle of `tests/routing/test_same_decisions.py`. It differs from that text where chance, rounding or order had to be
-named, so that an index can follow it to the letter: ties are settled by one draw among the servers in the order of their
-numbers, and not by one draw for each; sums of loads are rounded once; paces are brought up to the moment at which they are
-compared; a server at which nothing of this node's is left has no projected tokens.
+It is the oracle of `tests/routing/test_same_decisions.py`. It differs from the former version where randomness, rounding or order
+had to be specified, so that an implementation with indexes can return exactly the same actions: ties are resolved by one random
+draw among the endpoints in the order of their ids, not by one draw for each endpoint; sums of loads are rounded once; stream
+rates are advanced to the time at which they are compared; an endpoint without attempts or streams of this node has no projected
+tokens.
 """
 
 from __future__ import annotations
@@ -14,7 +15,18 @@
 from random import Random
 from typing import Any
 
-from oracle.state import Asked, Blame, Fleet, Flight, Kind, Seat, any_of, least_of, median_low, mix
+from oracle.state import (
+    DemandStatistics,
+    Ejection,
+    Endpoint,
+    EndpointTable,
+    InFlightRequest,
+    RoleStatistics,
+    lowest_ranked,
+    median_low,
+    mix,
+    random_member,
+)
 from tuliptrack.decisions.cross_zone_budget import CrossZoneBudgets
 from tuliptrack.decisions.zone_recovery import ZoneRecovery
 from tuliptrack.interface import (
@@ -44,648 +56,651 @@
     UpdateKind,
 )
 
-QUEUE_THRESHOLD = 0.5  # share of the aim that a queue may take; past it a home spills, and all past it refuse
-SPILL_HOMES = 3  # readers in a prefix's hash order to spill among, the last home counted
-HOME_SHARE = 0.28  # at most this share of the readers are a prefix's homes: nodes see little of their queues
-HOT_SPARE = 2.0  # times a prefix's part of what this node was asked is its homes' part of the readers
-CARRIED_US = 20_000_000  # microseconds in which tokens given to a role fade: some tens of requests
-ORDERS_KEPT = 1000  # keys whose hash order is kept; sessions without a prefix pass through here too
-LOW_TIER = 0.5  # share of the threshold at which low worth is refused (the design's figure)
-TOP_TIER = 1.6  # times the threshold at which top worth is refused too: past it most would only be late
-SMOOTHING = 0.2  # weight of a new sample in an average: about the last five reads, a second's worth
-SILENCE_FLOOR = 0.5  # share of the aim before which no attempt is given up: two tries still fit into the aim
-SILENCE_RATIO = 2.5  # times the pace of the slowest fifth of answers at which an attempt counts as silent
-SILENCE_STEP = 1.5  # growth of that time at each further silence of one request: no retry storm in a slowness
-LOST_MOST = 0.7  # share of silent attempts past which it's a jam, not lost answers: then all are waited for
-STALL_US = 150_000  # microseconds for which a node may stand still between its clock and the wire
-EARLY = 0.08  # share of the aim by which a server without room says `full`; later, it holds back a tenant
-FULL_MOST = 0.4  # share of attempts turned away at once past which a request isn't offered to one more server
-TYPICAL_OF = 15  # answers of one role by whose slowest fifth this node knows its pace
-TYPICAL_US = 5_000_000  # microseconds in which that pace fades, so that refusing all doesn't freeze it
-TYPICAL_WEIGHT = 0.9  # of the typical time to a first token, times the square of the part a node can't see
-AGES_POWER = 6  # of the part a node can't see, as the weight of ages: of few nodes the own queue tells more
-TRIAL_US = 700_000  # microseconds between trial sends to a blamed server, doubled at each failure, jittered
-TRIAL_GAPS = 20  # or the time of so many requests at this node, if longer: each trial is one request's delay
-TRIAL_MOST_US = 15_000_000  # but no longer: troubles last tens of seconds, and capacity is missed after them
-NEAR_TIE = 1.0  # of the mean load: so far above the least may a writer in the reader's cell lie
-MEMORY_ABOVE = 0.12  # share of memory above the writers' median at which a writer is passed over
-COLD_SHARE = 1 / 3  # of the multiple at which turns come; `_cold_turn` tells why a third
-COLD_SPREAD = (math.sqrt(5) - 1) / 2  # successive turns' multiples of it, mod 1, spread evenly over 0 to 1
-ASKED_SMOOTHING = 0.05  # weight of a request in what this node is asked: some twenty tell the mix of classes
-QUOTA_BURST_S = 2.0  # seconds of a tenant's quota it may save up: smooths chance, too short to hide a burst
-QUOTA_LEAST = 4.0  # requests it may save up at least: one node of hundreds gets them by chance, not evenly
-REPORT_LIFE_US = 2_000_000  # microseconds in which a report fades: about two of the slowest refreshes seen
-CALM_US = 2_000_000  # microseconds without a refusal after which refusing has ended, for log and time-outs
-PACE_US = 6_000_000  # microseconds in which what is known of answers' lengths fades: a few answers
-PACE_LOOK_US = 250_000  # microseconds between looks at it
-PACE_FLOOR_US = 100_000  # microseconds: where answers take less, a short halt outlasts many of them
-PACE_RATIO = 3.0  # times longer than its peers' that a dragging server's answers take
-PACE_SURE = 5.0  # log of the odds at which it drags: looked at often, a lower bar is met by chance
-PACE_ENDS = 4.0  # answers of its peers that must have ended lately, lest a common slowness look like its own
-PACE_MOST = 0.34  # share of the writers that may drag at once: more are no server's own fault
-LONE_AGAIN = 2  # times that a request goes again to where just its connection broke: its prompt is kept there
-LONE_MOST = 4  # such breaks in a row, with no answer between, that speak against the server all the same
-DRAWS = 64  # servers drawn by chance for one that fits, before all are looked at
-DRAW_SHARE = 8  # least part of the servers, as its inverse, that must fit for that
-SUBSCRIBE_US = 500_000  # microseconds before a failed call for the list is repeated, jittered
-
-_PROVEN = (Status.AT_CAPACITY, Status.CONNECT_FAILED, Status.ABANDONED, Status.PREFILLED)  # the attempt had no effect
-_BROKEN = (Status.CONNECT_FAILED, Status.RESET)  # what speaks against the whole server
-_ALL = -1  # the key of blame for a whole server; classes have their number, tenants those above
-_PACE = -2  # that for the pace of its answers
+MAX_QUEUE_SHARE = 0.5  # share of the latency objective that a queue may take; above it requests spill over, and are shed if all are above it
+SPILL_ENDPOINTS = 3  # prefill endpoints in a prefix's hash order to spill over to, including the last affinity endpoint
+MAX_AFFINITY_SHARE = 0.28  # maximum share of the prefill endpoints with affinity to one prefix: nodes see little of their queues
+AFFINITY_HEADROOM = 2.0  # ratio of a popular prefix's share of the prefill endpoints to its share of this node's demand
+ASSIGNED_DECAY_US = 20_000_000  # microseconds, time constant of the decay of the tokens assigned to a role: some tens of requests
+MAX_CACHED_RANKINGS = 1000  # keys whose hash order is cached; sessions without a prefix are keys too
+LOW_PRIORITY_FACTOR = 0.5  # share of the queue limit above which the lowest priority is shed (the value in the design)
+TOP_PRIORITY_FACTOR = 1.6  # multiple of the queue limit above which the highest priority is shed too: most of it would only be late
+SAMPLE_WEIGHT = 0.2  # weight of a new sample in an average: about the last five prefills, a second of traffic
+MIN_TIMEOUT_SHARE = 0.5  # minimum time-out, as a share of the latency objective: two attempts still fit into it
+TIMEOUT_RATIO = 2.5  # multiple of the latency at the start of the slowest fifth of answers at which an attempt times out
+TIMEOUT_GROWTH = 1.5  # growth of the time-out with each time-out of a request, so that a slowdown causes no retry storm
+MAX_TIMEOUT_SHARE = 0.7  # share of timed-out attempts that shows an overload, not lost answers; above it no attempt times out
+NODE_STALL_US = 150_000  # microseconds for which a node may stall between reading its clock and sending
+EARLY_REJECTION_SHARE = 0.08  # share of the latency objective within which a rejection shows a lack of capacity; a later one throttles a tenant
+MAX_REJECTION_SHARE = 0.4  # share of early rejections above which a rejected request is not sent to another endpoint
+MAX_LATENCIES = 15  # number of stored latencies of a role, whose slowest fifth is used
+STATISTICS_MAX_AGE_US = 5_000_000  # microseconds after which role statistics no longer count, or they would not change once all requests are shed
+ROLE_QUEUE_WEIGHT = 0.9  # weight of the role's typical time to first token, times the square of the other nodes' share
+AGE_EXPONENT = 6  # exponent of the other nodes' share in the weight of ages: with few nodes, the node's own queue is more informative
+CHECK_INTERVAL_US = 700_000  # microseconds between health checks of an ejected endpoint, doubled with each failure, jittered
+CHECK_INTERVAL_REQUESTS = 20  # minimum interval in requests arriving at this node: each check delays one request
+MAX_CHECK_INTERVAL_US = 15_000_000  # maximum interval: faults last tens of seconds, and afterwards the capacity is needed
+NEAR_TIE_SHARE = 1.0  # share of the mean load by which a decode endpoint in the preferred cell may exceed the least load
+MEMORY_MARGIN = 0.12  # share of memory above the decode endpoints' median above which one is left out
+SLOT_RATE_SHARE = 1 / 3  # share of the overload factor at which slots become due; `_slot_for` explains why it is a third
+GOLDEN_RATIO_FRACTION = (math.sqrt(5) - 1) / 2  # its multiples by successive slots, modulo 1, are spread evenly over 0 to 1
+REQUEST_WEIGHT = 0.05  # weight of a request in the demand: about twenty requests show the mix of classes
+BURST_S = 2.0  # bucket size in seconds of quota: absorbs random variation, but is too small to hide a burst
+MIN_BURST_REQUESTS = 4.0  # minimum bucket size in requests: at one of hundreds of nodes they arrive at random, not evenly
+REPORT_MAX_AGE_US = 2_000_000  # microseconds after which a report no longer counts: about two of the slowest report intervals
+SHEDDING_PERIOD_US = 2_000_000  # microseconds after the last shed request for which the node counts as shedding, for log and time-outs
+STREAM_DECAY_US = 6_000_000  # microseconds, time constant of the decay of stream lengths: a few streams
+STREAM_CHECK_INTERVAL_US = 250_000  # microseconds between comparisons of stream rates
+MIN_MEAN_LENGTH_US = 100_000  # microseconds, lower limit of the mean stream length: a short stall would outlast many shorter streams
+SLOWDOWN = 3.0  # factor by which the streams of a slow endpoint take longer than its peers'
+MIN_LOG_ODDS = 5.0  # minimum logarithm of the odds that an endpoint is slow: with frequent checks, lower odds occur by chance
+MIN_PEER_STREAMS = 4.0  # minimum recently completed streams of its peers, so that a general slowdown is not attributed to one endpoint
+MAX_SLOW_SHARE = 0.34  # share of the decode endpoints that may be slow at once: if more are, there is a common cause
+MAX_CONNECTION_ONLY_RETRIES = 2  # retries of a request at an endpoint where only its connection failed: the prompt is cached there
+MAX_CONNECTION_FAILURES = 4  # consecutive such failures without an answer that eject the endpoint nevertheless
+MAX_DRAWS = 64  # random draws for a suitable endpoint before all are examined
+MAX_MEAN_DRAWS = 8  # inverse of the minimum share of suitable endpoints for which random draws are used
+RESUBSCRIBE_US = 500_000  # microseconds before a failed subscription is repeated, jittered
+
+_NOT_EXECUTED = (Status.AT_CAPACITY, Status.CONNECT_FAILED, Status.ABANDONED, Status.PREFILLED)  # the attempt had no effect
+_CONNECTION_STATUSES = (Status.CONNECT_FAILED, Status.RESET)  # failures that count against the whole endpoint
+_ALL_REQUESTS = -1  # ejection scope of all requests to an endpoint; classes have their index, tenants the numbers above those
+_SLOW_STREAMS = -2  # ejection scope for slow streams
 
 
 class Router:
-    """The decisions of one node. `handle` takes what has happened and returns what to do."""
+    """Makes the decisions of one node: `handle` takes events and returns actions."""
 
-    def __init__(self, settings: Settings, seed: int, beside: Router | None = None) -> None:
-        """`beside` is this node's router of another model: quotas and zones' budgets are kept together."""
+    def __init__(self, settings: Settings, seed: int, sibling_router: Router | None = None) -> None:
+        """`sibling_router` is this node's router of another model; they share quotas and zone budgets."""
         self.settings, self.random = settings, Random(seed)
-        self.now, self.born, self.refused_at, self.looked_at, self.arrived_at = 0, 0, -CALM_US, 0, 0
-        self.out: list[Action] = []
-        self.fleet = Fleet(settings.roles)
-        self.seats, self.asked = self.fleet.seats, Asked()
-        self.flights: dict[int, Flight] = {}
-        self.quota: dict[int, tuple[float, int]] = beside.quota if beside else {}
-        # What answers of a role have shown; those of other zones apart, where crossings are counted.
-        self.kinds = {(role, far): Kind(deque(maxlen=TYPICAL_OF)) for role in Role for far in (False, True)}
-        self.quotas = sum(t.quota_per_s for t in settings.tenants)  # what this fleet is built for
-        self.gap, self.unseen = 0.0, 1 - 1 / settings.replicas  # the part of all traffic that others see
-        self.noted: set[str] = set()
-        self.acts: dict[type, Callable[[Any], None]] = {
-            Request: self._arrive, AttemptEnded: self._outcome, StreamStarted: self._started, EndpointListUpdate: self._listed,
-            ClientDisconnected: self._client_gone, TimerFired: lambda _: self.out.append(Subscribe(True))}
-        self.zones: CrossZoneBudgets | None = (
-            beside.zones if beside else CrossZoneBudgets(settings) if settings.zone_budgets else None)
-        self.returns = ZoneRecovery()
-        self.has_depth = "in_flight" in settings.report_fields
-        self.low_worth, self.top_worth = (pick(c.priority_weight for c in settings.classes) for pick in (min, max))
+        self.now, self.first_event_at_us, self.shed_at_us, self.checked_at_us, self.arrived_at_us = 0, 0, -SHEDDING_PERIOD_US, 0, 0
+        self.actions: list[Action] = []
+        self.table = EndpointTable(settings.roles)
+        self.endpoints, self.demand = self.table.endpoints, DemandStatistics()
+        self.in_flight: dict[int, InFlightRequest] = {}
+        self.quota_buckets: dict[int, tuple[float, int]] = sibling_router.quota_buckets if sibling_router else {}
+        # Statistics of each role; remote zones have their own if cross-zone traffic is budgeted.
+        self.statistics = {(role, is_remote): RoleStatistics(deque(maxlen=MAX_LATENCIES)) for role in Role for is_remote in (False, True)}
+        self.fleet_capacity_per_s = sum(t.quota_per_s for t in settings.tenants)  # capacity of the listed endpoints
+        self.arrival_gap_us, self.other_nodes_share = 0.0, 1 - 1 / settings.replicas  # share of all traffic that this node does not see
+        self.active_conditions: set[str] = set()
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            Request: self._handle_request, AttemptEnded: self._handle_attempt_ended, StreamStarted: self._handle_stream_started, EndpointListUpdate: self._handle_list_update,
+            ClientDisconnected: self._handle_client_disconnected, TimerFired: lambda _: self.actions.append(Subscribe(True))}
+        self.budgets: CrossZoneBudgets | None = (
+            sibling_router.budgets if sibling_router else CrossZoneBudgets(settings) if settings.zone_budgets else None)
+        self.zone_recovery = ZoneRecovery()
+        self.are_in_flight_reported = "in_flight" in settings.report_fields
+        self.min_priority_weight, self.max_priority_weight = (choose(c.priority_weight for c in settings.classes) for choose in (min, max))
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take the events of one moment, in order; return the actions, in order."""
-        self.now, self.out, self.born = now, [], self.born or now
+        """Handle the events of one time, in order; return the actions, in order."""
+        self.now, self.actions, self.first_event_at_us = now, [], self.first_event_at_us or now
         for event in events:
-            self.acts.get(type(event), lambda _: None)(event)
-        if now - self.looked_at > PACE_LOOK_US:
-            self.looked_at = now
-            self._look_at_paces()
-        return self.out
+            self._handlers.get(type(event), lambda _: None)(event)
+        if now - self.checked_at_us > STREAM_CHECK_INTERVAL_US:
+            self.checked_at_us = now
+            self._check_stream_rates()
+        return self.actions
 
-    # -- the server list
+    # Endpoint list
 
-    def _listed(self, change: EndpointListUpdate) -> None:
+    def _handle_list_update(self, change: EndpointListUpdate) -> None:
         if change.kind is UpdateKind.FAILED:
-            self.out.append(SetTimer(int(SUBSCRIBE_US * (1 + self.random.random())), 0))
+            self.actions.append(SetTimer(int(RESUBSCRIBE_US * (1 + self.random.random())), 0))
             return
         if change.kind is UpdateKind.CACHED and self.settings.must_subscribe:
-            self.out.append(Subscribe(True))
-        for server in self.fleet.apply(change):
-            self.noted -= {f"endpoint {server} ejected", f"endpoint {server} has slow streams"}
-        self.quotas = change.quota_share * sum(t.quota_per_s for t in self.settings.tenants)
-        for seat in self.seats.values():
-            seat.kind = self.kinds[seat.role, self._abroad(seat)]
-        if self.zones:
-            self.zones.start(self.now)
-        self._note_zones()
-
-    def _note_zones(self) -> None:
-        """Tell the crossings which zones have servers to be used, and the operators what follows."""
-        if self.zones and len({s.info.zone for s in self.seats.values()}) > 1:
-            up = [(s.info.zone, s.role) for s in self.seats.values()
-                  if s.info.state is EndpointState.READY and _ALL not in s.blamed]
-            for change in self.returns.observe(self.now, up):
-                self.out.append(LogMessage(str(change)))
-
-    # -- arrival: worth and refusal
-
-    def _arrive(self, request: Request) -> None:
+            self.actions.append(Subscribe(True))
+        for endpoint_id in self.table.apply(change):
+            self.active_conditions -= {f"endpoint {endpoint_id} ejected", f"endpoint {endpoint_id} has slow streams"}
+        self.fleet_capacity_per_s = change.quota_share * sum(t.quota_per_s for t in self.settings.tenants)
+        for endpoint in self.endpoints.values():
+            endpoint.statistics = self.statistics[endpoint.role, self._is_remote(endpoint)]
+        if self.budgets:
+            self.budgets.start(self.now)
+        self._observe_zones()
+
+    def _observe_zones(self) -> None:
+        """Update the zone recovery with the usable endpoints of each zone, and log its changes."""
+        if self.budgets and len({s.info.zone for s in self.endpoints.values()}) > 1:
+            usable = [(s.info.zone, s.role) for s in self.endpoints.values()
+                  if s.info.state is EndpointState.READY and _ALL_REQUESTS not in s.ejections]
+            for change in self.zone_recovery.observe(self.now, usable):
+                self.actions.append(LogMessage(str(change)))
+
+    # Admission
+
+    def _handle_request(self, request: Request) -> None:
         cls = self.settings.classes[request.class_index]
-        hint = request.stream_time_hint_us if cls.inter_token_objective_us else None
-        answer = request.max_tokens / 2 if hint is None else hint / cls.inter_token_objective_us
-        aim = cls.latency_objective_us + int(cls.objective_us_per_1000_tokens * request.prompt_tokens / 1000)
-        flight = Flight(request, cls, self.now + request.time_left_us, aim, request.prompt_tokens + answer)
-        self.flights[request.request_id] = flight
-        self.asked.note(request.class_index, flight.unread, answer, ASKED_SMOOTHING, request.prefix)
-        over = self._over_share(request) or request.is_over_token_budget
-        worth = cls.priority_weight * (self.settings.over_quota_weight_factor if over else 1.0)
-        tier = LOW_TIER if worth < self.low_worth else TOP_TIER if worth >= self.top_worth else 1.0
-        tier = TOP_TIER if request.is_resumed else tier  # What was done for it so far would be lost.
-        self.gap += SMOOTHING * (self.now - (self.arrived_at or self.now) - self.gap)
-        self.arrived_at = self.now
-        if self.zones:
-            self.zones.record_arrival(self.now)
-        reader, most = self._pick_reader(flight), tier * QUEUE_THRESHOLD * aim
-        look = self._outlook(flight, reader)
-        # Serving comes before the budget: the best reader of another zone is looked at before a refusal.
-        if look > most and self.zones and tier >= 1 and (far := self._spill(flight, self._far(flight), 0.0)):
-            reader, look = far, self._outlook(flight, far)
-        if look > most and self.zones and self.returns.is_ramping_up:  # Elsewhere is no room: its zone has it sooner.
-            flight.hurried = True
-            reader = self._pick_reader(flight)
-            look = self._outlook(flight, reader)
-        if look > most / 2:  # On the way to a jam a turn at any cold reader is room, past it any idle one's.
-            open_to = self._pool(self._order(flight), flight, len(self.seats))
-            near = [s for s in open_to if look > most or not self._abroad(s)]
-            seat = next((s for s in near if self._cold_turn(s, flight)), None) or (
-                self._spill_anywhere(flight, near) if look > most else None)
-            if seat and (2 * (wait := self._outlook(flight, seat)) <= most or self._cold_turn(seat, flight)):
-                reader, look = seat, wait
-        roles = (Role.PREFILL, Role.DECODE) if reader and reader.role is Role.PREFILL else (Role.PREFILL_AND_DECODE,)
-        soonest = sum(self.kinds[role, False].quick for role in roles) * aim  # Till a first token, if quick.
-        refuse = look > most or max(look, soonest) > request.time_left_us
-        jammed = look > most or max(look, soonest) > aim  # Else only this client's own time is too short.
-        self.refused_at = self.now if refuse and jammed else self.refused_at
-        flight.wait = max(int(look - most), 0) if refuse else 0  # Till what waits may be down to the threshold.
-        self._note("shedding load by priority", self.now - self.refused_at < CALM_US)
-        self._send(flight, None if refuse else reader)
-
-    def _note(self, what: str, on: bool) -> None:
-        """Tell the operators once when an exception begins and once when it ends."""
-        if on != (what in self.noted):
-            self.noted ^= {what}
-            self.out.append(LogMessage(f"{what}: {'begins' if on else 'ends'}"))
-
-    def _over_share(self, request: Request) -> bool:
-        """Whether the tenant is past its quota at this node: a bucket filled at its share of a replica."""
+        stream_time_us = request.stream_time_hint_us if cls.inter_token_objective_us else None
+        output_tokens = request.max_tokens / 2 if stream_time_us is None else stream_time_us / cls.inter_token_objective_us
+        latency_objective_us = cls.latency_objective_us + int(cls.objective_us_per_1000_tokens * request.prompt_tokens / 1000)
+        in_flight = InFlightRequest(request, cls, self.now + request.time_left_us, latency_objective_us, request.prompt_tokens + output_tokens)
+        self.in_flight[request.request_id] = in_flight
+        self.demand.record(request.class_index, in_flight.uncached_tokens, output_tokens, REQUEST_WEIGHT, request.prefix)
+        is_over_quota = self._is_over_quota(request) or request.is_over_token_budget
+        priority = cls.priority_weight * (self.settings.over_quota_weight_factor if is_over_quota else 1.0)
+        queue_factor = LOW_PRIORITY_FACTOR if priority < self.min_priority_weight else TOP_PRIORITY_FACTOR if priority >= self.max_priority_weight else 1.0
+        queue_factor = TOP_PRIORITY_FACTOR if request.is_resumed else queue_factor  # Otherwise the work done so far would be lost.
+        self.arrival_gap_us += SAMPLE_WEIGHT * (self.now - (self.arrived_at_us or self.now) - self.arrival_gap_us)
+        self.arrived_at_us = self.now
+        if self.budgets:
+            self.budgets.record_arrival(self.now)
+        prefill_endpoint, limit_us = self._choose_prefill(in_flight), queue_factor * MAX_QUEUE_SHARE * latency_objective_us
+        estimate_us = self._time_to_first_token_us(in_flight, prefill_endpoint)
+        # Serving has priority over the budget: the best remote prefill endpoint is tried before the request is shed.
+        if estimate_us > limit_us and self.budgets and queue_factor >= 1 and (remote := self._choose_by_score(in_flight, self._remote_endpoints(in_flight), 0.0)):
+            prefill_endpoint, estimate_us = remote, self._time_to_first_token_us(in_flight, remote)
+        if estimate_us > limit_us and self.budgets and self.zone_recovery.is_ramping_up:  # No capacity elsewhere: the recovering zone serves it ahead of its ramp.
+            in_flight.ignores_recovery_ramp = True
+            prefill_endpoint = self._choose_prefill(in_flight)
+            estimate_us = self._time_to_first_token_us(in_flight, prefill_endpoint)
+        if estimate_us > limit_us / 2:  # Near overload a slot at any endpoint in slow start is capacity; in overload, so is any idle endpoint.
+            eligible = self._first_eligible(self._ranking(in_flight), in_flight, len(self.endpoints))
+            allowed = [e for e in eligible if estimate_us > limit_us or not self._is_remote(e)]
+            endpoint = next((e for e in allowed if self._slot_for(e, in_flight)), None) or (
+                self._choose_by_score_of_all(in_flight, allowed) if estimate_us > limit_us else None)
+            if endpoint and (2 * (alternative_us := self._time_to_first_token_us(in_flight, endpoint)) <= limit_us or self._slot_for(endpoint, in_flight)):
+                prefill_endpoint, estimate_us = endpoint, alternative_us
+        roles = (Role.PREFILL, Role.DECODE) if prefill_endpoint and prefill_endpoint.role is Role.PREFILL else (Role.PREFILL_AND_DECODE,)
+        fastest_us = sum(self.statistics[role, False].fast_relative_latency for role in roles) * latency_objective_us  # Fastest time to first token.
+        is_shed = estimate_us > limit_us or max(estimate_us, fastest_us) > request.time_left_us
+        is_overloaded = estimate_us > limit_us or max(estimate_us, fastest_us) > latency_objective_us  # Otherwise only the client's deadline is too short.
+        self.shed_at_us = self.now if is_shed and is_overloaded else self.shed_at_us
+        in_flight.retry_after_us = max(int(estimate_us - limit_us), 0) if is_shed else 0  # Time until the queue may be within the limit.
+        self._announce("shedding load by priority", self.now - self.shed_at_us < SHEDDING_PERIOD_US)
+        self._send(in_flight, None if is_shed else prefill_endpoint)
+
+    def _announce(self, condition: str, is_active: bool) -> None:
+        """Log once when a condition begins and once when it ends."""
+        if is_active != (condition in self.active_conditions):
+            self.active_conditions ^= {condition}
+            self.actions.append(LogMessage(f"{condition}: {'begins' if is_active else 'ends'}"))
+
+    def _is_over_quota(self, request: Request) -> bool:
+        """Whether the tenant exceeds its quota at this node: a token bucket filled at one replica's share of the quota."""
         if request.tenant >= len(self.settings.tenants):
             return False
         rate = self.settings.tenants[request.tenant].quota_per_s / self.settings.replicas
-        most = max(rate * QUOTA_BURST_S, QUOTA_LEAST)
-        saved, since = self.quota.get(request.tenant, (most, self.now))
-        saved = min(saved + rate * (self.now - since) / 1e6, most)
-        over = saved < 1
-        self.quota[request.tenant] = (saved - (not (over or request.is_retry or request.is_resumed)), self.now)
-        return over
-
-    def _outlook(self, flight: Flight, reader: Seat | None) -> float:
-        """Microseconds to a first token where the request would go. An idle server that it would not get
-        can't hide a jam where it would; a turn at a cold one is room; waiting states show late in reports.
+        bucket_size = max(rate * BURST_S, MIN_BURST_REQUESTS)
+        available, filled_at_us = self.quota_buckets.get(request.tenant, (bucket_size, self.now))
+        available = min(available + rate * (self.now - filled_at_us) / 1e6, bucket_size)
+        is_over_quota = available < 1
+        self.quota_buckets[request.tenant] = (available - (not (is_over_quota or request.is_retry or request.is_resumed)), self.now)
+        return is_over_quota
+
+    def _time_to_first_token_us(self, in_flight: InFlightRequest, prefill_endpoint: Endpoint | None) -> float:
+        """Estimate the microseconds to the first token at the endpoint where the request would go. An idle endpoint
+        that it would not be sent to does not hide an overload; an open slot at an endpoint in slow start is
+        capacity; waiting KV states appear late in reports.
         """
-        writer = self._pick_writer(flight) if reader and reader.role is Role.PREFILL else None
-        queue, typical = self._queue_us(reader) if reader else 0.0, 0.0
-        queue += writer.open_work * self._us_per_token(writer) if writer else 0.0
-        far = reader is not None and self._abroad(reader)
-        roles = (Role.PREFILL, Role.DECODE) if reader and reader.role is Role.PREFILL else (Role.PREFILL_AND_DECODE,)
-        # A node with a request a second has hardly any own work open: its last reports and answers stand in,
-        # and the ages of attempts out, as no answer comes of a jam; the median, lest one silent server do.
+        decode_endpoint = self._choose_decode(in_flight) if prefill_endpoint and prefill_endpoint.role is Role.PREFILL else None
+        queue_us, role_us = self._endpoint_queue_us(prefill_endpoint) if prefill_endpoint else 0.0, 0.0
+        queue_us += decode_endpoint.waiting_tokens * self._us_per_token(decode_endpoint) if decode_endpoint else 0.0
+        is_remote = prefill_endpoint is not None and self._is_remote(prefill_endpoint)
+        roles = (Role.PREFILL, Role.DECODE) if prefill_endpoint and prefill_endpoint.role is Role.PREFILL else (Role.PREFILL_AND_DECODE,)
+        # A node with one request per second has hardly any attempts in flight. Instead, its last reports and answers
+        # count, and the ages of its attempts, as no answers arrive in an overload. The median of the ages is used, so
+        # that one silent endpoint does not change it.
         for role in roles:
-            kind = self.kinds[role, far]
-            olds = [self._oldest(s) for s in self.fleet.ready(role) if s.kind is kind]
-            fresh = max(0.0, 1 - (self.now - kind.told_at) / TYPICAL_US)
-            waits = kind.waiting  # A queue just reported by the very reader tells more than its peers'.
-            waits += (reader.waiting - waits) * self._fresh(reader) if reader and reader.role is role else 0.0
-            told = TYPICAL_WEIGHT * self.unseen**2 * (waits + kind.work) * kind.us_per_token
-            aged = self.unseen**AGES_POWER * median_low([0, *(self.now - old.sent for old in olds if old)])
-            typical += max(fresh * (told + kind.full * flight.aim), aged)
-        return queue if reader and self._cold_turn(reader, flight) else max(queue, typical)
-
-    # -- the first stage: a reader
-
-    def _pick_reader(self, flight: Flight) -> Seat | None:
-        request, cls, order = flight.request, flight.cls, self._order(flight)
-        own = (sum(not self._abroad(s) for s in order) if self.zones else 0) or len(order)
-        once = cls.objective_us_per_1000_tokens * request.prefix_tokens / 1000  # That the aim grants to read it.
-        least = SPILL_HOMES if SPILL_HOMES * once <= QUEUE_THRESHOLD * (cls.latency_objective_us + once) else 1
-        wanted = max(least, HOT_SPARE * self.asked.part(request.prefix, ASKED_SMOOTHING) * own)
-        count = max(1, int(min(HOME_SHARE * self.unseen * own, wanted))) if request.prefix else 1
-        seats = self._pool(order, flight, count + SPILL_HOMES - 1)
-        if not seats:
+            statistics = self.statistics[role, is_remote]
+            oldest_attempts = [self._oldest_waiting(s) for s in self.table.ready(role) if s.statistics is statistics]
+            weight = max(0.0, 1 - (self.now - statistics.observed_at_us) / STATISTICS_MAX_AGE_US)
+            waiting_tokens = statistics.waiting_tokens  # A recent report of the endpoint itself is more informative than its peers'.
+            waiting_tokens += (prefill_endpoint.reported_waiting_tokens - waiting_tokens) * self._report_weight(prefill_endpoint) if prefill_endpoint and prefill_endpoint.role is role else 0.0
+            observed_us = ROLE_QUEUE_WEIGHT * self.other_nodes_share**2 * (waiting_tokens + statistics.attempt_tokens) * statistics.us_per_token
+            median_age_us = self.other_nodes_share**AGE_EXPONENT * median_low([0, *(self.now - attempt.sent_at_us for attempt in oldest_attempts if attempt)])
+            role_us += max(weight * (observed_us + statistics.rejection_share * in_flight.latency_objective_us), median_age_us)
+        return queue_us if prefill_endpoint and self._slot_for(prefill_endpoint, in_flight) else max(queue_us, role_us)
+
+    # Prefill placement
+
+    def _choose_prefill(self, in_flight: InFlightRequest) -> Endpoint | None:
+        request, cls, ranking = in_flight.request, in_flight.request_class, self._ranking(in_flight)
+        local_count = (sum(not self._is_remote(s) for s in ranking) if self.budgets else 0) or len(ranking)
+        prefix_allowance_us = cls.objective_us_per_1000_tokens * request.prefix_tokens / 1000  # Allowance of the latency objective for the prefix.
+        min_count = SPILL_ENDPOINTS if SPILL_ENDPOINTS * prefix_allowance_us <= MAX_QUEUE_SHARE * (cls.latency_objective_us + prefix_allowance_us) else 1
+        wanted_count = max(min_count, AFFINITY_HEADROOM * self.demand.prefix_share(request.prefix, REQUEST_WEIGHT) * local_count)
+        affinity_count = max(1, int(min(MAX_AFFINITY_SHARE * self.other_nodes_share * local_count, wanted_count))) if request.prefix else 1
+        endpoints = self._first_eligible(ranking, in_flight, affinity_count + SPILL_ENDPOINTS - 1)
+        if not endpoints:
             return None
-        # A session stays at one of its prefix's homes, whichever node it comes through; a turn would lapse.
-        homes = [s for s in seats[:count] if not self._abroad(s)] or seats[:count]
-        home = max(homes, key=lambda s: (self._cold_turn(s, flight), self._rank(request.session, s)))
-        if self._queue_us(home) <= QUEUE_THRESHOLD * flight.aim:
-            return home
-        far = [s for s in self._far(flight) if s not in seats] if self.zones else []
-        return self._spill(flight, seats + far, 1.0)
-
-    def _spill(self, flight: Flight, seats: list[Seat], priced: float) -> Seat | None:
-        """The lowest score; a reader of another zone scores worse by the price of what would cross."""
-        def score(seat: Seat) -> float:
-            return (self._depth(seat) + 1) * self._latency(seat) * (1 + priced * self._price(flight, seat))
-
-        return any_of(least_of(seats, score), self.random)
-
-    def _spill_anywhere(self, flight: Flight, seats: list[Seat]) -> Seat | None:
-        """Any of the least score: where most know nothing of this node and are many, by trials among all readers."""
-        def score(seat: Seat) -> float:
-            return (self._depth(seat) + 1) * self._latency(seat) * (1 + self._price(flight, seat))
-
-        tied = least_of(sorted(seats, key=lambda s: s.info.id), score)
-        since = self.now - REPORT_LIFE_US
-        unknown = [s for s in tied if not (s.open or s.running or s.latency or (s.told_at and s.told_at > since))]
-        ready = self.fleet.ready(Role.PREFILL)
-        if unknown and DRAW_SHARE * len(tied) >= len(ready):
-            for _ in range(DRAWS):
-                seat = ready[int(self.random.random() * len(ready))]
-                if seat in tied:
-                    return seat
-        return any_of(tied, self.random)
-
-    def _far(self, flight: Flight) -> list[Seat]:
-        """Readers of other zones among which to spill, in this prefix's hash order."""
-        return self._pool([s for s in self._order(flight) if self._abroad(s)], flight, SPILL_HOMES)
-
-    def _abroad(self, seat: Seat) -> bool:
-        """Whether a server lies in another zone, where crossings are counted."""
-        return self.zones is not None and seat.info.zone != self.settings.zone
-
-    def _crossing(self, flight: Flight, seat: Seat) -> float:
-        """Bytes that an attempt there would move between zones: prompt, state, and the answer back."""
-        if self.zones is None:
+        # A session stays at one affinity endpoint of its prefix, through whichever node it arrives; an open slot goes
+        # first, because it would expire.
+        affinity_endpoints = [s for s in endpoints[:affinity_count] if not self._is_remote(s)] or endpoints[:affinity_count]
+        session_endpoint = max(affinity_endpoints, key=lambda s: (self._slot_for(s, in_flight), self._rendezvous_score(request.session, s)))
+        if self._endpoint_queue_us(session_endpoint) <= MAX_QUEUE_SHARE * in_flight.latency_objective_us:
+            return session_endpoint
+        remote = [s for s in self._remote_endpoints(in_flight) if s not in endpoints] if self.budgets else []
+        return self._choose_by_score(in_flight, endpoints + remote, 1.0)
+
+    def _choose_by_score(self, in_flight: InFlightRequest, endpoints: list[Endpoint], price_weight: float) -> Endpoint | None:
+        """Choose the lowest score; the price of the cross-zone traffic raises the score of a remote endpoint."""
+        def score(endpoint: Endpoint) -> float:
+            return (self._in_flight_at(endpoint) + 1) * self._expected_prefill_latency_us(endpoint) * (1 + price_weight * self._price(in_flight, endpoint))
+
+        return random_member(lowest_ranked(endpoints, score), self.random)
+
+    def _choose_by_score_of_all(self, in_flight: InFlightRequest, endpoints: list[Endpoint]) -> Endpoint | None:
+        """Choose randomly among the lowest scores. If many of them have no data at this node, draw from all endpoints."""
+        def score(endpoint: Endpoint) -> float:
+            return (self._in_flight_at(endpoint) + 1) * self._expected_prefill_latency_us(endpoint) * (1 + self._price(in_flight, endpoint))
+
+        tied = lowest_ranked(sorted(endpoints, key=lambda s: s.info.id), score)
+        oldest_report_us = self.now - REPORT_MAX_AGE_US
+        unknown = [s for s in tied if not (s.waiting or s.streams or s.prefill_latency_us or (s.reported_at_us and s.reported_at_us > oldest_report_us))]
+        ready = self.table.ready(Role.PREFILL)
+        if unknown and MAX_MEAN_DRAWS * len(tied) >= len(ready):
+            for _ in range(MAX_DRAWS):
+                endpoint = ready[int(self.random.random() * len(ready))]
+                if endpoint in tied:
+                    return endpoint
+        return random_member(tied, self.random)
+
+    def _remote_endpoints(self, in_flight: InFlightRequest) -> list[Endpoint]:
+        """Remote prefill endpoints to spill over to, in the prefix's hash order."""
+        return self._first_eligible([s for s in self._ranking(in_flight) if self._is_remote(s)], in_flight, SPILL_ENDPOINTS)
+
+    def _is_remote(self, endpoint: Endpoint) -> bool:
+        """Whether an endpoint is in another zone and cross-zone traffic is budgeted."""
+        return self.budgets is not None and endpoint.info.zone != self.settings.zone
+
+    def _crossing_bytes(self, in_flight: InFlightRequest, endpoint: Endpoint) -> float:
+        """Bytes that an attempt would move between zones: prompt, KV state and output."""
+        if self.budgets is None:
             return 0.0
-        held = flight.held.info.zone if flight.held and seat.role is not Role.PREFILL else None
-        return self.zones.crossing_bytes(flight.request, seat.info.zone, held, seat.role is not Role.PREFILL, flight.cost)
+        holder_zone = in_flight.kv_holder.info.zone if in_flight.kv_holder and endpoint.role is not Role.PREFILL else None
+        return self.budgets.crossing_bytes(in_flight.request, endpoint.info.zone, holder_zone, endpoint.role is not Role.PREFILL, in_flight.projected_tokens)
 
-    def _price(self, flight: Flight, seat: Seat) -> float:
-        if self.zones is None:
+    def _price(self, in_flight: InFlightRequest, endpoint: Endpoint) -> float:
+        if self.budgets is None:
             return 0.0
-        size, worth = self._crossing(flight, seat), flight.cls.priority_weight / self.top_worth
-        return self.zones.price(self.now, flight.request.class_index, size, worth)
-
-    def _order(self, flight: Flight) -> list[Seat]:
-        """The ready readers in this prefix's hash order, kept until the list changes: ranking is dear."""
-        key, orders = flight.request.prefix or flight.request.session, self.fleet.orders
-        if key not in orders:
-            if len(orders) >= ORDERS_KEPT:
-                orders.clear()
-            orders[key] = sorted(self.fleet.ready(Role.PREFILL),
-                                 key=lambda s: (self._abroad(s), -self._rank(key, s)))
-        return orders[key]
-
-    def _rank(self, key: int, seat: Seat) -> float:
-        """Weighted rendezvous: every node ranks alike, and a change of the list moves few keys."""
-        share = (mix(key ^ mix(seat.info.id)) + 1) / (2**64 + 1)
-        return seat.info.weight / -math.log(share)
-
-    def _depth(self, seat: Seat) -> float:
-        """What stands there: by the last report, and of this node's own. A mixed server's running answers
-        count as its reports count them, since each read there slows all of them.
+        crossing_bytes, relative_priority = self._crossing_bytes(in_flight, endpoint), in_flight.request_class.priority_weight / self.max_priority_weight
+        return self.budgets.price(self.now, in_flight.request.class_index, crossing_bytes, relative_priority)
+
+    def _ranking(self, in_flight: InFlightRequest) -> list[Endpoint]:
+        """Ready prefill endpoints in the prefix's hash order, cached until the list changes because ranking is costly."""
+        key, rankings = in_flight.request.prefix or in_flight.request.session, self.table.prefill_rankings
+        if key not in rankings:
+            if len(rankings) >= MAX_CACHED_RANKINGS:
+                rankings.clear()
+            rankings[key] = sorted(self.table.ready(Role.PREFILL),
+                                 key=lambda s: (self._is_remote(s), -self._rendezvous_score(key, s)))
+        return rankings[key]
+
+    def _rendezvous_score(self, key: int, endpoint: Endpoint) -> float:
+        """Weighted rendezvous hashing: all nodes rank alike, and a list change moves few keys."""
+        uniform = (mix(key ^ mix(endpoint.info.id)) + 1) / (2**64 + 1)
+        return endpoint.info.weight / -math.log(uniform)
+
+    def _in_flight_at(self, endpoint: Endpoint) -> float:
+        """Estimate the requests in flight at an endpoint from its last report and this node's attempts. At an endpoint
+        of both roles streams count as they do in its reports, because each prefill there slows them down.
         """
-        own = len(seat.running) if seat.role is Role.PREFILL_AND_DECODE and not self.has_depth else 0
-        return seat.depth * self._fresh(seat) + len(seat.open) + own
+        own_streams = len(endpoint.streams) if endpoint.role is Role.PREFILL_AND_DECODE and not self.are_in_flight_reported else 0
+        return endpoint.reported_in_flight * self._report_weight(endpoint) + len(endpoint.waiting) + own_streams
 
-    def _queue_us(self, seat: Seat) -> float:
-        """Microseconds in which the tokens that wait there are worked off, at the speed seen here. So
-        the threshold fits fast and slow servers, long and short prompts; slowness alone is no overload.
+    def _endpoint_queue_us(self, endpoint: Endpoint) -> float:
+        """Microseconds in which the endpoint processes its waiting tokens, at the speed that this node has observed.
+        So one limit fits fast and slow endpoints, long and short prompts; slowness alone is no overload.
         """
-        # Each read at a mixed server slows the answers that run there: they count like reads that wait.
-        others = (self._depth(seat) - len(seat.open)) * seat.busy_tokens / self.settings.replicas
-        others = others if seat.role is Role.PREFILL_AND_DECODE else self.unseen**2 * seat.waiting * self._fresh(seat)
-        return max(seat.open_work, others) * self._us_per_token(seat)
-
-    def _us_per_token(self, seat: Seat) -> float:
-        """Own busy time there for each token worked off, not less than what the oldest attempt has shown."""
-        oldest = self._oldest(seat)
-        seen = seat.busy_us / seat.busy_tokens if seat.busy_tokens else seat.kind.us_per_token
-        return max(seen, (self.now - seat.busy_from) / oldest.work) if oldest else seen
-
-    def _oldest(self, seat: Seat) -> Flight | None:
-        return next(iter(seat.open.values()), None)
-
-    def _fresh(self, seat: Seat) -> float:
-        """How much a report still counts: a server that gets no sends sends no new ones."""
-        return max(0.0, 1 - (self.now - seat.told_at) / REPORT_LIFE_US)
-
-    def _latency(self, seat: Seat) -> float:
-        """The smoothed time to 'read', or the age of the oldest open one: a hung reader ends no reads."""
-        oldest = self._oldest(seat)
-        return max(seat.latency or seat.kind.latency, self.now - oldest.sent if oldest else 0, 1)
-
-    # -- the second stage: a writer
-
-    def _pick_writer(self, flight: Flight) -> Seat | None:
-        pool = self._pool(self.fleet.ready(Role.DECODE), flight, len(self.seats))
-        if not pool:
+        # Each prefill at an endpoint of both roles slows its streams, so they count like waiting prefills.
+        others = (self._in_flight_at(endpoint) - len(endpoint.waiting)) * endpoint.service_tokens / self.settings.replicas
+        others = others if endpoint.role is Role.PREFILL_AND_DECODE else self.other_nodes_share**2 * endpoint.reported_waiting_tokens * self._report_weight(endpoint)
+        return max(endpoint.waiting_tokens, others) * self._us_per_token(endpoint)
+
+    def _us_per_token(self, endpoint: Endpoint) -> float:
+        """Service time per token, at least the lower bound given by the oldest waiting attempt."""
+        oldest = self._oldest_waiting(endpoint)
+        known = endpoint.service_us / endpoint.service_tokens if endpoint.service_tokens else endpoint.statistics.us_per_token
+        return max(known, (self.now - endpoint.busy_since_us) / oldest.attempt_tokens) if oldest else known
+
+    def _oldest_waiting(self, endpoint: Endpoint) -> InFlightRequest | None:
+        return next(iter(endpoint.waiting.values()), None)
+
+    def _report_weight(self, endpoint: Endpoint) -> float:
+        """Weight of the last report, which falls with its age: an endpoint that gets no attempts sends no reports."""
+        return max(0.0, 1 - (self.now - endpoint.reported_at_us) / REPORT_MAX_AGE_US)
+
+    def _expected_prefill_latency_us(self, endpoint: Endpoint) -> float:
+        """Smoothed prefill latency, or the age of the oldest waiting attempt: an endpoint that hangs ends no prefills."""
+        oldest = self._oldest_waiting(endpoint)
+        return max(endpoint.prefill_latency_us or endpoint.statistics.prefill_latency_us, self.now - oldest.sent_at_us if oldest else 0, 1)
+
+    # Decode placement
+
+    def _choose_decode(self, in_flight: InFlightRequest) -> Endpoint | None:
+        eligible = self._first_eligible(self.table.ready(Role.DECODE), in_flight, len(self.endpoints))
+        if not eligible:
             return None
-        # Little is known of the memory of servers abroad: those at home are compared with each other.
-        zones = {s.info.zone: s for s in pool} if self.zones else {}
-        prices = {zone: self._price(flight, s) for zone, s in zones.items()}
-        home = [s for s in pool if not prices[s.info.zone]] if prices else pool
-        bound = median_low(s.memory for s in home or pool) + MEMORY_ABOVE
-        loads = self._loads([s for s in pool if s.memory <= bound])
-        if any(prices.values()):  # A crossing weighs so many mean loads more.
-            mean = max(self._mean(loads), flight.cost)
-            loads = {i: load + mean * prices[self.seats[i].info.zone] for i, load in loads.items()}
+        # Little is known of the memory of remote endpoints, so the local ones determine the median.
+        zones = {s.info.zone: s for s in eligible} if self.budgets else {}
+        prices = {zone: self._price(in_flight, s) for zone, s in zones.items()}
+        local = [s for s in eligible if not prices[s.info.zone]] if prices else eligible
+        max_memory_share = median_low(s.reported_memory_share for s in local or eligible) + MEMORY_MARGIN
+        loads = self._projected_loads([s for s in eligible if s.reported_memory_share <= max_memory_share])
+        if any(prices.values()):  # The price is a multiple of the mean load.
+            mean = max(self._mean_load(loads), in_flight.projected_tokens)
+            loads = {i: load + mean * prices[self.endpoints[i].info.zone] for i, load in loads.items()}
         least = min(loads.values())
-        most = least + NEAR_TIE * self._mean(loads)
-        near = [s for s in pool if loads.get(s.info.id, math.inf) <= most]
-        cell = flight.held.info.cell if flight.held else None
-        # A cell's writers get no more of its reads than they can take, by the list: the rest would jam them.
-        if cell is not None and (reads := self.fleet.cell_part(Role.PREFILL, cell)):
-            cell = cell if self.random.random() < self.fleet.cell_part(Role.DECODE, cell) / reads else None
-        turns = [s for s in near if self._cold_turn(s, flight)]
-        own = [s for s in near if s.info.cell == cell]
-        if turns or (own and cell is not None and len(self._in_cell(cell)) < len(self.fleet.ready(Role.DECODE))):
-            return any_of(least_of(turns or own, lambda s: (s.info.cell != cell, loads[s.info.id])), self.random)
-        return self._any_least([s for s in near if loads[s.info.id] == least])
-
-    def _in_cell(self, cell: int) -> list[Seat]:
-        return [s for s in self.fleet.ready(Role.DECODE) if s.info.cell == cell]
-
-    def _any_least(self, tied: list[Seat]) -> Seat | None:
-        """Any of these: where most have no own streams and are many, by trials among all."""
-        ready = self.fleet.ready(Role.DECODE)
-        if any(not s.tokens for s in tied) and DRAW_SHARE * len(tied) >= len(ready):
-            for _ in range(DRAWS):
-                seat = ready[int(self.random.random() * len(ready))]
-                if seat in tied:
-                    return seat
-        return any_of(tied, self.random)
-
-    def _mean(self, loads: dict[int, float]) -> float:
-        """Over all, rounded once for those with own streams and once for each role and zone of the others."""
-        own = math.fsum(load for server, load in loads.items() if self.seats[server].tokens)
-        idle = Counter((self.seats[server].role, self.seats[server].info.zone if self.zones else 0, load)
-                       for server, load in loads.items() if not self.seats[server].tokens)
-        return (own + math.fsum(load * count for (_, _, load), count in idle.items())) / len(loads)
-
-    def _loads(self, seats: list[Seat]) -> dict[int, float]:
-        """Projected own tokens there, and what all of its role get from this node, each by the list's sizes:
-        a mixed server that has reads of its own takes a state only where writers are as full.
+        limit = least + NEAR_TIE_SHARE * self._mean_load(loads)
+        preferred = [s for s in eligible if loads.get(s.info.id, math.inf) <= limit]
+        cell = in_flight.kv_holder.info.cell if in_flight.kv_holder else None
+        # A cell's decode endpoints get no more of its prefills than their listed capacity allows; more would overload them.
+        if cell is not None and (prefill_share := self.table.cell_share(Role.PREFILL, cell)):
+            cell = cell if self.random.random() < self.table.cell_share(Role.DECODE, cell) / prefill_share else None
+        with_slot = [s for s in preferred if self._slot_for(s, in_flight)]
+        in_cell = [s for s in preferred if s.info.cell == cell]
+        if with_slot or (in_cell and cell is not None and len(self._in_cell(cell)) < len(self.table.ready(Role.DECODE))):
+            return random_member(lowest_ranked(with_slot or in_cell, lambda s: (s.info.cell != cell, loads[s.info.id])), self.random)
+        return self._random_least_loaded([s for s in preferred if loads[s.info.id] == least])
+
+    def _in_cell(self, cell: int) -> list[Endpoint]:
+        return [s for s in self.table.ready(Role.DECODE) if s.info.cell == cell]
+
+    def _random_least_loaded(self, tied: list[Endpoint]) -> Endpoint | None:
+        """Choose randomly among these. If many of them have no streams of this node, draw from all endpoints."""
+        ready = self.table.ready(Role.DECODE)
+        if any(not s.projected_tokens for s in tied) and MAX_MEAN_DRAWS * len(tied) >= len(ready):
+            for _ in range(MAX_DRAWS):
+                endpoint = ready[int(self.random.random() * len(ready))]
+                if endpoint in tied:
+                    return endpoint
+        return random_member(tied, self.random)
+
+    def _mean_load(self, loads: dict[int, float]) -> float:
+        """Mean of all loads, rounded once for the endpoints with projected tokens and once for each role and zone of the others."""
+        loaded_sum = math.fsum(load for endpoint_id, load in loads.items() if self.endpoints[endpoint_id].projected_tokens)
+        unloaded = Counter((self.endpoints[endpoint_id].role, self.endpoints[endpoint_id].info.zone if self.budgets else 0, load)
+                       for endpoint_id, load in loads.items() if not self.endpoints[endpoint_id].projected_tokens)
+        return (loaded_sum + math.fsum(load * count for (_, _, load), count in unloaded.items())) / len(loads)
+
+    def _projected_loads(self, endpoints: list[Endpoint]) -> dict[int, float]:
+        """This node's projected tokens at each endpoint and at its whole role, each divided by the listed capacity. So an
+        endpoint of both roles that has prefills takes a KV state only if the decode endpoints are as loaded.
         """
-        roles = {role: self.kinds[role, False].carry(0.0, self.now, CARRIED_US) / self.fleet.size(role)
-                 for role in {s.role for s in seats}}
-        return {s.info.id: s.tokens / max(s.info.weight, 1e-6) + roles[s.role] for s in seats}
-
-    # -- health and guards, one notion for both stages
-
-    def _pool(self, seats: list[Seat], flight: Flight, most: int) -> list[Seat]:
-        """The first of these where this request may go: suspects only where nothing else is left."""
-        fit: list[Seat] = []
-        poor: list[Seat] = []
-        for seat in seats:
-            if (seat.info.id not in flight.tried and self._in_group(flight, seat)
-                    and self._cold_turn(seat, flight) is not None):
-                (fit if self._usable(seat, flight) else poor).append(seat)
-                if len(fit) == most:
+        role_loads = {role: self.statistics[role, False].assign(0.0, self.now, ASSIGNED_DECAY_US) / self.table.capacity(role)
+                 for role in {s.role for s in endpoints}}
+        return {s.info.id: s.projected_tokens / max(s.info.weight, 1e-6) + role_loads[s.role] for s in endpoints}
+
+    # Eligibility and ejection, for both stages
+
+    def _first_eligible(self, endpoints: list[Endpoint], in_flight: InFlightRequest, count: int) -> list[Endpoint]:
+        """The first endpoints that the request may be sent to; ejected ones only if no other is left."""
+        usable: list[Endpoint] = []
+        ejected: list[Endpoint] = []
+        for endpoint in endpoints:
+            if (endpoint.info.id not in in_flight.excluded and self._may_send_to(in_flight, endpoint)
+                    and self._slot_for(endpoint, in_flight) is not None):
+                (usable if self._is_usable(endpoint, in_flight) else ejected).append(endpoint)
+                if len(usable) == count:
                     break
-        return fit or poor[:most]
+        return usable or ejected[:count]
 
-    def _keys(self, flight: Flight) -> tuple[int, int, int]:
-        """What a failure can be laid to: the server, its service of this class, or of this tenant."""
-        return _ALL, flight.request.class_index, len(self.settings.classes) + flight.request.tenant
+    def _ejection_scopes(self, in_flight: InFlightRequest) -> tuple[int, int, int]:
+        """The ejection scopes that a failure can count for: the endpoint, the request class or the tenant."""
+        return _ALL_REQUESTS, in_flight.request.class_index, len(self.settings.classes) + in_flight.request.tenant
 
-    def _usable(self, seat: Seat, flight: Flight) -> bool:
-        """Not blamed for this kind of request, or due for a trial; nor in a zone it is yet to return to."""
-        if self.zones and self.returns.is_ramping_up and not flight.hurried and not self.returns.admits(
-                self.now, seat.info.zone, seat.role, mix(flight.request.session) / 2**64):
+    def _is_usable(self, endpoint: Endpoint, in_flight: InFlightRequest) -> bool:
+        """Whether the endpoint is not ejected for this request, or due for a check, and not in a zone that still ramps up."""
+        if self.budgets and self.zone_recovery.is_ramping_up and not in_flight.ignores_recovery_ramp and not self.zone_recovery.admits(
+                self.now, endpoint.info.zone, endpoint.role, mix(in_flight.request.session) / 2**64):
             return False
-        keys = self._keys(flight) if self.now - self.refused_at < CALM_US else (_PACE, *self._keys(flight))
-        return not seat.blamed or all(self.now >= seat.blamed[k].until for k in keys if k in seat.blamed)
-
-    def _trial_wait(self, fails: int) -> int:
-        wait = min(max(TRIAL_US * 2 ** (fails - 1), TRIAL_GAPS * self.gap), TRIAL_MOST_US)
-        return int(wait * (0.5 + self.random.random()))
-
-    def _blame(self, seat: Seat, key: int, sent: int) -> None:
-        known = seat.blamed.get(key)
-        if known and sent < known.at:
-            return  # Many attempts break at once when a process dies: they count as one failure.
-        fails = known.fails + 1 if known else 1
-        seat.blamed[key] = Blame(fails, self.now, self.now + self._trial_wait(fails))
-        if key == _ALL:
-            self._note_zones()
-        self._note(f"endpoint {seat.info.id} ejected", True)
-
-    def _clear(self, seat: Seat, flight: Flight) -> None:
-        """An answer clears the blame for its kind of request."""
-        for key in self._keys(flight) if seat.blamed else ():
-            if seat.blamed.pop(key, None) and key == _ALL:
-                self._note_zones()
-        if not seat.blamed:
-            self._note(f"endpoint {seat.info.id} ejected", False)
-
-    def _ran(self, seat: Seat, flight: Flight, whole: bool) -> None:
-        """An answer that had started is over; one no longer than usual clears its server of dragging."""
-        seat.ran(self.now, PACE_US, whole)
-        took = self.now - seat.running.pop(flight.request.request_id)
-        if whole and _PACE in seat.blamed:
-            for one in self.seats.values():
-                one.ran(self.now, PACE_US)
-            ends, ran_us = self._paces()
-            if took * ends < PACE_RATIO * ran_us:
-                del seat.blamed[_PACE]
-                self._note(f"endpoint {seat.info.id} has slow streams", False)
-
-    def _paces(self) -> tuple[float, float]:
-        """How many answers have ended lately at all writers, and how long answers have run there."""
-        return sum(s.ends for s in self.seats.values()), sum(s.ran_us for s in self.seats.values())
-
-    def _look_at_paces(self) -> None:
-        """Find servers that begin answers in time but drag them out. The evidence: how few have ended there
-        for the time that they have run, against its peers in the same seconds; a common slowness is nobody's.
-        Nothing new goes there but trials; what runs there is handed back, to be resumed elsewhere. Not while
-        this node refuses: then even a slow server is missed.
+        scopes = self._ejection_scopes(in_flight) if self.now - self.shed_at_us < SHEDDING_PERIOD_US else (_SLOW_STREAMS, *self._ejection_scopes(in_flight))
+        return not endpoint.ejections or all(self.now >= endpoint.ejections[scope].next_check_at_us for scope in scopes if scope in endpoint.ejections)
+
+    def _check_interval_us(self, failures: int) -> int:
+        interval_us = min(max(CHECK_INTERVAL_US * 2 ** (failures - 1), CHECK_INTERVAL_REQUESTS * self.arrival_gap_us), MAX_CHECK_INTERVAL_US)
+        return int(interval_us * (0.5 + self.random.random()))
+
+    def _record_ejection(self, endpoint: Endpoint, scope: int, sent_at_us: int) -> None:
+        ejection = endpoint.ejections.get(scope)
+        if ejection and sent_at_us < ejection.failed_at_us:
+            return  # When a process fails, many attempts fail at once; they count as one failure.
+        failures = ejection.failures + 1 if ejection else 1
+        endpoint.ejections[scope] = Ejection(failures, self.now, self.now + self._check_interval_us(failures))
+        if scope == _ALL_REQUESTS:
+            self._observe_zones()
+        self._announce(f"endpoint {endpoint.info.id} ejected", True)
+
+    def _clear_ejections(self, endpoint: Endpoint, in_flight: InFlightRequest) -> None:
+        """End the ejections for the scopes of a request that was answered."""
+        for scope in self._ejection_scopes(in_flight) if endpoint.ejections else ():
+            if endpoint.ejections.pop(scope, None) and scope == _ALL_REQUESTS:
+                self._observe_zones()
+        if not endpoint.ejections:
+            self._announce(f"endpoint {endpoint.info.id} ejected", False)
+
+    def _end_stream(self, endpoint: Endpoint, in_flight: InFlightRequest, is_completed: bool) -> None:
+        """Record the end of a stream; a completed stream of normal length ends an ejection for slow streams."""
+        endpoint.advance_streams(self.now, STREAM_DECAY_US, is_completed)
+        duration_us = self.now - endpoint.streams.pop(in_flight.request.request_id)
+        if is_completed and _SLOW_STREAMS in endpoint.ejections:
+            for peer in self.endpoints.values():
+                peer.advance_streams(self.now, STREAM_DECAY_US)
+            completed, streamed_us = self._stream_totals()
+            if duration_us * completed < SLOWDOWN * streamed_us:
+                del endpoint.ejections[_SLOW_STREAMS]
+                self._announce(f"endpoint {endpoint.info.id} has slow streams", False)
+
+    def _stream_totals(self) -> tuple[float, float]:
+        """Recently completed streams at all endpoints, and their streaming time."""
+        return sum(s.completed_streams for s in self.endpoints.values()), sum(s.streamed_us for s in self.endpoints.values())
+
+    def _check_stream_rates(self) -> None:
+        """Eject endpoints that answer in time but whose streams are slow: fewer streams complete per streaming time than
+        at their peers in the same seconds, so a general slowdown ejects none. Only health checks are sent there, and
+        the streams are migrated. Not while this node sheds load, because even slow capacity is needed then.
         """
-        for seat in self.seats.values():
-            seat.ran(self.now, PACE_US)
-        if self.now - self.refused_at < CALM_US:
+        for endpoint in self.endpoints.values():
+            endpoint.advance_streams(self.now, STREAM_DECAY_US)
+        if self.now - self.shed_at_us < SHEDDING_PERIOD_US:
             return
-        ends, ran_us = self._paces()
-        dragging = sum(_PACE in s.blamed for s in self.fleet.ready(Role.DECODE))
-        for seat in sorted(self.seats.values(), key=lambda s: s.info.id):
-            others, peers = ends - seat.ends, ran_us - seat.ran_us
-            if not seat.running or others < PACE_ENDS or peers <= 0:
+        completed, streamed_us = self._stream_totals()
+        slow_count = sum(_SLOW_STREAMS in s.ejections for s in self.table.ready(Role.DECODE))
+        for endpoint in sorted(self.endpoints.values(), key=lambda s: s.info.id):
+            peers_completed, peers_streamed_us = completed - endpoint.completed_streams, streamed_us - endpoint.streamed_us
+            if not endpoint.streams or peers_completed < MIN_PEER_STREAMS or peers_streamed_us <= 0:
                 continue
-            usual = seat.ran_us / max(peers / others, PACE_FLOOR_US)
-            sure = usual * (1 - 1 / PACE_RATIO) - seat.ends * math.log(PACE_RATIO) >= PACE_SURE
-            if not sure or (_PACE not in seat.blamed
-                            and dragging >= PACE_MOST * len(self.fleet.ready(Role.DECODE))):
+            expected = endpoint.streamed_us / max(peers_streamed_us / peers_completed, MIN_MEAN_LENGTH_US)
+            is_slow = expected * (1 - 1 / SLOWDOWN) - endpoint.completed_streams * math.log(SLOWDOWN) >= MIN_LOG_ODDS
+            if not is_slow or (_SLOW_STREAMS not in endpoint.ejections
+                            and slow_count >= MAX_SLOW_SHARE * len(self.table.ready(Role.DECODE))):
                 continue
-            fails = min(seat.blamed[_PACE].fails + 1, 4) if _PACE in seat.blamed else 2
-            seat.blamed[_PACE] = Blame(fails, self.now, self.now + self._trial_wait(fails))
-            self._note(f"endpoint {seat.info.id} has slow streams", True)
-            seat.ends = seat.ran_us = 0.0
+            failures = min(endpoint.ejections[_SLOW_STREAMS].failures + 1, 4) if _SLOW_STREAMS in endpoint.ejections else 2
+            endpoint.ejections[_SLOW_STREAMS] = Ejection(failures, self.now, self.now + self._check_interval_us(failures))
+            self._announce(f"endpoint {endpoint.info.id} has slow streams", True)
+            endpoint.completed_streams = endpoint.streamed_us = 0.0
             if self.settings.may_resume:
-                self.out.extend(MigrateStream(request_id) for request_id in seat.running)
+                self.actions.extend(MigrateStream(request_id) for request_id in endpoint.streams)
 
-    def _patience(self, flight: Flight, seat: Seat) -> int:
-        """The attempt's own time-out: silence well past what answers take here, while a retry can still be in
-        time. None where most are silent, this node refuses or, of a read, nothing has been heard of its role
-        just now: that is a jam, or may be one, and retries would feed it.
+    def _timeout_us(self, in_flight: InFlightRequest, endpoint: Endpoint) -> int:
+        """Time-out of an attempt: well above the latency of answers, while a retry can still be in time. 0, for none, if
+        most attempts time out, this node sheds load or, for a prefill, its role has not answered recently: these
+        indicate an overload, which retries would increase.
         """
-        kind = seat.kind
-        left = self.settings.max_attempts - flight.attempts - (seat.role is Role.PREFILL)
-        window = {Idempotency.IDEMPOTENT: math.inf, Idempotency.WITH_KEY: flight.cls.deduplication_window_us}.get(flight.cls.idempotency, 0)
-        unheard = seat.role is not Role.DECODE and 0 < kind.heard_at < self.now - SILENCE_FLOOR * flight.aim
-        jammed = unheard or kind.lost >= LOST_MOST or self.now - self.refused_at < CALM_US
-        if left <= 0 or not window or jammed:
+        statistics = endpoint.statistics
+        attempts_left = self.settings.max_attempts - in_flight.attempts - (endpoint.role is Role.PREFILL)
+        retry_window_us = {Idempotency.IDEMPOTENT: math.inf, Idempotency.WITH_KEY: in_flight.request_class.deduplication_window_us}.get(in_flight.request_class.idempotency, 0)
+        is_role_silent = endpoint.role is not Role.DECODE and 0 < statistics.answered_at_us < self.now - MIN_TIMEOUT_SHARE * in_flight.latency_objective_us
+        is_overload_likely = is_role_silent or statistics.timeout_or_error_share >= MAX_TIMEOUT_SHARE or self.now - self.shed_at_us < SHEDDING_PERIOD_US
+        if attempts_left <= 0 or not retry_window_us or is_overload_likely:
             return 0
-        # The oldest attempt out at each peer counts with the answers: a common slowness shows there first.
-        olds = [old for s in self.fleet.ready(seat.role) if (old := self._oldest(s))]
-        paces = sorted([*kind.paces, *((self.now - old.sent) / old.aim for old in olds)])
-        slow = paces[-len(paces) // 5]
-        # Few nodes see much: there what is queued explains a wait, and patience is longer.
-        wait = max(SILENCE_FLOOR / max(self.unseen, 0.5) ** 0.75, SILENCE_RATIO * slow) * flight.aim
-        wait *= SILENCE_STEP**flight.silences
-        # Where reports tell of a queue, silence is waiting: a retry would only lengthen it.
-        wait *= (1 + kind.waiting / max(kind.work, 1.0)) / max(1 - kind.lost, 1 - LOST_MOST)
-        return int(wait) if self.now + 2 * wait < flight.due and wait < window else 0
-
-    def _cold_turn(self, seat: Seat, flight: Flight) -> int | None:
-        """The turn by which a request may go to a server: 0 where it is warm, None where there is none.
-
-        A cold server is pushed over by what all nodes send it in one window: past N, what the settings allow
-        it, 2 x root of N + 2 are chance. So they send by turns, numbered from its start, handed round their
-        slots. One comes whenever its ramp has made room for a request, at COLD_SHARE x fall_multiple of its
-        part of the quotas; it is good for one send and lapses after a fall_window. A window can see turns
-        that came in it, N/3, and unused ones of that before: N/3, one a node at most. The last third is for
-        half as many processes as slots again, quotas too high, servers gone before a node's first list.
-        Peers, traffic and chance have no part in it: a batch of retries finds one send, a new node leaves
-        what its last life may have used. A class of h mean requests fits one turn in h.
+        # The ages of the oldest attempts at the peers count as answers: a general slowdown shows there first.
+        oldest_attempts = [attempt for s in self.table.ready(endpoint.role) if (attempt := self._oldest_waiting(s))]
+        relative_latencies = sorted([*statistics.relative_latencies, *((self.now - attempt.sent_at_us) / attempt.latency_objective_us for attempt in oldest_attempts)])
+        slow_latency = relative_latencies[-len(relative_latencies) // 5]
+        # With few nodes, the queue that a node sees explains a long wait, so the time-out is longer.
+        timeout_us = max(MIN_TIMEOUT_SHARE / max(self.other_nodes_share, 0.5) ** 0.75, TIMEOUT_RATIO * slow_latency) * in_flight.latency_objective_us
+        timeout_us *= TIMEOUT_GROWTH**in_flight.unanswered_attempts
+        # If reports show a queue, the attempt is waiting, and a retry would only lengthen the queue.
+        timeout_us *= (1 + statistics.waiting_tokens / max(statistics.attempt_tokens, 1.0)) / max(1 - statistics.timeout_or_error_share, 1 - MAX_TIMEOUT_SHARE)
+        return int(timeout_us) if self.now + 2 * timeout_us < in_flight.deadline_us and timeout_us < retry_window_us else 0
+
+    def _slot_for(self, endpoint: Endpoint, in_flight: InFlightRequest) -> int | None:
+        """The slot that lets a request be sent to an endpoint: 0 if it is warm, None if there is none.
+
+        An endpoint in slow start fails if all nodes together send it much more in one window than N, the number that the
+        settings allow; an excess of 2 x root of N + 2 is within random variation. Nodes therefore send by numbered slots,
+        assigned in rotation to the replica indexes. A slot becomes due whenever the ramp allows one more request, at
+        SLOT_RATE_SHARE x slow_start_overload_factor of the endpoint's share of the quotas; it is valid for one attempt and
+        expires after a slow_start_window. A window can contain the slots due in it, N/3, and unused ones of the window
+        before: N/3, one for each node at most. The last third covers half as many additional processes as replicas, quotas
+        above the capacity, and endpoints removed before a node's first list. Peers, traffic and chance have no influence: a
+        batch of retries gets one slot, and a restarted node skips what its earlier process may have used. A request of a
+        class that costs as much as h mean requests may use one slot in h.
         """
-        s, start = self.settings, seat.info.started_at_us
-        if not start or self.now >= start + s.slow_start_us:
+        settings, started_at_us = self.settings, endpoint.info.started_at_us
+        if not started_at_us or self.now >= started_at_us + settings.slow_start_us:
             return 0
-        able = self.quotas * self.fleet.share(seat) / 1e6 or 1 / s.slow_start_window_us  # no quota told: one
-        rate = min(COLD_SHARE * s.slow_start_overload_factor, 1.0) * able
+        requests_per_us = self.fleet_capacity_per_s * self.table.endpoint_share(endpoint) / 1e6 or 1 / settings.slow_start_window_us  # without quotas, one request per window
+        rate = min(SLOT_RATE_SHARE * settings.slow_start_overload_factor, 1.0) * requests_per_us
 
-        def come(at: int) -> int:
-            return int(rate * at * (s.slow_start_initial_share + (1 - s.slow_start_initial_share) * at / (2 * s.slow_start_us))) if at > 0 else 0
+        def slots_due(age_us: int) -> int:
+            return int(rate * age_us * (settings.slow_start_initial_share + (1 - settings.slow_start_initial_share) * age_us / (2 * settings.slow_start_us))) if age_us > 0 else 0
 
-        turn = come(self.now - start)
-        turn -= (turn + mix(seat.info.id) - s.replica_index) % s.replicas
-        if turn <= max(seat.turn, come(max(self.now - s.slow_start_window_us, self.born) - start)):
+        slot = slots_due(self.now - started_at_us)
+        slot -= (slot + mix(endpoint.info.id) - settings.replica_index) % settings.replicas
+        if slot <= max(endpoint.last_slot, slots_due(max(self.now - settings.slow_start_window_us, self.first_event_at_us) - started_at_us)):
             return None
-        heavy = self.asked.heaviness(flight.request.class_index, seat.role)
-        return turn if turn * COLD_SPREAD % 1 * heavy <= 1 else None
+        cost = self.demand.relative_cost(in_flight.request.class_index, endpoint.role)
+        return slot if slot * GOLDEN_RATIO_FRACTION % 1 * cost <= 1 else None
 
-    def _in_group(self, flight: Flight, seat: Seat) -> bool:
-        """Whether a send there, also to be read anew, can't double an effect of what may have run."""
-        if flight.effect is None or flight.cls.idempotency is Idempotency.IDEMPOTENT:
+    def _may_send_to(self, in_flight: InFlightRequest, endpoint: Endpoint) -> bool:
+        """Whether an attempt there, also a repeated prefill, cannot repeat the effect of an earlier attempt."""
+        if in_flight.first_execution is None or in_flight.request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        sent, first = flight.effect
-        if flight.cls.idempotency is Idempotency.NOT_IDEMPOTENT or self.now - sent > flight.cls.deduplication_window_us:
+        sent_at_us, first_endpoint = in_flight.first_execution
+        if in_flight.request_class.idempotency is Idempotency.NOT_IDEMPOTENT or self.now - sent_at_us > in_flight.request_class.deduplication_window_us:
             return False
-        scope, zone, cell = flight.cls.idempotency_scope, seat.info.zone == first.zone, seat.info.cell == first.cell
-        return scope is IdempotencyScope.ALL or (zone and (scope is IdempotencyScope.ZONE or cell))
+        scope, is_same_zone, is_same_cell = in_flight.request_class.idempotency_scope, endpoint.info.zone == first_endpoint.zone, endpoint.info.cell == first_endpoint.cell
+        return scope is IdempotencyScope.ALL or (is_same_zone and (scope is IdempotencyScope.ZONE or is_same_cell))
 
-    # -- attempts
+    # Attempts
 
-    def _send(self, flight: Flight, seat: Seat | None) -> None:
-        """The one place where attempts leave: never a second one out, none too late, none too many."""
-        if seat is None or flight.attempts >= self.settings.max_attempts or self.now >= flight.due:
-            self._finish(flight)
+    def _send(self, in_flight: InFlightRequest, endpoint: Endpoint | None) -> None:
+        """The only place that sends attempts: one at a time, none after the deadline, none above the maximum number."""
+        if endpoint is None or in_flight.attempts >= self.settings.max_attempts or self.now >= in_flight.deadline_us:
+            self._conclude(in_flight)
             return
-        request = flight.request
-        flight.attempts += 1
-        flight.work = max(request.prompt_tokens, 1.0) if flight.held else flight.unread
-        seat.turn = self._cold_turn(seat, flight) or seat.turn
-        seat.take(flight, self.now)
-        if seat.role is not Role.PREFILL:
-            seat.tokens += flight.cost
-            self.kinds[seat.role, False].carry(flight.cost, self.now, CARRIED_US)
-        for key in (_PACE, *self._keys(flight)) if seat.blamed else ():
-            if key in seat.blamed:  # This is its trial: the next waits anew.
-                seat.blamed[key].until = self.now + self._trial_wait(seat.blamed[key].fails)
-        cause = self.zones.reserve(self.now, request.request_id, request.class_index, self._crossing(flight, seat),
-                                   bool(flight.tried)) if self.zones else None
-        self.out.append(SendAttempt(request.request_id, seat.info.id, self._patience(flight, seat), cause))
-
-    def _started(self, event: StreamStarted) -> None:
-        flight = self.flights.get(event.request_id)
-        if flight is None or flight.at is None:
+        request = in_flight.request
+        in_flight.attempts += 1
+        in_flight.attempt_tokens = max(request.prompt_tokens, 1.0) if in_flight.kv_holder else in_flight.uncached_tokens
+        endpoint.last_slot = self._slot_for(endpoint, in_flight) or endpoint.last_slot
+        endpoint.add_waiting(in_flight, self.now)
+        if endpoint.role is not Role.PREFILL:
+            endpoint.projected_tokens += in_flight.projected_tokens
+            self.statistics[endpoint.role, False].assign(in_flight.projected_tokens, self.now, ASSIGNED_DECAY_US)
+        for scope in (_SLOW_STREAMS, *self._ejection_scopes(in_flight)) if endpoint.ejections else ():
+            if scope in endpoint.ejections:  # This attempt is the health check; the next one is due an interval later.
+                endpoint.ejections[scope].next_check_at_us = self.now + self._check_interval_us(endpoint.ejections[scope].failures)
+        cause = self.budgets.reserve(self.now, request.request_id, request.class_index, self._crossing_bytes(in_flight, endpoint),
+                                   bool(in_flight.excluded)) if self.budgets else None
+        self.actions.append(SendAttempt(request.request_id, endpoint.info.id, self._timeout_us(in_flight, endpoint), cause))
+
+    def _handle_stream_started(self, event: StreamStarted) -> None:
+        in_flight = self.in_flight.get(event.request_id)
+        if in_flight is None or in_flight.endpoint is None:
             return
-        flight.started = True
-        flight.at.ran(self.now, PACE_US)
-        flight.at.running[event.request_id] = self.now
-        if flight.at.off(flight):
-            self._good(flight.at, event.latency_us, flight)
-
-    def _good(self, seat: Seat, latency: int, flight: Flight) -> None:
-        kind, read = seat.kind, seat.role is not Role.DECODE and flight.held is None
-        seat.answered(flight, latency, self.now, SMOOTHING, read)
-        kind.answered(flight, latency, seat.waiting, SMOOTHING, read, self.now)
-        kind.ended(0.0, 0.0, self.now, SMOOTHING)
-        seat.breaks = 0
-        self._clear(seat, flight)
-
-    def _bad(self, seat: Seat, event: AttemptEnded, flight: Flight) -> None:
-        """What a failed attempt says, and of what: a broken connection of the server, an error or silence of
-        its service of one class, a slow `full` of one tenant's; a quick one tells lack of room.
+        in_flight.is_streaming = True
+        in_flight.endpoint.advance_streams(self.now, STREAM_DECAY_US)
+        in_flight.endpoint.streams[event.request_id] = self.now
+        if in_flight.endpoint.remove_waiting(in_flight):
+            self._record_answer(in_flight.endpoint, event.latency_us, in_flight)
+
+    def _record_answer(self, endpoint: Endpoint, latency_us: int, in_flight: InFlightRequest) -> None:
+        statistics, is_prefill = endpoint.statistics, endpoint.role is not Role.DECODE and in_flight.kv_holder is None
+        endpoint.record_answer(in_flight, latency_us, self.now, SAMPLE_WEIGHT, is_prefill)
+        statistics.record_answer(in_flight, latency_us, endpoint.reported_waiting_tokens, SAMPLE_WEIGHT, is_prefill, self.now)
+        statistics.record_end(0.0, 0.0, self.now, SAMPLE_WEIGHT)
+        endpoint.connection_failures = 0
+        self._clear_ejections(endpoint, in_flight)
+
+    def _record_failure(self, endpoint: Endpoint, event: AttemptEnded, in_flight: InFlightRequest) -> None:
+        """Record a failed attempt: a failed connection counts against the endpoint, an error or time-out against its
+        service of the class, a late rejection against that of the tenant; an early one shows a lack of capacity.
         """
-        everything, cls, tenant = self._keys(flight)
-        early = event.latency_us < EARLY * flight.aim
-        if event.status in _BROKEN:
-            seat.breaks += 1
-            if not event.is_connection_only or seat.breaks >= LONE_MOST:
-                self._blame(seat, everything, flight.sent)
-        elif event.status is Status.ERROR or (event.status is Status.TIMEOUT and self.now < flight.due):
-            flight.silences += 1
-            seat.kind.ended(1.0, 0.0, self.now, SMOOTHING)
-            self._blame(seat, cls, flight.sent)
+        endpoint_scope, class_scope, tenant_scope = self._ejection_scopes(in_flight)
+        is_early = event.latency_us < EARLY_REJECTION_SHARE * in_flight.latency_objective_us
+        if event.status in _CONNECTION_STATUSES:
+            endpoint.connection_failures += 1
+            if not event.is_connection_only or endpoint.connection_failures >= MAX_CONNECTION_FAILURES:
+                self._record_ejection(endpoint, endpoint_scope, in_flight.sent_at_us)
+        elif event.status is Status.ERROR or (event.status is Status.TIMEOUT and self.now < in_flight.deadline_us):
+            in_flight.unanswered_attempts += 1
+            endpoint.statistics.record_end(1.0, 0.0, self.now, SAMPLE_WEIGHT)
+            self._record_ejection(endpoint, class_scope, in_flight.sent_at_us)
         elif event.status is Status.AT_CAPACITY and not event.is_state_lost:
-            seat.kind.ended(0.0, float(early), self.now, SMOOTHING)
-            self._blame(seat, everything if early else tenant, flight.sent)
-
-    def _outcome(self, event: AttemptEnded) -> None:
-        flight = self.flights.get(event.request_id)
-        if self.zones:
-            self.zones.settle(self.now, event.request_id, event.cross_zone_bytes)
-        told = self.seats.get(event.endpoint_id)
-        if told and event.load_report:
-            told.told(dict(zip(self.settings.report_fields, event.load_report, strict=False)), self.now)
-            news = max(SMOOTHING, min((self.now - told.kind.heard_at) / REPORT_LIFE_US, 1.0))
-            told.kind.waiting += news * (told.waiting - told.kind.waiting)
-        if flight is None or flight.at is None:
+            endpoint.statistics.record_end(0.0, float(is_early), self.now, SAMPLE_WEIGHT)
+            self._record_ejection(endpoint, endpoint_scope if is_early else tenant_scope, in_flight.sent_at_us)
+
+    def _handle_attempt_ended(self, event: AttemptEnded) -> None:
+        in_flight = self.in_flight.get(event.request_id)
+        if self.budgets:
+            self.budgets.settle(self.now, event.request_id, event.cross_zone_bytes)
+        reporting = self.endpoints.get(event.endpoint_id)
+        if reporting and event.load_report:
+            reporting.record_report(dict(zip(self.settings.report_fields, event.load_report, strict=False)), self.now)
+            weight = max(SAMPLE_WEIGHT, min((self.now - reporting.statistics.answered_at_us) / REPORT_MAX_AGE_US, 1.0))
+            reporting.statistics.waiting_tokens += weight * (reporting.reported_waiting_tokens - reporting.statistics.waiting_tokens)
+        if in_flight is None or in_flight.endpoint is None:
             if event.status is Status.PREFILLED:
-                self.out.append(Release(event.request_id))
+                self.actions.append(Release(event.request_id))
             return
-        seat = flight.at
-        if not seat.off(flight):
-            self._ran(seat, flight, event.status is Status.OK)
+        endpoint = in_flight.endpoint
+        if not endpoint.remove_waiting(in_flight):
+            self._end_stream(endpoint, in_flight, event.status is Status.OK)
         elif event.status not in (Status.PREFILLED, Status.OK):
-            self._bad(seat, event, flight)
-        if seat.role is not Role.PREFILL:
-            seat.tokens = max(seat.tokens - flight.cost, 0.0) if seat.open or seat.running else 0.0
-        given_up = event.status is Status.TIMEOUT  # Even a read may run yet, where its engine hangs.
-        if flight.effect is None and (given_up if seat.role is Role.PREFILL else event.status not in _PROVEN):
-            flight.effect = (flight.sent, seat.info)
-        flight.at = None
+            self._record_failure(endpoint, event, in_flight)
+        if endpoint.role is not Role.PREFILL:
+            endpoint.projected_tokens = max(endpoint.projected_tokens - in_flight.projected_tokens, 0.0) if endpoint.waiting or endpoint.streams else 0.0
+        has_timed_out = event.status is Status.TIMEOUT  # Even a prefill may be executed later if its engine hangs.
+        if in_flight.first_execution is None and (has_timed_out if endpoint.role is Role.PREFILL else event.status not in _NOT_EXECUTED):
+            in_flight.first_execution = (in_flight.sent_at_us, endpoint.info)
+        in_flight.endpoint = None
         if event.status is Status.PREFILLED:
-            self._good(seat, event.latency_us, flight)
-            flight.held, flight.silences = seat, 0
+            self._record_answer(endpoint, event.latency_us, in_flight)
+            in_flight.kv_holder, in_flight.unanswered_attempts = endpoint, 0
         if event.is_state_lost:
-            flight.held = None
-        if event.is_final or flight.ended:
-            flight.ended = True
-            self._finish(flight)
+            in_flight.kv_holder = None
+        if event.is_final or in_flight.is_concluded:
+            in_flight.is_concluded = True
+            self._conclude(in_flight)
             return
-        # What follows an attempt that has not answered: the next stage, another server, or the end.
-        flight.breaks += event.is_connection_only
-        again = event.is_connection_only and flight.breaks <= LONE_AGAIN
-        flight.tried_at(seat, event.status, again, len(self.fleet.ready(Role.DECODE)))
-        jam = event.status is Status.AT_CAPACITY and seat.kind.full > FULL_MOST
-        seek = self._pick_writer if flight.held else self._pick_reader
-        self._send(flight, None if event.status is Status.ABANDONED or jam else seek(flight))
-
-    # -- the end
-
-    def _client_gone(self, event: ClientDisconnected) -> None:
-        flight = self.flights.get(event.request_id)
-        if flight is None or flight.ended:
+        # After an attempt without a final answer: the next stage, another endpoint, or the conclusion.
+        in_flight.connection_failures += event.is_connection_only
+        may_return = event.is_connection_only and in_flight.connection_failures <= MAX_CONNECTION_ONLY_RETRIES
+        in_flight.exclude_after(endpoint, event.status, may_return, len(self.table.ready(Role.DECODE)))
+        is_overload_likely = event.status is Status.AT_CAPACITY and endpoint.statistics.rejection_share > MAX_REJECTION_SHARE
+        choose = self._choose_decode if in_flight.kv_holder else self._choose_prefill
+        self._send(in_flight, None if event.status is Status.ABANDONED or is_overload_likely else choose(in_flight))
+
+    # Conclusion
+
+    def _handle_client_disconnected(self, event: ClientDisconnected) -> None:
+        in_flight = self.in_flight.get(event.request_id)
+        if in_flight is None or in_flight.is_concluded:
             return
-        flight.ended = True
-        if flight.at is None:
-            self._finish(flight)
-        elif self.settings.may_cancel and not flight.started:
-            self.out.append(CancelAttempt(event.request_id, flight.attempts - 1))
-
-    def _finish(self, flight: Flight) -> None:
-        """The one place where requests end: what is held is let go, one answer goes out if one is owed."""
-        request_id = flight.request.request_id
-        del self.flights[request_id]
-        if flight.held and not flight.started:
-            self.out.append(Release(request_id))
-        if flight.ended:
+        in_flight.is_concluded = True
+        if in_flight.endpoint is None:
+            self._conclude(in_flight)
+        elif self.settings.may_cancel and not in_flight.is_streaming:
+            self.actions.append(CancelAttempt(event.request_id, in_flight.attempts - 1))
+
+    def _conclude(self, in_flight: InFlightRequest) -> None:
+        """The only place that concludes requests: release the KV state, and give the final answer if one is owed."""
+        request_id = in_flight.request.request_id
+        del self.in_flight[request_id]
+        if in_flight.kv_holder and not in_flight.is_streaming:
+            self.actions.append(Release(request_id))
+        if in_flight.is_concluded:
             return
-        back_by = self.now + self.settings.max_retry_after_us + flight.cls.deadline_us + STALL_US
-        harmless = flight.effect is None or flight.cls.idempotency is Idempotency.IDEMPOTENT or (
-            flight.cls.idempotency is Idempotency.WITH_KEY and flight.cls.idempotency_scope is IdempotencyScope.ALL
-            and back_by <= flight.effect[0] + flight.cls.deduplication_window_us)
-        if harmless and self.now < flight.due:
-            wait = min(flight.wait, self.settings.max_retry_after_us) if self.settings.may_send_retry_after else 0
-            self.out.append(Reject(request_id, wait))
+        retried_by_us = self.now + self.settings.max_retry_after_us + in_flight.request_class.deadline_us + NODE_STALL_US
+        may_reject = in_flight.first_execution is None or in_flight.request_class.idempotency is Idempotency.IDEMPOTENT or (
+            in_flight.request_class.idempotency is Idempotency.WITH_KEY and in_flight.request_class.idempotency_scope is IdempotencyScope.ALL
+            and retried_by_us <= in_flight.first_execution[0] + in_flight.request_class.deduplication_window_us)
+        if may_reject and self.now < in_flight.deadline_us:
+            retry_after_us = min(in_flight.retry_after_us, self.settings.max_retry_after_us) if self.settings.may_send_retry_after else 0
+            self.actions.append(Reject(request_id, retry_after_us))
         else:
-            self.out.append(Fail(request_id))
+            self.actions.append(Fail(request_id))
--- a/tests/oracle/state.py
+++ b/tests/oracle/state.py
@@ -1,4 +1,4 @@
-"""The records of the oracle: see `brain.py` beside it."""
+"""The state of the oracle in `brain.py`: endpoints, requests, statistics and demand."""
 
 from __future__ import annotations
 
@@ -21,14 +21,18 @@
 )
 
 _MASK = (1 << 64) - 1
-SIZE_UNIT = 2**30  # sizes are added up as whole multiples of its inverse
+WEIGHT_UNITS = 2**30  # weights are summed as integer multiples of its inverse
 T = TypeVar("T")
-PREFIXES_KEPT = 256  # prefixes of which is known how often they came: far more than the requests that count
-GONE_KEPT = 128  # servers that have gone and are still known, so that one that comes and goes keeps its blame and turn
+MAX_PREFIXES = (
+    256  # prefixes whose frequency is stored: many more than the requests that the averages reflect
+)
+MAX_REMOVED = (
+    128  # removed endpoints that are remembered, so that one listed again keeps its ejections and slot
+)
 
 
 def mix(value: int) -> int:
-    """A fixed 64-bit mixer, so that all nodes and processes hash alike."""
+    """Return a fixed 64-bit hash, the same in all nodes and processes."""
     value = (value + 0x9E3779B97F4A7C15) & _MASK
     value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & _MASK
     value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & _MASK
@@ -36,8 +40,9 @@
 
 
 def median_low(values: Iterable[float]) -> float:
-    """The middle one of these, the lower of two; ValueError where there are none. Its namesake in the
-    standard library costs a process a twentieth of the time in which it gets ready.
+    """Return the lower of the two middle values; ValueError if there are none.
+
+    Importing the function of this name from the standard library takes a twentieth of a process's start time.
     """
     ordered = sorted(values)
     if not ordered:
@@ -45,363 +50,413 @@
     return ordered[(len(ordered) - 1) // 2]
 
 
-def any_of(members: Sequence[T], random: Random) -> T | None:
-    """One of these, each as likely; None where there are none."""
+def random_member(members: Sequence[T], random: Random) -> T | None:
+    """Return a random member; None if there are none."""
     if len(members) > 1:
         return members[int(random.random() * len(members))]
     return members[0] if members else None
 
 
-def least_of(members: Sequence[T], rank: Callable[[T], Any]) -> list[T]:
-    """Those of the lowest rank, in their order."""
+def lowest_ranked(members: Sequence[T], rank: Callable[[T], Any]) -> list[T]:
+    """Return the members with the lowest rank, in their order."""
     ranks = [rank(member) for member in members]
-    return [member for member, own in zip(members, ranks, strict=True) if own == min(ranks)]
+    return [member for member, member_rank in zip(members, ranks, strict=True) if member_rank == min(ranks)]
 
 
 @dataclass(slots=True)
-class Blame:
-    """Failures of one kind at one server."""
+class Ejection:
+    """Consecutive failures of one scope at one endpoint."""
 
-    fails: int
-    at: int
-    """When the last one came; attempts sent before it count as part of it."""
-    until: int
-    """When the next trial send may go there."""
+    failures: int
+    failed_at_us: int
+    """When the last failure was seen; attempts sent before it count as part of it."""
+    next_check_at_us: int
+    """When the next attempt may be sent there, as a health check."""
 
 
 @dataclass(slots=True)
-class Kind:
-    """What this node's last attempts at all servers of one role have shown."""
-
-    paces: deque[float]
-    """Times to the end of a read or to a first token, as shares of the aim; of answers only."""
-    waiting: float = 0.0
-    """Smoothed tokens that wait at a server, by reports."""
-    work: float = 0.0
+class RoleStatistics:
+    """Averages over this node's last attempts at the endpoints of one role."""
+
+    relative_latencies: deque[float]
+    """Latencies of prefills and first tokens, as shares of the latency objective; only of answered attempts."""
+    waiting_tokens: float = 0.0
+    """Smoothed tokens that wait at an endpoint, by reports."""
+    attempt_tokens: float = 0.0
     """Smoothed tokens of an attempt."""
-    time: float = 0.0
+    attempt_us: float = 0.0
     """Smoothed time of an attempt."""
-    tokens: float = 0.0
-    """Smoothed tokens that waited before it or were its own."""
+    queued_tokens: float = 0.0
+    """Smoothed tokens of an attempt and of those queued ahead of it."""
     us_per_token: float = 0.0
     """The ratio of these two."""
-    latency: float = 0.0
-    lost: float = 0.0
-    """Smoothed share of attempts that ended by their own time-out."""
-    full: float = 0.0
-    """Smoothed share of attempts turned away at once for lack of room."""
-    told_at: int = 0
-    """When the last attempt ended or answered."""
-    heard_at: int = 0
-    """When the last one answered."""
-    carried: float = 0.0
-    """Projected tokens given to these servers lately, fading from `carried_at` on."""
-    carried_at: int = 0
+    prefill_latency_us: float = 0.0
+    timeout_or_error_share: float = 0.0
+    """Smoothed share of attempts that ended with their own time-out or an error."""
+    rejection_share: float = 0.0
+    """Smoothed share of attempts that were rejected early, for lack of capacity."""
+    observed_at_us: int = 0
+    """When an attempt last ended or was answered."""
+    answered_at_us: int = 0
+    """When an attempt was last answered."""
+    assigned_tokens: float = 0.0
+    """Projected tokens of requests sent to these endpoints, decayed up to `assigned_at_us`."""
+    assigned_at_us: int = 0
 
     @property
-    def quick(self) -> float:
-        """The pace that only a quarter of its last answers were quicker than; 0 where there were none."""
-        return sorted(self.paces)[len(self.paces) // 4] if self.paces else 0.0
-
-    def answered(
-        self, flight: Flight, latency: int, waiting: float, weight: float, read: bool, now: int
+    def fast_relative_latency(self) -> float:
+        """The first quartile of the relative latencies; 0 if there are none."""
+        return (
+            sorted(self.relative_latencies)[len(self.relative_latencies) // 4]
+            if self.relative_latencies
+            else 0.0
+        )
+
+    def record_answer(
+        self,
+        in_flight: InFlightRequest,
+        latency_us: int,
+        waiting_tokens: float,
+        weight: float,
+        is_prefill: bool,
+        now_us: int,
     ) -> None:
-        """Bring the averages up to an answer. The time per token is a ratio of two averages: a prompt that is
-        nearly all kept has a few tokens of its own and would swamp an average of ratios.
+        """Update the averages after an answer. The time per token is a ratio of two averages: an average of ratios
+        would be dominated by prompts that are almost entirely cached, which have few tokens to process.
         """
-        self.work += weight * (flight.work - self.work)
-        self.time += weight * (latency - self.time)
-        self.tokens += weight * (waiting + flight.work - self.tokens)
-        self.us_per_token = self.time / self.tokens
-        self.paces.append(latency / flight.aim)
-        self.heard_at = now
-        if read:
-            self.latency += (weight if self.latency else 1.0) * (latency - self.latency)
-
-    def ended(self, lost: float, full: float, now: int, weight: float) -> None:
-        """Note the end of an attempt: by its own time-out, turned away at once, or neither."""
-        self.lost += weight * (lost - self.lost)
-        self.full += weight * (full - self.full)
-        self.told_at = now
-
-    def carry(self, tokens: float, now: int, fade: float) -> float:
-        """Add tokens; return what has been carried lately."""
-        self.carried = self.carried * math.exp((self.carried_at - now) / fade) + tokens
-        self.carried_at = now
-        return self.carried
+        self.attempt_tokens += weight * (in_flight.attempt_tokens - self.attempt_tokens)
+        self.attempt_us += weight * (latency_us - self.attempt_us)
+        self.queued_tokens += weight * (waiting_tokens + in_flight.attempt_tokens - self.queued_tokens)
+        self.us_per_token = self.attempt_us / self.queued_tokens
+        self.relative_latencies.append(latency_us / in_flight.latency_objective_us)
+        self.answered_at_us = now_us
+        if is_prefill:
+            self.prefill_latency_us += (weight if self.prefill_latency_us else 1.0) * (
+                latency_us - self.prefill_latency_us
+            )
+
+    def record_end(self, timeout_or_error: float, rejection: float, now_us: int, weight: float) -> None:
+        """Record the end of an attempt: by its own time-out or an error, by an early rejection, or neither."""
+        self.timeout_or_error_share += weight * (timeout_or_error - self.timeout_or_error_share)
+        self.rejection_share += weight * (rejection - self.rejection_share)
+        self.observed_at_us = now_us
+
+    def assign(self, tokens: float, now_us: int, decay_us: float) -> float:
+        """Add tokens; return the decayed sum."""
+        self.assigned_tokens = (
+            self.assigned_tokens * math.exp((self.assigned_at_us - now_us) / decay_us) + tokens
+        )
+        self.assigned_at_us = now_us
+        return self.assigned_tokens
 
 
 @dataclass(slots=True)
-class Seat:
-    """What one node knows of one server: its list entry, its last report and its own traffic there."""
+class Endpoint:
+    """What one node knows of one endpoint: its list entry, its last report and the node's own traffic there."""
 
     info: EndpointInfo
     role: Role
-    kind: Kind = field(init=False)
-    """What its role has shown, in its part of the fleet; set by the decision module at each change of the
-    list."""
-    depth: float = 0.0
-    """Requests in flight by the last report; 0 where none came."""
-    told_at: int = 0
-    """When the last report came."""
-    waiting: float = 0.0
-    """Tokens that wait there to be read or fetched, by the last report."""
-    memory: float = 0.0
-    """Share of memory held by the last report."""
-    latency: float = 0.0
-    """Smoothed time to the end of a read, in microseconds; 0 before the first."""
-    open_work: float = 0.0
-    """Tokens that this node's open attempts there have to read or fetch, as far as it can tell."""
-    busy_us: float = 0.0
-    """Smoothed time between two ends of own attempts (a read or a first token) while one is out."""
-    busy_tokens: float = 0.0
-    """Smoothed tokens worked off in such a time."""
-    busy_from: int = 0
-    tokens: float = 0.0
-    """Projected tokens of this node's own streams there."""
-    running: dict[int, int] = field(default_factory=dict)
-    """This node's answers that have started there and not ended, and when each did."""
-    ends: float = 0.0
-    """Its answers that have ended whole, fading."""
-    ran_us: float = 0.0
-    """Microseconds that its answers have run, added up over them and fading alike."""
-    ran_at: int = 0
-    blamed: dict[int, Blame] = field(default_factory=dict)
-    """What has failed there lately: the whole server, its service of one class, or of one tenant."""
-    open: dict[int, Flight] = field(default_factory=dict)
-    """This node's attempts there that have neither ended nor started to answer, oldest first."""
-    breaks: int = 0
-    """Attempts in a row that broke with just their own connection."""
-    turn: int = 0
-    """The last turn at it that this node has used, while it was cold."""
-
-    def take(self, flight: Flight, now: int) -> None:
-        """Note a new attempt there."""
-        if not self.open:
-            self.busy_from = now
-        flight.at, flight.sent = self, now
-        self.open[flight.request.request_id] = flight
-        self.open_work += flight.work
-
-    def off(self, flight: Flight) -> bool:
-        """Take an attempt off those that wait there; False where its answer had started."""
-        waited = self.open.pop(flight.request.request_id, None) is not None
-        if waited:
-            self.open_work = max(self.open_work - flight.work, 0.0)
-        return waited
-
-    def ran(self, now: int, fade: float, ended: bool = False) -> None:
-        """Bring up to now how long its answers have run and how many have ended."""
-        left = math.exp((self.ran_at - now) / fade)
-        self.ran_us = self.ran_us * left + len(self.running) * fade * (1 - left)
-        self.ends = self.ends * left + ended
-        self.ran_at = now
-
-    def told(self, report: dict[str, float], now: int) -> None:
-        """Note a load report, of which fields may be missing."""
-        self.told_at = now
-        self.depth = report.get("in_flight", self.depth)
-        self.memory = report.get("memory_share", self.memory)
-        self.waiting = 1000 * report.get("tokens_waiting_k", self.waiting / 1000)
-
-    def answered(self, flight: Flight, latency: int, now: int, weight: float, read: bool) -> None:
-        """Bring the averages up to an answer."""
-        self.busy_us += weight * (now - self.busy_from - self.busy_us)
-        self.busy_tokens += weight * (flight.work - self.busy_tokens)
-        self.busy_from = now
-        if read:
-            self.latency += (weight if self.latency else 1.0) * (latency - self.latency)
+    statistics: RoleStatistics = field(init=False)
+    """Statistics of its role, in this zone or in remote ones; the router sets it at each change of the list."""
+    reported_in_flight: float = 0.0
+    """Requests in flight by the last report; 0 before the first."""
+    reported_at_us: int = 0
+    """When the last report was received."""
+    reported_waiting_tokens: float = 0.0
+    """Tokens that wait there to be prefilled or fetched, by the last report."""
+    reported_memory_share: float = 0.0
+    """Share of memory in use, by the last report."""
+    prefill_latency_us: float = 0.0
+    """Smoothed latency of a prefill, in microseconds; 0 before the first."""
+    waiting_tokens: float = 0.0
+    """Estimated tokens that this node's waiting attempts there have to prefill or fetch."""
+    service_us: float = 0.0
+    """Smoothed time between two answers (a prefill or a first token) while own attempts are waiting."""
+    service_tokens: float = 0.0
+    """Smoothed tokens processed in such a time."""
+    busy_since_us: int = 0
+    projected_tokens: float = 0.0
+    """Projected tokens of this node's requests that are decoded there."""
+    streams: dict[int, int] = field(default_factory=dict)
+    """When each of this node's running streams there began, by request id."""
+    completed_streams: float = 0.0
+    """Decayed number of completed streams."""
+    streamed_us: float = 0.0
+    """Microseconds of streaming time, summed over the streams and decayed in the same way."""
+    streamed_until_us: int = 0
+    ejections: dict[int, Ejection] = field(default_factory=dict)
+    """Ejections by scope: the whole endpoint, its service of one class, or of one tenant."""
+    waiting: dict[int, InFlightRequest] = field(default_factory=dict)
+    """This node's attempts there that have neither ended nor been answered, the oldest first."""
+    connection_failures: int = 0
+    """Consecutive attempts that failed because only their own connection failed."""
+    last_slot: int = 0
+    """The last slow-start slot that this node has used."""
+
+    def add_waiting(self, in_flight: InFlightRequest, now_us: int) -> None:
+        """Record a new attempt there."""
+        if not self.waiting:
+            self.busy_since_us = now_us
+        in_flight.endpoint, in_flight.sent_at_us = self, now_us
+        self.waiting[in_flight.request.request_id] = in_flight
+        self.waiting_tokens += in_flight.attempt_tokens
+
+    def remove_waiting(self, in_flight: InFlightRequest) -> bool:
+        """Remove an attempt from the waiting ones; False if its stream had begun before."""
+        was_waiting = self.waiting.pop(in_flight.request.request_id, None) is not None
+        if was_waiting:
+            self.waiting_tokens = max(self.waiting_tokens - in_flight.attempt_tokens, 0.0)
+        return was_waiting
+
+    def advance_streams(self, now_us: int, decay_us: float, is_completed: bool = False) -> None:
+        """Advance the streaming time and the completed streams to `now`."""
+        decay = math.exp((self.streamed_until_us - now_us) / decay_us)
+        self.streamed_us = self.streamed_us * decay + len(self.streams) * decay_us * (1 - decay)
+        self.completed_streams = self.completed_streams * decay + is_completed
+        self.streamed_until_us = now_us
+
+    def record_report(self, report: dict[str, float], now_us: int) -> None:
+        """Apply a load report, in which fields may be missing."""
+        self.reported_at_us = now_us
+        self.reported_in_flight = report.get("in_flight", self.reported_in_flight)
+        self.reported_memory_share = report.get("memory_share", self.reported_memory_share)
+        self.reported_waiting_tokens = 1000 * report.get(
+            "tokens_waiting_k", self.reported_waiting_tokens / 1000
+        )
+
+    def record_answer(
+        self, in_flight: InFlightRequest, latency_us: int, now_us: int, weight: float, is_prefill: bool
+    ) -> None:
+        """Update the averages after an answer."""
+        self.service_us += weight * (now_us - self.busy_since_us - self.service_us)
+        self.service_tokens += weight * (in_flight.attempt_tokens - self.service_tokens)
+        self.busy_since_us = now_us
+        if is_prefill:
+            self.prefill_latency_us += (weight if self.prefill_latency_us else 1.0) * (
+                latency_us - self.prefill_latency_us
+            )
 
 
 @dataclass(slots=True)
-class Flight:
-    """One request from arrival to its last outcome."""
+class InFlightRequest:
+    """State of one request from its arrival to the end of its last attempt."""
 
     request: Request
-    cls: RequestClass
-    due: int
-    aim: int
-    cost: float
-    """Projected tokens: the prompt and the answer that is to be expected."""
+    request_class: RequestClass
+    deadline_us: int
+    latency_objective_us: int
+    projected_tokens: float
+    """Tokens of the prompt and of the expected output."""
     attempts: int = 0
-    at: Seat | None = None
-    """The server at which the newest attempt is out."""
-    sent: int = 0
-    work: float = 1.0
-    """Tokens that the newest attempt has to read or fetch."""
-    held: Seat | None = None
-    """The reader that holds the read state."""
-    started: bool = False
-    ended: bool = False
-    """A final answer was given, or the client has left; only outcomes are awaited."""
-    effect: tuple[int, EndpointInfo] | None = None
-    """When and where the first attempt was sent that may have run."""
-    silences: int = 0
-    """Attempts of this stage that ended by their own time-out."""
-    breaks: int = 0
-    """Its attempts that broke with just their own connection."""
-    hurried: bool = False
-    """It goes to a zone whose traffic is still coming back, as there is no room elsewhere."""
-    wait: int = 0
-    """Microseconds until there may be room, where it was refused for want of it."""
-    unanswering: list[int] = field(default_factory=list)
-    """Writers that it could not reach, or at which it was given up without an answer."""
-    tried: list[int] = field(default_factory=list)
-    """Servers that turned this request away or failed it."""
-
-    def tried_at(self, seat: Seat, status: Status, again: bool, writers: int) -> None:
-        """Note where an attempt has ended, for the choice of the next server. Once its prompt has been read,
-        it may go to any of the writers but those that gave no answer, if there are others; `again`: it may go
-        to the same server once more.
+    endpoint: Endpoint | None = None
+    """The endpoint of the attempt in flight."""
+    sent_at_us: int = 0
+    attempt_tokens: float = 1.0
+    """Tokens that the latest attempt has to prefill or fetch."""
+    kv_holder: Endpoint | None = None
+    """The prefill endpoint that holds the KV state."""
+    is_streaming: bool = False
+    is_concluded: bool = False
+    """The final answer was given, or the client has disconnected; only the end of an attempt is awaited."""
+    first_execution: tuple[int, EndpointInfo] | None = None
+    """When and where the first attempt was sent that may have been executed."""
+    unanswered_attempts: int = 0
+    """Attempts of this stage that ended with their own time-out or an error."""
+    connection_failures: int = 0
+    """Attempts that failed because only their own connection failed."""
+    ignores_recovery_ramp: bool = False
+    """It may go to a recovering zone ahead of its ramp, because there is no capacity elsewhere."""
+    retry_after_us: int = 0
+    """If it was shed: microseconds until there may be capacity."""
+    unresponsive: list[int] = field(default_factory=list)
+    """Ids of decode endpoints that could not be reached or did not answer in time."""
+    excluded: list[int] = field(default_factory=list)
+    """Ids of endpoints that rejected or failed this request."""
+
+    def exclude_after(
+        self, endpoint: Endpoint, status: Status, may_return: bool, decode_endpoints: int
+    ) -> None:
+        """Update the excluded endpoints after an attempt has ended.
+
+        After a finished prefill, only unresponsive decode endpoints stay excluded, if there are others.
+        `may_return`: the next attempt may go to the same endpoint.
         """
-        no_answer = seat.role is not Role.PREFILL and status in (Status.TIMEOUT, Status.CONNECT_FAILED)
-        if no_answer and seat.info.id not in self.unanswering:
-            self.unanswering.append(seat.info.id)
+        is_unresponsive = endpoint.role is not Role.PREFILL and status in (
+            Status.TIMEOUT,
+            Status.CONNECT_FAILED,
+        )
+        if is_unresponsive and endpoint.info.id not in self.unresponsive:
+            self.unresponsive.append(endpoint.info.id)
         if status is Status.PREFILLED:
-            self.tried = self.unanswering[:] if len(self.unanswering) < writers else []
-        elif no_answer or not again:
-            self.tried = [*self.tried, seat.info.id]
+            self.excluded = self.unresponsive[:] if len(self.unresponsive) < decode_endpoints else []
+        elif is_unresponsive or not may_return:
+            self.excluded = [*self.excluded, endpoint.info.id]
 
     @property
-    def unread(self) -> float:
-        """Tokens of the prompt that a reader is not likely to have kept."""
+    def uncached_tokens(self) -> float:
+        """Prompt tokens that a prefill endpoint probably does not have in its cache."""
         shared = self.request.prefix_tokens if self.request.prefix else 0.0
         return max(self.request.prompt_tokens - shared, 1.0)
 
 
-class Fleet:
-    """The server list as this node was last told it; what follows from it is worked out once a change."""
+class EndpointTable:
+    """The latest endpoint list; values derived from it are computed once for each change."""
 
     def __init__(self, roles: tuple[Role, ...]) -> None:
         self.roles = roles
-        self.seats: dict[int, Seat] = {}
-        self.orders: dict[int, list[Seat]] = {}
-        """Orders of the ready readers by key, kept by the decision module; a change voids them."""
-        self._ready: dict[Role, list[Seat]] = {}
-        self._parts: dict[tuple[Role, int | None], float] = {}
-        self._most = {Role.PREFILL: 0, Role.DECODE: 0}
-        self._means: dict[Role, float] = {}
+        self.endpoints: dict[int, Endpoint] = {}
+        self.prefill_rankings: dict[int, list[Endpoint]] = {}
+        """Rankings of the ready prefill endpoints by key, cached by the router and cleared by each change."""
+        self._ready: dict[Role, list[Endpoint]] = {}
+        self._capacities: dict[tuple[Role, int | None], float] = {}
+        self._max_ready = {Role.PREFILL: 0, Role.DECODE: 0}
+        self._mean_weights: dict[Role, float] = {}
 
     def apply(self, change: EndpointListUpdate) -> list[int]:
-        """Take a change, or a whole list, in which what isn't named has gone. Returns the servers forgotten:
-        those gone the longest, with nothing of this node's there, past `GONE_KEPT`.
+        """Apply a change, or a full list, which removes the endpoints that are not in it.
+
+        Returns the ids of forgotten endpoints: those removed the longest ago, without attempts or streams of this
+        node, in excess of `MAX_REMOVED`.
         """
-        self.orders.clear()
+        self.prefill_rankings.clear()
         self._ready.clear()
-        self._parts.clear()
-        self._means.clear()
+        self._capacities.clear()
+        self._mean_weights.clear()
         if change.kind is not UpdateKind.DELTA:
-            named = {server.id for server in change.endpoints}
-            for _, seat in sorted(self.seats.items()):
-                if seat.info.id not in named and seat.info.state is not EndpointState.REMOVED:
-                    seat.info = replace(seat.info, state=EndpointState.REMOVED)
-                    self.seats[seat.info.id] = self.seats.pop(seat.info.id)
+            listed = {endpoint_id.id for endpoint_id in change.endpoints}
+            for _, endpoint in sorted(self.endpoints.items()):
+                if endpoint.info.id not in listed and endpoint.info.state is not EndpointState.REMOVED:
+                    endpoint.info = replace(endpoint.info, state=EndpointState.REMOVED)
+                    self.endpoints[endpoint.info.id] = self.endpoints.pop(endpoint.info.id)
         for info in change.endpoints:
-            seat = self.seats.setdefault(info.id, Seat(info, self._role(info.kind)))
-            if info.started_at_us > seat.info.started_at_us:
-                # A new process under the old id: what the old one did says nothing of it.
-                seat.blamed, seat.latency, seat.memory, seat.waiting, seat.turn = {}, 0.0, 0.0, 0.0, 0
-                seat.ran_us = seat.ends = 0.0
+            endpoint = self.endpoints.setdefault(info.id, Endpoint(info, self._role_of(info.kind)))
+            if info.started_at_us > endpoint.info.started_at_us:
+                # A new process with the same id: the state of the old one does not apply to it.
+                (
+                    endpoint.ejections,
+                    endpoint.prefill_latency_us,
+                    endpoint.reported_memory_share,
+                    endpoint.reported_waiting_tokens,
+                    endpoint.last_slot,
+                ) = {}, 0.0, 0.0, 0.0, 0
+                endpoint.streamed_us = endpoint.completed_streams = 0.0
             if info.state is EndpointState.REMOVED:
-                self.seats[info.id] = self.seats.pop(info.id)  # The last to go stands last.
-            seat.info = info
+                self.endpoints[info.id] = self.endpoints.pop(info.id)  # The last removed endpoint comes last.
+            endpoint.info = info
         for role in (Role.PREFILL, Role.DECODE):
-            self._most[role] = max(self._most[role], len(self.ready(role)))
-        gone = [
+            self._max_ready[role] = max(self._max_ready[role], len(self.ready(role)))
+        removed = [
             s.info.id
-            for s in self.seats.values()
-            if s.info.state is EndpointState.REMOVED and not (s.open or s.running)
+            for s in self.endpoints.values()
+            if s.info.state is EndpointState.REMOVED and not (s.waiting or s.streams)
         ]
-        forgotten = gone[:-GONE_KEPT]
-        for server in forgotten:
-            del self.seats[server]
+        forgotten = removed[:-MAX_REMOVED]
+        for endpoint_id in forgotten:
+            del self.endpoints[endpoint_id]
         return forgotten
 
-    def _role(self, kind: int) -> Role:
+    def _role_of(self, kind: int) -> Role:
         return self.roles[kind] if kind < len(self.roles) else Role.DECODE
 
-    def ready(self, role: Role) -> list[Seat]:
-        """The servers that take this role's work, mixed ones too."""
+    def ready(self, role: Role) -> list[Endpoint]:
+        """The ready endpoints that serve this role, including those of both roles."""
         if role not in self._ready:
             self._ready[role] = [
                 s
-                for _, s in sorted(self.seats.items())
+                for _, s in sorted(self.endpoints.items())
                 if s.info.state is EndpointState.READY and s.role in (role, Role.PREFILL_AND_DECODE)
             ]
         return self._ready[role]
 
-    def size(self, role: Role, cell: int | None = None) -> float:
-        """The listed sizes of the ready servers of just this role, in all or in one cell, summed."""
-        if (role, cell) not in self._parts:
-            self._parts[role, cell] = (
+    def capacity(self, role: Role, cell: int | None = None) -> float:
+        """Sum of the weights of the ready endpoints of exactly this role, in total or in one cell."""
+        if (role, cell) not in self._capacities:
+            self._capacities[role, cell] = (
                 sum(
-                    round(s.info.weight * SIZE_UNIT)
+                    round(s.info.weight * WEIGHT_UNITS)
                     for s in self.ready(role)
                     if s.role is role and cell in (None, s.info.cell)
                 )
-                / SIZE_UNIT
+                / WEIGHT_UNITS
             )
-        return max(self._parts[role, cell], 1e-6)
+        return max(self._capacities[role, cell], 1e-6)
 
-    def cell_part(self, role: Role, cell: int) -> float:
-        """The part of this role's listed size that one cell holds."""
-        return self.size(role, cell) / self.size(role)
+    def cell_share(self, role: Role, cell: int) -> float:
+        """Share of one cell in the capacity of this role."""
+        return self.capacity(role, cell) / self.capacity(role)
 
-    def share(self, seat: Seat) -> float:
-        """The part that a ready server is of all that do its stage, by its listed size within its role and
-        the most of them ever listed here: it doesn't grow when others go. A mixed server does both stages.
+    def endpoint_share(self, endpoint: Endpoint) -> float:
+        """Share of a ready endpoint in the capacity of its stage, from its weight relative to its role and the largest
+        number of endpoints ever ready, so that it does not grow when others are removed. An endpoint of both roles
+        serves both stages.
         """
-        if seat.role not in self._means:
-            sizes = [round(s.info.weight * SIZE_UNIT) for s in self.seats.values() if s.role is seat.role]
-            self._means[seat.role] = (sum(sizes) / SIZE_UNIT or 1.0) / len(sizes)
-        most = max(n for role, n in self._most.items() if seat.role in (role, Role.PREFILL_AND_DECODE))
-        return seat.info.weight / self._means[seat.role] / most
+        if endpoint.role not in self._mean_weights:
+            weights = [
+                round(s.info.weight * WEIGHT_UNITS)
+                for s in self.endpoints.values()
+                if s.role is endpoint.role
+            ]
+            self._mean_weights[endpoint.role] = (sum(weights) / WEIGHT_UNITS or 1.0) / len(weights)
+        max_ready = max(
+            n for role, n in self._max_ready.items() if endpoint.role in (role, Role.PREFILL_AND_DECODE)
+        )
+        return endpoint.info.weight / self._mean_weights[endpoint.role] / max_ready
 
 
-class Asked:
-    """What this node was asked: mean tokens of prompt to read and of answer, by class and in all, and how
-    much of it each prefix was lately. Bound: `PREFIXES_KEPT`; the one not asked for longest is forgotten.
+class DemandStatistics:
+    """Recent demand at this node: mean tokens to prefill and of output, by class and overall, and the share of each
+    prefix. It holds at most `MAX_PREFIXES` prefixes; the least recently requested one is evicted.
     """
 
     def __init__(self) -> None:
-        self.count = 0
-        self.all = (0.0, 0.0)
-        self.by_class: dict[int, tuple[float, float]] = {}
+        self.request_count = 0
+        self.mean_size = (0.0, 0.0)
+        self.mean_size_by_class: dict[int, tuple[float, float]] = {}
         self._prefixes: dict[int, tuple[float, int]] = {}
-        """Requests with a prefix, fading as others come, and how many had come in all at the last one."""
+        """For each prefix: its decayed number of requests, and `request_count` at its last one."""
 
-    def note(self, cls: int, prompt: float, answer: float, weight: float, prefix: int = 0) -> None:
-        """Take one more request, of which the first ones weigh more. What is known of all starts at nil, so
-        that each class looks heavy at first: twice, then half again what it is, and so on.
+    def record(
+        self, class_index: int, prompt_tokens: float, output_tokens: float, weight: float, prefix: int = 0
+    ) -> None:
+        """Record one request; the first ones weigh more. The overall mean starts at zero, so at first each class counts
+        as more costly than it is: twice as much, then one and a half times, and so on.
         """
-        new = (prompt, answer)
-        self.count += 1
+        size = (prompt_tokens, output_tokens)
+        self.request_count += 1
         if prefix:
-            seen, at = self._prefixes.pop(prefix, (0.0, 0))
-            self._prefixes[prefix] = (seen * (1 - weight) ** (self.count - at) + 1, self.count)
-            if len(self._prefixes) > PREFIXES_KEPT:
+            requests, count = self._prefixes.pop(prefix, (0.0, 0))
+            self._prefixes[prefix] = (
+                requests * (1 - weight) ** (self.request_count - count) + 1,
+                self.request_count,
+            )
+            if len(self._prefixes) > MAX_PREFIXES:
                 del self._prefixes[next(iter(self._prefixes))]
-        weight = max(weight, 1 / (self.count + 1))
-        self.all = _toward(self.all, new, weight)
-        self.by_class[cls] = _toward(self.by_class.get(cls, new), new, weight)
-
-    def part(self, prefix: int, weight: float) -> float:
-        """The part of what was asked lately that had this prefix, 0 to 1; `weight` as in `note`. The first
-        request with one says nothing of how many there are, so only those that came again count; as many
-        requests as the fading spans are taken to have come before the first, each with another prefix, so
-        that a node that has seen little does not call hot what came twice.
+        weight = max(weight, 1 / (self.request_count + 1))
+        self.mean_size = _averaged(self.mean_size, size, weight)
+        self.mean_size_by_class[class_index] = _averaged(
+            self.mean_size_by_class.get(class_index, size), size, weight
+        )
+
+    def prefix_share(self, prefix: int, weight: float) -> float:
+        """Share of recent requests that had this prefix, from 0 to 1; `weight` as in `record`. A first request says
+        nothing about how many will follow, so only repeated ones count. As many requests with other prefixes as the
+        decay spans are assumed to precede the first, so that a node that has seen few requests does not consider a
+        prefix popular after two of them.
         """
-        seen, at = self._prefixes.get(prefix, (0.0, 0))
-        again = max(seen * (1 - weight) ** (self.count - at) - 1, 0.0)
-        return again * weight / (2 - (1 - weight) ** self.count)
+        requests, count = self._prefixes.get(prefix, (0.0, 0))
+        repeated = max(requests * (1 - weight) ** (self.request_count - count) - 1, 0.0)
+        return repeated * weight / (2 - (1 - weight) ** self.request_count)
 
-    def heaviness(self, cls: int, role: Role) -> float:
-        """How many mean requests one of this class weighs: by its prompt at readers, by its answer at
-        writers, by whichever is more at mixed servers.
+    def relative_cost(self, class_index: int, role: Role) -> float:
+        """Cost of a request of this class in multiples of the mean request: by its prompt at prefill endpoints, by its
+        output at decode endpoints, by the larger of the two at endpoints of both roles.
         """
-        prompt, answer = (own / max(of, 1.0) for own, of in zip(self.by_class[cls], self.all, strict=True))
-        return prompt if role is Role.PREFILL else answer if role is Role.DECODE else max(prompt, answer)
+        prompt, output = (
+            class_mean / max(mean, 1.0)
+            for class_mean, mean in zip(self.mean_size_by_class[class_index], self.mean_size, strict=True)
+        )
+        return prompt if role is Role.PREFILL else output if role is Role.DECODE else max(prompt, output)
 
 
-def _toward(old: tuple[float, float], new: tuple[float, float], weight: float) -> tuple[float, float]:
+def _averaged(old: tuple[float, float], new: tuple[float, float], weight: float) -> tuple[float, float]:
     return old[0] + weight * (new[0] - old[0]), old[1] + weight * (new[1] - old[1])
--- a/tests/routing/test_same_decisions.py
+++ b/tests/routing/test_same_decisions.py
@@ -350,7 +350,7 @@
         pair.oracle.now = pair.now
         pair.router.state.advance(pair.now)
         pair.router.outliers._record_ejection(pair.router.endpoints[endpoint_id], ALL_REQUESTS, pair.now)
-        pair.oracle._blame(pair.oracle.seats[endpoint_id], -1, pair.now)
+        pair.oracle._record_ejection(pair.oracle.endpoints[endpoint_id], -1, pair.now)
 
 
 def test_nine_hundred_and_ninety_of_a_thousand_endpoints_ejected() -> None:
--- a/tests/scale/test_costs.py
+++ b/tests/scale/test_costs.py
@@ -37,8 +37,8 @@
         statistics.rejection_share, statistics.observed_at_us = 1.0, traffic.now
     else:
         assert isinstance(traffic.router, oracle.brain.Router)
-        kind = traffic.router.kinds[Role.PREFILL, False]
-        kind.full, kind.told_at = 1.0, traffic.now
+        scanned = traffic.router.statistics[Role.PREFILL, False]
+        scanned.rejection_share, scanned.observed_at_us = 1.0, traffic.now
 
 
 def rejection_cost(make: Maker, engines: int, requests: int = MINUTE) -> int:
