--- a/tests/test_full_path.py
+++ b/tests/test_full_path.py
@@ -36,13 +36,13 @@
 def test_a_disconnect_in_mid_stream_ends_the_engines_stream_and_no_other() -> None:
     async def go() -> None:
         async with world(model="answer_least: 200 answer_most: 200 step_ms: 5") as w:
-            leaver, stayer = w.ask(), w.ask()
-            await until(lambda: len(leaver.tokens) > 3)
-            assert leaver.call
-            leaver.call.cancel()
+            cancelled, other = w.ask(), w.ask()
+            await until(lambda: len(cancelled.tokens) > 3)
+            assert cancelled.call
+            cancelled.call.cancel()
             await until(lambda: w.seen("gone", kind="write"))
-            assert (await stayer.wait()).status.code is Code.OK
-            stayer.check_tokens()
+            assert (await other.wait()).status.code is Code.OK
+            other.check_tokens()
             assert len(w.seen("gone")) == 1
             await until(lambda: not w.node.table.open)
 
@@ -52,10 +52,10 @@
 def test_a_disconnect_during_the_prefill_leaves_no_kv_state_reserved() -> None:
     async def go() -> None:
         async with world(model="read_per_s: 2000") as w:
-            leaver = w.ask()
+            cancelled = w.ask()
             await until(lambda: w.seen("call", kind="read"))
-            assert leaver.call
-            leaver.call.cancel()
+            assert cancelled.call
+            cancelled.call.cancel()
             await until(lambda: w.seen("gone", kind="read"))
             await until(lambda: not w.node.table.open)
             assert not w.seen("call", kind="write")
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -50,13 +50,13 @@
         async with world(model="answer_least: 3 answer_most: 3 step_ms: 1") as w:
             asked = [w.ask(request_class="bulk") for _ in range(30)]
 
-            def cancel_finished() -> None:
+            def cancel_finished(_: object) -> None:
                 for a in asked:
                     if a.call and a.call.open and a.tokens and a.tokens[-1].finish_reason:
                         a.call.cancel()
 
             while not all(a.ends for a in asked):
-                cancel_finished()
+                cancel_finished(None)
                 await asyncio.sleep(0)
             assert {a.end.how for a in asked} <= {How.STATUS, How.CANCELLED}
             await until(lambda: not w.node.table.open)
@@ -298,7 +298,7 @@
             await until(
                 lambda: sum(bool(a.tokens) for a in asked) >= 10
             )  # Some of the simultaneous requests are rejected.
-            doubtful = [w.ask(request_class="order") for _ in range(4)]
+            non_idempotent = [w.ask(request_class="order") for _ in range(4)]
             for name in ("w0", "w1"):
                 w.engines[name].apply(lab_pb2.Trouble(pause_ms=5000))
             await until(
@@ -310,7 +310,7 @@
                 if r.state is RequestState.DECODING and r.client_request.request_class == "order"
             }
             await w.node.stop(0.1)
-            for one in doubtful:  # A request that may have been executed is not reported as safe to retry.
+            for one in non_idempotent:  # A request that may have been executed is not reported as safe to retry.
                 assert (await one.wait()).status.code is (
                     Code.UNKNOWN if one.prompt in writing else Code.UNAVAILABLE
                 )
--- a/tests/world.py
+++ b/tests/world.py
@@ -72,8 +72,8 @@
 
 
 @dataclass
-class Asked:
-    """One call of a client, with the tokens and the end that it received."""
+class ClientRequest:
+    """A request of a client, with the tokens and the end of the call that it received."""
 
     prompt: str
     call: ClientCall | None = None
@@ -110,7 +110,7 @@
         self.node: Node
         self.channel: Channel
         self.address = ""
-        self.names = 0
+        self.request_count = 0
         self.zones: dict[str, int] = {}
         self.models: dict[str, tuple[str, str]] = {}
 
@@ -149,10 +149,10 @@
         self.feed.change(*entries)
         await until(lambda: set(self.node.channels.addresses.values()) >= set(addresses.values()))
 
-    def ask(self, prompt: str = "", timeout: float | None = 10, **fields: Any) -> Asked:
-        """Start a call; its tokens and end are collected in the `Asked` that is returned."""
-        self.names += 1
-        asked = Asked(prompt or f"q{self.names} what?")
+    def ask(self, prompt: str = "", timeout: float | None = 10, **fields: Any) -> ClientRequest:
+        """Start a call; its tokens and end are collected in the `ClientRequest` that is returned."""
+        self.request_count += 1
+        asked = ClientRequest(prompt or f"q{self.request_count} what?")
         request = pb.GenerateRequest(
             request_class="question", tenant="north", prompt=asked.prompt, prompt_tokens=400
         )
