--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -310,7 +310,8 @@
                 if r.state is RequestState.DECODING and r.client_request.request_class == "order"
             }
             await w.node.stop(0.1)
-            for one in non_idempotent:  # A request that may have been executed is not reported as safe to retry.
+            # A request that may have been executed is not reported as safe to retry.
+            for one in non_idempotent:
                 assert (await one.wait()).status.code is (
                     Code.UNKNOWN if one.prompt in writing else Code.UNAVAILABLE
                 )
