--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -99,7 +99,7 @@
     attempt_numbers: dict[int, int] = field(default_factory=dict)
     ids: int = 0
 
-    def tell(self, *events: Event, after: int = 0) -> list[Action]:
+    def handle_events(self, *events: Event, after: int = 0) -> list[Action]:
         self.now += after
         actions = self.router.handle(self.now, list(events))
         self.actions += actions
@@ -121,24 +121,28 @@
             prefix=77,
         )
         request = replace(request, **changes)  # type: ignore[arg-type]
-        return request.request_id, self.tell(request, after=after)
+        return request.request_id, self.handle_events(request, after=after)
 
     def end(
         self, request: int, at: int, status: Status, after: int = 50 * MS, **more: object
     ) -> list[Action]:
         outcome = AttemptEnded(request, self.attempt_numbers[request], at, status, after)
-        return self.tell(replace(outcome, **more), after=after)  # type: ignore[arg-type]
+        return self.handle_events(replace(outcome, **more), after=after)  # type: ignore[arg-type]
 
     def start(self, request: int, at: int, after: int = 50 * MS) -> list[Action]:
-        return self.tell(StreamStarted(request, self.attempt_numbers[request], at, after), after=after)
+        return self.handle_events(
+            StreamStarted(request, self.attempt_numbers[request], at, after), after=after
+        )
 
     def list(self, *servers: EndpointInfo, kind: UpdateKind = UpdateKind.DELTA) -> list[Action]:
-        return self.tell(EndpointListUpdate(kind, 2, servers))
+        return self.handle_events(EndpointListUpdate(kind, 2, servers))
 
 
 def world(servers: Iterable[EndpointInfo] | None = None, seed: int = 1, **changes: object) -> World:
     made = World(Router(settings(**changes), seed))  # type: ignore[arg-type]
-    made.tell(EndpointListUpdate(UpdateKind.CACHED, 1, tuple(fleet() if servers is None else servers)))
+    made.handle_events(
+        EndpointListUpdate(UpdateKind.CACHED, 1, tuple(fleet() if servers is None else servers))
+    )
     return made
 
 
--- a/tests/routing/test_locality.py
+++ b/tests/routing/test_locality.py
@@ -43,7 +43,7 @@
             sent, send = in_flight.pop(rng.randrange(len(in_flight)))
             latency_us = w.now - sent + 20 * MS
             if w.router.endpoints[send.endpoint_id].role is Role.PREFILL:
-                actions = w.tell(
+                actions = w.handle_events(
                     AttemptEnded(
                         send.request_id,
                         w.attempt_numbers[send.request_id],
@@ -54,7 +54,7 @@
                     )
                 )
             elif rng.random() < 0.1:
-                actions = w.tell(
+                actions = w.handle_events(
                     AttemptEnded(
                         send.request_id,
                         w.attempt_numbers[send.request_id],
@@ -64,12 +64,12 @@
                     )
                 )
             else:
-                w.tell(
+                w.handle_events(
                     StreamStarted(
                         send.request_id, w.attempt_numbers[send.request_id], send.endpoint_id, latency_us
                     )
                 )
-                actions = w.tell(
+                actions = w.handle_events(
                     AttemptEnded(
                         send.request_id,
                         w.attempt_numbers[send.request_id],
--- a/tests/routing/test_many_nodes.py
+++ b/tests/routing/test_many_nodes.py
@@ -151,7 +151,7 @@
         if any(isinstance(a, Reject) for a in actions):
             break
         w.end(request_id, 10, Status.PREFILLED, after=1500 * MS, load_report=(40.0, 30.0, 0.2, 60.0))
-        w.tell(StreamStarted(request_id, w.attempt_numbers[request_id], 11, 20 * MS))
+        w.handle_events(StreamStarted(request_id, w.attempt_numbers[request_id], 11, 20 * MS))
         w.end(request_id, 11, Status.OK, is_final=True, load_report=(5.0, 0.0, 0.2, 0.0))
     only(Reject, w.ask()[1])
 
@@ -189,7 +189,7 @@
     sent = only(SendAttempt, actions)
     for _ in range(4):
         assert sent.timeout_us
-        w.tell(ClientDisconnected(request_id))
+        w.handle_events(ClientDisconnected(request_id))
         w.end(request_id, sent.endpoint_id, Status.TIMEOUT, after=sent.timeout_us, is_final=True)
         request_id, actions = w.ask(after=3 * S)
         sent = only(SendAttempt, actions)
@@ -283,5 +283,5 @@
 def test_a_change_of_hundreds_of_endpoints_and_a_late_partial_load_report_are_valid() -> None:
     w = world(fleet(prefill=300, decode=300), replicas=NODES)
     request_id, _, decode_id = run_prefill(w)
-    w.tell(StreamStarted(request_id, w.attempt_numbers[request_id], decode_id, 20 * MS))
+    w.handle_events(StreamStarted(request_id, w.attempt_numbers[request_id], decode_id, 20 * MS))
     none(w.end(request_id, decode_id, Status.OK, is_final=True, load_report=(3.0,)), SendAttempt)
--- a/tests/routing/test_recovery.py
+++ b/tests/routing/test_recovery.py
@@ -23,7 +23,9 @@
     decode_id = only(
         SendAttempt, w.end(request_id, prefill_id, Status.PREFILLED, after=prefill_us, load_report=load)
     ).endpoint_id
-    w.tell(StreamStarted(request_id, w.attempt_numbers[request_id], decode_id, 20 * MS), after=20 * MS)
+    w.handle_events(
+        StreamStarted(request_id, w.attempt_numbers[request_id], decode_id, 20 * MS), after=20 * MS
+    )
     w.end(request_id, decode_id, Status.OK, is_final=True, after=100 * MS)
 
 
@@ -105,7 +107,7 @@
             w.end(request_id, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=50 * MS),
         )
         assert sent.timeout_us > 0
-        w.tell(
+        w.handle_events(
             StreamStarted(request_id, w.attempt_numbers[request_id], sent.endpoint_id, 20 * MS), after=20 * MS
         )
         w.end(request_id, sent.endpoint_id, Status.OK, is_final=True, after=100 * MS)
--- a/tests/routing/test_rules.py
+++ b/tests/routing/test_rules.py
@@ -44,7 +44,7 @@
     request_id, endpoint_id = send_to_decode(w)
     w.start(request_id, endpoint_id)
     none(w.end(request_id, endpoint_id, Status.OK, is_final=True), SendAttempt, Reject, Fail, Release)
-    none(w.tell(ClientDisconnected(request_id)), SendAttempt, Reject, Fail)
+    none(w.handle_events(ClientDisconnected(request_id)), SendAttempt, Reject, Fail)
     assert not w.router.in_flight
 
 
@@ -257,7 +257,7 @@
     w = world()
     request_id, actions = w.ask()
     endpoint_id = only(SendAttempt, actions).endpoint_id
-    assert only(CancelAttempt, w.tell(ClientDisconnected(request_id))).attempt == 0
+    assert only(CancelAttempt, w.handle_events(ClientDisconnected(request_id))).attempt == 0
     actions = w.end(request_id, endpoint_id, Status.PREFILLED, is_final=True)
     only(Release, actions)
     none(actions, SendAttempt, Reject, Fail)
@@ -267,7 +267,7 @@
 def test_rule_5_the_kv_state_is_released_when_a_disconnected_clients_decode_is_cancelled() -> None:
     w = world()
     request_id, endpoint_id = send_to_decode(w)
-    w.tell(ClientDisconnected(request_id))
+    w.handle_events(ClientDisconnected(request_id))
     only(Release, w.end(request_id, endpoint_id, Status.CANCELLED, is_final=True))
 
 
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -159,7 +159,7 @@
         node_settings = replace(self.settings, replica_index=slot % self.settings.replicas)
         node = World(Router(node_settings, 1000 * self.start_counts[slot] + slot), self.now)
         node.ids = 1_000_000 * (1000 * self.start_counts[slot] + slot)
-        node.tell(EndpointListUpdate(UpdateKind.CACHED, 1, tuple(endpoints)))
+        node.handle_events(EndpointListUpdate(UpdateKind.CACHED, 1, tuple(endpoints)))
         return node
 
     def restart(self, slot: int) -> None:
@@ -170,7 +170,7 @@
     def update_list(self, slot: int, endpoints: list[EndpointInfo]) -> None:
         node = self.nodes[slot]
         node.now = self.now
-        node.tell(EndpointListUpdate(UpdateKind.DELTA, 2, tuple(endpoints)))
+        node.handle_events(EndpointListUpdate(UpdateKind.DELTA, 2, tuple(endpoints)))
 
     def ask(self, slot: int) -> None:
         cls = int(self.random.random() < self.heavy_share)
@@ -225,7 +225,7 @@
         def handle() -> None:
             if self.nodes[slot] is node:  # a restarted node gets no events of its earlier process
                 node.now = self.now
-                self.simulate(slot, node.tell(event))
+                self.simulate(slot, node.handle_events(event))
 
         self.schedule(self.now + after, handle)
 
@@ -332,7 +332,7 @@
 def test_an_endpoint_that_is_removed_and_listed_again_with_its_old_start_time_keeps_its_used_slots() -> None:
     endpoints = [server(1, PREFILL), server(2, DECODE), server(3, DECODE, started_at_us=START)]
     w = World(Router(replace(Service(1, rate=1.0).settings, tenants=()), 1), START)
-    w.tell(EndpointListUpdate(UpdateKind.FULL, 1, tuple(endpoints)))
+    w.handle_events(EndpointListUpdate(UpdateKind.FULL, 1, tuple(endpoints)))
     used: list[int] = []
     for _ in range(20):
         number, actions = w.ask(after=0 if used else 6 * S)
@@ -343,7 +343,7 @@
             ).endpoint_id
         )
         for listed in (endpoints[:2], endpoints):
-            w.tell(EndpointListUpdate(UpdateKind.FULL, 2, tuple(listed)))
+            w.handle_events(EndpointListUpdate(UpdateKind.FULL, 2, tuple(listed)))
     assert used.count(3) == 1, "one slot is good for one attempt"
 
 
@@ -361,7 +361,7 @@
     prefill, decode = server(1, PREFILL), server(11, DECODE)
     for started_at_us, expected in ((START, SendAttempt), (0, Reject)):
         w = World(Router(Service(1, rate=1.0).settings, 1), START)
-        w.tell(
+        w.handle_events(
             EndpointListUpdate(UpdateKind.CACHED, 1, (replace(prefill, started_at_us=started_at_us), decode))
         )
         w.now += 5 * S
--- a/tests/routing/test_slow_streams.py
+++ b/tests/routing/test_slow_streams.py
@@ -29,7 +29,7 @@
         """
         w, migrated, sent = self.world, list[int](), dict[int, int]()
         for _ in range(seconds * 12):
-            w.tell(after=S // 12)
+            w.handle_events(after=S // 12)
             for request_id, (decode_id, ends_at_us) in list(self.open.items()):
                 if w.now >= ends_at_us:
                     del self.open[request_id]
@@ -114,8 +114,8 @@
         SendAttempt, w.end(paused_id, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=MS)
     ).endpoint_id
     w.start(paused_id, decode_id, after=MS)
-    w.tell(after=60 * MS)
+    w.handle_events(after=60 * MS)
     w.router.slow_streams.checked_at_us = 0  # the next event finds a comparison due
     action_count = len(w.actions)
-    w.tell(after=MS)
+    w.handle_events(after=MS)
     assert not [action for action in w.actions[action_count:] if isinstance(action, MigrateStream)]
--- a/tests/routing/test_stages.py
+++ b/tests/routing/test_stages.py
@@ -289,9 +289,9 @@
 def test_the_endpoint_list_is_subscribed_to_again_after_a_failure() -> None:
     w = world(must_subscribe=True)
     assert any(isinstance(a, Subscribe) for a in w.actions)
-    actions = w.tell(EndpointListUpdate(UpdateKind.FAILED))
+    actions = w.handle_events(EndpointListUpdate(UpdateKind.FAILED))
     token = only(SetTimer, actions).token
-    only(Subscribe, w.tell(TimerFired(token), after=1 * S))
+    only(Subscribe, w.handle_events(TimerFired(token), after=1 * S))
 
 
 def test_a_full_list_removes_the_endpoints_that_it_does_not_contain() -> None:
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -319,7 +319,11 @@
                 end = await one.wait()
                 one.check_tokens()
                 # Every answer comes from the node: served, resumable, or rejected with retry advice.
-                assert end.how is How.STATUS and end.status.code in (Code.OK, Code.ABORTED, Code.UNAVAILABLE)
+                assert end.how is EndReason.STATUS and end.status.code in (
+                    Code.OK,
+                    Code.ABORTED,
+                    Code.UNAVAILABLE,
+                )
                 assert end.status.code is Code.OK or end.status.parsed()
                 assert bool(one.tokens) == (end.status.code is not Code.UNAVAILABLE)
             assert w.node.server.open_calls() == 0 and not w.node.table.open
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -105,7 +105,7 @@
 
 
 def keep_cancelled_calls_running(w: World, patch: pytest.MonkeyPatch) -> None:
-    def cancel(self: ClientCall, how: How = How.CANCELLED) -> None:
+    def cancel(self: ClientCall, how: EndReason = EndReason.CANCELLED) -> None:
         if self.open:
             self.ended(End(how, Status(Code.DEADLINE_EXCEEDED, how.value)))
 
@@ -121,7 +121,7 @@
 
 
 def drop_releases(w: World, patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(w.node.engines, "release", lambda server, record, unsure=False: None)
+    patch.setattr(w.node.engines, "release", lambda server, record, has_unconfirmed_attempt=False: None)
 
 
 def repeat_a_token(w: World, patch: pytest.MonkeyPatch) -> None:
