--- a/tests/lab/test_twin.py
+++ b/tests/lab/test_twin.py
@@ -1,5 +1,5 @@
-"""Half-blind nodes by the dozen, engines with caches and a change in the middle, in process on a seeded
-clock.
+"""Routing quality over a simulated fleet: nodes with partial information, engines with prefix caches, and a
+disturbance in the middle of the run.
 """
 
 from __future__ import annotations
@@ -8,64 +8,83 @@
 
 import pytest
 
-from tuliptrack.lab.twin import Blind, Fleet, LateSeeing, Twin
+from tuliptrack.lab.twin import FleetScenario, FleetSimulation, FullInformationPolicy, RandomPolicy
 from tuliptrack.routing.router import Router
 
-S = 1_000_000
+SECOND_US = 1_000_000
 SEEDS = (1, 2, 3)
-FLUSH, JOIN, ROLL = Fleet(flushed=True), Fleet(replaced=0.6), Fleet(replaced=0.5, restarted=1.0)
+FLUSH, REPLACEMENT, ROLLOUT = (
+    FleetScenario(flush_caches=True),
+    FleetScenario(replaced_share=0.6),
+    FleetScenario(replaced_share=0.5, restarted_share=1.0),
+)
 
 
-def way(fleet: Fleet) -> float:
-    """How far of the way from the blind policy's service to the late-seeing one's, after the change, over all
-    seeds.
+def share_of_gap_closed(scenario: FleetScenario) -> float:
+    """The router's on-time share after the change, over all seeds: 0 is the random policy's, 1 is that of the
+    policy with full information.
     """
 
-    def served(policy: object) -> float:
-        played = [Twin(fleet, seed, policy).play() for seed in SEEDS]  # type: ignore[arg-type]
-        assert not any(r.twice or r.unanswered for r in played), "one answer each, never two attempts at once"
-        return sum(r.share(fleet.changes, fleet.ends) for r in played) / len(played)
+    def on_time_share(policy: object) -> float:
+        results = [FleetSimulation(scenario, seed, policy).run() for seed in SEEDS]  # type: ignore[arg-type]
+        assert not any(r.duplicates or r.unanswered for r in results), (
+            "one answer each, never two attempts in flight at once"
+        )
+        return sum(
+            r.on_time_share(scenario.change_start_us, scenario.last_arrival_us) for r in results
+        ) / len(results)
 
-    blind, seeing = served(Blind), served(LateSeeing)
-    assert seeing - blind > 0.4, "the day is one on which it matters where requests go"
-    return (served(None) - blind) / (seeing - blind)
+    random, informed = on_time_share(RandomPolicy), on_time_share(FullInformationPolicy)
+    assert informed - random > 0.4, "in this scenario routing has to matter"
+    return (on_time_share(None) - random) / (informed - random)
 
 
-def test_a_quiet_day_is_served_whole() -> None:
-    result = Twin(Fleet(ends=8 * S), 1).play()
-    assert result.share(0, 8 * S) > 0.99 and not result.twice and not result.unanswered
+def test_an_undisturbed_run_serves_over_99_percent_in_time() -> None:
+    result = FleetSimulation(FleetScenario(last_arrival_us=8 * SECOND_US), 1).run()
+    assert result.on_time_share(0, 8 * SECOND_US) > 0.99 and not result.duplicates and not result.unanswered
 
 
-def test_a_fleet_that_lost_its_caches_serves_again_within_seconds() -> None:
-    """The module as it was never got back to nine in ten: it refused for ten seconds beside idle readers."""
-    back = [Twin(FLUSH, seed).play().recovered(FLUSH.changes) for seed in SEEDS]
-    assert all(b is not None and b <= 8 * S for b in back), back
-
-
-@pytest.mark.parametrize(("fleet", "least"), [(FLUSH, 0.7), (JOIN, 0.42), (ROLL, 0.5)])
-def test_after_a_change_it_comes_well_on_the_way_to_who_sees_all(fleet: Fleet, least: float) -> None:
-    assert way(fleet) >= least
-
-
-def test_what_a_node_believes_to_be_out_is_out_at_every_event() -> None:
-    """Through a release with restarts: the attempts in a node's books are those under way at the engines, no
-    others.
+def test_a_fleet_that_lost_its_caches_recovers_within_8_seconds() -> None:
+    """Guards against rejecting requests while prefill engines are idle: an earlier router did so for ten
+    seconds and never got back to 90% in time.
     """
-    fleet = replace(ROLL, nodes=20, readers=5, writers=6, rate=40.0, ends=9 * S)
-    twin, seen = Twin(fleet, 3), 0
-
-    def look(node: int) -> None:
-        nonlocal seen
-        router = twin.nodes[node]
+    recovery_us = [FleetSimulation(FLUSH, seed).run().recovery_us(FLUSH.change_start_us) for seed in SEEDS]
+    assert all(us is not None and us <= 8 * SECOND_US for us in recovery_us), recovery_us
+
+
+@pytest.mark.parametrize(("scenario", "least"), [(FLUSH, 0.7), (REPLACEMENT, 0.42), (ROLLOUT, 0.5)])
+def test_after_a_change_the_router_closes_much_of_the_gap_to_full_information(
+    scenario: FleetScenario, least: float
+) -> None:
+    assert share_of_gap_closed(scenario) >= least
+
+
+def test_the_attempts_a_node_tracks_are_those_in_flight_at_every_event() -> None:
+    """Through a rollout with restarts, a node tracks exactly the attempts in flight at the engines."""
+    scenario = replace(
+        ROLLOUT,
+        nodes=20,
+        prefill_engines=5,
+        decode_engines=6,
+        requests_per_s=40.0,
+        last_arrival_us=9 * SECOND_US,
+    )
+    simulation, compared = FleetSimulation(scenario, 3), 0
+
+    def compare(node: int) -> None:
+        nonlocal compared
+        router = simulation.nodes[node]
         assert isinstance(router, Router)
-        books = {
-            n: seat.info.id for seat in router.endpoints.values() for n in (*seat.waiting, *seat.streams)
+        tracked = {
+            request_id: endpoint.info.id
+            for endpoint in router.endpoints.values()
+            for request_id in (*endpoint.waiting, *endpoint.streams)
         }
-        assert books == twin.out_at(node), f"node {node} at {twin.now}"
-        seen += len(books)
-
-    twin.watch = look
-    twin.play()
-    routers = [node for node in twin.nodes if isinstance(node, Router)]
-    assert seen > 500 and len(routers) == len(twin.nodes)
-    assert not any(one.waiting or one.streams for router in routers for one in router.endpoints.values())
+        assert tracked == simulation.attempts_in_flight(node), f"node {node} at {simulation.now}"
+        compared += len(tracked)
+
+    simulation.on_event = compare
+    simulation.run()
+    routers = [node for node in simulation.nodes if isinstance(node, Router)]
+    assert compared > 500 and len(routers) == len(simulation.nodes)
+    assert not any(e.waiting or e.streams for router in routers for e in router.endpoints.values())
--- a/tuliptrack/lab/twin.py
+++ b/tuliptrack/lab/twin.py
@@ -1,9 +1,10 @@
-"""A whole fleet in one process: half-blind nodes, engines with caches, and a change in the middle, on a
-seeded clock.
+"""Simulates a fleet in one process on a virtual, seeded clock: nodes with partial information, engines with
+prefix caches, and a disturbance in the middle of the run.
 
-The nodes are `Router`s as they run; engines, links and clients are modelled, in whole microseconds. No
-sockets and no real time: a day of some ten seconds takes about as long to play. What a node believes of an
-engine can be held against the engine itself at any event (`Twin.now`, `Twin.engines`).
+The nodes are the production `Router`; engines, links and clients are modelled, in whole microseconds. There
+are no sockets and no real time: a run of some ten simulated seconds takes about as long to compute. At any
+event a node's view of an engine can be compared with the engine's true state
+(`FleetSimulation.now`, `FleetSimulation.engines`).
 """
 
 from __future__ import annotations
@@ -40,392 +41,453 @@
 )
 from tuliptrack.routing.router import Router
 
-__all__ = ["Blind", "Fleet", "LateSeeing", "Result", "Twin"]
+__all__ = ["FleetScenario", "FleetSimulation", "FullInformationPolicy", "RandomPolicy", "Result"]
 
-_S = 1_000_000
+_SECOND_US = 1_000_000
 _LINK_US = 500  # one way, between a node and an engine
-_REPORTS = ("in_flight", "queued", "memory_share", "tokens_waiting_k")
+_REPORT_FIELDS = ("in_flight", "queued", "memory_share", "tokens_waiting_k")
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
-    """What is played. Times are microseconds, sizes tokens."""
+class FleetScenario:
+    """Parameters of a simulated run. Times are microseconds, sizes are tokens."""
 
     nodes: int = 60
-    readers: int = 10
-    writers: int = 12
-    prefixes: int = 80
-    rate: float = 110.0
-    """Requests a second, all nodes together."""
-    warms: int = 3 * _S
-    """Until then prefixes are found kept wherever they are asked for: the day begins in its middle."""
-    ends: int = 16 * _S
-    """When the last request comes."""
-    changes: int = 5 * _S
-    """When what happens begins."""
-    replaced: float = 0.0
-    """Share of the readers that are replaced, one after the other, within `within`."""
-    within: int = 3 * _S
-    restarted: float = 0.0
-    """Share of the nodes that are restarted with nothing known, within the same time."""
-    flushed: bool = False
-    """All readers lose their caches when the change begins."""
-    burst: float = 1.0
-    """Times the usual rate in that time."""
-    hot: float = 0.0
-    """Share of the requests in that time that have one and the same prefix."""
+    prefill_engines: int = 10
+    decode_engines: int = 12
+    prefix_count: int = 80
+    requests_per_s: float = 110.0
+    """Over all nodes together."""
+    warm_until_us: int = 3 * _SECOND_US
+    """Until then every prefix counts as cached on every engine, so that the run begins with warm caches."""
+    last_arrival_us: int = 16 * _SECOND_US
+    """No request arrives after this time."""
+    change_start_us: int = 5 * _SECOND_US
+    """When the disturbance (replacements, restarts, flush, burst) begins."""
+    replaced_share: float = 0.0
+    """Share of the prefill engines that are replaced, one after the other, within `change_duration_us`."""
+    change_duration_us: int = 3 * _SECOND_US
+    restarted_share: float = 0.0
+    """Share of the nodes that are restarted without any state, within the same time."""
+    flush_caches: bool = False
+    """All engines lose their caches when the change begins."""
+    burst_factor: float = 1.0
+    """Multiple of the usual request rate during the change."""
+    hot_prefix_share: float = 0.0
+    """Share of the requests during the change that share a single prefix."""
     prefix_tokens: float = 6000.0
-    own_tokens: float = 500.0
+    suffix_tokens: float = 500.0
     cache_tokens: float = 150_000.0
-    read_us_per_token: float = 25.0
-    token_us: int = 8_000
-    """Between two tokens of an answer, with a writer's usual company."""
-    aim: int = 1 * _S
-    deadline: int = 5 * _S
+    prefill_us_per_token: float = 25.0
+    inter_token_us: int = 8_000
+    """Time between two tokens of an answer; grows with the number of streams on the decode engine."""
+    objective_us: int = 1 * _SECOND_US
+    deadline_us: int = 5 * _SECOND_US
 
 
 class Policy(Protocol):
-    """What a node asks: the decision module, or a baseline in its place."""
+    """Decides for one node: the router, or a baseline in its place."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]: ...
 
 
 @dataclass(slots=True)
 class Engine:
-    """A reader or a writer as it truly is."""
+    """The true state of a prefill or decode engine."""
 
     info: EndpointInfo
-    reads: list[tuple[int, float]] = field(default_factory=list)
-    """When each read that waits or runs will have ended, and its tokens."""
+    prefills: list[tuple[int, float]] = field(default_factory=list)
+    """End time and uncached tokens of each prefill that waits or runs."""
     free_at: int = 0
-    kept: OrderedDict[int, float] = field(default_factory=OrderedDict)
+    cached: OrderedDict[int, float] = field(default_factory=OrderedDict)
     running: int = 0
-    room: float = 0.0
-
-    def read(self, now: int, request: Request, us_per_token: float, warm: bool) -> tuple[int, float]:
-        """Take a read in; when it will have ended, and the tokens that it found kept."""
-        found = (
-            request.prefix_tokens if warm else min(self.kept.get(request.prefix, 0.0), request.prefix_tokens)
+    cache_capacity: float = 0.0
+
+    def prefill(self, now: int, request: Request, us_per_token: float, is_warm: bool) -> tuple[int, float]:
+        """Enqueue a prefill; return its end time and the number of cached tokens."""
+        cached = (
+            request.prefix_tokens
+            if is_warm
+            else min(self.cached.get(request.prefix, 0.0), request.prefix_tokens)
         )
-        unread = request.prompt_tokens - found
-        self.free_at = max(self.free_at, now) + int(unread * us_per_token) + 5_000
-        self.reads.append((self.free_at, unread))
-        return self.free_at, found
-
-    def keep(self, request: Request) -> None:
-        """A read has ended: its prefix is kept, and what was used the longest ago gives way."""
-        self.kept[request.prefix] = request.prefix_tokens
-        self.kept.move_to_end(request.prefix)
-        while sum(self.kept.values()) > self.room:
-            self.kept.popitem(last=False)
-
-    def waiting(self, now: int) -> float:
-        """Tokens that truly wait here to be read."""
-        self.reads = [r for r in self.reads if r[0] > now]
-        return sum(tokens for _, tokens in self.reads)
+        uncached = request.prompt_tokens - cached
+        self.free_at = max(self.free_at, now) + int(uncached * us_per_token) + 5_000
+        self.prefills.append((self.free_at, uncached))
+        return self.free_at, cached
+
+    def cache_prefix(self, request: Request) -> None:
+        """Cache the prefix of a finished prefill, evicting the least recently used prefixes."""
+        self.cached[request.prefix] = request.prefix_tokens
+        self.cached.move_to_end(request.prefix)
+        while sum(self.cached.values()) > self.cache_capacity:
+            self.cached.popitem(last=False)
+
+    def waiting_tokens(self, now: int) -> float:
+        """Uncached tokens of all prefills that wait or run here."""
+        self.prefills = [r for r in self.prefills if r[0] > now]
+        return sum(tokens for _, tokens in self.prefills)
 
     def load(self, now: int) -> tuple[float, ...]:
-        """Its load report."""
-        waiting = self.waiting(now)
-        held = len(self.reads) + self.running
-        return (float(held), float(max(len(self.reads) - 1, 0)), min(held / 100, 1.0), waiting / 1000)
+        """The load report, in the order of `_REPORT_FIELDS`."""
+        waiting = self.waiting_tokens(now)
+        requests = len(self.prefills) + self.running
+        return (
+            float(requests),
+            float(max(len(self.prefills) - 1, 0)),
+            min(requests / 100, 1.0),
+            waiting / 1000,
+        )
 
 
 @dataclass(slots=True)
 class Result:
-    """What became of the requests."""
+    """Outcomes of the requests."""
 
     by_second: dict[int, Counter[str]] = field(default_factory=dict)
-    twice: int = 0
-    """Requests with a second final answer, or with two attempts out at once."""
+    """Outcomes by the second in which the requests arrived."""
+    duplicates: int = 0
+    """Number of second final answers, and of attempts sent while another one was in flight."""
     unanswered: int = 0
-    kept: float = 0.0
-    """Share of the prompts' tokens that was found kept from a second after the change on."""
+    cached_share: float = 0.0
+    """Share of prompt tokens found cached, over requests that arrive a second or more after the change
+    begins.
+    """
 
-    def share(self, start: int, end: int) -> float:
-        """Share of the requests that came in these microseconds and were served within their aim."""
-        seen = [c for s, c in self.by_second.items() if start <= s * _S < end]
-        return sum(c["in time"] for c in seen) / max(sum(c.total() for c in seen), 1)
+    def on_time_share(self, start: int, end: int) -> float:
+        """Share of the requests arriving in this interval (microseconds) whose latency objective was met."""
+        seconds = [c for s, c in self.by_second.items() if start <= s * _SECOND_US < end]
+        return sum(c["in time"] for c in seconds) / max(sum(c.total() for c in seconds), 1)
 
-    def recovered(self, since: int, level: float = 0.9) -> int | None:
-        """Microseconds after `since` from which on each second had `level` served in time; None if that never
-        came.
+    def recovery_us(self, since: int, level: float = 0.9) -> int | None:
+        """Microseconds after `since` from which on, in each second, a share of at least `level` was served in
+        time; None if that point is not reached before the last second.
         """
-        low = [s for s, c in self.by_second.items() if s * _S >= since and c["in time"] < level * c.total()]
-        if not low:
+        missed = [
+            s
+            for s, c in self.by_second.items()
+            if s * _SECOND_US >= since and c["in time"] < level * c.total()
+        ]
+        if not missed:
             return 0
-        back = (max(low) + 1) * _S
-        return back - since if back < max(self.by_second) * _S else None
+        recovered_at = (max(missed) + 1) * _SECOND_US
+        return recovered_at - since if recovered_at < max(self.by_second) * _SECOND_US else None
 
 
 @dataclass(slots=True)
-class _Asked:
-    """A request and what became of it so far."""
+class _RequestRecord:
+    """A request and its progress."""
 
     request: Request
     node: int
-    at: int
+    arrived_at: int
     attempt: int = -1
-    out: int | None = None
-    """The attempt that is out."""
+    in_flight: int | None = None
+    """The attempt in flight."""
     engine: Engine | None = None
-    """Where the newest attempt went."""
-    first: int = 0
-    answered: str = ""
+    """Target of the latest attempt."""
+    first_token_at: int = 0
+    outcome: str = ""
 
 
-class Twin:
-    """Plays one day. `policy` makes what decides at a node, from its settings, its seed and this day."""
+class FleetSimulation:
+    """Runs one scenario. `policy` builds a node's policy from its settings, its seed and this object."""
 
     def __init__(
-        self, fleet: Fleet, seed: int, policy: Callable[[Settings, int, Twin], Policy] | None = None
+        self,
+        scenario: FleetScenario,
+        seed: int,
+        policy: Callable[[Settings, int, FleetSimulation], Policy] | None = None,
     ) -> None:
-        self.fleet, self.random, self.now = fleet, Random(seed), 0
+        self.scenario, self.random, self.now = scenario, Random(seed), 0
         self.policy = policy or (lambda settings, number, _: Router(settings, number))
         self.settings = Settings(
-            replicas=fleet.nodes,
+            replicas=scenario.nodes,
             roles=(Role.PREFILL, Role.DECODE),
-            report_fields=_REPORTS,
+            report_fields=_REPORT_FIELDS,
             max_attempts=4,
             classes=(
-                RequestClass("chat", 1.0, fleet.aim, fleet.deadline, inter_token_objective_us=60_000.0),
-                RequestClass("dear", 3.0, fleet.aim, fleet.deadline, inter_token_objective_us=60_000.0),
+                RequestClass(
+                    "chat",
+                    1.0,
+                    scenario.objective_us,
+                    scenario.deadline_us,
+                    inter_token_objective_us=60_000.0,
+                ),
+                RequestClass(
+                    "dear",
+                    3.0,
+                    scenario.objective_us,
+                    scenario.deadline_us,
+                    inter_token_objective_us=60_000.0,
+                ),
             ),
-            tenants=(Tenant("a", 1.0, 1.3 * fleet.rate),),
-            slow_start_us=8 * _S,
+            tenants=(Tenant("a", 1.0, 1.3 * scenario.requests_per_s),),
+            slow_start_us=8 * _SECOND_US,
             slow_start_initial_share=0.25,
             slow_start_overload_factor=2.5,
-            slow_start_window_us=2 * _S,
+            slow_start_window_us=2 * _SECOND_US,
             drain_grace_us=500_000,
-            max_retry_after_us=2 * _S,
+            max_retry_after_us=2 * _SECOND_US,
             may_send_retry_after=True,
         )
         self.engines: dict[int, Engine] = {}
-        self.asked: dict[int, _Asked] = {}
+        self.records: dict[int, _RequestRecord] = {}
         self.result = Result()
-        self.watch: Callable[[int], None] = lambda node: None
-        """Called after each event at a node, with its number. Replace it to look in."""
+        self.on_event: Callable[[int], None] = lambda node: None
+        """Hook called with the node's number after each event there."""
         self._events: list[tuple[int, int, Any]] = []
-        self._count, self._ids, self._tokens, self._found = count(), count(1), 0.0, 0.0
-        for i in range(fleet.readers + fleet.writers):
-            self._add(EndpointInfo(i, 0 if i < fleet.readers else 1))
-        self.nodes = [self._node(i, i + 1) for i in range(fleet.nodes)]
-
-    def play(self) -> Result:
-        """The whole day, to the last answer."""
-        fleet = self.fleet
-        weights = list(accumulate(1 / (n + 8) for n in range(fleet.prefixes)))
-        at, more = 0.0, False
+        self._sequence, self._ids, self._prompt_tokens, self._cached_tokens = count(), count(1), 0.0, 0.0
+        for i in range(scenario.prefill_engines + scenario.decode_engines):
+            self._add_engine(EndpointInfo(i, 0 if i < scenario.prefill_engines else 1))
+        self.nodes = [self._start_node(i, i + 1) for i in range(scenario.nodes)]
+
+    def run(self) -> Result:
+        """Run the simulation until no event is left."""
+        scenario = self.scenario
+        weights = list(accumulate(1 / (n + 8) for n in range(scenario.prefix_count)))
+        at, during_change = 0.0, False
         while (
-            at := at + self.random.expovariate(fleet.rate * (fleet.burst if more else 1.0) / _S)
-        ) < fleet.ends:
-            more = fleet.changes <= at < fleet.changes + fleet.within
-            prefix = 1 + self.random.choices(range(fleet.prefixes), cum_weights=weights)[0]
-            prefix = fleet.prefixes + 1 if more and self.random.random() < fleet.hot else prefix
-            own = self.random.expovariate(1 / fleet.own_tokens)
+            at := at
+            + self.random.expovariate(
+                scenario.requests_per_s * (scenario.burst_factor if during_change else 1.0) / _SECOND_US
+            )
+        ) < scenario.last_arrival_us:
+            during_change = (
+                scenario.change_start_us <= at < scenario.change_start_us + scenario.change_duration_us
+            )
+            prefix = 1 + self.random.choices(range(scenario.prefix_count), cum_weights=weights)[0]
+            prefix = (
+                scenario.prefix_count + 1
+                if during_change and self.random.random() < scenario.hot_prefix_share
+                else prefix
+            )
+            suffix = self.random.expovariate(1 / scenario.suffix_tokens)
             request = Request(
                 next(self._ids),
                 int(self.random.random() < 0.2),
-                fleet.deadline,
-                prompt_tokens=fleet.prefix_tokens + own,
-                prefix_tokens=fleet.prefix_tokens,
+                scenario.deadline_us,
+                prompt_tokens=scenario.prefix_tokens + suffix,
+                prefix_tokens=scenario.prefix_tokens,
                 max_tokens=120.0,
                 session=self.random.getrandbits(40),
                 prefix=prefix,
             )
-            self._at(int(at), self._comes, request, self.random.randrange(fleet.nodes))
-        self._plan_change()
+            self._schedule(int(at), self._arrive, request, self.random.randrange(scenario.nodes))
+        self._schedule_change()
         while self._events:
             self.now, _, act = heapq.heappop(self._events)
             act()
-        self.result.unanswered = sum(not a.answered for a in self.asked.values())
-        self.result.kept = self._found / max(self._tokens, 1.0)
+        self.result.unanswered = sum(not r.outcome for r in self.records.values())
+        self.result.cached_share = self._cached_tokens / max(self._prompt_tokens, 1.0)
         return self.result
 
-    # -- what happens
+    # -- disturbances
 
-    def _plan_change(self) -> None:
-        fleet = self.fleet
-        if fleet.flushed:
+    def _schedule_change(self) -> None:
+        scenario = self.scenario
+        if scenario.flush_caches:
             for engine in self.engines.values():
-                self._at(fleet.changes, engine.kept.clear)
-        count_ = int(fleet.replaced * fleet.readers)
-        for i in range(count_):
-            self._at(fleet.changes + fleet.within * i // count_, self._replace, i, 1000 + i)
-        restarts = int(fleet.restarted * fleet.nodes)
+                self._schedule(scenario.change_start_us, engine.cached.clear)
+        replacements = int(scenario.replaced_share * scenario.prefill_engines)
+        for i in range(replacements):
+            self._schedule(
+                scenario.change_start_us + scenario.change_duration_us * i // replacements,
+                self._replace_engine,
+                i,
+                1000 + i,
+            )
+        restarts = int(scenario.restarted_share * scenario.nodes)
         for i in range(restarts):
-            self._at(fleet.changes + fleet.within * i // restarts, self._restart, i)
+            self._schedule(
+                scenario.change_start_us + scenario.change_duration_us * i // restarts, self._restart_node, i
+            )
 
-    def _replace(self, old: int, new: int) -> None:
-        """One reader drains and a cold one comes in its place; each node hears within 200 ms."""
-        gone = self.engines[old].info = replace(self.engines[old].info, state=EndpointState.DRAINING)
-        fresh = EndpointInfo(new, 0, started_at_us=self.now)
-        self._add(fresh)
+    def _replace_engine(self, old: int, new: int) -> None:
+        """Drain a prefill engine and add a cold one; each node gets the list update within 200 ms."""
+        draining = self.engines[old].info = replace(self.engines[old].info, state=EndpointState.DRAINING)
+        added = EndpointInfo(new, 0, started_at_us=self.now)
+        self._add_engine(added)
         for i in range(len(self.nodes)):
-            change = EndpointListUpdate(UpdateKind.DELTA, 2, (gone, fresh))
-            self._at(self.now + self.random.randrange(200_000), self._tell, i, change)
-
-    def _restart(self, number: int) -> None:
-        """A node comes back with nothing known; what it had open is lost to its clients, who count as
-        failed.
-        """
-        for asked in self.asked.values():
-            if asked.node == number and not asked.answered:
-                self._final(asked, "lost")
-        self.nodes[number] = self._node(number, number + 1000)
-
-    def out_at(self, node: int) -> dict[int, int]:
-        """What this node truly has out: the engine of each of its requests."""
+            change = EndpointListUpdate(UpdateKind.DELTA, 2, (draining, added))
+            self._schedule(self.now + self.random.randrange(200_000), self._deliver, i, change)
+
+    def _restart_node(self, number: int) -> None:
+        """Restart a node without state. The outcome of its unanswered requests is "lost"."""
+        for record in self.records.values():
+            if record.node == number and not record.outcome:
+                self._conclude(record, "lost")
+        self.nodes[number] = self._start_node(number, number + 1000)
+
+    def attempts_in_flight(self, node: int) -> dict[int, int]:
+        """Engine id by request id of the attempts that this node truly has in flight."""
         return {
-            a.request.request_id: a.engine.info.id
-            for a in self.asked.values()
-            if a.node == node and a.out is not None and a.engine and a.answered != "lost"
+            r.request.request_id: r.engine.info.id
+            for r in self.records.values()
+            if r.node == node and r.in_flight is not None and r.engine and r.outcome != "lost"
         }
 
-    def _node(self, number: int, seed: int) -> Policy:
-        made = self.policy(replace(self.settings, replica_index=number), seed, self)
+    def _start_node(self, number: int, seed: int) -> Policy:
+        policy = self.policy(replace(self.settings, replica_index=number), seed, self)
         listed = tuple(e.info for e in self.engines.values() if e.info.state is EndpointState.READY)
-        self._do(number, made.handle(self.now, [EndpointListUpdate(UpdateKind.FULL, 1, listed)]))
-        return made
+        self._execute(number, policy.handle(self.now, [EndpointListUpdate(UpdateKind.FULL, 1, listed)]))
+        return policy
 
-    def _add(self, info: EndpointInfo) -> None:
-        self.engines[info.id] = Engine(info, room=self.fleet.cache_tokens)
+    def _add_engine(self, info: EndpointInfo) -> None:
+        self.engines[info.id] = Engine(info, cache_capacity=self.scenario.cache_tokens)
 
     # -- requests and attempts
 
-    def _comes(self, request: Request, node: int) -> None:
-        self.asked[request.request_id] = _Asked(request, node, self.now)
-        self._at(self.now + request.time_left_us, self._due, request.request_id)
-        self._tell(node, request)
+    def _arrive(self, request: Request, node: int) -> None:
+        self.records[request.request_id] = _RequestRecord(request, node, self.now)
+        self._schedule(self.now + request.time_left_us, self._deadline, request.request_id)
+        self._deliver(node, request)
 
-    def _due(self, number: int) -> None:
-        """The client's time is up: what is out ends."""
-        asked = self.asked[number]
-        if asked.out is not None and not asked.first:
-            self._back(asked, asked.out, Status.TIMEOUT, self.now)
+    def _deadline(self, number: int) -> None:
+        """The client's deadline has passed: time out the attempt in flight unless its stream has started."""
+        record = self.records[number]
+        if record.in_flight is not None and not record.first_token_at:
+            self._end_attempt(record, record.in_flight, Status.TIMEOUT, self.now)
 
-    def _do(self, node: int, actions: list[Action]) -> None:
-        """Carry out what a node says. Read states take no room here: `Release` changes nothing."""
+    def _execute(self, node: int, actions: list[Action]) -> None:
+        """Carry out a node's actions. KV state takes no memory in this model, so `Release` is a no-op."""
         for action in actions:
             if isinstance(action, SendAttempt):
-                self._send(self.asked[action.request_id], action)
+                self._send(self.records[action.request_id], action)
             elif isinstance(action, Reject | Fail):
-                self._final(
-                    self.asked[action.request_id], "refused" if isinstance(action, Reject) else "failed"
+                self._conclude(
+                    self.records[action.request_id], "refused" if isinstance(action, Reject) else "failed"
                 )
             elif isinstance(action, SetTimer):
-                self._at(self.now + action.delay_us, self._tell, node, TimerFired(action.token))
+                self._schedule(self.now + action.delay_us, self._deliver, node, TimerFired(action.token))
 
-    def _send(self, asked: _Asked, action: SendAttempt) -> None:
-        self.result.twice += asked.out is not None
-        asked.attempt += 1
-        attempt = asked.out = asked.attempt
-        engine = asked.engine = self.engines[action.endpoint_id]
+    def _send(self, record: _RequestRecord, action: SendAttempt) -> None:
+        self.result.duplicates += record.in_flight is not None
+        record.attempt += 1
+        attempt = record.in_flight = record.attempt
+        engine = record.engine = self.engines[action.endpoint_id]
         if action.timeout_us:
-            self._at(self.now + action.timeout_us, self._back, asked, attempt, Status.TIMEOUT, self.now)
-        self._at(self.now + _LINK_US, self._reach, asked, attempt, engine, self.now)
+            self._schedule(
+                self.now + action.timeout_us, self._end_attempt, record, attempt, Status.TIMEOUT, self.now
+            )
+        self._schedule(self.now + _LINK_US, self._reach_engine, record, attempt, engine, self.now)
 
-    def _reach(self, asked: _Asked, attempt: int, engine: Engine, sent: int) -> None:
+    def _reach_engine(self, record: _RequestRecord, attempt: int, engine: Engine, sent: int) -> None:
         if engine.info.kind == 0:
-            done, found = engine.read(
-                self.now, asked.request, self.fleet.read_us_per_token, self.now < self.fleet.warms
+            done, cached = engine.prefill(
+                self.now,
+                record.request,
+                self.scenario.prefill_us_per_token,
+                self.now < self.scenario.warm_until_us,
+            )
+            if record.arrived_at >= self.scenario.change_start_us + _SECOND_US:
+                self._prompt_tokens += record.request.prompt_tokens
+                self._cached_tokens += cached
+            self._schedule(
+                done, engine.cache_prefix, record.request
+            )  # An abandoned prefill still runs to its end.
+            self._schedule(
+                done + _LINK_US, self._end_attempt, record, attempt, Status.PREFILLED, sent, int(cached)
             )
-            if asked.at >= self.fleet.changes + _S:
-                self._tokens += asked.request.prompt_tokens
-                self._found += found
-            self._at(done, engine.keep, asked.request)  # Given up or not, it is read.
-            self._at(done + _LINK_US, self._back, asked, attempt, Status.PREFILLED, sent, int(found))
             return
         engine.running += 1
-        first = 15_000 + self.fleet.token_us * (1 + engine.running // 20)
-        whole = first + int(asked.request.max_tokens / 2 * self.fleet.token_us * (1 + engine.running / 40))
-        self._at(self.now + first, self._starts, asked, attempt, engine, sent)
-        self._at(self.now + whole, self._ends, asked, attempt, engine, sent)
-
-    def _starts(self, asked: _Asked, attempt: int, engine: Engine, sent: int) -> None:
-        if asked.out == attempt and not asked.answered:
-            asked.first = self.now
-            self._tell(
-                asked.node, StreamStarted(asked.request.request_id, attempt, engine.info.id, self.now - sent)
+        until_first = 15_000 + self.scenario.inter_token_us * (1 + engine.running // 20)
+        until_end = until_first + int(
+            record.request.max_tokens / 2 * self.scenario.inter_token_us * (1 + engine.running / 40)
+        )
+        self._schedule(self.now + until_first, self._start_stream, record, attempt, engine, sent)
+        self._schedule(self.now + until_end, self._end_stream, record, attempt, engine, sent)
+
+    def _start_stream(self, record: _RequestRecord, attempt: int, engine: Engine, sent: int) -> None:
+        if record.in_flight == attempt and not record.outcome:
+            record.first_token_at = self.now
+            self._deliver(
+                record.node,
+                StreamStarted(record.request.request_id, attempt, engine.info.id, self.now - sent),
             )
 
-    def _ends(self, asked: _Asked, attempt: int, engine: Engine, sent: int) -> None:
+    def _end_stream(self, record: _RequestRecord, attempt: int, engine: Engine, sent: int) -> None:
         engine.running -= 1
-        if asked.out == attempt and not asked.answered:
-            late = asked.first - asked.at > self.fleet.aim
-            self._final(asked, "late" if late else "in time")
-            self._back(asked, attempt, Status.OK, sent)
-
-    def _back(self, asked: _Asked, attempt: int, status: Status, sent: int, found: int = 0) -> None:
-        """An attempt ends at its node, unless it has already or, started, can't time out any more."""
-        engine = asked.engine
+        if record.in_flight == attempt and not record.outcome:
+            late = record.first_token_at - record.arrived_at > self.scenario.objective_us
+            self._conclude(record, "late" if late else "in time")
+            self._end_attempt(record, attempt, Status.OK, sent)
+
+    def _end_attempt(
+        self, record: _RequestRecord, attempt: int, status: Status, sent: int, cached: int = 0
+    ) -> None:
+        """Report an attempt's end to its node, unless it has already ended or, its stream started, can no
+        longer time out.
+        """
+        engine = record.engine
         if (
-            asked.out != attempt
+            record.in_flight != attempt
             or engine is None
-            or (status is Status.TIMEOUT and asked.first)
-            or (asked.answered and status is not Status.OK)
+            or (status is Status.TIMEOUT and record.first_token_at)
+            or (record.outcome and status is not Status.OK)
         ):
             return
-        asked.out = None
+        record.in_flight = None
         load = engine.load(self.now) if status in (Status.PREFILLED, Status.OK) else ()
-        self._tell(
-            asked.node,
+        self._deliver(
+            record.node,
             AttemptEnded(
-                asked.request.request_id,
+                record.request.request_id,
                 attempt,
                 engine.info.id,
                 status,
                 self.now - sent,
                 is_final=status is Status.OK,
-                cached_tokens=found,
+                cached_tokens=cached,
                 load_report=load,
             ),
         )
 
-    def _final(self, asked: _Asked, what: str) -> None:
-        self.result.twice += bool(asked.answered)
-        asked.answered = asked.answered or what
-        self.result.by_second.setdefault(asked.at // _S, Counter())[what] += 1
+    def _conclude(self, record: _RequestRecord, outcome: str) -> None:
+        self.result.duplicates += bool(record.outcome)
+        record.outcome = record.outcome or outcome
+        self.result.by_second.setdefault(record.arrived_at // _SECOND_US, Counter())[outcome] += 1
 
-    # -- the clock
+    # -- event queue
 
-    def _tell(self, node: int, event: Event) -> None:
+    def _deliver(self, node: int, event: Event) -> None:
         if (
             isinstance(event, StreamStarted | AttemptEnded)
-            and self.asked[event.request_id].answered == "lost"
+            and self.records[event.request_id].outcome == "lost"
         ):
-            return  # Its node is another one now.
-        self._do(node, self.nodes[node].handle(self.now, [event]))
-        self.watch(node)
+            return  # The node was restarted and no longer knows this request.
+        self._execute(node, self.nodes[node].handle(self.now, [event]))
+        self.on_event(node)
 
-    def _at(self, at: int, act: Callable[..., object], *args: object) -> None:
-        heapq.heappush(self._events, (at, next(self._count), partial(act, *args)))
+    def _schedule(self, at: int, act: Callable[..., object], *args: object) -> None:
+        heapq.heappush(self._events, (at, next(self._sequence), partial(act, *args)))
 
 
-class _Plain:
-    """A baseline's node: each stage goes where `pick` says; what fails is refused."""
+class _BaselinePolicy:
+    """Base of the baseline policies: sends each stage to the engine that `pick` returns; never retries."""
 
-    def __init__(self, settings: Settings, seed: int, twin: Twin) -> None:
-        self.twin, self.random = twin, Random(seed)
+    def __init__(self, settings: Settings, seed: int, simulation: FleetSimulation) -> None:
+        self.simulation, self.random = simulation, Random(seed)
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        out: list[Action] = []
+        actions: list[Action] = []
         for event in events:
             if isinstance(event, Request):
-                out.append(SendAttempt(event.request_id, self.pick(0, event)))
+                actions.append(SendAttempt(event.request_id, self.pick(0, event)))
             elif isinstance(event, AttemptEnded) and not event.is_final:
                 if event.status is Status.PREFILLED:
-                    out.append(
-                        SendAttempt(event.request_id, self.pick(1, self.twin.asked[event.request_id].request))
+                    actions.append(
+                        SendAttempt(
+                            event.request_id, self.pick(1, self.simulation.records[event.request_id].request)
+                        )
                     )
                 else:
-                    out.append(Fail(event.request_id))
-        return out
+                    actions.append(Fail(event.request_id))
+        return actions
 
-    def up(self, kind: int) -> list[Engine]:
+    def ready_engines(self, kind: int) -> list[Engine]:
         return [
             e
-            for e in self.twin.engines.values()
+            for e in self.simulation.engines.values()
             if e.info.kind == kind and e.info.state is EndpointState.READY
         ]
 
@@ -433,21 +495,24 @@
         raise NotImplementedError
 
 
-class Blind(_Plain):
-    """Any engine of the role by chance: the plainest baseline."""
+class RandomPolicy(_BaselinePolicy):
+    """Picks a random engine of the role: the lower baseline."""
 
     def pick(self, kind: int, request: Request) -> int:
-        return self.random.choice(self.up(kind)).info.id
+        return self.random.choice(self.ready_engines(kind)).info.id
 
 
-class LateSeeing(_Plain):
-    """Sees every engine as it truly is, and minds no cold one: where a prompt will have been read the
-    soonest.
+class FullInformationPolicy(_BaselinePolicy):
+    """Sees the true state of every engine and ignores slow start: picks the earliest prefill completion, or
+    the decode engine with the fewest streams.
     """
 
     def pick(self, kind: int, request: Request) -> int:
-        def soon(e: Engine) -> float:
-            unread = request.prompt_tokens - min(e.kept.get(request.prefix, 0.0), request.prefix_tokens)
-            return max(e.free_at - self.twin.now, 0) + unread * self.twin.fleet.read_us_per_token
+        def time_to_finish(e: Engine) -> float:
+            uncached = request.prompt_tokens - min(e.cached.get(request.prefix, 0.0), request.prefix_tokens)
+            return (
+                max(e.free_at - self.simulation.now, 0)
+                + uncached * self.simulation.scenario.prefill_us_per_token
+            )
 
-        return min(self.up(kind), key=(lambda e: e.running) if kind else soon).info.id
+        return min(self.ready_engines(kind), key=(lambda e: e.running) if kind else time_to_finish).info.id
