--- a/tuliptrack/lab/engine.py
+++ b/tuliptrack/lab/engine.py
@@ -1,8 +1,8 @@
-"""A stand-in engine: slots, a queue, memory, kept prompts, waiting read states, steps, and scripted troubles.
+"""A stand-in engine: slots, a queue, memory, a prompt cache, KV states, decode steps, and scripted faults.
 
-It speaks `tuliptrack.v1.Engine` on a real socket and writes down what it saw there, one JSON line an event,
-in monotonic microseconds (one clock for all processes of a machine). Its answers follow from the request
-alone, so that a judge can tell a token missing or twice.
+It serves `tuliptrack.v1.Engine` on a real socket and logs what it sees there, one JSON line per event, in
+monotonic microseconds (one clock for all processes of a machine). An answer depends on the request alone, so
+that the judge can detect missing and duplicate tokens.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from tuliptrack.rpc.server import Server, ServerCall, unary_request
 from tuliptrack.rpc.status import Code, Metadata, Status
 
-__all__ = ["Engine", "answer_length", "answer_token", "request_of"]
+__all__ = ["Engine", "answer_length", "answer_token", "request_name"]
 
 SERVICE = "tuliptrack.v1.Engine"
 STATE_TRAILER = "tuliptrack-state-bytes"
@@ -37,7 +37,7 @@
     config_pb2.WRITE: Role.DECODE,
     config_pb2.BOTH: Role.PREFILL_AND_DECODE,
 }
-_CHUNK = 32_768  # bytes of one message of a fetched state
+_CHUNK = 32_768  # bytes of KV state in one message of a fetch
 DEFAULTS: dict[str, float] = {
     "slots": 32,
     "queue": 32,
@@ -59,55 +59,56 @@
 }
 
 
-def request_of(prompt: str) -> str:
-    """The client's name of the request: the first word of its prompt, without the number of the try."""
+def request_name(prompt: str) -> str:
+    """The client's name of the request: the first word of its prompt, without the try's number."""
     return prompt.split(" ", 1)[0].split("/", 1)[0]
 
 
 def answer_length(prompt: str, least: int, most: int) -> int:
-    """Tokens of the whole answer to a prompt."""
-    return least + xxhash.xxh3_64_intdigest(request_of(prompt).encode()) % max(most - least + 1, 1)
+    """Length of the full answer to a prompt, in tokens."""
+    return least + xxhash.xxh3_64_intdigest(request_name(prompt).encode()) % max(most - least + 1, 1)
 
 
 def answer_token(prompt: str, index: int) -> str:
-    """Text of one token of it."""
-    digest = xxhash.xxh3_64_intdigest(f"{request_of(prompt)}:{index}".encode())
+    """Text of the answer's token at `index`."""
+    digest = xxhash.xxh3_64_intdigest(f"{request_name(prompt)}:{index}".encode())
     return f"{digest & 0xFFFF:04x} "
 
 
-def _kept_names(work: engine_pb2.Work) -> list[tuple[str, int]]:
-    """Under which names a prompt's beginning is kept, and how much of it each covers."""
-    names = [(f"s:{work.tenant}:{work.session}", work.prompt_tokens)] if work.session else []
-    return [*names, (f"p:{work.prefix}", work.prefix_tokens)] if work.prefix else names
+def _cache_keys(work: engine_pb2.Work) -> list[tuple[str, int]]:
+    """Cache keys for a prompt (its session, its prefix) and the number of tokens that each covers."""
+    keys = [(f"s:{work.tenant}:{work.session}", work.prompt_tokens)] if work.session else []
+    return [*keys, (f"p:{work.prefix}", work.prefix_tokens)] if work.prefix else keys
 
 
 @dataclass(eq=False)
 class _Job:
-    """One call that is being worked on."""
+    """A Read or Write call in progress."""
 
     call: ServerCall
     work: engine_pb2.Work
     kind: str
-    to_read: int = 0
+    prefill_tokens: int = 0
     memory: int = 0
     state: engine_pb2.StateRef | None = None
-    fetch: ClientCall | None = None
-    fetched: int = 0
-    """Bytes of the state that have come."""
+    state_fetch: ClientCall | None = None
+    fetched_bytes: int = 0
+    """Bytes of KV state received."""
     done: bool = False
     running: bool = False
-    index: int = 0
-    end: int = 0
-    breaks_at: int = -1
+    next_index: int = 0
+    end_index: int = 0
+    break_index: int = -1
     silent: bool = False
+    """A scripted fault: the call is never answered."""
     unread: bool = False
-    """The node does not take what is sent: nothing is made for it meanwhile."""
+    """The node does not read what is sent: no tokens are generated until it does."""
     timers: list[asyncio.TimerHandle] = field(default_factory=list)
 
 
 @dataclass
-class _Waiting:
-    """A read state that waits to be fetched."""
+class _KvState:
+    """A KV state that waits to be fetched."""
 
     request: str
     tokens: int
@@ -115,7 +116,7 @@
 
 
 class Engine:
-    """One stand-in. `start` listens; `stop` ends it and every task of it."""
+    """One stand-in engine. `start` listens; `stop` ends the server and all tasks."""
 
     def __init__(
         self, name: str, model: lab_pb2.EngineModel, log: IO[str] | None = None, cold: bool = False
@@ -130,44 +131,44 @@
         self.paused_until = 0
         self.started = now_us()
         self.cold = cold
-        self.fell = False
+        self.crashed = False
         self.queue: deque[_Job] = deque()
         self.jobs: set[_Job] = set()
-        self.reading: deque[_Job] = deque()
+        self.prefill_queue: deque[_Job] = deque()
         self.writing: list[_Job] = []
-        self.states: OrderedDict[str, _Waiting] = OrderedDict()
-        self.kept: OrderedDict[str, int] = OrderedDict()
+        self.states: OrderedDict[str, _KvState] = OrderedDict()
+        self.prompt_cache: OrderedDict[str, int] = OrderedDict()
         self.fetched: OrderedDict[str, list[Traffic]] = OrderedDict()
-        """What has left of each request's states; the last 10,000 requests."""
+        """Traffic of the KV state fetches of each request; the last 10,000 requests."""
         self.moved: deque[tuple[str, engine_pb2.Work, Traffic]] = deque(maxlen=100_000)
-        """Every Read and Write call with its bytes, for a judge; the last 100,000."""
-        self.kept_sum = 0
+        """Kind, work and traffic of each Read and Write call, to check accounts against; the last 100,000."""
+        self.cached_tokens = 0
         self.memory = 0
-        self.sent: deque[tuple[int, float]] = deque()
+        self.recent_work: deque[tuple[int, float]] = deque()
         self.report: tuple[int, bytes] = (0, b"")
         self.channels: dict[str, Channel] = {}
         self.server = Server(max_connections=10_000)
-        self.server.add(SERVICE, "Read", unary_request(engine_pb2.ReadRequest, self._read))
-        self.server.add(SERVICE, "Write", unary_request(engine_pb2.WriteRequest, self._write))
-        self.server.add(SERVICE, "Release", unary_request(engine_pb2.ReleaseRequest, self._release))
-        self.server.add(SERVICE, "Hold", unary_request(engine_pb2.HoldRequest, self._hold))
-        self.server.add(SERVICE, "Probe", unary_request(engine_pb2.ProbeRequest, self._probe))
-        self.server.add(SERVICE, "Usage", unary_request(engine_pb2.UsageRequest, self._usage))
-        self.server.add(SERVICE, "Fetch", unary_request(engine_pb2.FetchRequest, self._fetch))
-        self.server.add(CONTROL, "Apply", unary_request(lab_pb2.Trouble, self._apply))
+        self.server.add(SERVICE, "Read", unary_request(engine_pb2.ReadRequest, self._handle_read))
+        self.server.add(SERVICE, "Write", unary_request(engine_pb2.WriteRequest, self._handle_write))
+        self.server.add(SERVICE, "Release", unary_request(engine_pb2.ReleaseRequest, self._handle_release))
+        self.server.add(SERVICE, "Hold", unary_request(engine_pb2.HoldRequest, self._handle_hold))
+        self.server.add(SERVICE, "Probe", unary_request(engine_pb2.ProbeRequest, self._handle_probe))
+        self.server.add(SERVICE, "Usage", unary_request(engine_pb2.UsageRequest, self._handle_usage))
+        self.server.add(SERVICE, "Fetch", unary_request(engine_pb2.FetchRequest, self._handle_fetch))
+        self.server.add(CONTROL, "Apply", unary_request(lab_pb2.Trouble, self._handle_apply))
         self._wake = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
-    # -- life
+    # -- start and stop
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
         address = await self.server.listen(host, port)
         self.server.gate = self._gate
         loop = asyncio.get_running_loop()
         if self.role is not Role.DECODE:
-            self._tasks.append(loop.create_task(self._read_loop()))
+            self._tasks.append(loop.create_task(self._prefill_loop()))
         if self.role is not Role.PREFILL:
-            self._tasks.append(loop.create_task(self._step_loop()))
+            self._tasks.append(loop.create_task(self._decode_loop()))
         self.note("up", address=address, role=self.role.value, cold=self.cold)
         return address
 
@@ -187,43 +188,43 @@
         self.note("down")
 
     def note(self, what: str, **facts: Any) -> None:
-        """Write down what was seen."""
+        """Log one event as a JSON line."""
         if self.log_file:
             self.log_file.write(
                 json.dumps({"t": now_us(), "engine": self.name, "what": what, **facts}) + "\n"
             )
             self.log_file.flush()
 
-    # -- troubles
+    # -- faults and cold start
 
     def apply(self, trouble: lab_pb2.Trouble) -> None:
-        """Replace what is wrong."""
+        """Replace the current faults."""
         self.trouble = trouble
         if trouble.pause_ms:
             self.paused_until = now_us() + int(trouble.pause_ms * 1000)
         if trouble.forget:
-            self.kept.clear()
-            self.kept_sum = 0
+            self.prompt_cache.clear()
+            self.cached_tokens = 0
         if trouble.lose_states:
             for state in list(self.states):
                 self._drop_state(state, "lost")
         self.note("trouble", text=str(trouble).replace("\n", " "))
 
-    def _apply(self, call: ServerCall, trouble: lab_pb2.Trouble) -> None:
+    def _handle_apply(self, call: ServerCall, trouble: lab_pb2.Trouble) -> None:
         self.apply(trouble)
         call.send(b"")
         call.end(Status(Code.OK))
 
     async def _gate(self, writer: asyncio.StreamWriter) -> bool:
-        """Whether a new connection is taken."""
-        if self.fell or self.trouble.refuse_connects:
+        """Whether to accept a new connection."""
+        if self.crashed or self.trouble.refuse_connects:
             return False
         if self.trouble.slow_connect_ms:
             await asyncio.sleep(self.trouble.slow_connect_ms / 1000)
         return True
 
     def capacity(self) -> float:
-        """Part of its full speed that it has now."""
+        """Share of the full speed available now: below 1 during a cold start."""
         if not self.cold or not self.m["cold_ms"]:
             return 1.0
         done = min((now_us() - self.started) / (self.m["cold_ms"] * 1000), 1.0)
@@ -232,28 +233,28 @@
     def _speed(self) -> float:
         return self.capacity() / max(self.trouble.slow or 1.0, 1e-6)
 
-    def _weigh(self, work: float) -> None:
-        """Cold engines fall over when they are sent too much within the window."""
+    def _crash_if_overloaded(self, work: float) -> None:
+        """Crash a cold engine that is sent more work within the window than it tolerates."""
         if not self.cold or now_us() - self.started > self.m["cold_ms"] * 1000:
             return
-        now, span = now_us(), self.m["fall_window_ms"] * 1000
-        self.sent.append((now, work))
-        while self.sent[0][0] < now - span:
-            self.sent.popleft()
+        now, window = now_us(), self.m["fall_window_ms"] * 1000
+        self.recent_work.append((now, work))
+        while self.recent_work[0][0] < now - window:
+            self.recent_work.popleft()
         per_s = (
             self.m["read_per_s"] if self.role is Role.PREFILL else self.m["slots"] * 1000 / self.m["step_ms"]
         )
-        budget = self.m["fall_multiple"] * per_s * self.capacity() * span / 1e6
-        if sum(w for _, w in self.sent) > budget:
-            self.fell = True
+        budget = self.m["fall_multiple"] * per_s * self.capacity() * window / 1e6
+        if sum(w for _, w in self.recent_work) > budget:
+            self.crashed = True
             self.note("fell", budget=budget)
             for link in list(self.server.links):
                 link.close("fell over")
 
     # -- calls
 
-    def _taken(self, call: ServerCall, work: engine_pb2.Work, kind: str) -> _Job | None:
-        """Note a new call of Read or Write; None where it was turned away."""
+    def _accept_call(self, call: ServerCall, work: engine_pb2.Work, kind: str) -> _Job | None:
+        """Register a Read or Write call; None if the engine crashed, is full, or a scripted fault applies."""
         self.note(
             "call",
             kind=kind,
@@ -265,11 +266,11 @@
             model=f"{work.model}:{work.model_version}",
         )
         job = _Job(call, work, kind)
-        call.on_cancelled = lambda reason: self._gone(job, reason)
+        call.on_cancelled = lambda reason: self._on_cancelled(job, reason)
         self.jobs.add(job)
         self.moved.append((kind, work, call.traffic))
-        self._weigh(work.prompt_tokens if kind == "read" else self._length(work.prompt))
-        if self.fell:
+        self._crash_if_overloaded(work.prompt_tokens if kind == "read" else self._answer_length(work.prompt))
+        if self.crashed:
             return None
         if self.trouble.full and self.random.random() < self.trouble.full:
             job.timers.append(
@@ -290,34 +291,34 @@
         return job
 
     def _finish(self, job: _Job, status: Status) -> None:
-        """End a call with a status and the load report."""
+        """End a call with a status and, in the trailers, the load report."""
         if job.done:
             return
-        self._off(job)
+        self._remove(job)
         self.note(
             "end",
             kind=job.kind,
             request=job.work.request_id,
             attempt=job.work.attempt,
             code=status.code.name,
-            tokens=job.index,
+            tokens=job.next_index,
         )
-        fetched = ((STATE_TRAILER, str(job.fetched)),) if job.state else ()
+        fetched = ((STATE_TRAILER, str(job.fetched_bytes)),) if job.state else ()
         job.call.end(status, self.trailer() + fetched)
 
-    def _gone(self, job: _Job, reason: str) -> None:
+    def _on_cancelled(self, job: _Job, reason: str) -> None:
         if not job.done:
-            self._off(job)
+            self._remove(job)
             self.note(
                 "gone",
                 kind=job.kind,
                 request=job.work.request_id,
                 attempt=job.work.attempt,
                 reason=reason,
-                tokens=job.index,
+                tokens=job.next_index,
             )
 
-    def _off(self, job: _Job) -> None:
+    def _remove(self, job: _Job) -> None:
         job.done = True
         self.jobs.discard(job)
         if job in self.writing:
@@ -326,45 +327,47 @@
         job.memory = 0
         for timer in job.timers:
             timer.cancel()
-        if job.fetch:
-            job.fetch.cancel()
+        if job.state_fetch:
+            job.state_fetch.cancel()
         self._wake.set()
 
     def trailer(self) -> Metadata:
-        """The load report, as old as its last making."""
+        """The load report, rebuilt at most every `report_ms`."""
         if now_us() - self.report[0] > self.m["report_ms"] * 1000:
-            waiting = sum(j.to_read for j in self.reading) + sum(j.to_read for j in self.queue)
+            waiting = sum(j.prefill_tokens for j in self.prefill_queue) + sum(
+                j.prefill_tokens for j in self.queue
+            )
             report = OrcaLoadReport(mem_utilization=min(max(self.memory, 0) / self.m["memory_tokens"], 1.0))
             report.named_metrics["in_flight"] = len(self.jobs) + len(self.states)
             report.named_metrics["tokens_waiting_k"] = waiting / 1000
             self.report = (now_us(), report.SerializeToString())
         return (("endpoint-load-metrics-bin", self.report[1]),)
 
-    def _unread(self, work: engine_pb2.Work) -> tuple[int, int]:
-        """Tokens to be read and tokens kept, of a prompt; what is kept is touched."""
-        kept = 0
-        for name, most in _kept_names(work):
-            if name in self.kept:
-                self.kept.move_to_end(name)
-                kept = max(kept, min(self.kept[name], most))
-        kept = min(kept, work.prompt_tokens - 1)
-        return work.prompt_tokens - kept + work.resume.next_index, kept
-
-    def _keep(self, work: engine_pb2.Work) -> None:
-        for name, size in _kept_names(work):
-            self.kept_sum += size - self.kept.pop(name, 0)
-            self.kept[name] = size
-        while self.kept_sum > self.m["kept_tokens"] and self.kept:
-            self.kept_sum -= self.kept.popitem(last=False)[1]
-
-    def _read(self, call: ServerCall, request: engine_pb2.ReadRequest) -> None:
-        if job := self._taken(call, request.work, "read"):
-            job.to_read, job.index = self._unread(request.work)[0], 0
-            self.reading.append(job)
+    def _tokens_to_prefill(self, work: engine_pb2.Work) -> tuple[int, int]:
+        """Tokens to prefill and tokens found in the cache; marks the cache entries as recently used."""
+        cached = 0
+        for key, covered in _cache_keys(work):
+            if key in self.prompt_cache:
+                self.prompt_cache.move_to_end(key)
+                cached = max(cached, min(self.prompt_cache[key], covered))
+        cached = min(cached, work.prompt_tokens - 1)
+        return work.prompt_tokens - cached + work.resume.next_index, cached
+
+    def _cache_prompt(self, work: engine_pb2.Work) -> None:
+        for key, size in _cache_keys(work):
+            self.cached_tokens += size - self.prompt_cache.pop(key, 0)
+            self.prompt_cache[key] = size
+        while self.cached_tokens > self.m["kept_tokens"] and self.prompt_cache:
+            self.cached_tokens -= self.prompt_cache.popitem(last=False)[1]
+
+    def _handle_read(self, call: ServerCall, request: engine_pb2.ReadRequest) -> None:
+        if job := self._accept_call(call, request.work, "read"):
+            job.prefill_tokens, job.next_index = self._tokens_to_prefill(request.work)[0], 0
+            self.prefill_queue.append(job)
             self._wake.set()
 
-    def _write(self, call: ServerCall, request: engine_pb2.WriteRequest) -> None:
-        job = self._taken(call, request.work, "write")
+    def _handle_write(self, call: ServerCall, request: engine_pb2.WriteRequest) -> None:
+        job = self._accept_call(call, request.work, "write")
         if job is None:
             return
         if request.HasField("state"):
@@ -372,56 +375,60 @@
         self.queue.append(job)
         self._wake.set()
 
-    def _release(self, call: ServerCall, request: engine_pb2.ReleaseRequest) -> None:
+    def _handle_release(self, call: ServerCall, request: engine_pb2.ReleaseRequest) -> None:
         for state in [s for s, w in self.states.items() if w.request == request.request_id]:
             self._drop_state(state, "released")
         call.send(b"")
         call.end(Status(Code.OK), self.trailer())
 
-    def _hold(self, call: ServerCall, request: engine_pb2.HoldRequest) -> None:
+    def _handle_hold(self, call: ServerCall, request: engine_pb2.HoldRequest) -> None:
         self.note("hold", request=request.work.request_id)
-        held = len(self.jobs) < self.m["slots"] and not self.queue
-        call.send(engine_pb2.HoldResponse(held=held).SerializeToString())
+        can_hold = len(self.jobs) < self.m["slots"] and not self.queue
+        call.send(engine_pb2.HoldResponse(held=can_hold).SerializeToString())
         call.end(Status(Code.OK), self.trailer())
 
-    def _probe(self, call: ServerCall, request: engine_pb2.ProbeRequest) -> None:
+    def _handle_probe(self, call: ServerCall, request: engine_pb2.ProbeRequest) -> None:
         call.send(engine_pb2.ProbeResponse(incarnation=self.incarnation).SerializeToString())
         call.end(Status(Code.OK), self.trailer())
 
-    def _usage(self, call: ServerCall, request: engine_pb2.UsageRequest) -> None:
+    def _handle_usage(self, call: ServerCall, request: engine_pb2.UsageRequest) -> None:
         sent = sum(t.sent for t in self.fetched.get(request.request_id, []))
         call.send(engine_pb2.UsageResponse(state_bytes=sent).SerializeToString())
         call.end(Status(Code.OK), self.trailer())
 
-    # -- reading
+    # -- prefill and KV states
 
-    def _rest(self) -> float:
-        """Seconds for which it is paused."""
+    def _pause_left(self) -> float:
+        """Seconds left of a scripted pause."""
         return max(self.paused_until - now_us(), 0) / 1e6
 
-    async def _read_loop(self) -> None:
+    async def _prefill_loop(self) -> None:
         while True:
             self._wake.clear()
-            while self.reading and self.reading[0].done:
-                self.reading.popleft()
-            need = self.reading[0].work.prompt_tokens - self.reading[0].memory if self.reading else 0
-            if not self.reading or self.memory + need > self.m["memory_tokens"]:
+            while self.prefill_queue and self.prefill_queue[0].done:
+                self.prefill_queue.popleft()
+            needed = (
+                self.prefill_queue[0].work.prompt_tokens - self.prefill_queue[0].memory
+                if self.prefill_queue
+                else 0
+            )
+            if not self.prefill_queue or self.memory + needed > self.m["memory_tokens"]:
                 await self._wake.wait()
                 continue
-            if rest := self._rest():
-                await asyncio.sleep(rest)
+            if pause := self._pause_left():
+                await asyncio.sleep(pause)
                 continue
-            job = self.reading.popleft()
-            self.memory += need
-            job.memory += need
-            unread, kept = self._unread(job.work)
-            await asyncio.sleep(unread / self.m["read_per_s"] / self._speed())
-            await asyncio.sleep(self._rest())
+            job = self.prefill_queue.popleft()
+            self.memory += needed
+            job.memory += needed
+            uncached, cached = self._tokens_to_prefill(job.work)
+            await asyncio.sleep(uncached / self.m["read_per_s"] / self._speed())
+            await asyncio.sleep(self._pause_left())
             if job.done:
                 continue
-            self._keep(job.work)
-            if job.kind == "write":  # read in place
-                self._run(job)
+            self._cache_prompt(job.work)
+            if job.kind == "write":  # prefill and decode on the same engine
+                self._start_decoding(job)
                 continue
             if self.trouble.lose_before and self.random.random() < self.trouble.lose_before:
                 job.silent = True
@@ -430,10 +437,10 @@
             lease = asyncio.get_running_loop().call_later(
                 self.m["state_lease_ms"] / 1000, self._drop_state, state, "lease"
             )
-            self.states[state] = _Waiting(job.work.request_id, job.memory, lease)
-            job.memory = 0  # It is the state's now.
+            self.states[state] = _KvState(job.work.request_id, job.memory, lease)
+            job.memory = 0  # The state owns it now.
             self.note("kept", request=job.work.request_id, state=state)
-            job.call.send(engine_pb2.ReadResponse(state_id=state, kept_tokens=kept).SerializeToString())
+            job.call.send(engine_pb2.ReadResponse(state_id=state, kept_tokens=cached).SerializeToString())
             self._finish(job, Status(Code.OK))
 
     def _drop_state(self, state: str, why: str) -> None:
@@ -443,7 +450,7 @@
             self.note("let go", request=waiting.request, state=state, why=why)
             self._wake.set()
 
-    def _fetch(self, call: ServerCall, request: engine_pb2.FetchRequest) -> None:
+    def _handle_fetch(self, call: ServerCall, request: engine_pb2.FetchRequest) -> None:
         waiting = self.states.get(request.state_id)
         if waiting is None:
             call.end(Status(Code.NOT_FOUND, "state_id: no such state waits here"))
@@ -454,18 +461,18 @@
         left = int(waiting.tokens * self.m["state_bytes_per_token"])
         first = True
         while left > 0:
-            part = engine_pb2.FetchResponse(
+            message = engine_pb2.FetchResponse(
                 chunk=b"\0" * min(left, _CHUNK), tokens=waiting.tokens if first else 0
             )
-            call.send(part.SerializeToString())
+            call.send(message.SerializeToString())
             left, first = left - _CHUNK, False
         self._drop_state(request.state_id, "fetched")
         call.end(Status(Code.OK))
 
-    # -- writing
+    # -- decode
 
     def _admit(self) -> None:
-        """Take from the queue what has a slot and memory."""
+        """Start queued jobs while there are a slot and memory for the next one."""
         while self.queue and (
             self.queue[0].done
             or (
@@ -483,56 +490,56 @@
             if job.state:
                 self._start_fetch(job)
             elif self.role is Role.PREFILL_AND_DECODE:
-                self.reading.append(job)
+                self.prefill_queue.append(job)
                 self._wake.set()
             else:
-                delay = self._unread(job.work)[0] / self.m["read_per_s"] / self._speed()
-                self._keep(job.work)
-                job.timers.append(asyncio.get_running_loop().call_later(delay, self._run, job))
+                delay = self._tokens_to_prefill(job.work)[0] / self.m["read_per_s"] / self._speed()
+                self._cache_prompt(job.work)
+                job.timers.append(asyncio.get_running_loop().call_later(delay, self._start_decoding, job))
 
-    def _start_fetch(self, job: _Job, again: bool = True) -> None:
-        """Fetch a state from its reader; once more where the connection alone broke."""
+    def _start_fetch(self, job: _Job, may_retry: bool = True) -> None:
+        """Fetch a KV state from its prefill engine; retry once if only the connection failed."""
         assert job.state is not None
         address = job.state.address
         channel = self.channels.setdefault(address, Channel(address, Options(connect_timeout=250_000)))
 
         def ended(end: End) -> None:
-            job.fetched = job.fetch.traffic.received if job.fetch else 0
-            job.fetch = None
+            job.fetched_bytes = job.state_fetch.traffic.received if job.state_fetch else 0
+            job.state_fetch = None
             if job.done:
                 return
             if end.status.code is Code.OK:
-                self._run(job)
-            elif end.is_connection_only and again:
-                self._start_fetch(job, again=False)
+                self._start_decoding(job)
+            elif end.is_connection_only and may_retry:
+                self._start_fetch(job, may_retry=False)
             else:
                 self._finish(job, Status(Code.FAILED_PRECONDITION, f"state: {end.status.message or 'gone'}"))
 
         request = engine_pb2.FetchRequest(state_id=job.state.state_id)
-        job.fetch = channel.call(
+        job.state_fetch = channel.call(
             f"/{SERVICE}/Fetch", message=request.SerializeToString(), timeout=2_000_000, on_end=ended
         )
 
-    def _length(self, prompt: str) -> int:
+    def _answer_length(self, prompt: str) -> int:
         return answer_length(prompt, int(self.m["answer_least"]), int(self.m["answer_most"]))
 
-    def _run(self, job: _Job) -> None:
+    def _start_decoding(self, job: _Job) -> None:
         if job.done:
             return
         work = job.work
-        job.index = work.resume.next_index
-        job.end = min(self._length(work.prompt), work.max_tokens)
+        job.next_index = work.resume.next_index
+        job.end_index = min(self._answer_length(work.prompt), work.max_tokens)
         if self.trouble.lose_before and self.random.random() < self.trouble.lose_before:
             job.silent = True
             return
         if self.trouble.lose_after and self.random.random() < self.trouble.lose_after:
-            job.breaks_at = job.index + max(self.trouble.lose_after_tokens, 1)
+            job.break_index = job.next_index + max(self.trouble.lose_after_tokens, 1)
         job.call.on_writable = lambda: setattr(job, "unread", False)
-        self.note("begun", request=work.request_id, attempt=work.attempt, index=job.index)
+        self.note("begun", request=work.request_id, attempt=work.attempt, index=job.next_index)
         self.writing.append(job)
         self._wake.set()
 
-    async def _step_loop(self) -> None:
+    async def _decode_loop(self) -> None:
         loop = asyncio.get_running_loop()
         due = loop.time()
         while True:
@@ -544,15 +551,15 @@
                 due = loop.time()
                 continue
             due += (self.m["step_ms"] + self.m["per_answer_ms"] * len(self.writing)) / 1000 / self._speed()
-            await asyncio.sleep(max(due - loop.time(), 0) + self._rest())
+            await asyncio.sleep(max(due - loop.time(), 0) + self._pause_left())
             for job in list(self.writing):
                 if not job.unread and not job.done:
-                    self._emit(job)
+                    self._emit_token(job)
 
-    def _emit(self, job: _Job) -> None:
-        prompt, index = job.work.prompt, job.index
-        if index == job.breaks_at:
-            self._off(job)
+    def _emit_token(self, job: _Job) -> None:
+        prompt, index = job.work.prompt, job.next_index
+        if index == job.break_index:
+            self._remove(job)
             self.note(
                 "gone",
                 kind=job.kind,
@@ -564,11 +571,11 @@
             job.call.reset()
             return
         message = generation_pb2.GenerateResponse(index=index, text=answer_token(prompt, index))
-        last = index + 1 >= job.end
-        if last:
-            cut = job.work.max_tokens < self._length(prompt)
+        is_last = index + 1 >= job.end_index
+        if is_last:
+            cut = job.work.max_tokens < self._answer_length(prompt)
             message.finish_reason = generation_pb2.LENGTH if cut else generation_pb2.STOP
-        job.index += 1
+        job.next_index += 1
         job.unread = not job.call.send(message.SerializeToString())
-        if last:
+        if is_last:
             self._finish(job, Status(Code.OK))
