--- a/tuliptrack/lab/engine.py
+++ b/tuliptrack/lab/engine.py
@@ -96,7 +96,8 @@
     """Bytes of KV state received."""
     done: bool = False
     running: bool = False
-    next_index: int = 0
+    index: int = 0
+    """Index of the next token."""
     end_index: int = 0
     break_index: int = -1
     silent: bool = False
@@ -294,31 +295,31 @@
         """End a call with a status and, in the trailers, the load report."""
         if job.done:
             return
-        self._remove(job)
+        self._off(job)
         self.note(
             "end",
             kind=job.kind,
             request=job.work.request_id,
             attempt=job.work.attempt,
             code=status.code.name,
-            tokens=job.next_index,
+            tokens=job.index,
         )
         fetched = ((STATE_TRAILER, str(job.fetched_bytes)),) if job.state else ()
         job.call.end(status, self.trailer() + fetched)
 
     def _on_cancelled(self, job: _Job, reason: str) -> None:
         if not job.done:
-            self._remove(job)
+            self._off(job)
             self.note(
                 "gone",
                 kind=job.kind,
                 request=job.work.request_id,
                 attempt=job.work.attempt,
                 reason=reason,
-                tokens=job.next_index,
+                tokens=job.index,
             )
 
-    def _remove(self, job: _Job) -> None:
+    def _off(self, job: _Job) -> None:
         job.done = True
         self.jobs.discard(job)
         if job in self.writing:
@@ -362,7 +363,7 @@
 
     def _handle_read(self, call: ServerCall, request: engine_pb2.ReadRequest) -> None:
         if job := self._accept_call(call, request.work, "read"):
-            job.prefill_tokens, job.next_index = self._tokens_to_prefill(request.work)[0], 0
+            job.prefill_tokens, job.index = self._tokens_to_prefill(request.work)[0], 0
             self.prefill_queue.append(job)
             self._wake.set()
 
@@ -527,15 +528,15 @@
         if job.done:
             return
         work = job.work
-        job.next_index = work.resume.next_index
+        job.index = work.resume.next_index
         job.end_index = min(self._answer_length(work.prompt), work.max_tokens)
         if self.trouble.lose_before and self.random.random() < self.trouble.lose_before:
             job.silent = True
             return
         if self.trouble.lose_after and self.random.random() < self.trouble.lose_after:
-            job.break_index = job.next_index + max(self.trouble.lose_after_tokens, 1)
+            job.break_index = job.index + max(self.trouble.lose_after_tokens, 1)
         job.call.on_writable = lambda: setattr(job, "unread", False)
-        self.note("begun", request=work.request_id, attempt=work.attempt, index=job.next_index)
+        self.note("begun", request=work.request_id, attempt=work.attempt, index=job.index)
         self.writing.append(job)
         self._wake.set()
 
@@ -554,12 +555,12 @@
             await asyncio.sleep(max(due - loop.time(), 0) + self._pause_left())
             for job in list(self.writing):
                 if not job.unread and not job.done:
-                    self._emit_token(job)
+                    self._emit(job)
 
-    def _emit_token(self, job: _Job) -> None:
-        prompt, index = job.work.prompt, job.next_index
+    def _emit(self, job: _Job) -> None:
+        prompt, index = job.work.prompt, job.index
         if index == job.break_index:
-            self._remove(job)
+            self._off(job)
             self.note(
                 "gone",
                 kind=job.kind,
@@ -575,7 +576,7 @@
         if is_last:
             cut = job.work.max_tokens < self._answer_length(prompt)
             message.finish_reason = generation_pb2.LENGTH if cut else generation_pb2.STOP
-        job.next_index += 1
+        job.index += 1
         job.unread = not job.call.send(message.SerializeToString())
         if is_last:
             self._finish(job, Status(Code.OK))
