--- a/tests/lab/test_day.py
+++ b/tests/lab/test_day.py
@@ -1,4 +1,4 @@
-"""A short bad day with nodes and engines as real processes, and the judge's verdict on it."""
+"""Scenarios with nodes and engines as real processes, and the judge's verdict on them."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 
 def test_a_short_bad_day_keeps_every_rule(tmp_path: Path) -> None:
-    said: list[str] = []
-    verdict = asyncio.run(play_day(scenario("short-day.textproto"), str(tmp_path), said.append))
+    progress: list[str] = []
+    verdict = asyncio.run(play_day(scenario("short-day.textproto"), str(tmp_path), progress.append))
     assert verdict["kept"], as_text(verdict)
     assert all(rule["checked"] for rule in verdict["rules"].values()), as_text(verdict)
-    # The troubles really came: a node and a reader died, streams broke and were resumed.
+    # The faults took effect: a node and a prefill engine died, streams broke and were resumed.
     rows = json.loads((tmp_path / "clients.json").read_text())
     assert any(r["how"] in ("reset", "connect") for r in rows) and any(r["code"] == "ABORTED" for r in rows)
     assert any(r["resume_from"] and r["finished"] for r in rows)
-    # Half of the clients came by each front, and the troubles met both.
+    # Half of the clients used each front, and the faults affected both.
     for v2 in (True, False):
         codes = {r["code"] for r in rows if r["v2"] is v2}
         assert "OK" in codes and len(codes) > 2, codes
@@ -56,18 +56,18 @@
             served[row["node"]] += row["finished"]
     assert served[0] >= 0.95 * asked[0] and served[2] >= 0.95 * asked[2], (asked, served)
     assert served[1] >= 0.8 * asked[1], (asked, served)
-    moved = [json.loads(line) for line in (tmp_path / "zones-1.report").read_text().splitlines()]
-    assert all(row["to"] != row["from"] for row in moved)
-    # In the dark all of its node's traffic crosses, and not once it has come back.
-    began = min(row["t"] for row in moved if row["cause"] == "forced")
-    dark = sum(row["bytes"] for row in moved if began <= row["t"] < began + 3)
-    end = sum(row["bytes"] for row in moved if began + 10 <= row["t"] < began + 13)
-    assert end < 0.5 * dark, (dark, end)
-    # The return was paced: what its reader gets grows over some seconds.
-    reads = [json.loads(line) for line in (tmp_path / "reader-middle-0.jsonl").read_text().splitlines()]
-    calls = [row["t"] for row in reads if row["what"] == "call"]
-    back = next(t for t in calls if t > min(calls) + 5_000_000)
-    early, late = (sum(a <= t - back < a + 2_000_000 for t in calls) for a in (0, 5_500_000))
+    crossed = [json.loads(line) for line in (tmp_path / "zones-1.report").read_text().splitlines()]
+    assert all(row["to"] != row["from"] for row in crossed)
+    # While the zone is down, all of its node's traffic crosses zones; after its return it does not.
+    began = min(row["t"] for row in crossed if row["cause"] == "forced")
+    during = sum(row["bytes"] for row in crossed if began <= row["t"] < began + 3)
+    after = sum(row["bytes"] for row in crossed if began + 10 <= row["t"] < began + 13)
+    assert after < 0.5 * during, (during, after)
+    # The return was gradual: the load on its prefill engine grows over some seconds.
+    engine_log = [json.loads(line) for line in (tmp_path / "reader-middle-0.jsonl").read_text().splitlines()]
+    calls = [row["t"] for row in engine_log if row["what"] == "call"]
+    returned = next(t for t in calls if t > min(calls) + 5_000_000)
+    early, late = (sum(a <= t - returned < a + 2_000_000 for t in calls) for a in (0, 5_500_000))
     assert early < 0.8 * late, (early, late)
 
 
@@ -90,9 +90,7 @@
         ('engines { name: "x" count: 1 kind: "huh" }', "engines[3].kind"),
     ],
 )
-def test_a_scenario_that_cant_be_played_is_turned_down_before_anything_starts(
-    change: str, field: str
-) -> None:
+def test_an_invalid_scenario_is_rejected_before_any_process_starts(change: str, field: str) -> None:
     from google.protobuf import text_format
 
     day = scenario("bad-day.textproto")
--- a/tuliptrack/lab/day.py
+++ b/tuliptrack/lab/day.py
@@ -1,4 +1,4 @@
-"""A scripted day: nodes and engines as real processes on loopback, clients in this one, troubles by time."""
+"""Runs a scenario: nodes and engines as processes on loopback, clients in this process, scheduled faults."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 __all__ = ["play_day"]
 
-_START_S = 30.0  # seconds in which a process must have told its address
-_END_S = 8.0  # seconds after SIGTERM until SIGKILL
-_MOST_REQUESTS = 200_000
+_START_TIMEOUT_S = 30.0  # until a process prints its address
+_STOP_TIMEOUT_S = 8.0  # from SIGTERM to SIGKILL
+_MAX_REQUESTS = 200_000
 _READY, _DRAINING, _GONE = (
     fleet_pb2.ServerEntry.READY,
     fleet_pb2.ServerEntry.DRAINING,
@@ -37,16 +37,16 @@
 
 
 class _Process:
-    """One node or engine: its command, its lives, its address (kept over restarts)."""
+    """One node or engine process: its command, its lifetimes, its address (kept across restarts)."""
 
-    def __init__(self, name: str, command: list[str], lives: list[Life], log: IO[bytes]) -> None:
-        self.name, self.command, self.lives, self.log = name, command, lives, log
+    def __init__(self, name: str, command: list[str], lifetimes: list[Life], log: IO[bytes]) -> None:
+        self.name, self.command, self.lifetimes, self.log = name, command, lifetimes, log
         self.address = "127.0.0.1:0"
         self.process: asyncio.subprocess.Process | None = None
-        self.life: Life | None = None
+        self.lifetime: Life | None = None
 
     async def start(self, *more: str) -> None:
-        """Start it and wait until it has told its address."""
+        """Start the process and wait until it prints its address."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -57,43 +57,43 @@
             stderr=self.log,
         )
         assert self.process.stdout
-        line = await asyncio.wait_for(self.process.stdout.readline(), _START_S)
+        line = await asyncio.wait_for(self.process.stdout.readline(), _START_TIMEOUT_S)
         if not line:
-            raise RuntimeError(f"{self.name} ended at its start; its log tells why")
-        told = json.loads(line)
-        self.address = told["address"]
-        self.life = Life(self.name, told.get("instance", ""), now_us())
-        self.lives.append(self.life)
+            raise RuntimeError(f"{self.name} exited before it printed its address; see processes.log")
+        ready = json.loads(line)
+        self.address = ready["address"]
+        self.lifetime = Life(self.name, ready.get("instance", ""), now_us())
+        self.lifetimes.append(self.lifetime)
 
     def signal(self, number: signal.Signals) -> None:
-        """Kill it, or ask it to stop; its life ends, as far as promises go, here."""
-        if self.process and self.process.returncode is None and self.life:
-            if not self.life.end:
-                self.life.end, self.life.killed = now_us(), number is signal.SIGKILL
+        """Send SIGTERM or SIGKILL. For the judge the lifetime ends here, not when the process exits."""
+        if self.process and self.process.returncode is None and self.lifetime:
+            if not self.lifetime.end:
+                self.lifetime.end, self.lifetime.killed = now_us(), number is signal.SIGKILL
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
     async def end(self) -> None:
-        """Stop it, by force where it doesn't."""
+        """Stop the process: SIGTERM, then SIGKILL after `_STOP_TIMEOUT_S`."""
         if not self.process:
             return
         with contextlib.suppress(ProcessLookupError):
             self.signal(signal.SIGTERM)
         try:
-            await asyncio.wait_for(self.process.wait(), _END_S)
+            await asyncio.wait_for(self.process.wait(), _STOP_TIMEOUT_S)
         except TimeoutError:
             self.process.kill()
             await self.process.wait()
 
 
-class _Day:
-    """Everything that one day is made of."""
+class _ScenarioRun:
+    """State of one run of a scenario."""
 
     def __init__(self, scenario: lab_pb2.Scenario, folder: Path, say: Callable[[str], None]) -> None:
         self.scenario, self.folder, self.say = scenario, folder, say
         self.seed = scenario.seed or 1
-        self.lives: list[Life] = []
-        self.told: list[dict[str, Any]] = []
+        self.lifetimes: list[Life] = []
+        self.list_updates: list[dict[str, Any]] = []
         self.feed = Feed(self._note)
         self.engines: dict[str, _Process] = {}
         self.groups: dict[str, lab_pb2.EngineGroup] = {}
@@ -106,17 +106,17 @@
         self.config = scenario.node
 
     def _note(self, what: str, **facts: Any) -> None:
-        self.told.append({"t": now_us(), "what": what, **facts})
+        self.list_updates.append({"t": now_us(), "what": what, **facts})
 
-    # -- setting up
+    # -- start
 
     async def start(self) -> None:
         self.say("starting engines and nodes ...")
         feed = await self.feed.start()
         number = 0
         for group in self.scenario.engines:
-            for place in range(group.count):
-                name, number = f"{group.name}-{place}", number + 1
+            for index in range(group.count):
+                name, number = f"{group.name}-{index}", number + 1
                 model = lab_pb2.EngineModel()
                 model.CopyFrom(group.model)
                 model.seed = self.seed
@@ -135,33 +135,35 @@
                         "--log",
                         str(self.folder / f"{name}.jsonl"),
                     ],
-                    self.lives,
+                    self.lifetimes,
                     self.log,
                 )
                 self.groups[name] = group
                 self.entries[name] = fleet_pb2.ServerEntry(
                     id=number, kind=group.kind, cell=group.cell, zone=group.zone
                 )
-                self.told.append({"t": now_us(), "what": "entry", "id": str(number), "engine": name})
-        now = [n for n in self.engines if not self.groups[n].later]
-        await asyncio.gather(*(self.engines[n].start() for n in now))
-        self.feed.change(*(self._listed(n, _READY) for n in now))
+                self.list_updates.append({"t": now_us(), "what": "entry", "id": str(number), "engine": name})
+        initial = [n for n in self.engines if not self.groups[n].later]
+        await asyncio.gather(*(self.engines[n].start() for n in initial))
+        self.feed.change(*(self._set_state(n, _READY) for n in initial))
         count = self.scenario.nodes or 2
         for slot in range(count):
-            made = type(self.config)()
-            made.CopyFrom(self.config)
-            made.node.listen, made.node.slot, made.node.replicas = "127.0.0.1:0", slot, count
-            made.node.seed = self.seed * 1000 + slot + 1
+            config = type(self.config)()
+            config.CopyFrom(self.config)
+            config.node.listen, config.node.slot, config.node.replicas = "127.0.0.1:0", slot, count
+            config.node.seed = self.seed * 1000 + slot + 1
             if slot < len(self.scenario.node_zone):
-                made.node.zone = self.scenario.node_zone[slot]
-            if made.zones.report:
-                made.zones.report = str(self.folder / f"zones-{slot}.report")
-            made.servers.feed, made.servers.cache = feed, str(self.folder / f"node-{slot}.servers")
+                config.node.zone = self.scenario.node_zone[slot]
+            if config.zones.report:
+                config.zones.report = str(self.folder / f"zones-{slot}.report")
+            config.servers.feed, config.servers.cache = feed, str(self.folder / f"node-{slot}.servers")
             path = self.folder / f"node-{slot}.textproto"
-            path.write_text(text_format.MessageToString(made))
-            self.nodes.append(_Process(f"node-{slot}", ["serve", str(path), "--ready"], self.lives, self.log))
+            path.write_text(text_format.MessageToString(config))
+            self.nodes.append(
+                _Process(f"node-{slot}", ["serve", str(path), "--ready"], self.lifetimes, self.log)
+            )
         await asyncio.gather(*(node.start() for node in self.nodes))
-        for node in self.nodes:  # A node that starts again listens where it did.
+        for node in self.nodes:  # A restarted node listens on the same address.
             path = Path(node.command[1])
             text = path.read_text().replace('"127.0.0.1:0"', f'"{node.address}"')
             path.write_text(text)
@@ -169,20 +171,21 @@
             Channel(n.address, Options(connect_timeout=500_000, max_links=2)) for n in self.nodes
         ]
 
-    def _listed(
+    def _set_state(
         self, name: str, state: fleet_pb2.ServerEntry.State, started: int = 0
     ) -> fleet_pb2.ServerEntry:
+        """Set an engine's state on the list; return a copy of its entry for the feed."""
         entry = self.entries[name]
         entry.address, entry.state = self.engines[name].address, state
         if started:
             entry.started_unix_us = started
-        told = fleet_pb2.ServerEntry()
-        told.CopyFrom(entry)
-        return told
+        copy = fleet_pb2.ServerEntry()
+        copy.CopyFrom(entry)
+        return copy
 
-    # -- what happens
+    # -- scheduled events
 
-    def _who(self, names: list[str]) -> list[str]:
+    def _targets(self, names: list[str]) -> list[str]:
         found = [
             n
             for n in [*self.engines, *(p.name for p in self.nodes)]
@@ -190,61 +193,61 @@
         ]
         return found
 
-    async def happen(self, one: lab_pb2.Happening, begin: float) -> None:
-        """Wait for its time and do it."""
-        await asyncio.sleep(max(begin + one.at_ms / 1000 - time.monotonic(), 0))
-        what = one.WhichOneof("what") or ""
-        who = self._who(list(one.who))
+    async def _run_event(self, event: lab_pb2.Happening, start: float) -> None:
+        """Wait until an event is due and carry it out."""
+        await asyncio.sleep(max(start + event.at_ms / 1000 - time.monotonic(), 0))
+        what = event.WhichOneof("what") or ""
+        targets = self._targets(list(event.who))
         self.say(
-            f"{one.at_ms / 1000:6.1f} s  {what.replace('_', ' ')}  {' '.join(who)}  "
-            + (text_format.MessageToString(one.trouble, as_one_line=True) if what == "trouble" else "")
+            f"{event.at_ms / 1000:6.1f} s  {what.replace('_', ' ')}  {' '.join(targets)}  "
+            + (text_format.MessageToString(event.trouble, as_one_line=True) if what == "trouble" else "")
         )
         if what in ("list_silent", "list_failing"):
             change = self.feed.set_silent if what == "list_silent" else self.feed.set_failing
             change(True)
-            await asyncio.sleep(one.for_ms / 1000)
+            await asyncio.sleep(event.for_ms / 1000)
             change(False)
             return
-        await asyncio.gather(*(self._one(one, what, name) for name in who))
+        await asyncio.gather(*(self._apply_event(event, what, name) for name in targets))
 
-    async def _one(self, one: lab_pb2.Happening, what: str, name: str) -> None:
+    async def _apply_event(self, event: lab_pb2.Happening, what: str, name: str) -> None:
         process = self.engines.get(name) or next(p for p in self.nodes if p.name == name)
-        later = one.told_after_ms / 1000
+        listing_delay = event.told_after_ms / 1000
         if what == "trouble":
-            await self._trouble(name, one.trouble)
-            if one.for_ms:
-                await asyncio.sleep(one.for_ms / 1000)
-                await self._trouble(name, lab_pb2.Trouble())
+            await self._apply_trouble(name, event.trouble)
+            if event.for_ms:
+                await asyncio.sleep(event.for_ms / 1000)
+                await self._apply_trouble(name, lab_pb2.Trouble())
         elif what == "crash":
             process.signal(signal.SIGKILL)
             if name in self.engines:
-                await asyncio.sleep(later)
-                self.feed.change(self._listed(name, _GONE))
-            if one.for_ms:
-                await asyncio.sleep(one.for_ms / 1000)
-                await self._start(name, later)
+                await asyncio.sleep(listing_delay)
+                self.feed.change(self._set_state(name, _GONE))
+            if event.for_ms:
+                await asyncio.sleep(event.for_ms / 1000)
+                await self._start(name, listing_delay)
         elif what == "start":
-            await self._start(name, later)
+            await self._start(name, listing_delay)
         elif what == "stop":
             process.signal(signal.SIGTERM)
-            if one.for_ms:
-                await asyncio.sleep(one.for_ms / 1000)
+            if event.for_ms:
+                await asyncio.sleep(event.for_ms / 1000)
                 if process.process:
                     await process.process.wait()
-                await self._start(name, later)
+                await self._start(name, listing_delay)
         elif what == "drain":
-            self.feed.change(self._listed(name, _DRAINING))
-            await asyncio.sleep(one.for_ms / 1000)
+            self.feed.change(self._set_state(name, _DRAINING))
+            await asyncio.sleep(event.for_ms / 1000)
             process.signal(signal.SIGTERM)
-            await asyncio.sleep(later)
-            self.feed.change(self._listed(name, _GONE))
+            await asyncio.sleep(listing_delay)
+            self.feed.change(self._set_state(name, _GONE))
         elif what == "told_gone":
-            self.feed.change(self._listed(name, _GONE))
-            if one.for_ms:
-                await asyncio.sleep(one.for_ms / 1000)
-                self.feed.change(self._listed(name, _READY))
+            self.feed.change(self._set_state(name, _GONE))
+            if event.for_ms:
+                await asyncio.sleep(event.for_ms / 1000)
+                self.feed.change(self._set_state(name, _READY))
 
-    async def _start(self, name: str, later: float) -> None:
+    async def _start(self, name: str, listing_delay: float) -> None:
         if name not in self.engines:
             await next(p for p in self.nodes if p.name == name).start()
             return
@@ -253,53 +256,53 @@
         await process.start("--cold", "--listen", process.address)
         if control := self.controls.pop(name, None):
             await control.close()
-        await asyncio.sleep(later)
-        self.feed.change(self._listed(name, _READY, started))
+        await asyncio.sleep(listing_delay)
+        self.feed.change(self._set_state(name, _READY, started))
 
-    async def _trouble(self, name: str, trouble: lab_pb2.Trouble) -> None:
+    async def _apply_trouble(self, name: str, trouble: lab_pb2.Trouble) -> None:
         channel = self.controls.setdefault(name, Channel(self.engines[name].address))
-        over: asyncio.Future[End] = asyncio.get_running_loop().create_future()
+        ended: asyncio.Future[End] = asyncio.get_running_loop().create_future()
         channel.call(
             "/tuliptrack.lab.v1.Control/Apply",
             message=trouble.SerializeToString(),
             timeout=2_000_000,
-            on_end=over.set_result,
+            on_end=ended.set_result,
         )
-        end = await over
+        end = await ended
         if end.status.code:
-            self.say(f"          {name} was not reached: {end.status.message}")
+            self.say(f"          {name} could not be reached: {end.status.message}")
 
-    # -- the day
+    # -- run
 
     async def run(self) -> dict[str, Any]:
-        self.arrivals = sorted(arrivals(self.scenario, self.seed), key=lambda a: a.at)[:_MOST_REQUESTS]
-        settings = parse(text_format.MessageToString(_filled(self.config)))
+        self.arrivals = sorted(arrivals(self.scenario, self.seed), key=lambda a: a.at)[:_MAX_REQUESTS]
+        settings = parse(text_format.MessageToString(_with_placeholder_feed(self.config)))
         classes = {c.name: c for c in settings.settings.classes}
         client = Client(self.channels, classes)
         self.say(
-            f"playing {self.scenario.length_ms / 1000:g} s: {len(self.arrivals)} requests, {len(self.nodes)} nodes, "
-            f"{len(self.engines)} engines, seed {self.seed}"
+            f"running {self.scenario.length_ms / 1000:g} s: {len(self.arrivals)} requests, "
+            f"{len(self.nodes)} nodes, {len(self.engines)} engines, seed {self.seed}"
         )
-        begin = time.monotonic()
+        start = time.monotonic()
         loop = asyncio.get_running_loop()
-        happenings = [loop.create_task(self.happen(one, begin)) for one in self.scenario.happening]
-        playing: set[asyncio.Task[None]] = set()
+        events = [loop.create_task(self._run_event(event, start)) for event in self.scenario.happening]
+        clients: set[asyncio.Task[None]] = set()
         try:
             for arrival in self.arrivals:
-                wait = begin + arrival.at - time.monotonic()
+                wait = start + arrival.at - time.monotonic()
                 if wait > 0:
                     await asyncio.sleep(wait)
                 task = loop.create_task(client.play(arrival))
-                playing.add(task)
-                task.add_done_callback(playing.discard)
-            if playing:
-                await asyncio.wait(playing)
-            await asyncio.gather(*happenings)
-            await asyncio.sleep(0.5)  # What was let go at the very end is on its way.
+                clients.add(task)
+                task.add_done_callback(clients.discard)
+            if clients:
+                await asyncio.wait(clients)
+            await asyncio.gather(*events)
+            await asyncio.sleep(0.5)  # Releases of the last requests are still on their way.
         finally:
-            for task in [*playing, *happenings]:
+            for task in [*clients, *events]:
                 task.cancel()
-        over = now_us()
+        run_end = now_us()
         await self.stop()
         rows = [
             json.loads(line) for path in self.folder.glob("*.jsonl") for line in path.read_text().splitlines()
@@ -308,12 +311,12 @@
         traffic = Traffic(
             self.arrivals,
             rows,
-            self.told,
-            self.lives,
+            self.list_updates,
+            self.lifetimes,
             classes,
             settings.settings.release_within_us,
             settings.settings.drain_grace_us,
-            over,
+            run_end,
         )
         verdict = judge(traffic)
         (self.folder / "clients.json").write_text(
@@ -332,20 +335,20 @@
         self.log.close()
 
 
-def _filled(config: Any) -> Any:
-    """The settings with something where the day fills in its own."""
-    made = type(config)()
-    made.CopyFrom(config)
-    made.servers.feed = "127.0.0.1:1"
-    return made
+def _with_placeholder_feed(config: Any) -> Any:
+    """The settings with a placeholder for the feed's address, which the run fills in."""
+    filled = type(config)()
+    filled.CopyFrom(config)
+    filled.servers.feed = "127.0.0.1:1"
+    return filled
 
 
 def _check(scenario: lab_pb2.Scenario) -> None:
-    """ConfigError names what can't be played."""
+    """Raise ConfigError if the scenario cannot be run."""
     problems = []
     if not scenario.length_ms > 0:
         problems.append(("length_ms", "is required and above 0"))
-    config = parse(text_format.MessageToString(_filled(scenario.node)))
+    config = parse(text_format.MessageToString(_with_placeholder_feed(scenario.node)))
     classes, tenants = {c.name for c in config.settings.classes}, {t.name for t in config.settings.tenants}
     for n, load in enumerate(scenario.load):
         if load.request_class not in classes:
@@ -359,12 +362,12 @@
         if group.kind not in config.kinds:
             problems.append((f"engines[{n}].kind", f"{group.kind!r} is not among the settings' kinds"))
         names |= {group.name} | {f"{group.name}-{k}" for k in range(group.count)}
-    for n, one in enumerate(scenario.happening):
-        if not one.WhichOneof("what"):
-            problems.append((f"happening[{n}]", "says nothing that happens"))
+    for n, event in enumerate(scenario.happening):
+        if not event.WhichOneof("what"):
+            problems.append((f"happening[{n}]", "has no event"))
         problems += [
-            (f"happening[{n}].who", f"{who!r} is no engine, group or node")
-            for who in one.who
+            (f"happening[{n}].who", f"{who!r} is not an engine, a group or a node")
+            for who in event.who
             if who not in names
         ]
     if problems:
@@ -374,8 +377,8 @@
 async def play_day(
     scenario: lab_pb2.Scenario, keep: str | None = None, say: Callable[[str], None] | None = None
 ) -> dict[str, Any]:
-    """Play a day and judge it. `keep` names a folder for its logs. Every process started here has ended on
-    return.
+    """Run a scenario and judge it. `keep` names a folder for its logs. All processes started here have exited
+    when it returns.
     """
     _check(scenario)
     with contextlib.ExitStack() as stack:
@@ -387,9 +390,9 @@
         folder.mkdir(parents=True, exist_ok=True)
         for old in [*folder.glob("*.jsonl"), *folder.glob("*.log")]:
             old.unlink()
-        day = _Day(scenario, folder, say or (lambda _: None))
+        run = _ScenarioRun(scenario, folder, say or (lambda _: None))
         try:
-            await day.start()
-            return await day.run()
+            await run.start()
+            return await run.run()
         finally:
-            await day.stop()
+            await run.stop()
--- a/tuliptrack/lab/feed.py
+++ b/tuliptrack/lab/feed.py
@@ -1,6 +1,4 @@
-"""A stand-in for the feed of server lists: holds the list, pushes changes, and writes down who was told what,
-when.
-"""
+"""A stand-in server list feed: holds the list, pushes changes, and records what was sent to which node when."""
 
 from __future__ import annotations
 
@@ -15,8 +13,8 @@
 
 
 class Feed:
-    """Serves `tuliptrack.v1.ServerFeed`. `silent` holds changes back; `failing` breaks streams and fails
-    calls.
+    """Serves `tuliptrack.v1.ServerFeed`. While `silent`, changes are held back; while `failing`, streams and
+    calls end with UNAVAILABLE.
     """
 
     def __init__(self, note: Callable[..., None] = lambda *_, **__: None) -> None:
@@ -35,7 +33,7 @@
     async def stop(self) -> None:
         await self.server.stop(0)
 
-    def _whole(self) -> pb.ServerList:
+    def _full_list(self) -> pb.ServerList:
         live = [e for e in self.entries.values() if e.state != pb.ServerEntry.GONE]
         return pb.ServerList(kind=pb.ServerList.FULL, version=self.version, servers=live)
 
@@ -44,22 +42,22 @@
             call.end(Status(Code.UNAVAILABLE, "the feed fails"))
             return
         self.watchers[call] = request.node
-        call.on_cancelled = lambda _: self._left(call)
-        call.send(self._whole().SerializeToString())
-        self._told(request.node, self._whole())
+        call.on_cancelled = lambda _: self._unsubscribe(call)
+        call.send(self._full_list().SerializeToString())
+        self._note_sent(request.node, self._full_list())
 
-    def _left(self, call: ServerCall) -> None:
+    def _unsubscribe(self, call: ServerCall) -> None:
         self.watchers.pop(call, None)
 
     def _fetch(self, call: ServerCall, request: pb.WatchRequest) -> None:
         if self.failing:
             call.end(Status(Code.UNAVAILABLE, "the feed fails"))
             return
-        call.send(self._whole().SerializeToString())
+        call.send(self._full_list().SerializeToString())
         call.end(Status(Code.OK))
-        self._told(request.node, self._whole())
+        self._note_sent(request.node, self._full_list())
 
-    def _told(self, node: str, message: pb.ServerList) -> None:
+    def _note_sent(self, node: str, message: pb.ServerList) -> None:
         self.note(
             "told",
             node=node,
@@ -68,7 +66,7 @@
         )
 
     def change(self, *entries: pb.ServerEntry) -> None:
-        """Take a change and push it, unless silent."""
+        """Apply a change and push it, unless silent."""
         self.version += 1
         for entry in entries:
             self.entries[entry.id] = entry
@@ -78,12 +76,12 @@
     def push(self, message: pb.ServerList) -> None:
         for call in list(self.watchers):
             call.send(message.SerializeToString())
-            self._told(self.watchers[call], message)
+            self._note_sent(self.watchers[call], message)
 
     def set_silent(self, silent: bool) -> None:
         self.silent = silent
         if not silent:
-            self.push(self._whole())
+            self.push(self._full_list())
 
     def set_failing(self, failing: bool) -> None:
         self.failing = failing
--- a/tuliptrack/lab/judge.py
+++ b/tuliptrack/lab/judge.py
@@ -234,7 +234,7 @@
         rule.check(
             is_kept,
             tags.get(row["request"], ""),
-            f"{row['engine']} got new work {row['t'] - not_ready_since} us after {node} learned that it drains or is gone",
+            f"{row['engine']} got new work {row['t'] - not_ready_since} us after {node} saw it drain or go",
         )
 
 
--- a/tuliptrack/lab/report.py
+++ b/tuliptrack/lab/report.py
@@ -1,4 +1,4 @@
-"""A verdict for people."""
+"""The verdict as text."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def as_text(verdict: dict[str, Any]) -> str:
-    """The verdict as a page of text: rules, worth, ends, and the history of each rule's first offender."""
+    """Rules, worth, ends, and the history of the first request that broke each rule."""
     lines = [
         f"{verdict['requests']} requests, {verdict['tries']} tries, {verdict['attempts']} attempts at engines",
         "",
