--- a/tuliptrack/lab/client.py
+++ b/tuliptrack/lab/client.py
@@ -120,7 +120,7 @@
     def __init__(self, nodes: list[Channel], classes: dict[str, RequestClass]) -> None:
         self.nodes, self.classes = nodes, classes
         self.unreached: dict[int, int] = {}
-        """Unreachable nodes and since when; `_pick_node` ejects them after a while, as a load balancer does."""
+        """Unreachable nodes and since when. Like a load balancer, `_pick_node` ejects them after a while."""
 
     async def play(self, arrival: Arrival) -> None:
         """Run one client from its arrival to its last try."""
--- a/tuliptrack/lab/feed.py
+++ b/tuliptrack/lab/feed.py
@@ -1,4 +1,4 @@
-"""A stand-in server list feed: holds the list, pushes changes, and records what was sent to which node when."""
+"""A stand-in server list feed: holds the list, pushes changes, and records what each node was sent and when."""
 
 from __future__ import annotations
 
