--- a/tests/lab/test_day.py
+++ b/tests/lab/test_day.py
@@ -60,9 +60,9 @@
     assert all(row["to"] != row["from"] for row in crossed)
     # While the zone is down, all of its node's traffic crosses zones; after its return it does not.
     began = min(row["t"] for row in crossed if row["cause"] == "forced")
-    during = sum(row["bytes"] for row in crossed if began <= row["t"] < began + 3)
-    after = sum(row["bytes"] for row in crossed if began + 10 <= row["t"] < began + 13)
-    assert after < 0.5 * during, (during, after)
+    dark = sum(row["bytes"] for row in crossed if began <= row["t"] < began + 3)
+    end = sum(row["bytes"] for row in crossed if began + 10 <= row["t"] < began + 13)
+    assert end < 0.5 * dark, (dark, end)
     # The return was gradual: the load on its prefill engine grows over some seconds.
     engine_log = [json.loads(line) for line in (tmp_path / "reader-middle-0.jsonl").read_text().splitlines()]
     calls = [row["t"] for row in engine_log if row["what"] == "call"]
