--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -25,7 +25,7 @@
 from tuliptrack.decisions.rollout_plan import NodeRelease, RolloutPlan, RolloutStage
 from tuliptrack.fleet.unary_call import CallError, call_unary
 from tuliptrack.lab.engine import Engine
-from tuliptrack.lab.wire import Cut, Wire
+from tuliptrack.lab.tcp_link import Cut, TcpLink
 from tuliptrack.proto import generation_pb2, lab_pb2
 from tuliptrack.proto import rollout_pb2 as pb
 from tuliptrack.rpc.channel import Channel, End, Options
@@ -92,7 +92,7 @@
         self.folder, self.engines = folder, World()
         self.agents: dict[str, Process] = {}
         self.controllers: list[Process] = []
-        self.wires: dict[str, Wire] = {}
+        self.wires: dict[str, TcpLink] = {}
         """Connections between controllers and each host's agent, which tests can cut."""
         self.ends: Counter[str] = Counter()
         self.ended_twice = 0
@@ -236,7 +236,7 @@
                 "agent", host, str(root), "--program", GOOD, "--settings", CONF, log=folder / f"{host}.log"
             ).start()
         for host, agent in test_fleet.agents.items():
-            test_fleet.wires[host] = Wire(agent.address)
+            test_fleet.wires[host] = TcpLink(agent.address)
             await test_fleet.wires[host].start()
         (folder / "hosts").write_text(
             json.dumps(
--- a/tests/lab/test_day.py
+++ b/tests/lab/test_day.py
@@ -10,8 +10,8 @@
 
 from tuliptrack.config.textformat import ConfigError, read_file
 from tuliptrack.lab.client import arrivals
-from tuliptrack.lab.day import play_day
 from tuliptrack.lab.report import as_text
+from tuliptrack.lab.scenario_run import run_scenario
 from tuliptrack.proto import lab_pb2
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
@@ -25,7 +25,7 @@
 
 def test_a_short_bad_day_keeps_every_rule(tmp_path: Path) -> None:
     progress: list[str] = []
-    verdict = asyncio.run(play_day(scenario("short-day.textproto"), str(tmp_path), progress.append))
+    verdict = asyncio.run(run_scenario(scenario("short-day.textproto"), str(tmp_path), progress.append))
     assert verdict["kept"], as_text(verdict)
     assert all(rule["checked"] for rule in verdict["rules"].values()), as_text(verdict)
     # The faults took effect: a node and a prefill engine died, streams broke and were resumed.
@@ -46,7 +46,7 @@
     day = scenario("three-zones.textproto")
     day.length_ms = 17_000
     day.happening[0].at_ms, day.happening[0].for_ms, day.happening[0].told_after_ms = 3_000, 3_000, 500
-    verdict = asyncio.run(play_day(day, str(tmp_path)))
+    verdict = asyncio.run(run_scenario(day, str(tmp_path)))
     assert verdict["kept"], as_text(verdict)
     rows = json.loads((tmp_path / "clients.json").read_text())
     asked, served = [0, 0, 0], [0, 0, 0]
@@ -96,5 +96,5 @@
     day = scenario("bad-day.textproto")
     text_format.Merge(change, day)
     with pytest.raises(ConfigError) as caught:
-        asyncio.run(play_day(day))
+        asyncio.run(run_scenario(day))
     assert [p.field for p in caught.value.problems] == [field]
--- a/tests/lab/test_twin.py
+++ b/tests/lab/test_fleet_simulation.py
@@ -8,7 +8,12 @@
 
 import pytest
 
-from tuliptrack.lab.twin import FleetScenario, FleetSimulation, FullInformationPolicy, RandomPolicy
+from tuliptrack.lab.fleet_simulation import (
+    FleetScenario,
+    FleetSimulation,
+    FullInformationPolicy,
+    RandomPolicy,
+)
 from tuliptrack.routing.router import Router
 
 SECOND_US = 1_000_000
--- a/tests/test_bills_path.py
+++ b/tests/test_bills_path.py
@@ -35,7 +35,7 @@
 def tokens_written(w: World) -> dict[str, int]:
     """Return the tokens that the engines wrote according to their logs, by tenant."""
     found: dict[str, int] = defaultdict(int)
-    works = {work.request_id: work for e in w.engines.values() for _, work, _ in e.moved}
+    works = {work.request_id: work for e in w.engines.values() for _, work, _ in e.transfers}
     for row in w.seen():
         if row["what"] in ("end", "gone") and row.get("kind") == "write":
             work = works[row["request"]]
--- a/tests/test_full_path.py
+++ b/tests/test_full_path.py
@@ -79,7 +79,7 @@
             quick = w.ask(timeout=None, max_tokens=300)
             assert (await quick.wait()).status.code is Code.OK
             quick.check_tokens()
-            await until(lambda: any(j.unread for e in w.engines.values() for j in e.writing))
+            await until(lambda: any(j.unread for e in w.engines.values() for j in e.decoding))
             call = next(c for link in w.node.server.links for c in link.calls.values())
             # The bytes that wait at the node are bounded by its limit and one window of the engine's stream.
             assert call.link.core.pending(call.stream) < 4096 + 65_535 + 16_384
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -29,7 +29,7 @@
     async def go() -> None:
         async with world("r0 w0") as w:
             w.engines["w0"].apply(lab_pb2.Trouble(pause_ms=5000))
-            w.engines["w0"].m["slots"] = (
+            w.engines["w0"].params["slots"] = (
                 0  # It waits in the decode engine's queue; its KV state is held by the prefill engine.
             )
             one = w.ask()
@@ -71,14 +71,14 @@
 def test_kv_states_lost_with_a_prefill_engine_are_prefilled_again_elsewhere() -> None:
     async def go() -> None:
         async with world("r0 r1 w0", settings="routing { max_attempts: 8 }") as w:
-            w.engines["w0"].m["slots"] = 0
+            w.engines["w0"].params["slots"] = 0
             asked = [w.ask(session=f"s{n}", timeout=8) for n in range(12)]
             await until(lambda: kv_state_count(w) == 12)
             dead = "r0" if w.engines["r0"].states else "r1"
             lost = len(w.engines[dead].states)
             assert lost
             await w.engines[dead].stop()
-            w.engines["w0"].m["slots"] = 32
+            w.engines["w0"].params["slots"] = 32
             w.engines["w0"]._wake.set()
             for one in asked:
                 assert (await one.wait()).status.code is Code.OK
@@ -91,7 +91,7 @@
 def test_a_deadline_between_prefill_and_decode_is_answered_in_time_and_releases_the_kv_state() -> None:
     async def go() -> None:
         async with world("r0 w0") as w:
-            w.engines["w0"].m["slots"] = 0
+            w.engines["w0"].params["slots"] = 0
             one = w.ask(timeout=0.8)
             end = await one.wait()
             assert (end.how, end.status.code) == (EndReason.STATUS, Code.DEADLINE_EXCEEDED)
@@ -106,7 +106,7 @@
         async with world("r0 w0 w1", model=LONG) as w:
             asked = [w.ask() for _ in range(6)]
             await until(lambda: all(a.tokens for a in asked))
-            leaving = next(n for n in ("w0", "w1") if w.engines[n].writing)
+            leaving = next(n for n in ("w0", "w1") if w.engines[n].decoding)
             stopping = asyncio.ensure_future(w.engines[leaving].server.stop(5))
             await asyncio.sleep(0)
             later = [w.ask() for _ in range(6)]
@@ -123,7 +123,7 @@
         async with world("r0 w0 w1", model=LONG) as w:
             one = w.ask()
             await until(lambda: one.tokens)
-            name = next(n for n in ("w0", "w1") if w.engines[n].writing)
+            name = next(n for n in ("w0", "w1") if w.engines[n].decoding)
             w.feed.change(w.entry(name, fleet_pb2.ServerEntry.GONE))
             await until(lambda: len(w.node.endpoint_list.entries) == 2)
             others = [w.ask() for _ in range(8)]
@@ -304,7 +304,7 @@
             await until(
                 lambda: sum(r.state is RequestState.DECODING for r in w.node.table.open.values()) >= 1
             )
-            writing = {
+            decoding = {
                 r.client_request.prompt
                 for r in w.node.table.open.values()
                 if r.state is RequestState.DECODING and r.client_request.request_class == "order"
@@ -313,7 +313,7 @@
             # A request that may have been executed is not reported as safe to retry.
             for one in non_idempotent:
                 assert (await one.wait()).status.code is (
-                    Code.UNKNOWN if one.prompt in writing else Code.UNAVAILABLE
+                    Code.UNKNOWN if one.prompt in decoding else Code.UNAVAILABLE
                 )
             for one in asked:
                 end = await one.wait()
@@ -403,7 +403,7 @@
             engine = w.engines["w0"]
 
             def reset_instead(job: Any, status: object) -> None:
-                engine._off(job)
+                engine._remove_job(job)
                 asyncio.get_running_loop().call_later(0.05, job.call.reset)  # after the last token was sent
 
             engine._finish = reset_instead  # type: ignore[method-assign]
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -14,7 +14,7 @@
 from tuliptrack.config.node import NodeConfig
 from tuliptrack.lab.client import Client, arrivals
 from tuliptrack.lab.engine import Engine
-from tuliptrack.lab.judge import Life, Traffic, judge
+from tuliptrack.lab.judge import ProcessLifetime, RunRecord, judge
 from tuliptrack.node import grpc_engine_client
 from tuliptrack.proto import fleet_pb2, lab_pb2
 from tuliptrack.routing.slow_start import WARM
@@ -48,7 +48,7 @@
         {"t": now_us(), "what": "entry", "id": str(n), "engine": name} for n, name in enumerate(w.engines, 1)
     ]
     w.feed.note = lambda what, **facts: list_events.append({"t": now_us(), "what": what, **facts})
-    life = Life("node-0", w.node.instance, now_us() - 1)
+    life = ProcessLifetime("node-0", w.node.instance, now_us() - 1)
     classes = {c.name: c for c in config.settings.classes}
     client = Client([w.channel], classes)
     planned_arrivals = sorted(arrivals(scenario, 3), key=lambda a: a.at)
@@ -62,7 +62,7 @@
     await asyncio.gather(*(play_arrival(a) for a in planned_arrivals))
     await fault_task
     await asyncio.sleep(0.8)  # longer than the rules allow, so that overdue actions are detected
-    return judge(Traffic(planned_arrivals, w.seen(), list_events, [life], classes, end=now_us()))
+    return judge(RunRecord(planned_arrivals, w.seen(), list_events, [life], classes, end=now_us()))
 
 
 async def lose_half_of_the_answers(w: World) -> None:
--- a/tests/test_zones_path.py
+++ b/tests/test_zones_path.py
@@ -39,7 +39,7 @@
     works = {}
     for name, engine in w.engines.items():
         calls, before = (relabelled or {}).get(name, (0, 0))
-        for number, (_, work, traffic) in enumerate(engine.moved):
+        for number, (_, work, traffic) in enumerate(engine.transfers):
             zone = names[before if number < calls else w.zones.get(name, 0)]
             works[work.request_id] = work
             if zone != "here":
@@ -48,19 +48,21 @@
     readers = {name: e for name, e in w.engines.items() if name[0] == "r"}
     for name, engine in readers.items():
         calls, before = (relabelled or {}).get(name, (0, 0))
-        early = {work.request_id for _, work, _ in list(engine.moved)[:calls]}
-        for request, moved in engine.fetched.items():
+        early = {work.request_id for _, work, _ in list(engine.transfers)[:calls]}
+        for request, transfers in engine.fetched.items():
             source = names[before if request in early else w.zones.get(name, 0)]
             writers = [
                 n
                 for n, e in w.engines.items()
-                for kind, work, _ in e.moved
+                for kind, work, _ in e.transfers
                 if kind == "write" and work.request_id == request
             ]
             target = names[w.zones.get(writers[-1], 0)]
             if source != target:
                 work = works[request]
-                found[work.request_class, work.tenant, "state", source, target] += sum(t.sent for t in moved)
+                found[work.request_class, work.tenant, "state", source, target] += sum(
+                    t.sent for t in transfers
+                )
     return {key: size for key, size in found.items() if size}
 
 
@@ -150,7 +152,7 @@
                 assert (await one.wait()).status.code is Code.OK
             at = {row["request"]: (row["t"], row["cls"]) for row in w.seen("call", kind="write")}
             crossed: dict[str, list[tuple[int, int]]] = {"summary": [], "order": []}
-            for _, work, traffic in w.engines["w1"].moved:
+            for _, work, traffic in w.engines["w1"].transfers:
                 when, cls = at[work.request_id]
                 states = sum(t.sent for t in w.engines["r0"].fetched[work.request_id])
                 crossed[cls].append((when, traffic.received + traffic.sent + states))
@@ -189,7 +191,7 @@
             # The zone labels of both prefill engines change while streams run whose prompts they prefilled.
             running = [w.ask(max_tokens=400, prefix=f"p{n}") for n in range(12)]
             await until(lambda: all(a.tokens or a.ends for a in running))
-            before = {name: (len(w.engines[name].moved), w.zones.get(name, 0)) for name in ("r0", "r1")}
+            before = {name: (len(w.engines[name].transfers), w.zones.get(name, 0)) for name in ("r0", "r1")}
             w.zones.update({"r0": 2, "r1": 0})
             version = w.node.endpoint_list.version
             w.feed.change(w.entry("r0"), w.entry("r1"))
@@ -199,7 +201,7 @@
                 await a.wait()
             await until(lambda: not w.node.table.open)
             await wait_for_account(w, before)
-            assert len(w.engines["r1"].moved) > before["r1"][0]  # it is in the local zone now
+            assert len(w.engines["r1"].transfers) > before["r1"][0]  # it is in the local zone now
 
     run(go, virtual=True)
 
@@ -220,7 +222,7 @@
             await one.wait()
             await until(lambda: not w.node.table.open)
             assert len(next(iter(w.engines["r0"].fetched.values()))) >= 2
-            sent = sum(t.sent for moved in w.engines["r0"].fetched.values() for t in moved)
+            sent = sum(t.sent for transfers in w.engines["r0"].fetched.values() for t in transfers)
             await until(
                 lambda: sum(s for key, s in accounted_bytes(w).items() if key[2] == "state") == sent,
                 seconds=12,
--- a/tuliptrack/cli/lab.py
+++ b/tuliptrack/cli/lab.py
@@ -72,8 +72,8 @@
     """Play the scripted day in FILE with nodes and engines as processes, and judge it by the traffic. Exit
     code 0 when all rules were kept, 1 when one was broken.
     """
-    from tuliptrack.lab.day import play_day
     from tuliptrack.lab.report import as_text
+    from tuliptrack.lab.scenario_run import run_scenario
 
     set_up(json_lines=False, quiet=True)
     try:
@@ -84,7 +84,7 @@
     if seed is not None:
         scenario.seed = seed
     verdict = asyncio.run(
-        play_day(scenario, keep, None if as_json else lambda text: click.echo(text, err=True))
+        run_scenario(scenario, keep, None if as_json else lambda text: click.echo(text, err=True))
     )
     click.echo(json.dumps(verdict, indent=1) if as_json else as_text(verdict))
     sys.exit(0 if verdict["kept"] else 1)
--- a/tuliptrack/lab/capacity/control.py
+++ b/tuliptrack/lab/capacity/control.py
@@ -18,7 +18,7 @@
 from tuliptrack.fleet.unary_call import CallError, call_unary
 from tuliptrack.lab.capacity.node import NodeCosts
 from tuliptrack.lab.hollow.agents import HollowAgent
-from tuliptrack.lab.wire import Cut, Wire
+from tuliptrack.lab.tcp_link import Cut, TcpLink
 from tuliptrack.proto import rollout_pb2 as pb
 from tuliptrack.rpc.channel import Channel
 
@@ -60,14 +60,14 @@
     def __init__(self, count: int, folder: Path) -> None:
         self.folder = folder
         self.agents = [HollowAgent(f"host-{n:04d}", record_of(count)) for n in range(count)]
-        self.links: list[Wire] = []
+        self.links: list[TcpLink] = []
         self.controller: asyncio.subprocess.Process
         self.channel: Channel
 
     async def __aenter__(self) -> _Hosts:
         hosts = []
         for number, agent in enumerate(self.agents):
-            link = Wire(await agent.start())
+            link = TcpLink(await agent.start())
             hosts.append({"name": agent.host, "zone": f"zone-{number % 8}", "agent": await link.start()})
             self.links.append(link)
         path = self.folder / "hosts.json"
--- a/tuliptrack/lab/engine.py
+++ b/tuliptrack/lab/engine.py
@@ -124,8 +124,8 @@
     ) -> None:
         self.name, self.model = name, model
         self.role = _ROLES[model.role]
-        self.m = {k: float(getattr(model, k)) if model.HasField(k) else v for k, v in DEFAULTS.items()}
-        self.random = random.Random(f"{int(self.m['seed'])}:{name}")
+        self.params = {k: float(getattr(model, k)) if model.HasField(k) else v for k, v in DEFAULTS.items()}
+        self.random = random.Random(f"{int(self.params['seed'])}:{name}")
         self.log_file = log
         self.incarnation = secrets.token_hex(4)
         self.trouble = lab_pb2.Trouble()
@@ -136,12 +136,12 @@
         self.queue: deque[_Job] = deque()
         self.jobs: set[_Job] = set()
         self.prefill_queue: deque[_Job] = deque()
-        self.writing: list[_Job] = []
+        self.decoding: list[_Job] = []
         self.states: OrderedDict[str, _KvState] = OrderedDict()
         self.prompt_cache: OrderedDict[str, int] = OrderedDict()
         self.fetched: OrderedDict[str, list[Traffic]] = OrderedDict()
         """Traffic of the KV state fetches of each request; the last 10,000 requests."""
-        self.moved: deque[tuple[str, engine_pb2.Work, Traffic]] = deque(maxlen=100_000)
+        self.transfers: deque[tuple[str, engine_pb2.Work, Traffic]] = deque(maxlen=100_000)
         """Kind, work and traffic of each Read and Write call, to check accounts against; the last 100,000."""
         self.cached_tokens = 0
         self.memory = 0
@@ -226,26 +226,28 @@
 
     def capacity(self) -> float:
         """Share of the full speed available now: below 1 during a cold start."""
-        if not self.cold or not self.m["cold_ms"]:
+        if not self.cold or not self.params["cold_ms"]:
             return 1.0
-        done = min((now_us() - self.started) / (self.m["cold_ms"] * 1000), 1.0)
-        return self.m["cold_from"] + (1 - self.m["cold_from"]) * done
+        done = min((now_us() - self.started) / (self.params["cold_ms"] * 1000), 1.0)
+        return self.params["cold_from"] + (1 - self.params["cold_from"]) * done
 
     def _speed(self) -> float:
         return self.capacity() / max(self.trouble.slow or 1.0, 1e-6)
 
     def _crash_if_overloaded(self, work: float) -> None:
         """Crash a cold engine that is sent more work within the window than it tolerates."""
-        if not self.cold or now_us() - self.started > self.m["cold_ms"] * 1000:
+        if not self.cold or now_us() - self.started > self.params["cold_ms"] * 1000:
             return
-        now, window = now_us(), self.m["fall_window_ms"] * 1000
+        now, window = now_us(), self.params["fall_window_ms"] * 1000
         self.recent_work.append((now, work))
         while self.recent_work[0][0] < now - window:
             self.recent_work.popleft()
         per_s = (
-            self.m["read_per_s"] if self.role is Role.PREFILL else self.m["slots"] * 1000 / self.m["step_ms"]
+            self.params["read_per_s"]
+            if self.role is Role.PREFILL
+            else self.params["slots"] * 1000 / self.params["step_ms"]
         )
-        budget = self.m["fall_multiple"] * per_s * self.capacity() * window / 1e6
+        budget = self.params["fall_multiple"] * per_s * self.capacity() * window / 1e6
         if sum(w for _, w in self.recent_work) > budget:
             self.crashed = True
             self.note("fell", budget=budget)
@@ -269,7 +271,7 @@
         job = _Job(call, work, kind)
         call.on_cancelled = lambda reason: self._on_cancelled(job, reason)
         self.jobs.add(job)
-        self.moved.append((kind, work, call.traffic))
+        self.transfers.append((kind, work, call.traffic))
         self._crash_if_overloaded(work.prompt_tokens if kind == "read" else self._answer_length(work.prompt))
         if self.crashed:
             return None
@@ -283,7 +285,7 @@
                 )
             )
             return None
-        if len(self.jobs) > self.m["slots"] + self.m["queue"]:
+        if len(self.jobs) > self.params["slots"] + self.params["queue"]:
             self._finish(job, Status(Code.RESOURCE_EXHAUSTED, "no room"))
             return None
         if work.request_class in self.trouble.drop_class:
@@ -295,7 +297,7 @@
         """End a call with a status and, in the trailers, the load report."""
         if job.done:
             return
-        self._off(job)
+        self._remove_job(job)
         self.note(
             "end",
             kind=job.kind,
@@ -309,7 +311,7 @@
 
     def _on_cancelled(self, job: _Job, reason: str) -> None:
         if not job.done:
-            self._off(job)
+            self._remove_job(job)
             self.note(
                 "gone",
                 kind=job.kind,
@@ -319,11 +321,11 @@
                 tokens=job.index,
             )
 
-    def _off(self, job: _Job) -> None:
+    def _remove_job(self, job: _Job) -> None:
         job.done = True
         self.jobs.discard(job)
-        if job in self.writing:
-            self.writing.remove(job)
+        if job in self.decoding:
+            self.decoding.remove(job)
         self.memory -= job.memory
         job.memory = 0
         for timer in job.timers:
@@ -334,11 +336,13 @@
 
     def trailer(self) -> Metadata:
         """The load report, rebuilt at most every `report_ms`."""
-        if now_us() - self.report[0] > self.m["report_ms"] * 1000:
+        if now_us() - self.report[0] > self.params["report_ms"] * 1000:
             waiting = sum(j.prefill_tokens for j in self.prefill_queue) + sum(
                 j.prefill_tokens for j in self.queue
             )
-            report = OrcaLoadReport(mem_utilization=min(max(self.memory, 0) / self.m["memory_tokens"], 1.0))
+            report = OrcaLoadReport(
+                mem_utilization=min(max(self.memory, 0) / self.params["memory_tokens"], 1.0)
+            )
             report.named_metrics["in_flight"] = len(self.jobs) + len(self.states)
             report.named_metrics["tokens_waiting_k"] = waiting / 1000
             self.report = (now_us(), report.SerializeToString())
@@ -358,7 +362,7 @@
         for key, size in _cache_keys(work):
             self.cached_tokens += size - self.prompt_cache.pop(key, 0)
             self.prompt_cache[key] = size
-        while self.cached_tokens > self.m["kept_tokens"] and self.prompt_cache:
+        while self.cached_tokens > self.params["kept_tokens"] and self.prompt_cache:
             self.cached_tokens -= self.prompt_cache.popitem(last=False)[1]
 
     def _handle_read(self, call: ServerCall, request: engine_pb2.ReadRequest) -> None:
@@ -384,7 +388,7 @@
 
     def _handle_hold(self, call: ServerCall, request: engine_pb2.HoldRequest) -> None:
         self.note("hold", request=request.work.request_id)
-        can_hold = len(self.jobs) < self.m["slots"] and not self.queue
+        can_hold = len(self.jobs) < self.params["slots"] and not self.queue
         call.send(engine_pb2.HoldResponse(held=can_hold).SerializeToString())
         call.end(Status(Code.OK), self.trailer())
 
@@ -413,7 +417,7 @@
                 if self.prefill_queue
                 else 0
             )
-            if not self.prefill_queue or self.memory + needed > self.m["memory_tokens"]:
+            if not self.prefill_queue or self.memory + needed > self.params["memory_tokens"]:
                 await self._wake.wait()
                 continue
             if pause := self._pause_left():
@@ -423,7 +427,7 @@
             self.memory += needed
             job.memory += needed
             uncached, cached = self._tokens_to_prefill(job.work)
-            await asyncio.sleep(uncached / self.m["read_per_s"] / self._speed())
+            await asyncio.sleep(uncached / self.params["read_per_s"] / self._speed())
             await asyncio.sleep(self._pause_left())
             if job.done:
                 continue
@@ -436,7 +440,7 @@
                 continue
             state = f"{self.incarnation}-{job.work.request_id}-{job.work.attempt}"
             lease = asyncio.get_running_loop().call_later(
-                self.m["state_lease_ms"] / 1000, self._drop_state, state, "lease"
+                self.params["state_lease_ms"] / 1000, self._drop_state, state, "lease"
             )
             self.states[state] = _KvState(job.work.request_id, job.memory, lease)
             job.memory = 0  # The state owns it now.
@@ -459,7 +463,7 @@
         self.fetched.setdefault(waiting.request, []).append(call.traffic)
         if len(self.fetched) > 10_000:
             self.fetched.popitem(last=False)
-        left = int(waiting.tokens * self.m["state_bytes_per_token"])
+        left = int(waiting.tokens * self.params["state_bytes_per_token"])
         first = True
         while left > 0:
             message = engine_pb2.FetchResponse(
@@ -477,9 +481,9 @@
         while self.queue and (
             self.queue[0].done
             or (
-                len(self.writing) + sum(1 for j in self.jobs if j.running and j not in self.writing)
-                < self.m["slots"]
-                and self.memory + self.queue[0].work.prompt_tokens <= self.m["memory_tokens"]
+                len(self.decoding) + sum(1 for j in self.jobs if j.running and j not in self.decoding)
+                < self.params["slots"]
+                and self.memory + self.queue[0].work.prompt_tokens <= self.params["memory_tokens"]
             )
         ):
             job = self.queue.popleft()
@@ -494,7 +498,7 @@
                 self.prefill_queue.append(job)
                 self._wake.set()
             else:
-                delay = self._tokens_to_prefill(job.work)[0] / self.m["read_per_s"] / self._speed()
+                delay = self._tokens_to_prefill(job.work)[0] / self.params["read_per_s"] / self._speed()
                 self._cache_prompt(job.work)
                 job.timers.append(asyncio.get_running_loop().call_later(delay, self._start_decoding, job))
 
@@ -522,7 +526,7 @@
         )
 
     def _answer_length(self, prompt: str) -> int:
-        return answer_length(prompt, int(self.m["answer_least"]), int(self.m["answer_most"]))
+        return answer_length(prompt, int(self.params["answer_least"]), int(self.params["answer_most"]))
 
     def _start_decoding(self, job: _Job) -> None:
         if job.done:
@@ -537,7 +541,7 @@
             job.break_index = job.index + max(self.trouble.lose_after_tokens, 1)
         job.call.on_writable = lambda: setattr(job, "unread", False)
         self.note("begun", request=work.request_id, attempt=work.attempt, index=job.index)
-        self.writing.append(job)
+        self.decoding.append(job)
         self._wake.set()
 
     async def _decode_loop(self) -> None:
@@ -545,22 +549,26 @@
         due = loop.time()
         while True:
             self._admit()
-            if not self.writing:
+            if not self.decoding:
                 self._wake.clear()
-                if not self.writing:
+                if not self.decoding:
                     await self._wake.wait()
                 due = loop.time()
                 continue
-            due += (self.m["step_ms"] + self.m["per_answer_ms"] * len(self.writing)) / 1000 / self._speed()
+            due += (
+                (self.params["step_ms"] + self.params["per_answer_ms"] * len(self.decoding))
+                / 1000
+                / self._speed()
+            )
             await asyncio.sleep(max(due - loop.time(), 0) + self._pause_left())
-            for job in list(self.writing):
+            for job in list(self.decoding):
                 if not job.unread and not job.done:
                     self._emit(job)
 
     def _emit(self, job: _Job) -> None:
         prompt, index = job.work.prompt, job.index
         if index == job.break_index:
-            self._off(job)
+            self._remove_job(job)
             self.note(
                 "gone",
                 kind=job.kind,
--- a/tuliptrack/lab/judge.py
+++ b/tuliptrack/lab/judge.py
@@ -16,7 +16,7 @@
 from tuliptrack.interface import Idempotency, RequestClass
 from tuliptrack.lab.client import Arrival, Try, as_row
 
-__all__ = ["SLACK", "Life", "Traffic", "judge"]
+__all__ = ["SLACK", "ProcessLifetime", "RunRecord", "judge"]
 
 SLACK = 60_000  # microseconds: scheduling delay between two processes on a busy machine
 RULES = {
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class Life:
+class ProcessLifetime:
     """Lifetime of one node or engine process, in monotonic microseconds; `end` is 0 while it runs."""
 
     process: str
@@ -42,14 +42,14 @@
 
 
 @dataclass
-class Traffic:
+class RunRecord:
     """Everything recorded in one run."""
 
     arrivals: list[Arrival]
     engines: list[Row]
     list_updates: list[Row]
     """Which node received which server states from the feed, and the names of the engines by id."""
-    lifetimes: list[Life]
+    lifetimes: list[ProcessLifetime]
     classes: dict[str, RequestClass]
     release_within: int = 300_000
     drain_grace: int = 500_000
@@ -69,7 +69,7 @@
             self.broken.append((tag, text))
 
 
-def judge(run: Traffic) -> dict[str, Any]:
+def judge(run: RunRecord) -> dict[str, Any]:
     """The verdict, as data for JSON."""
     rules = {number: _Rule() for number in RULES}
     tries = [t for a in run.arrivals for t in a.tries]
@@ -117,7 +117,7 @@
     return dict(sorted(found.items()))
 
 
-def _history(run: Traffic, tag: str, text: str) -> dict[str, Any]:
+def _history(run: RunRecord, tag: str, text: str) -> dict[str, Any]:
     """The first 60 records of a request, in time order."""
     ids = {row["request"] for row in run.engines if row["what"] == "call" and row["tag"] == tag}
     rows = [row for row in run.engines if row.get("request") in ids]
@@ -125,7 +125,7 @@
     return {"request": tag, "what": text, "history": sorted(rows, key=lambda row: row["t"])[:60]}
 
 
-def _attempt_spans(run: Traffic) -> dict[str, list[tuple[int, int, str]]]:
+def _attempt_spans(run: RunRecord) -> dict[str, list[tuple[int, int, str]]]:
     """Start, end and engine of each attempt, as seen by the engine, by the node's name of the request."""
     ends_of_engines = _end_times(run)
     ends = {
@@ -142,7 +142,7 @@
     return spans
 
 
-def _end_times(run: Traffic) -> dict[str, list[int]]:
+def _end_times(run: RunRecord) -> dict[str, list[int]]:
     """End times of each process's lifetimes."""
     found: dict[str, list[int]] = defaultdict(list)
     for life in run.lifetimes:
@@ -151,19 +151,19 @@
     return found
 
 
-def _run_end(run: Traffic) -> int:
+def _run_end(run: RunRecord) -> int:
     """End of the run; an attempt without an end lasts until then."""
     return run.end or max((row["t"] for row in run.engines), default=0)
 
 
-def _lifetime_of_node(run: Traffic, node: int, at: int) -> Life | None:
+def _lifetime_of_node(run: RunRecord, node: int, at: int) -> ProcessLifetime | None:
     return next(
         (life for life in reversed(run.lifetimes) if life.process == f"node-{node}" and life.start <= at),
         None,
     )
 
 
-def _check_answers(run: Traffic, tries: list[Try], tags: dict[str, str], rule: _Rule) -> None:
+def _check_answers(run: RunRecord, tries: list[Try], tags: dict[str, str], rule: _Rule) -> None:
     calls: dict[str, list[Row]] = defaultdict(list)
     for row in run.engines:
         if row["what"] == "call":
@@ -180,7 +180,7 @@
 
 
 def _check_effects(
-    run: Traffic,
+    run: RunRecord,
     tries: list[Try],
     tags: dict[str, str],
     spans: dict[str, list[tuple[int, int, str]]],
@@ -208,7 +208,7 @@
         )
 
 
-def _check_drains(run: Traffic, tags: dict[str, str], rule: _Rule) -> None:
+def _check_drains(run: RunRecord, tags: dict[str, str], rule: _Rule) -> None:
     instances = {life.instance: life.process for life in run.lifetimes}
     ready_updates: dict[tuple[str, str], list[tuple[int, bool]]] = defaultdict(list)
     names = {row["id"]: row["engine"] for row in run.list_updates if row["what"] == "entry"}
@@ -239,7 +239,7 @@
 
 
 def _check_states(
-    run: Traffic, tags: dict[str, str], spans: dict[str, list[tuple[int, int, str]]], rule: _Rule
+    run: RunRecord, tags: dict[str, str], spans: dict[str, list[tuple[int, int, str]]], rule: _Rule
 ) -> None:
     dropped = {row["state"]: row for row in run.engines if row["what"] == "let go"}
     node_ends = {life.instance: life.end for life in run.lifetimes if life.end}
@@ -270,7 +270,7 @@
         )
 
 
-def _worth_by_group(run: Traffic) -> dict[str, Any]:
+def _worth_by_group(run: RunRecord) -> dict[str, Any]:
     """Summed priority weight of the requests that were sent, served and served in time. All tries of a client
     count as one request.
     """
--- a/tuliptrack/lab/day.py
+++ b/tuliptrack/lab/scenario_run.py
@@ -19,12 +19,12 @@
 from tuliptrack.config.textformat import ConfigError, Problem
 from tuliptrack.lab.client import Arrival, Client, arrivals, as_row
 from tuliptrack.lab.feed import Feed
-from tuliptrack.lab.judge import Life, Traffic, judge
+from tuliptrack.lab.judge import ProcessLifetime, RunRecord, judge
 from tuliptrack.proto import fleet_pb2, lab_pb2
 from tuliptrack.rpc.channel import Channel, End, Options
 from tuliptrack.rpc.clock import now_us
 
-__all__ = ["play_day"]
+__all__ = ["run_scenario"]
 
 _START_TIMEOUT_S = 30.0  # until a process prints its address
 _STOP_TIMEOUT_S = 8.0  # from SIGTERM to SIGKILL
@@ -39,11 +39,13 @@
 class _Process:
     """One node or engine process: its command, its lifetimes, its address (kept across restarts)."""
 
-    def __init__(self, name: str, command: list[str], lifetimes: list[Life], log: IO[bytes]) -> None:
+    def __init__(
+        self, name: str, command: list[str], lifetimes: list[ProcessLifetime], log: IO[bytes]
+    ) -> None:
         self.name, self.command, self.lifetimes, self.log = name, command, lifetimes, log
         self.address = "127.0.0.1:0"
         self.process: asyncio.subprocess.Process | None = None
-        self.lifetime: Life | None = None
+        self.lifetime: ProcessLifetime | None = None
 
     async def start(self, *more: str) -> None:
         """Start the process and wait until it prints its address."""
@@ -62,7 +64,7 @@
             raise RuntimeError(f"{self.name} exited before it printed its address; see processes.log")
         ready = json.loads(line)
         self.address = ready["address"]
-        self.lifetime = Life(self.name, ready.get("instance", ""), now_us())
+        self.lifetime = ProcessLifetime(self.name, ready.get("instance", ""), now_us())
         self.lifetimes.append(self.lifetime)
 
     def signal(self, number: signal.Signals) -> None:
@@ -92,7 +94,7 @@
     def __init__(self, scenario: lab_pb2.Scenario, folder: Path, say: Callable[[str], None]) -> None:
         self.scenario, self.folder, self.say = scenario, folder, say
         self.seed = scenario.seed or 1
-        self.lifetimes: list[Life] = []
+        self.lifetimes: list[ProcessLifetime] = []
         self.list_updates: list[dict[str, Any]] = []
         self.feed = Feed(self._note)
         self.engines: dict[str, _Process] = {}
@@ -308,7 +310,7 @@
             json.loads(line) for path in self.folder.glob("*.jsonl") for line in path.read_text().splitlines()
         ]
         rows.sort(key=lambda row: row["t"])
-        traffic = Traffic(
+        traffic = RunRecord(
             self.arrivals,
             rows,
             self.list_updates,
@@ -374,7 +376,7 @@
         raise ConfigError([Problem("scenario", 0, path, reason) for path, reason in problems])
 
 
-async def play_day(
+async def run_scenario(
     scenario: lab_pb2.Scenario, keep: str | None = None, say: Callable[[str], None] | None = None
 ) -> dict[str, Any]:
     """Run a scenario and judge it. `keep` names a folder for its logs. All processes started here have exited
--- a/tuliptrack/lab/wire.py
+++ b/tuliptrack/lab/tcp_link.py
@@ -10,7 +10,7 @@
 import struct
 from enum import Flag, auto
 
-__all__ = ["Cut", "Wire"]
+__all__ = ["Cut", "TcpLink"]
 
 _READ_BYTES = 65_536
 
@@ -27,7 +27,7 @@
     BOTH = THERE | BACK
 
 
-class Wire:
+class TcpLink:
     """Listens and forwards each connection to `target` (host:port)."""
 
     def __init__(self, target: str) -> None:
