--- a/tuliptrack/config/node.py
+++ b/tuliptrack/config/node.py
@@ -494,7 +494,7 @@
     if len(set(names)) < len(names):
         block.wrong("name", "no two zones may have the same name")
     if names and own_zone >= len(names):
-        reason = f"is {own_zone}, but zones.name names {len(names)} zones, numbered from 0"
+        reason = f"is {own_zone}, but zones.name has {len(names)} names, from 0"
         block.diagnostics.add("node.zone", reason)
     weights = {
         name: block.number(f"{name}_per_token", 0, 1e9)
@@ -517,7 +517,7 @@
         if burst < min_burst:
             b.wrong(
                 "burst_bytes",
-                f"must be at least {min_burst:g}, the bytes of one prompt of 1,000 tokens, is {burst:g}",
+                f"must hold one prompt of 1,000 tokens, which takes {min_burst:g} bytes, is {burst:g}",
             )
         elif quantum > burst:
             b.wrong("quantum_bytes", f"must be at most burst_bytes ({burst:g}), is {quantum:g}")
--- a/tuliptrack/config/textformat.py
+++ b/tuliptrack/config/textformat.py
@@ -89,9 +89,7 @@
     except OSError as error:
         raise ConfigError([Problem(str(path), 0, "", f"can't be read: {error.strerror or error}")]) from None
     if len(data) > _MAX_FILE_BYTES:
-        raise ConfigError(
-            [Problem(str(path), 0, "", f"has {len(data)} bytes, at most {_MAX_FILE_BYTES} are allowed")]
-        )
+        raise ConfigError([Problem(str(path), 0, "", f"{len(data)} bytes, {_MAX_FILE_BYTES} at most")])
     try:
         text = data.decode()
     except UnicodeDecodeError as error:
