--- a/tuliptrack/cli/bills.py
+++ b/tuliptrack/cli/bills.py
@@ -1,4 +1,4 @@
-"""`tuliptrack bills`: what ledgers say, of one node or of several."""
+"""`tuliptrack bills`: computes, exports, verifies and merges bills from the ledgers of one or more nodes."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 __all__ = ["bills"]
 
-_SUMS = ("works", "read", "kept", "written", "amount")
+_TOTAL_COLUMNS = ("works", "read", "kept", "written", "amount")
 _LEDGERS = click.argument("ledgers", nargs=-1, required=True, type=click.Path(file_okay=False))
 
 
 @click.group()
 def bills() -> None:
-    """Bills from the ledgers of one node or of several."""
+    """Bills from the ledgers of one or more nodes."""
 
 
-def _parts(ledgers: tuple[str, ...]) -> list[UsageRecord]:
+def _usage_records(ledgers: tuple[str, ...]) -> list[UsageRecord]:
     try:
-        return [part for path in ledgers for part in read_parts(path)]
+        return [record for path in ledgers for record in read_parts(path)]
     except LedgerError as error:
         raise click.ClickException(str(error)) from None
 
@@ -43,33 +43,37 @@
 @_LEDGERS
 @click.option("--json", "as_json", is_flag=True)
 def show(ledgers: tuple[str, ...], as_json: bool) -> None:
-    """Sums by tenant and day (UTC), those of compacted works included. Amounts in millionths of the
+    """Show totals by tenant and day (UTC), including compacted records. Amounts are in millionths of the
     currency.
     """
     rows: dict[tuple[str, int], dict[str, int]] = {
-        key: asdict(t) for key, t in daily_totals(compute_bills(_parts(ledgers))).items()
+        key: asdict(total) for key, total in daily_totals(compute_bills(_usage_records(ledgers))).items()
     }
     for path in ledgers:
-        for old in read_sums(path):
-            row = rows.setdefault((old.tenant, old.day), {})
+        for compacted in read_sums(path):
+            row = rows.setdefault((compacted.tenant, compacted.day), {})
             for name in DailyTotal.__dataclass_fields__:
-                row[name] = row.get(name, 0) + getattr(old, name)
+                row[name] = row.get(name, 0) + getattr(compacted, name)
     table = [{"tenant": tenant, "day": day, **row} for (tenant, day), row in sorted(rows.items())]
     if as_json:
         click.echo(json.dumps(table))
         return
-    click.echo(f"{'tenant':20} {'day':>6}" + "".join(f" {name:>13}" for name in (*_SUMS, "our loss")))
+    click.echo(
+        f"{'tenant':20} {'day':>6}" + "".join(f" {name:>13}" for name in (*_TOTAL_COLUMNS, "our loss"))
+    )
     for (tenant, day), row in sorted(rows.items()):
         lost = row["lost_read"] + row["lost_written"]
-        click.echo(f"{tenant:20} {day:6}" + "".join(f" {row[name]:13}" for name in _SUMS) + f" {lost:13}")
+        click.echo(
+            f"{tenant:20} {day:6}" + "".join(f" {row[name]:13}" for name in _TOTAL_COLUMNS) + f" {lost:13}"
+        )
 
 
 @bills.command()
 @_LEDGERS
 @click.option("--format", "kind", type=click.Choice(["csv", "json"]), default="csv")
 def export(ledgers: tuple[str, ...], kind: str) -> None:
-    """One row for each piece of work."""
-    rows = [asdict(bill) for bill in compute_bills(_parts(ledgers))]
+    """Export one row for each piece of work."""
+    rows = [asdict(bill) for bill in compute_bills(_usage_records(ledgers))]
     if kind == "json":
         click.echo(json.dumps(rows))
         return
@@ -81,8 +85,8 @@
 @bills.command("verify")
 @_LEDGERS
 def verify_(ledgers: tuple[str, ...]) -> None:
-    """Look for damaged, missing and doubled batches; the exit code tells whether any was found."""
-    bad = False
+    """Check the ledgers for damaged, missing and duplicate batches. Exit code 1 where any is found."""
+    has_problems = False
     for path in ledgers:
         try:
             count, problems = verify(path)
@@ -91,8 +95,8 @@
         click.echo(f"{path}: {count} batches, {len(problems)} problems")
         for problem in problems:
             click.echo(f"{path}: batch {problem.sequence}: {problem.reason}")
-        bad = bad or bool(problems)
-    if bad:
+        has_problems = has_problems or bool(problems)
+    if has_problems:
         raise SystemExit(1)
 
 
@@ -100,22 +104,24 @@
 @click.argument("target", type=click.Path(file_okay=False))
 @_LEDGERS
 def merge(target: str, ledgers: tuple[str, ...]) -> None:
-    """Put what LEDGERS hold into the ledger TARGET; what it has already is left out. Any order, any number of
-    times.
+    """Merge LEDGERS into the ledger TARGET, which may already have some of their records. The result depends
+    neither on the order of merges nor on how often one is repeated.
     """
-    new = _parts(ledgers)
+    merged = _usage_records(ledgers)
     try:
-        into = Ledger(target)
-        into.close()
-        held = {part.key: part for part in read_parts(target)}
-        best = newest_states(new)
-        into = Ledger(target)
-        for name, part in sorted(best.items()):
-            if name not in held or (newer_state(held[name], part) == part and held[name] != part):
-                while not into.add(part):
-                    into.commit()
-        count = into.commit()
-        into.close()
+        ledger = Ledger(target)
+        ledger.close()
+        existing = {record.key: record for record in read_parts(target)}
+        newest = newest_states(merged)
+        ledger = Ledger(target)
+        for key, record in sorted(newest.items()):
+            if key not in existing or (
+                newer_state(existing[key], record) == record and existing[key] != record
+            ):
+                while not ledger.add(record):
+                    ledger.commit()
+        count = ledger.commit()
+        ledger.close()
     except LedgerError as error:
         raise click.ClickException(str(error)) from None
-    click.echo(f"{target}: {count} parts added, {len(best) - count} were there")
+    click.echo(f"{target}: {count} parts added, {len(newest) - count} were there")
--- a/tuliptrack/cli/config.py
+++ b/tuliptrack/cli/config.py
@@ -1,4 +1,4 @@
-"""`tuliptrack config`: look at settings without serving."""
+"""`tuliptrack config`: validates a settings file without starting a node."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @click.group()
 def config() -> None:
-    """Settings of a node."""
+    """The settings of a node."""
 
 
 @config.command()
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
-    """Check FILE and print every problem: file, line, field, reason. Exit code 2 where there is one."""
-    found = load_config(file)
-    s = found.settings
+    """Validate FILE and print every problem: file, line, field, reason. Exit code 2 where there is any."""
+    node_config = load_config(file)
+    settings = node_config.settings
     click.echo(
-        f"{file}: good: {len(s.classes)} classes, {len(found.kinds)} kinds of server, {len(s.tenants)} tenants, "
-        f"node {s.replica_index} of {s.replicas}"
+        f"{file}: good: {len(settings.classes)} classes, {len(node_config.kinds)} kinds of server, "
+        f"{len(settings.tenants)} tenants, node {settings.replica_index} of {settings.replicas}"
     )
--- a/tuliptrack/cli/errors.py
+++ b/tuliptrack/cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the command line: one clear text, exit code 2, no traceback."""
+"""Errors of the command line: a message without a traceback, and exit code 2."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class BadFile(click.ClickException):
-    """A file that can't be used; every problem on a line of its own."""
+    """A file that is invalid or can't be read; the message has one problem a line."""
 
     exit_code = 2
 
@@ -22,7 +22,7 @@
 
 
 def load_config(path: str | Path) -> NodeConfig:
-    """Read a node's settings for a command."""
+    """Read a node's settings; BadFile where they are invalid."""
     try:
         return load(path)
     except ConfigError as error:
--- a/tuliptrack/cli/lab.py
+++ b/tuliptrack/cli/lab.py
@@ -1,4 +1,4 @@
-"""`tuliptrack lab`: stand-in engines and scripted days."""
+"""`tuliptrack lab`: simulated engines, scripted scenarios, randomized faults and simulated fleets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import click
 
 from tuliptrack.cli.errors import BadFile
-from tuliptrack.cli.running import run_until_told
+from tuliptrack.cli.running import run_until_stopped
 from tuliptrack.cli.soak import soak
 from tuliptrack.config.textformat import ConfigError, read_file
 from tuliptrack.lab.engine import Engine
@@ -25,7 +25,7 @@
 
 @click.group()
 def lab() -> None:
-    """The laboratory: stand-in engines and scripted days."""
+    """Simulated engines, and tests of nodes under scripted or randomized faults."""
 
 
 lab.add_command(soak)
@@ -33,52 +33,50 @@
 
 @lab.command()
 @click.option(
-    "--role", type=click.Choice(["READ", "WRITE", "BOTH"]), help="Role, where no model file tells it."
+    "--role", type=click.Choice(["READ", "WRITE", "BOTH"]), help="Role; overrides that of the model file."
 )
-@click.option("--model", type=click.Path(), help="EngineModel in text format.")
-@click.option("--listen", default="127.0.0.1:0", help="host:port; port 0: the kernel chooses.")
+@click.option("--model", type=click.Path(), help="File with an EngineModel in text format.")
+@click.option("--listen", default="127.0.0.1:0", help="host:port; port 0: any free port.")
 @click.option("--name", default="engine")
-@click.option("--log", "log_path", type=click.Path(), help="File for what is seen on the sockets.")
-@click.option("--cold", is_flag=True, help="Start cold, as the model tells it.")
+@click.option("--log", "log_path", type=click.Path(), help="File for a log of the traffic on the sockets.")
+@click.option("--cold", "is_cold", is_flag=True, help="Start cold: slower at first, as the model describes.")
 def engine(
-    role: str | None, model: str | None, listen: str, name: str, log_path: str | None, cold: bool
+    role: str | None, model: str | None, listen: str, name: str, log_path: str | None, is_cold: bool
 ) -> None:
-    """Run a stand-in engine until SIGTERM; prints one JSON line with its address."""
+    """Run a simulated engine until SIGTERM. Prints its address as one JSON line."""
     signals = ProcessSignals(*STOP_SIGNALS)
-    made = lab_pb2.EngineModel()
+    engine_model = lab_pb2.EngineModel()
     if model:
         try:
-            made, located = read_file(model, lab_pb2.EngineModel)
-            located.check()
+            engine_model, diagnostics = read_file(model, lab_pb2.EngineModel)
+            diagnostics.check()
         except ConfigError as error:
             raise BadFile(str(error)) from None
     if role:
-        made.role = config_pb2.RoleName.Value(role)  # type: ignore[assignment]  # stubs disagree on enums
-    if not made.role:
-        raise click.UsageError("--role or a model with a role is needed")
+        engine_model.role = config_pb2.RoleName.Value(role)  # type: ignore[assignment]  # stubs disagree on enums
+    if not engine_model.role:
+        raise click.UsageError("--role or a model with a role is required")
     set_up(json_lines=False, quiet=True)
-    with open(log_path, "a") if log_path else contextlib.nullcontext() as seen:
-        asyncio.run(run_until_told(Engine(name, made, seen, cold), listen, signals))
+    with open(log_path, "a") if log_path else contextlib.nullcontext() as traffic_log:
+        asyncio.run(run_until_stopped(Engine(name, engine_model, traffic_log, is_cold), listen, signals))
 
 
 @lab.command()
 @click.argument("file", type=click.Path())
-@click.option("--seed", type=int, help="In place of the scenario's own.")
+@click.option("--seed", type=int, help="Seed; overrides that of the scenario.")
 @click.option("--json", "as_json", is_flag=True, help="Print the verdict as JSON.")
-@click.option(
-    "--keep", type=click.Path(), help="Folder for the logs of the day; default: removed afterwards."
-)
+@click.option("--keep", type=click.Path(), help="Folder for the logs; default: they are removed afterwards.")
 def play(file: str, seed: int | None, as_json: bool, keep: str | None) -> None:
-    """Play the scripted day in FILE with nodes and engines as processes, and judge it by the traffic. Exit
-    code 0 when all rules were kept, 1 when one was broken.
+    """Run the scenario in FILE with nodes and engines as processes, and check the traffic against the rules.
+    Exit code 0 if no rule was broken, 1 otherwise.
     """
     from tuliptrack.lab.day import play_day
     from tuliptrack.lab.report import as_text
 
     set_up(json_lines=False, quiet=True)
     try:
-        scenario, located = read_file(file, lab_pb2.Scenario)
-        located.check()
+        scenario, diagnostics = read_file(file, lab_pb2.Scenario)
+        diagnostics.check()
     except ConfigError as error:
         raise BadFile(str(error)) from None
     if seed is not None:
@@ -91,19 +89,19 @@
 
 
 @lab.command("fleet")
-@click.option("--nodes", default=350, help="Hollow nodes.")
-@click.option("--engines", default=3_400, help="Drawn engines.")
-@click.option("--processes", default=24, help="Processes that share the nodes.")
-@click.option("--list-servers", default=4, help="Processes that stand in for discovery.")
-@click.option("--rate", default=7.1, help="Requests a second of one node.")
-@click.option("--seconds", default=60.0, help="Of ordinary changes.")
-@click.option("--settle", default=8.0, help="Seconds after each part.")
+@click.option("--nodes", default=350, help="Number of hollow nodes.")
+@click.option("--engines", default=3_400, help="Number of engines, generated from the seed.")
+@click.option("--processes", default=24, help="Number of processes that the nodes are divided among.")
+@click.option("--list-servers", default=4, help="Number of processes that simulate discovery.")
+@click.option("--rate", default=7.1, help="Requests per second to each node.")
+@click.option("--seconds", default=60.0, help="Seconds of ordinary changes.")
+@click.option("--settle", default=8.0, help="Seconds to wait after each phase.")
 @click.option("--seed", default=1)
-@click.option("--router", default="", help="Module file whose Router decides, in place of the program's own.")
+@click.option("--router", default="", help="Module file with the Router to use in place of the default one.")
 @click.option("--json", "path", type=click.Path(dir_okay=False), help="File for the report.")
 def play_hollow_fleet(path: str | None, **options: Any) -> None:
-    """Play a fleet of hollow nodes before drawn engines: start, changes, a lost zone, new roles, a silent
-    discovery.
+    """Simulate a fleet of hollow nodes (real discovery and routing, but no traffic to engines) and generated
+    engines: start, changes, the loss of a zone, changes of role, and silent discovery.
     """
     from tuliptrack.lab.hollow.fleet import FleetError, FleetPlan, play_fleet
 
--- a/tuliptrack/cli/main.py
+++ b/tuliptrack/cli/main.py
@@ -1,4 +1,4 @@
-"""`tuliptrack`: the command line; each sub-command in a file of its own."""
+"""The command line `tuliptrack`; each subcommand is in a module of its own."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 @click.group()
 @click.version_option(package_name="tuliptrack")
 def main() -> None:
-    """A router for language-model serving with separate readers and writers."""
+    """A router for language-model serving with separate prefill and decode engines."""
 
 
 main.add_command(serve)
--- a/tuliptrack/cli/report.py
+++ b/tuliptrack/cli/report.py
@@ -1,4 +1,4 @@
-"""`tuliptrack report`: what nodes have written down, for people and programs."""
+"""`tuliptrack report`: summarizes the report files of nodes, as tables, JSON or plots."""
 
 from __future__ import annotations
 
@@ -15,12 +15,16 @@
 
 @click.group()
 def report() -> None:
-    """Reports from what nodes have written down."""
+    """Summaries of the report files of nodes."""
 
 
 def read_rows(files: tuple[str, ...]) -> list[dict[str, Any]]:
-    """Rows of the files, in time's order; a ClickException names the line that can't be read. The last line
-    of a file may be cut off by a crash: it is left out, and told.
+    """Read the rows of report files, ordered by time.
+
+    A crash may cut off the last line of a file; it is left out with a message on standard error.
+
+    Raises:
+        click.ClickException: Names a line that is invalid.
     """
     rows = []
     for name in files:
@@ -40,50 +44,58 @@
 
 
 def sums(rows: list[dict[str, Any]], by: list[str]) -> list[dict[str, Any]]:
-    """Bytes and moves by these columns, with the part that was forced and the part of retries."""
-    found: dict[tuple[str, ...], dict[str, Any]] = defaultdict(
+    """Sum bytes and transfers, grouped by some columns; also the bytes of forced transfers and of retries."""
+    groups: dict[tuple[str, ...], dict[str, Any]] = defaultdict(
         lambda: {"bytes": 0, "forced": 0, "retry": 0, "moves": 0}
     )
     for row in rows:
-        one = found[tuple(str(row[name]) for name in by)]
-        one["bytes"] += row["bytes"]
-        one["moves"] += row["moves"]
+        group = groups[tuple(str(row[name]) for name in by)]
+        group["bytes"] += row["bytes"]
+        group["moves"] += row["moves"]
         if row["cause"] in ("forced", "retry"):
-            one[row["cause"]] += row["bytes"]
-    return [{**dict(zip(by, key, strict=True)), **one} for key, one in sorted(found.items())]
+            group[row["cause"]] += row["bytes"]
+    return [{**dict(zip(by, key, strict=True)), **group} for key, group in sorted(groups.items())]
 
 
 @report.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
 @click.option(
-    "--by", default="class,from,to", help="Columns, of: node, class, tenant, stage, from, to, cause."
+    "--by",
+    default="class,from,to",
+    help="Columns to group by, out of: node, class, tenant, stage, from, to, cause.",
 )
 @click.option("--json", "as_json", is_flag=True)
-@click.option("--budget", type=float, help="Bytes a second that may cross, for comparison.")
+@click.option("--budget", type=float, help="Allowed bytes per second across zones, for comparison.")
 @click.option(
-    "--plot", type=click.Path(), help="Write a PNG of bytes a second over time, by class and cause."
+    "--plot", type=click.Path(), help="Write a PNG of bytes per second over time, by class and cause."
 )
 def zones(files: tuple[str, ...], by: str, as_json: bool, budget: float | None, plot: str | None) -> None:
-    """What has crossed zones, from the report files of one node or several."""
+    """Show the traffic across zones, from the report files of one or more nodes."""
     columns = by.split(",")
     unknown = set(columns) - {"node", "class", "tenant", "stage", "from", "to", "cause"}
     if unknown:
         raise click.BadParameter(f"{sorted(unknown)[0]!r} is no column", param_hint="--by")
     rows = read_rows(files)
     table = sums(rows, columns)
-    length = max(rows[-1]["t"] - rows[0]["t"], 1e-9) if rows else 0.0
-    whole = sum(row["bytes"] for row in rows)
-    forced = sum(row["bytes"] for row in rows if row["cause"] == "forced")
+    duration_s = max(rows[-1]["t"] - rows[0]["t"], 1e-9) if rows else 0.0
+    total_bytes = sum(row["bytes"] for row in rows)
+    forced_bytes = sum(row["bytes"] for row in rows if row["cause"] == "forced")
     if as_json:
         click.echo(
             json.dumps(
-                {"rows": table, "bytes": whole, "forced": forced, "seconds": length, "budget_per_s": budget}
+                {
+                    "rows": table,
+                    "bytes": total_bytes,
+                    "forced": forced_bytes,
+                    "seconds": duration_s,
+                    "budget_per_s": budget,
+                }
             )
         )
     else:
-        heads = [*columns, "bytes", "forced", "retry", "moves"]
-        cells = [heads, *([str(row[h]) for h in heads] for row in table)]
-        widths = [max(len(row[n]) for row in cells) for n in range(len(heads))]
+        headings = [*columns, "bytes", "forced", "retry", "moves"]
+        cells = [headings, *([str(row[heading]) for heading in headings] for row in table)]
+        widths = [max(len(row[n]) for row in cells) for n in range(len(headings))]
         for row in cells:
             click.echo(
                 "  ".join(
@@ -92,8 +104,8 @@
                 )
             )
         click.echo(
-            f"{whole} bytes in {length:.0f} s, {forced} of them forced"
-            + (f"; the budget for that time is {budget * length:.0f}" if budget else "")
+            f"{total_bytes} bytes in {duration_s:.0f} s, {forced_bytes} of them forced"
+            + (f"; the budget for that time is {budget * duration_s:.0f}" if budget else "")
         )
     if plot:
         _plot(rows, budget, plot)
@@ -107,13 +119,13 @@
 
     figure, axes = pyplot.subplots(figsize=(9, 4))
     start = rows[0]["t"] if rows else 0.0
-    steps = sorted({row["t"] for row in rows})
-    every = min((b - a for a, b in pairwise(steps) if b - a > 0.5), default=1.0)
+    times = sorted({row["t"] for row in rows})
+    interval_s = min((b - a for a, b in pairwise(times) if b - a > 0.5), default=1.0)
     for name in sorted({(row["class"], row["cause"]) for row in rows}):
         points: dict[float, float] = defaultdict(float)
         for row in rows:
-            points[round((row["t"] - start) / every) * every] += (
-                row["bytes"] / every * ((row["class"], row["cause"]) == name)
+            points[round((row["t"] - start) / interval_s) * interval_s] += (
+                row["bytes"] / interval_s * ((row["class"], row["cause"]) == name)
             )
         axes.step(list(points), list(points.values()), where="post", label=" ".join(name))
     if budget:
--- a/tuliptrack/cli/serve.py
+++ b/tuliptrack/cli/serve.py
@@ -1,4 +1,4 @@
-"""`tuliptrack serve`: run a node until it is told to stop."""
+"""`tuliptrack serve`: runs a node until SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -20,39 +20,43 @@
 @click.command()
 @click.argument("file", type=click.Path())
 @click.option(
-    "--ready", is_flag=True, help="Print one JSON line with the address on standard output once serving."
+    "--ready",
+    is_flag=True,
+    help="Print the address as one JSON line on standard output once the node serves.",
 )
 def serve(file: str, ready: bool) -> None:
-    """Serve with the settings in FILE. SIGTERM or SIGINT: drain, refuse, end; a second one: end now."""
+    """Run a node with the settings in FILE. SIGTERM or SIGINT drains it: new requests are rejected, open ones
+    may finish within the grace period. A second signal ends the grace period at once.
+    """
     signals = ProcessSignals(*STOP_SIGNALS)
-    found = load_config(file)
-    set_up(found.json_log)
+    config = load_config(file)
+    set_up(config.json_log)
     try:
-        asyncio.run(_run(found, ready, signals))
+        asyncio.run(_run(config, ready, signals))
     except OSError as error:
-        raise click.ClickException(f"{found.listen}: {error.strerror or error}") from None
+        raise click.ClickException(f"{config.listen}: {error.strerror or error}") from None
 
 
-async def _run(found: NodeConfig, ready: bool, signals: ProcessSignals) -> None:
+async def _run(config: NodeConfig, ready: bool, signals: ProcessSignals) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     log_loop_errors(loop)
     signals.attach(loop)
-    for name in STOP_SIGNALS:
-        signals.handle(name, stop.set)
+    for signal_number in STOP_SIGNALS:
+        signals.handle(signal_number, stop.set)
     if stop.is_set():
         return
-    node = Node(found)
+    node = Node(config)
     address = await node.start()
     if ready:
         click.echo(json.dumps({"address": address, "instance": node.instance}))
     await stop.wait()
     stop.clear()
-    ending = loop.create_task(node.stop())
-    again = loop.create_task(stop.wait())
-    await asyncio.wait({ending, again}, return_when=asyncio.FIRST_COMPLETED)
-    if not ending.done():
+    stopping = loop.create_task(node.stop())
+    second_signal = loop.create_task(stop.wait())
+    await asyncio.wait({stopping, second_signal}, return_when=asyncio.FIRST_COMPLETED)
+    if not stopping.done():
         node.server.end_grace_period()
-    again.cancel()
-    await ending
+    second_signal.cancel()
+    await stopping
     signals.block()
--- a/tuliptrack/cli/soak.py
+++ b/tuliptrack/cli/soak.py
@@ -1,4 +1,4 @@
-"""`tuliptrack lab soak`: randomized faults against real processes."""
+"""`tuliptrack lab soak`: runs nodes as processes under randomized faults, and checks invariants."""
 
 from __future__ import annotations
 
@@ -18,43 +18,41 @@
 
 __all__ = ["soak"]
 
-_LEAST_MINUTES, _MOST_MINUTES, _MOST_NODES = 0.1, 10.0, 8
-_SHRINK_TRIES = 24
-_TERMINATED = 130  # exit code of a soak that was told to stop
+_MIN_MINUTES, _MAX_MINUTES, _MAX_NODES = 0.1, 10.0, 8
+_MAX_SHRINK_RUNS = 24
+_EXIT_TERMINATED = 130  # After SIGTERM or SIGINT.
 
 T = TypeVar("T")
 
 
 class _Seeds(click.ParamType):  # type: ignore[type-arg]
-    """One seed, or a range A..B, both included."""
+    """One seed, or the range A..B, both ends included."""
 
     name = "seeds"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> range:
-        first, dots, last = str(value).partition("..")
+        first, separator, last = str(value).partition("..")
         try:
-            found = range(int(first), int(last if dots else first) + 1)
+            seeds = range(int(first), int(last if separator else first) + 1)
         except ValueError:
             self.fail(f"must be a seed or A..B, is {str(value)[:40]!r}", param, ctx)
-        if not found:
+        if not seeds:
             self.fail(f"{value} holds no seed", param, ctx)
-        return found
+        return seeds
 
 
 @click.command()
 @click.option("--seeds", type=_Seeds(), default="1..1", show_default=True, help="One seed, or A..B.")
-@click.option("--nodes", type=click.IntRange(1, _MOST_NODES), default=3, show_default=True)
+@click.option("--nodes", type=click.IntRange(1, _MAX_NODES), default=3, show_default=True)
+@click.option("--minutes", type=click.FloatRange(_MIN_MINUTES, _MAX_MINUTES), default=0.25, show_default=True)
 @click.option(
-    "--minutes", type=click.FloatRange(_LEAST_MINUTES, _MOST_MINUTES), default=0.25, show_default=True
-)
-@click.option(
-    "--schedule", "schedule_file", type=click.Path(), help="Play the schedule in this file instead."
+    "--schedule", "schedule_file", type=click.Path(), help="Run the schedule in this file instead of seeds."
 )
 @click.option(
     "--shrink",
     "to_shrink",
     type=click.Path(),
-    help="Write the smallest schedule that still fails to this file.",
+    help="Reduce a failing schedule, and write the smallest one that still fails to this file.",
 )
 @click.option("--keep", type=click.Path(), help="Folder for the records of seeds that failed.")
 @click.option("--json", "as_json", is_flag=True, help="Print a line of JSON for each seed.")
@@ -67,41 +65,43 @@
     keep: str | None,
     as_json: bool,
 ) -> None:
-    """Play drawn faults with nodes, engines, proxies, clients and the list's agent as processes on loopback,
-    one seed after another, and judge what reached the engines and the clients. Exit code 0 where every
-    invariant held, 1 otherwise.
+    """Run nodes, engines, proxies, clients and the agent of the endpoint list as processes on loopback, under
+    faults drawn from each seed in turn. Check what reached the engines and the clients against invariants.
+    Exit code 0 if every invariant held, 1 otherwise.
     """
     schedules = (
-        [_read(schedule_file)] if schedule_file else [draw(seed, minutes * 60, nodes) for seed in seeds]
+        [_read_schedule(schedule_file)]
+        if schedule_file
+        else [draw(seed, minutes * 60, nodes) for seed in seeds]
     )
-    failed = 0
+    failures = 0
     for schedule in schedules:
         result = asyncio.run(
             _until_terminated(play(schedule, Path(keep) / str(schedule.seed) if keep else None))
         )
-        _tell(result, as_json)
+        _print_result(result, as_json)
         if not result.violations:
             continue
-        failed += 1
+        failures += 1
         if to_shrink:
-            smallest = asyncio.run(_until_terminated(shrink(schedule, _SHRINK_TRIES)))
+            smallest = asyncio.run(_until_terminated(shrink(schedule, _MAX_SHRINK_RUNS)))
             Path(to_shrink).write_text(json.dumps(smallest.as_json(), indent=1))
-    sys.exit(1 if failed else 0)
+    sys.exit(1 if failures else 0)
 
 
 async def _until_terminated(work: Coroutine[Any, Any, T]) -> T:
-    """Work that SIGTERM and SIGINT cancel, so that it ends what it has started."""
+    """Await `work`, which SIGTERM and SIGINT cancel, so that it stops the processes that it has started."""
     task = asyncio.ensure_future(work)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, task.cancel)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, task.cancel)
     try:
         return await task
     except asyncio.CancelledError:
-        raise SystemExit(_TERMINATED) from None
+        raise SystemExit(_EXIT_TERMINATED) from None
 
 
-def _read(path: str) -> Schedule:
+def _read_schedule(path: str) -> Schedule:
     try:
         return Schedule.from_json(json.loads(Path(path).read_text()))
     except OSError as error:
@@ -110,7 +110,7 @@
         raise BadFile(f"--schedule: {path}: {error}"[:200]) from None
 
 
-def _tell(result: Result, as_json: bool) -> None:
+def _print_result(result: Result, as_json: bool) -> None:
     if as_json:
         click.echo(json.dumps(result.as_json()))
         return
--- a/tuliptrack/config/node.py
+++ b/tuliptrack/config/node.py
@@ -128,7 +128,7 @@
 """Defaults by message and field, in the units of the settings file."""
 
 REPORT_FIELDS = ("in_flight", "memory_share", "tokens_waiting_k")
-"""The values that the node derives from an engine's ORCA report, in the order in which the router gets them."""
+"""Values that the node derives from an engine's ORCA report, in the order in which the router gets them."""
 
 _MAX_TIME_MS = 86_400_000.0  # One day; a longer time is most likely given in the wrong unit.
 _IDEMPOTENCY_BY_EFFECT = {
@@ -194,7 +194,7 @@
 
 @dataclass(frozen=True)
 class ZoneOptions:
-    """Names of zones by number (may be empty), and the file for the report of cross-zone traffic (empty: none)."""
+    """Names of zones by number (may be empty), and the file for reports of cross-zone traffic (empty: none)."""
 
     names: tuple[str, ...] = ()
     report: str = ""
@@ -286,7 +286,7 @@
 
 
 class _Block:
-    """One block of the file. Its methods return a field's value, or its default, and report what is invalid."""
+    """One block of the file; its methods return a field's value or default, and report invalid values."""
 
     def __init__(self, message: Message, path: str, diagnostics: Diagnostics) -> None:
         self.message, self.path, self.diagnostics = message, path, diagnostics
--- a/tuliptrack/config/textformat.py
+++ b/tuliptrack/config/textformat.py
@@ -99,7 +99,7 @@
 
 
 def read_text(text: str, kind: type[M], file: str = "<text>") -> tuple[M, Diagnostics]:
-    """Read a message from text; problems are in `Diagnostics.problems`, and parsing goes on after most of them."""
+    """Read a message from text; problems are in the `Diagnostics`, and most of them don't end the parsing."""
     diagnostics = Diagnostics(file)
     message = kind()
     try:
