--- a/tuliptrack/fronts/__init__.py
+++ b/tuliptrack/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Client protocols: one thin file or folder each; `installed` lists those of the gRPC node."""
+"""Client protocols, in a module or package each; `installed` lists those that the gRPC node serves."""
--- a/tuliptrack/fronts/generation.py
+++ b/tuliptrack/fronts/generation.py
@@ -1,4 +1,4 @@
-"""The front of `tuliptrack.v1.Generation` on gRPC: a request in, a stream of tokens out.
+"""The front of `tuliptrack.v1.Generation` on gRPC: one request, answered by a stream of tokens.
 
 `docs/operate/grpc.md` has the status codes.
 """
@@ -42,8 +42,8 @@
     def rejected(self, reason: str, retry_after_us: int) -> None:
         self.call.end(rejection_status(reason, retry_after_us))
 
-    def failed(self, how: Failure, reason: str, next_index: int) -> None:
-        status = failure_status(how, f"failed: {reason}", reason=reason, next_index=str(next_index))
+    def failed(self, failure: Failure, reason: str, next_index: int) -> None:
+        status = failure_status(failure, f"failed: {reason}", reason=reason, next_index=str(next_index))
         self.call.end(status)
 
 
--- a/tuliptrack/fronts/health.py
+++ b/tuliptrack/fronts/health.py
@@ -12,7 +12,7 @@
 
 SERVICE = "grpc.health.v1.Health"
 MAX_QUOTED_NAME = 100
-"""Characters of an unknown service's name that are repeated to its client."""
+"""Characters of an unknown service's name that an error message repeats."""
 
 _SERVING = health_pb2.HealthCheckResponse.SERVING
 _NOT_SERVING = health_pb2.HealthCheckResponse.NOT_SERVING
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, server: Server) -> None:
-        """Begin as not serving."""
+        """Start as not serving."""
         self.server = server
         self.is_serving = False
         self.watchers: set[ServerCall] = set()
--- a/tuliptrack/fronts/installed.py
+++ b/tuliptrack/fronts/installed.py
@@ -36,5 +36,5 @@
 FRONTS: tuple[Callable[[Server, Core, NodeConfig], None], ...] = (generation.install, kserve_grpc.install)
 """Each adds its services to the gRPC server, for this core."""
 LISTENERS: tuple[Callable[[Core, NodeConfig, ByteBudget], Listener | None], ...] = (kserve_rest.make,)
-"""Each makes its listener, or None where the settings want none. The byte budget is that of request bodies,
-shared with the gRPC server."""
+"""Each returns its listener, or None where the settings have no address for it. The byte budget is that of
+request bodies, shared with the gRPC server."""
--- a/tuliptrack/fronts/kserve/grpc.py
+++ b/tuliptrack/fronts/kserve/grpc.py
@@ -1,7 +1,7 @@
 """The gRPC form of the v2 protocol, `inference.GRPCInferenceService`.
 
-`ModelInfer` is one request with one response; a `ModelStreamInfer` carries many requests, each with many
-responses, and each ends by itself.
+`ModelInfer` is one request with one response. A `ModelStreamInfer` carries many requests, each with many
+responses, and a request that fails does not affect the others.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     """Parse a message.
 
     Raises:
-        InvalidRequestError: Names what is wrong with a tensor or a parameter.
+        InvalidRequestError: Names the tensor or parameter that is invalid.
     """
     infer = InferRequest(
         request.model_name,
@@ -61,13 +61,13 @@
     try:
         for index, tensor in enumerate(request.inputs):
             if not raw:
-                one = from_contents(tensor.name, tensor.datatype, tensor.shape, tensor.contents)
+                parsed = from_contents(tensor.name, tensor.datatype, tensor.shape, tensor.contents)
             elif tensor.HasField("contents"):
                 field = f"inputs.{tensor.name[:MAX_QUOTED_NAME]}.contents"
                 raise InvalidRequestError(field, "must not be set beside raw_input_contents")
             else:
-                one = from_raw(tensor.name, tensor.datatype, tensor.shape, raw[index])
-            infer.inputs.append(one)
+                parsed = from_raw(tensor.name, tensor.datatype, tensor.shape, raw[index])
+            infer.inputs.append(parsed)
     except TensorError as error:
         raise InvalidRequestError(f"inputs.{error.field}", error.reason) from None
     return infer
@@ -84,7 +84,7 @@
 
 
 def _response(infer: InferRequest, text: str | None, parameters: dict[str, Value]) -> pb.ModelInferResponse:
-    """Return a response with an output (None: without one) and parameters."""
+    """Return a response with this output text (None: no output) and parameters."""
     response = pb.ModelInferResponse(model_name=infer.model, model_version=infer.version, id=infer.id)
     if text is not None:
         name, datatype, shape = OUTPUTS[0]
@@ -112,9 +112,9 @@
     def rejected(self, reason: str, retry_after_us: int) -> None:
         self.call.end(rejection_status(reason, retry_after_us))
 
-    def failed(self, how: Failure, reason: str, next_index: int) -> None:
+    def failed(self, failure: Failure, reason: str, next_index: int) -> None:
         # No token has reached the client, so there is none to resume from.
-        self.call.end(failure_status(how, failure_text(how, reason, 0), reason=reason))
+        self.call.end(failure_status(failure, failure_text(failure, reason, 0), reason=reason))
 
 
 class _StreamedResponse:
@@ -126,7 +126,7 @@
         self.sends_empty_final = wants_empty_final_response(infer)
         self.handle: RequestHandle | None = None
         self._parts: list[str] = []
-        # One message for every token but the last, as making it anew costs several times as much.
+        # Reused for every token but the last: building a new message costs several times as much.
         self._message = pb.ModelStreamInferResponse(
             infer_response=_response(infer, "", {"index": 0, "triton_final_response": False})
         )
@@ -160,8 +160,10 @@
     def rejected(self, reason: str, retry_after_us: int) -> None:
         self._error(rejection_text(reason), {"error": "REFUSED", "retry_after_ms": retry_after_us // 1000})
 
-    def failed(self, how: Failure, reason: str, next_index: int) -> None:
-        self._error(failure_text(how, reason, next_index), {"error": how.value, "next_index": next_index})
+    def failed(self, failure: Failure, reason: str, next_index: int) -> None:
+        self._error(
+            failure_text(failure, reason, next_index), {"error": failure.value, "next_index": next_index}
+        )
 
     def _error(self, text: str, parameters: dict[str, Value]) -> None:
         self.stream.send_error(self.infer, text, parameters)
@@ -169,12 +171,12 @@
 
 
 class _InferStream:
-    """One ModelStreamInfer. The core's concurrency limits bound its open requests."""
+    """One ModelStreamInfer call. The core's concurrency limits bound its open requests."""
 
     def __init__(self, call: ServerCall, core: Core, config: NodeConfig) -> None:
         self.call, self.core, self.config = call, core, config
         self._open: dict[_StreamedResponse, None] = {}
-        """In the order in which they came."""
+        """The open requests, in the order in which they came."""
         self._open_ids: set[str] = set()
         self._is_half_closed = False
         call.on_message, call.on_half_close = self._handle_message, self._handle_half_close
@@ -216,7 +218,7 @@
         return self.call.send(pb.ModelStreamInferResponse(infer_response=response).SerializeToString())
 
     def send_error(self, infer: InferRequest, text: str, parameters: dict[str, Value]) -> None:
-        """Send that one request has ended with an error; the stream goes on."""
+        """Report that one request has ended with an error; the stream goes on."""
         response = _response(infer, None, {**parameters, "triton_final_response": True})
         message = pb.ModelStreamInferResponse(error_message=text, infer_response=response)
         self.call.send(message.SerializeToString())
--- a/tuliptrack/fronts/kserve/mapping.py
+++ b/tuliptrack/fronts/kserve/mapping.py
@@ -1,4 +1,4 @@
-"""What a v2 request means to the core, and what the core's answers mean in v2, for gRPC and REST alike.
+"""Maps v2 requests to requests of the core, and outcomes of the core to v2 responses, for gRPC and REST.
 
 `docs/operate/kserve.md` has the table for users. Times are microseconds.
 """
@@ -37,20 +37,20 @@
 ]
 
 Value = bool | int | float | str
-"""Of a parameter."""
+"""The value of a parameter."""
 VERSION = version("tuliptrack")
 EXTENSIONS = ("binary_tensor_data", "generate", "model_stream_infer")
 INPUTS = (("text_input", "BYTES", (1,)), ("max_tokens", "INT32", (1,)), ("stream", "BOOL", (1,)))
-"""Name, datatype and shape of what a model takes; the first is required."""
+"""Name, datatype and shape of each input of a model; the first one is required."""
 OUTPUTS = (("text_output", "BYTES", (1,)),)
-"""Name, datatype and shape of what a model returns."""
+"""Name, datatype and shape of each output of a model."""
 MAX_TIMEOUT_US = 86_400_000_000
 MAX_COUNT = 1 << 40
-"""Of tokens."""
+"""Maximum of parameters that are numbers of tokens."""
 MAX_PRIORITY = 1 << 63
 MAX_SEQUENCE_ID = 1 << 64
 MAX_DIGITS = 20
-"""Of a number that is given as a string."""
+"""Digits of a number that is given as a string."""
 MAX_QUOTED_NAME = 60
 """Characters of a name that are repeated to the client."""
 
@@ -89,7 +89,7 @@
     parameters: dict[str, Value] = field(default_factory=dict)
     inputs: list[Tensor] = field(default_factory=list)
     outputs: list[str] = field(default_factory=list)
-    """Outputs asked for; none: all."""
+    """Names of the requested outputs; empty: all."""
 
 
 @dataclass(slots=True)
@@ -108,13 +108,13 @@
 
     Args:
         infer: The parsed request.
-        options: What holds for requests that don't say otherwise.
-        now: The present, monotonic.
+        options: Defaults for requests that name no class or tenant, and the classes by priority.
+        now: The current time, monotonic.
         deadline_us: The deadline of the call, monotonic; None: none.
         connection: Identifies the client's connection.
 
     Raises:
-        InvalidRequestError: Names what can't be accepted.
+        InvalidRequestError: Names the input, output or parameter that is invalid.
     """
     inputs = _read_inputs(infer.inputs)
     if inputs.text_input is None:
@@ -143,39 +143,39 @@
     inputs = _Inputs()
     seen: set[str] = set()
     for tensor in tensors:
-        place = f"inputs.{tensor.name[:MAX_QUOTED_NAME]}"
+        input_field = f"inputs.{tensor.name[:MAX_QUOTED_NAME]}"
         if tensor.name in seen:
-            raise InvalidRequestError(place, "stands twice")
+            raise InvalidRequestError(input_field, "stands twice")
         seen.add(tensor.name)
-        setattr(inputs, tensor.name, _input_value(tensor, place))
+        setattr(inputs, tensor.name, _input_value(tensor, input_field))
     return inputs
 
 
-def _input_value(tensor: Tensor, place: str) -> Any:
-    """Return the one value of an input tensor, of the type of its field in `_Inputs`."""
+def _input_value(tensor: Tensor, input_field: str) -> Any:
+    """Return the single element of an input tensor, of the type of its field in `_Inputs`."""
     datatypes = {name: datatype for name, datatype, _ in INPUTS}
     if tensor.name not in datatypes:
-        raise InvalidRequestError(place, f"is no input of this model; {', '.join(datatypes)} are")
+        raise InvalidRequestError(input_field, f"is no input of this model; {', '.join(datatypes)} are")
     if len(tensor.values) != 1:
-        raise InvalidRequestError(place, f"one element expected, shape is {list(tensor.shape)}")
+        raise InvalidRequestError(input_field, f"one element expected, shape is {list(tensor.shape)}")
     wanted = datatypes[tensor.name]
     is_count = tensor.name == "max_tokens" and tensor.datatype in _COUNT_DATATYPES
     if tensor.datatype != wanted and not is_count:
-        raise InvalidRequestError(place, f"must be {wanted}, is {tensor.datatype[:20]}")
+        raise InvalidRequestError(input_field, f"must be {wanted}, is {tensor.datatype[:20]}")
     if tensor.name != "text_input":
         return tensor.values[0]
     try:
         return tensor.values[0].decode()
     except UnicodeDecodeError as error:
-        raise InvalidRequestError(place, f"is not UTF-8: {error}") from None
+        raise InvalidRequestError(input_field, f"is not UTF-8: {error}") from None
 
 
 def _check_outputs(names: list[str]) -> None:
     known = [output for output, _, _ in OUTPUTS]
     for name in names:
         if name not in known:
-            place = f"outputs.{name[:MAX_QUOTED_NAME]}"
-            raise InvalidRequestError(place, f"is no output of this model; {known[0]} is")
+            output_field = f"outputs.{name[:MAX_QUOTED_NAME]}"
+            raise InvalidRequestError(output_field, f"is no output of this model; {known[0]} is")
 
 
 def _read_parameters(parameters: dict[str, Value], options: KserveOptions) -> dict[str, Any]:
@@ -187,7 +187,7 @@
         if reader := _reader_of(name):
             reader(parameters, name, fields)
         elif name not in _OTHER_PARAMETERS:
-            raise InvalidRequestError(_place_of(name), "is not known here")
+            raise InvalidRequestError(_parameter_field(name), "is not known here")
     return fields
 
 
@@ -195,7 +195,7 @@
 
 
 def _reader_of(name: str) -> _Reader | None:
-    """Return what reads a parameter and sets its field."""
+    """Return the function that reads a parameter and sets its field; None where there is none."""
     if name in _TEXT_FIELDS:
         return _read_text
     if name in _COUNT_FIELDS:
@@ -203,7 +203,8 @@
     return {"sequence_id": _read_sequence_id, "timeout": _read_timeout, "repeat": _read_repeat}.get(name)
 
 
-def _place_of(name: str) -> str:
+def _parameter_field(name: str) -> str:
+    """Return the field that an error of this parameter names."""
     return f"parameters.{name[:MAX_QUOTED_NAME]}"
 
 
@@ -221,7 +222,7 @@
 def _read_text(parameters: dict[str, Value], name: str, fields: dict[str, Any]) -> None:
     value = parameters[name]
     if not isinstance(value, str):
-        raise InvalidRequestError(_place_of(name), f"must be a string, is {value!r}"[:120])
+        raise InvalidRequestError(_parameter_field(name), f"must be a string, is {value!r}"[:120])
     fields[_TEXT_FIELDS[name]] = value
 
 
@@ -230,7 +231,7 @@
 
 
 def _read_sequence_id(parameters: dict[str, Value], name: str, fields: dict[str, Any]) -> None:
-    """Set the session: a sequence may be named by a string or a number, of which 0 stands for none."""
+    """Set the session: the ID of a sequence is a string or a number, of which 0 means none."""
     value = parameters[name]
     if isinstance(value, str):
         fields["session"] = value
@@ -239,14 +240,14 @@
 
 
 def _read_timeout(parameters: dict[str, Value], name: str, fields: dict[str, Any]) -> None:
-    if timeout_us := _integer(parameters, name, MAX_TIMEOUT_US):  # 0 stands for none.
+    if timeout_us := _integer(parameters, name, MAX_TIMEOUT_US):  # 0 means none.
         fields["timeout"] = timeout_us
 
 
 def _read_repeat(parameters: dict[str, Value], name: str, fields: dict[str, Any]) -> None:
     value = parameters[name]
     if not isinstance(value, bool):
-        raise InvalidRequestError(_place_of(name), f"must be true or false, is {value!r}"[:120])
+        raise InvalidRequestError(_parameter_field(name), f"must be true or false, is {value!r}"[:120])
     fields["is_retry"] = value
 
 
@@ -262,15 +263,15 @@
 
 
 def wants_stream(infer: InferRequest) -> bool:
-    """Return whether each token is to be sent as it comes, rather than all at the end."""
-    tensors = (one for one in infer.inputs if one.name == "stream" and len(one.values) == 1)
+    """Return whether the client wants each token as it comes, rather than all at the end."""
+    tensors = (tensor for tensor in infer.inputs if tensor.name == "stream" and len(tensor.values) == 1)
     from_input = next((tensor.values[0] for tensor in tensors), None)
     wanted = infer.parameters.get("stream", from_input)
     return wanted is None or bool(wanted)
 
 
 def wants_empty_final_response(infer: InferRequest) -> bool:
-    """Return whether the end of the stream is to be an empty response of its own."""
+    """Return whether the client wants a separate empty response at the end of the stream."""
     return infer.parameters.get("triton_enable_empty_final_response") is True
 
 
@@ -298,7 +299,7 @@
         """Begin without tokens."""
         self.infer = infer
         self.parameters: dict[str, Value] = {}
-        """Of the response, known with the last token."""
+        """Parameters of the response, known with the last token."""
         self.handle: RequestHandle | None = None
         self._bytes_left = max_bytes
         self._parts: list[str] = []
@@ -326,8 +327,8 @@
         raise NotImplementedError
 
 
-def failure_text(how: Failure, reason: str, next_index: int) -> str:
+def failure_text(failure: Failure, reason: str, next_index: int) -> str:
     """Return the message of a failed request, for people."""
-    can_resume = how in (Failure.BROKEN, Failure.MIGRATED)
+    can_resume = failure in (Failure.BROKEN, Failure.MIGRATED)
     resume = f"; it can go on from token {next_index}" if can_resume else ""
-    return f"failed ({how.value}): {reason}{resume}"
+    return f"failed ({failure.value}): {reason}{resume}"
--- a/tuliptrack/fronts/kserve/rest.py
+++ b/tuliptrack/fronts/kserve/rest.py
@@ -36,7 +36,7 @@
 __all__ = ["RestListener", "make"]
 
 JSON_LENGTH_HEADER = "inference-header-content-length"
-"""Length of the JSON of a body that has binary data behind it."""
+"""Header with the length of the JSON of a body, where binary data follows it."""
 EVENT_STREAM = "text/event-stream"
 
 _STATUS_BY_FAILURE = {
@@ -53,9 +53,9 @@
 )
 
 
-def make(core: Core, config: NodeConfig, bodies: ByteBudget) -> RestListener | None:
-    """Return the listener, or None where the settings want none."""
-    return RestListener(core, config, bodies) if config.kserve.rest_listen else None
+def make(core: Core, config: NodeConfig, body_budget: ByteBudget) -> RestListener | None:
+    """Return the listener, or None where the settings have no address for it."""
+    return RestListener(core, config, body_budget) if config.kserve.rest_listen else None
 
 
 def _retry_headers(retry_after_us: int) -> list[tuple[str, str]]:
@@ -96,8 +96,8 @@
     def rejected(self, reason: str, retry_after_us: int) -> None:
         _reject(self.call, reason, retry_after_us)
 
-    def failed(self, how: Failure, reason: str, next_index: int) -> None:
-        self.call.error(_STATUS_BY_FAILURE[how], failure_text(how, reason, 0), kind=how.value)
+    def failed(self, failure: Failure, reason: str, next_index: int) -> None:
+        self.call.error(_STATUS_BY_FAILURE[failure], failure_text(failure, reason, 0), kind=failure.value)
 
 
 def _write_generated(response: _CompleteResponse) -> None:
@@ -136,7 +136,7 @@
         self.call = call
         self.handle: RequestHandle | None = None
         self._event_head = f"data: {json.dumps(_response_head(infer))[:-1]}, "
-        """Begins each token's event; made once, with the closing brace cut off."""
+        """The start of each token's event, serialized once: the JSON object without its closing brace."""
 
     def token(self, index: int, text: str, finish: FinishReason | None, usage: Usage | None) -> bool:
         parameters = final_parameters(finish, usage) if finish else {}
@@ -151,12 +151,12 @@
     def rejected(self, reason: str, retry_after_us: int) -> None:
         _reject(self.call, reason, retry_after_us)
 
-    def failed(self, how: Failure, reason: str, next_index: int) -> None:
-        text = failure_text(how, reason, next_index)
+    def failed(self, failure: Failure, reason: str, next_index: int) -> None:
+        text = failure_text(failure, reason, next_index)
         if not self.call.started:
-            self.call.error(_STATUS_BY_FAILURE[how], text, kind=how.value)
+            self.call.error(_STATUS_BY_FAILURE[failure], text, kind=failure.value)
             return
-        error = {"error": text, "kind": how.value, "next_index": next_index}
+        error = {"error": text, "kind": failure.value, "next_index": next_index}
         self.call.send(b"data: " + json.dumps(error, ensure_ascii=False).encode() + b"\n\n")
         self.call.end()
 
@@ -166,13 +166,13 @@
 
     form = "kserve rest"
 
-    def __init__(self, core: Core, config: NodeConfig, bodies: ByteBudget) -> None:
-        """Prepare; nothing is listened on yet.
+    def __init__(self, core: Core, config: NodeConfig, body_budget: ByteBudget) -> None:
+        """Create the listener; it does not listen yet.
 
         Args:
             core: The core that serves the requests.
             config: The settings of the node.
-            bodies: Bounds the bytes of all request bodies together.
+            body_budget: Bounds the bytes of all request bodies together.
         """
         self.core, self.config = core, config
         limits, options = config.limits, config.kserve
@@ -187,7 +187,7 @@
                 idle=options.idle,
                 connections=options.connections,
             ),
-            bodies,
+            body_budget,
         )
 
     async def listen(self) -> str:
@@ -200,7 +200,7 @@
         await self.server.stop(grace)
 
     def reject_early(self, call: HttpCall) -> Rejection | None:
-        """Return a rejection that the headers suffice for, so that the body need not be sent."""
+        """Return a rejection that needs only the headers, so that the client need not send the body."""
         if call.method != "POST":
             return None
         reason, retry_after_us = self.core.overload()
@@ -229,7 +229,7 @@
             call.respond(200, json.dumps(body).encode())
 
     def _is_method(self, call: HttpCall, method: str) -> bool:
-        """Return whether a call has this method; any other is answered."""
+        """Return whether a call has this method; any other call is answered with 405."""
         if call.method == method:
             return True
         call.error(405, f"method: {method} expected, is {call.method[:20]}", [("allow", method)])
@@ -253,8 +253,8 @@
                 call.error(404 if error.is_unknown else 400, str(error), field=error.field)
 
     def _answer_metadata(self, call: HttpCall, model: str, version: str) -> None:
-        listed = [one for one in self.core.models.listed() if one.name == model]
-        versions = [one.version for one in listed if version in ("", one.version)]
+        named = [known for known in self.core.models.listed() if known.name == model]
+        versions = [known.version for known in named if version in ("", known.version)]
         if not versions:
             requested_version = f" as {version[:40]!r}" if version else ""
             call.error(404, f"model: {model[:MAX_QUOTED_NAME]!r} is not served here{requested_version}")
@@ -269,7 +269,7 @@
         self._answer_get(call, body)
 
     def _submit(self, call: HttpCall, model: str, version: str, operation: str) -> None:
-        """Submit a request; InvalidRequestError where it can't be accepted."""
+        """Submit a request; InvalidRequestError where it is invalid."""
         write = _write_generated
         if operation == "infer":
             json_length = call.headers.get(JSON_LENGTH_HEADER)
--- a/tuliptrack/fronts/kserve/rest_requests.py
+++ b/tuliptrack/fronts/kserve/rest_requests.py
@@ -16,7 +16,7 @@
 
 
 class _BinaryData:
-    """The bytes behind the JSON of a body, which the tensors take one after the other."""
+    """The bytes behind the JSON of a body; each tensor takes its part in turn."""
 
     def __init__(self, body: bytes, offset: int) -> None:
         self._body, self._offset = body, offset
@@ -37,10 +37,10 @@
         model: Its model, from the path.
         version: The version, from the path; empty: any.
         body: JSON, and behind it the binary data of its tensors.
-        json_length: The header that tells the length of the JSON; None: all is JSON.
+        json_length: The header with the length of the JSON; None: all of the body is JSON.
 
     Returns:
-        The request, and whether its output is wanted as binary data.
+        The request, and whether the client wants its output as binary data.
     """
     json_bytes = len(body) if json_length is None else _parse_json_length(json_length, len(body))
     data = _parse_object(body[:json_bytes], "body")
@@ -53,13 +53,13 @@
     if not isinstance(outputs, list):
         raise InvalidRequestError("outputs", "must be a list")
     binary_data = _BinaryData(body, json_bytes)
-    for index, one in enumerate(inputs):
-        infer.inputs.append(_parse_input(one, index, binary_data))
+    for index, item in enumerate(inputs):
+        infer.inputs.append(_parse_input(item, index, binary_data))
     if binary_data.bytes_left:
         raise InvalidRequestError("body", f"{binary_data.bytes_left} bytes are left behind the tensors")
     is_binary_wanted = infer.parameters.get("binary_data_output") is True
-    for index, one in enumerate(outputs):
-        name, parameters = _parse_output(one, index)
+    for index, item in enumerate(outputs):
+        name, parameters = _parse_output(item, index)
         infer.outputs.append(name)
         wanted = parameters.get("binary_data")
         is_binary_wanted = wanted if isinstance(wanted, bool) else is_binary_wanted
@@ -73,33 +73,33 @@
     return int(header)
 
 
-def _parse_input(one: Any, index: int, binary_data: _BinaryData) -> Tensor:
-    if not isinstance(one, dict) or not isinstance(one.get("name"), str):
+def _parse_input(item: Any, index: int, binary_data: _BinaryData) -> Tensor:
+    if not isinstance(item, dict) or not isinstance(item.get("name"), str):
         raise InvalidRequestError(f"inputs[{index}].name", "is required")
-    name, datatype, shape = one["name"], one.get("datatype", ""), one.get("shape", [])
-    place = f"inputs.{name[:MAX_QUOTED_NAME]}"
-    parameters = _parse_parameters(one.get("parameters", {}), f"{place}.parameters")
+    name, datatype, shape = item["name"], item.get("datatype", ""), item.get("shape", [])
+    field_path = f"inputs.{name[:MAX_QUOTED_NAME]}"
+    parameters = _parse_parameters(item.get("parameters", {}), f"{field_path}.parameters")
     size = parameters.get("binary_data_size")
     try:
         if size is None:
-            return from_json(name, datatype, shape, one.get("data"))
+            return from_json(name, datatype, shape, item.get("data"))
         if not isinstance(size, int) or isinstance(size, bool) or not 0 <= size <= binary_data.bytes_left:
             reason = f"{binary_data.bytes_left} bytes are left"
-            raise InvalidRequestError(f"{place}.parameters.binary_data_size", reason)
+            raise InvalidRequestError(f"{field_path}.parameters.binary_data_size", reason)
         if not isinstance(datatype, str) or not isinstance(shape, list):
-            raise InvalidRequestError(place, "shape must be a list, datatype a string")
+            raise InvalidRequestError(field_path, "shape must be a list, datatype a string")
         return from_raw(name, datatype, shape, binary_data.take(size))
     except TensorError as error:
         raise InvalidRequestError(f"inputs.{error.field}", error.reason) from None
 
 
-def _parse_output(one: Any, index: int) -> tuple[str, dict[str, Any]]:
+def _parse_output(item: Any, index: int) -> tuple[str, dict[str, Any]]:
     """Return the name and the parameters of an output."""
-    if not isinstance(one, dict) or not isinstance(one.get("name"), str):
+    if not isinstance(item, dict) or not isinstance(item.get("name"), str):
         raise InvalidRequestError(f"outputs[{index}].name", "is required")
-    name: str = one["name"]
-    place = f"outputs.{name[:MAX_QUOTED_NAME]}.parameters"
-    return name, _parse_parameters(one.get("parameters", {}), place)
+    name: str = item["name"]
+    field_path = f"outputs.{name[:MAX_QUOTED_NAME]}.parameters"
+    return name, _parse_parameters(item.get("parameters", {}), field_path)
 
 
 def parse_generate(model: str, version: str, body: bytes) -> InferRequest:
@@ -114,33 +114,33 @@
     return InferRequest(model, version, request_id, parameters, [text_input])
 
 
-def _parse_object(body: bytes, place: str) -> dict[str, Any]:
+def _parse_object(body: bytes, field_path: str) -> dict[str, Any]:
     try:
         data = parse_json(body)
     except InvalidJsonError as error:
-        raise InvalidRequestError(place, f"is not JSON ({error})") from None
+        raise InvalidRequestError(field_path, f"is not JSON ({error})") from None
     if not isinstance(data, dict):
-        raise InvalidRequestError(place, "must be a JSON object")
+        raise InvalidRequestError(field_path, "must be a JSON object")
     _check_texts(data)
     return data
 
 
 def _check_texts(data: dict[str, Any]) -> None:
-    """Raise InvalidRequestError where a text is no Unicode text, with the field that has it."""
-    # Failure: JSON may name half of a surrogate pair, which no encoding has. It would show as an error of the
-    # program, wherever the text is encoded, in place of an answer that names the field.
+    """Raise InvalidRequestError with the field of any string that has a lone surrogate."""
+    # JSON escapes can express half of a surrogate pair, which no encoding has. Unchecked, such a string would
+    # raise UnicodeEncodeError wherever it is encoded, in place of an answer that names the field.
     values: list[tuple[str, Any]] = [("", data)]
     while values:
-        place, value = values.pop()
+        field_path, value = values.pop()
         if isinstance(value, str) and not _is_encodable(value):
-            raise InvalidRequestError(place, "has a lone surrogate")
+            raise InvalidRequestError(field_path, "has a lone surrogate")
         if isinstance(value, dict):
             for name, member in value.items():
                 if not _is_encodable(name):
-                    raise InvalidRequestError(place or "body", "has a name with a lone surrogate")
-                values.append((f"{place}.{name[:MAX_QUOTED_NAME]}".lstrip("."), member))
+                    raise InvalidRequestError(field_path or "body", "has a name with a lone surrogate")
+                values.append((f"{field_path}.{name[:MAX_QUOTED_NAME]}".lstrip("."), member))
         elif isinstance(value, list):
-            values += [(f"{place}[{index}]", member) for index, member in enumerate(value)]
+            values += [(f"{field_path}[{index}]", member) for index, member in enumerate(value)]
 
 
 def _is_encodable(text: str) -> bool:
@@ -151,12 +151,12 @@
     return True
 
 
-def _parse_parameters(data: Any, place: str = "parameters") -> dict[str, Any]:
+def _parse_parameters(data: Any, field_path: str = "parameters") -> dict[str, Any]:
     """Return a copy of a JSON object whose values are scalars."""
     if not isinstance(data, dict):
-        raise InvalidRequestError(place, "must be a JSON object")
+        raise InvalidRequestError(field_path, "must be a JSON object")
     for name, value in data.items():
         if not isinstance(value, bool | int | float | str):
-            field = f"{place}.{name[:MAX_QUOTED_NAME]}"
+            field = f"{field_path}.{name[:MAX_QUOTED_NAME]}"
             raise InvalidRequestError(field, "must be a boolean, a number or a string")
     return dict(data)
--- a/tuliptrack/fronts/kserve/tensors.py
+++ b/tuliptrack/fronts/kserve/tensors.py
@@ -29,7 +29,7 @@
 MAX_QUOTED_DATATYPE = 20
 """Characters of an unknown datatype that are repeated to the client."""
 LENGTH_BYTES = 4
-"""Of the length before a BYTES element."""
+"""Size of the length before each BYTES element."""
 
 _STRUCT_FORMATS = {
     "BOOL": "?",
@@ -63,7 +63,7 @@
 
 
 def _integer_range(datatype: str) -> tuple[int, int]:
-    """Return the least and greatest value of an integer datatype, whose name ends in its bits."""
+    """Return the minimum and maximum of an integer datatype, whose name ends with its number of bits."""
     if datatype.startswith("UINT"):
         return 0, (1 << int(datatype.removeprefix("UINT"))) - 1
     magnitude = 1 << int(datatype.removeprefix("INT")) - 1
@@ -74,7 +74,7 @@
 
 
 class TensorError(Exception):
-    """A tensor that can't be accepted: `field` says where, `reason` why."""
+    """A tensor that is invalid: `field` says where, `reason` why."""
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"{field}: {reason}")
@@ -111,7 +111,7 @@
 
 
 def from_raw(name: str, datatype: str, shape: Sequence[int], data: bytes) -> Tensor:
-    """Return the tensor in bytes of the binary extension, or of raw_input_contents."""
+    """Parse a tensor from bytes of the binary extension or of raw_input_contents."""
     count = _element_count(name, datatype, shape)
     if datatype == "BYTES":
         elements = _split_elements(name, count, data)
@@ -126,7 +126,10 @@
 
 
 def _split_elements(name: str, count: int, data: bytes) -> list[bytes]:
-    """Return the elements of a BYTES tensor; at most one more than `count`, so that garbage costs little."""
+    """Return the elements of a BYTES tensor.
+
+    At most one more than `count` is read, so that invalid data costs little.
+    """
     elements: list[bytes] = []
     offset = 0
     while offset < len(data) and len(elements) <= count:
@@ -140,12 +143,12 @@
 
 
 def from_contents(name: str, datatype: str, shape: Sequence[int], contents: Any) -> Tensor:
-    """Return the tensor in a typed `InferTensorContents`."""
+    """Parse a tensor from a typed `InferTensorContents`."""
     count = _element_count(name, datatype, shape)
     field = _CONTENTS_FIELDS.get(datatype)
     if field is None:
         raise TensorError(name, f"{datatype} has no typed contents: send it raw")
-    other_fields = [one.name for one, _ in contents.ListFields() if one.name != field]
+    other_fields = [other.name for other, _ in contents.ListFields() if other.name != field]
     if other_fields:
         reason = f"{datatype} stands in {field}, but {other_fields[0]} is set"
         raise TensorError(f"{name}.contents", reason)
@@ -159,7 +162,7 @@
 
 
 def from_json(name: str, datatype: str, shape: Any, data: Any) -> Tensor:
-    """Return the tensor in JSON: flat or nested lists; BYTES elements as strings."""
+    """Parse a tensor from JSON: flat or nested lists, with BYTES elements as strings."""
     if not isinstance(shape, list) or not isinstance(data, list) or not isinstance(datatype, str):
         raise TensorError(name, "shape and data must be lists, datatype a string")
     count = _element_count(name, datatype, shape)
@@ -175,15 +178,15 @@
 def _flatten(name: str, data: Any, depth: int = 0) -> Iterable[Any]:
     if depth > MAX_DIMENSIONS:
         raise TensorError(f"{name}.data", f"is nested more than {MAX_DIMENSIONS} deep")
-    for one in data:
-        if isinstance(one, list):
-            yield from _flatten(name, one, depth + 1)
+    for item in data:
+        if isinstance(item, list):
+            yield from _flatten(name, item, depth + 1)
         else:
-            yield one
+            yield item
 
 
 def _json_check(datatype: str) -> Callable[[Any], bool]:
-    """Return what decides whether a JSON value is an element of a datatype."""
+    """Return the predicate for JSON values that are valid elements of a datatype."""
     if datatype == "BYTES":
         return lambda value: isinstance(value, str)
     if datatype == "BOOL":
--- a/tuliptrack/fronts/port.py
+++ b/tuliptrack/fronts/port.py
@@ -2,7 +2,7 @@
 
 A front parses its protocol into a `ClientRequest`, submits it to the `Core`, and implements `ResponseWriter`,
 by which the core writes the response. For each request the core returns a `RequestHandle`, by which the front
-reports what its client does. A front decides nothing, and the core knows no front.
+reports what its client does. A front makes no decisions, and the core knows no front.
 
 Everything runs on one event loop and no method blocks. Times are microseconds: deadlines on the monotonic
 clock of `rpc/clock.py`, waits as durations. Counts are tokens.
@@ -35,7 +35,7 @@
     """A request that can't be accepted; nothing was done for it.
 
     Attributes:
-        field: The field of the client's request that is at fault.
+        field: The invalid field of the client's request.
         reason: What is wrong with it, for the client.
         is_unknown: The field names something that isn't served here, rather than being malformed.
     """
@@ -47,7 +47,7 @@
 
 
 def _never_disconnected() -> bool:
-    """Stand in for `ClientRequest.is_disconnected` where a front has no means to look."""
+    """Default of `ClientRequest.is_disconnected`, for fronts that have no means to look."""
     return False
 
 
@@ -113,13 +113,13 @@
 
 
 class Failure(Enum):
-    """How a request failed. None of these promises that it has had no effect.
+    """How a request failed. None of these guarantees that the request has had no effect.
 
     The values are published (`docs/operate/grpc.md`): clients get them as the kind of the failure.
     """
 
     DEADLINE = "DEADLINE"
-    """The first or the last token had not come by the client's deadline."""
+    """The first or the last token did not come by the client's deadline."""
     BROKEN = "BROKEN"
     """A stream that had begun broke; it can be resumed from its next token."""
     MIGRATED = "HANDED_BACK"
@@ -143,7 +143,7 @@
         """Write the next output token.
 
         Args:
-            index: Its place in the output, from 0; a resumed stream begins at `ClientRequest.resume_index`.
+            index: Its index in the output, from 0; a resumed stream begins at `ClientRequest.resume_index`.
             text: Its text.
             finish: Why the stream ends, with the last token; None before.
             usage: The token counts of the request, with the last token; None before.
@@ -158,7 +158,7 @@
     def rejected(self, reason: str, retry_after_us: int) -> None:
         """Answer that the request was not run, so that a retry is harmless, after `retry_after_us`."""
 
-    def failed(self, how: Failure, reason: str, next_index: int) -> None:
+    def failed(self, failure: Failure, reason: str, next_index: int) -> None:
         """Answer that the request failed; a resumed stream would go on from token `next_index`."""
 
 
@@ -173,7 +173,7 @@
     """The core's side of one request: what the front reports of its client."""
 
     def disconnected(self, reason: str) -> None:
-        """Record that the client has gone: the request is cancelled and nothing more is written."""
+        """Record that the client has disconnected: the request is cancelled and nothing more is written."""
 
     def writable(self) -> None:
         """Record that the client reads again, after `ResponseWriter.token` has returned False."""
@@ -186,7 +186,7 @@
         """Return every known model and version."""
 
     def serving(self, name: str = "") -> list[Model]:
-        """Return those (of a name, where one is given) that have ready prefill and decode endpoints."""
+        """Return the models (of this name, if given) that have ready prefill and decode endpoints."""
 
     def ready(self, name: str, version: str = "") -> bool:
         """Return whether a request for the model would find endpoints."""
--- a/tuliptrack/fronts/reflection.py
+++ b/tuliptrack/fronts/reflection.py
@@ -1,4 +1,4 @@
-"""The reflection service of a gRPC server, by which stock tools find its services and their messages.
+"""The reflection service of a gRPC server, by which standard tools find its services and their messages.
 
 Source: the published protocols `grpc.reflection.v1` and `v1alpha`, whose messages are the same byte for byte.
 """
@@ -62,10 +62,10 @@
     serialized: dict[str, bytes] = {}
     pending = [file]
     while pending:
-        one = pending.pop()
-        if one.name not in serialized:
-            serialized[one.name] = one.serialized_pb
-            pending.extend(one.dependencies)
+        current = pending.pop()
+        if current.name not in serialized:
+            serialized[current.name] = current.serialized_pb
+            pending.extend(current.dependencies)
     response.file_descriptor_response.file_descriptor_proto.extend(serialized.values())
 
 
