--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,6 +1,4 @@
-"""The command line as a user meets it: processes on loopback, exit codes, what is printed and what never
-is.
-"""
+"""The command line with processes on loopback: exit codes, output, and that prompts are never logged."""
 
 from __future__ import annotations
 
@@ -23,25 +21,25 @@
 
 @contextmanager
 def process(*command: str, stderr: Path) -> Iterator[tuple[subprocess.Popen[bytes], str]]:
-    """A command that tells its address; ended by SIGTERM, and it must end well."""
+    """Run a command that prints its address. It is ended by SIGTERM and must then exit with 0."""
     with stderr.open("wb") as file:
-        one = subprocess.Popen(
+        child = subprocess.Popen(
             [sys.executable, "-m", "tuliptrack", *command], stdout=subprocess.PIPE, stderr=file
         )
         try:
-            assert one.stdout
-            yield one, json.loads(one.stdout.readline())["address"]
-            one.send_signal(signal.SIGTERM)
-            assert one.wait(20) == 0
+            assert child.stdout
+            yield child, json.loads(child.stdout.readline())["address"]
+            child.send_signal(signal.SIGTERM)
+            assert child.wait(20) == 0
         finally:
-            if one.poll() is None:
-                one.kill()
-                one.wait()
-            assert one.stdout
-            one.stdout.close()
+            if child.poll() is None:
+                child.kill()
+                child.wait()
+            assert child.stdout
+            child.stdout.close()
 
 
-def test_a_user_starts_engines_and_a_node_and_asks(tmp_path: Path) -> None:
+def test_engines_a_node_and_calls_as_processes(tmp_path: Path) -> None:
     logs = tmp_path / "log"
     with (
         process("lab", "engine", "--role", "READ", stderr=tmp_path / "r") as (_, reader),
@@ -57,15 +55,15 @@
             f'kind {{ name: "r" role: READ }} kind {{ name: "w" role: WRITE }} servers {{ file: "{tmp_path / "servers"}" }}'
         )
         with process("serve", str(tmp_path / "node"), "--ready", stderr=logs) as (_, address):
-            asked = CliRunner().invoke(main, ["call", address, SECRET, "--class", "a"])
-            assert asked.exit_code == 0, asked.output
-            assert re.search(r"\[STOP: \d+ prompt tokens, 0 of them cached, \d+ tokens\]", asked.output)
+            served = CliRunner().invoke(main, ["call", address, SECRET, "--class", "a"])
+            assert served.exit_code == 0, served.output
+            assert re.search(r"\[STOP: \d+ prompt tokens, 0 of them cached, \d+ tokens\]", served.output)
             short = CliRunner().invoke(main, ["call", address, SECRET, "--class", "a", "--max-tokens", "2"])
             assert "[LENGTH: " in short.output and "2 tokens]" in short.output
-            wrong = CliRunner().invoke(main, ["call", address, SECRET, "--class", "b"])
-            assert wrong.exit_code == 1 and "INVALID_ARGUMENT: request_class" in wrong.output
-        nobody = CliRunner().invoke(main, ["call", address, "x", "--class", "a", "--tries", "1"])
-        assert nobody.exit_code == 1 and "UNAVAILABLE: connect" in nobody.output
+            invalid = CliRunner().invoke(main, ["call", address, SECRET, "--class", "b"])
+            assert invalid.exit_code == 1 and "INVALID_ARGUMENT: request_class" in invalid.output
+        unreachable = CliRunner().invoke(main, ["call", address, "x", "--class", "a", "--tries", "1"])
+        assert unreachable.exit_code == 1 and "UNAVAILABLE: connect" in unreachable.output
     rows = [json.loads(line) for line in logs.read_text().splitlines()]
     ends = [row for row in rows if row["event"] == "request"]
     assert [row["end"] for row in ends] == ["served", "served"] and ends[0]["reason"] == "stop"
@@ -73,7 +71,7 @@
     assert rows[-1]["event"] == "stopped" and rows[-1]["served"] == 2
 
 
-def test_a_node_that_cant_listen_or_read_its_settings_says_so_and_ends(tmp_path: Path) -> None:
+def test_a_node_that_cant_listen_or_read_its_settings_exits_with_a_message(tmp_path: Path) -> None:
     bad = tmp_path / "bad"
     bad.write_text("node { slot: 3 }")
     done = subprocess.run(
--- a/tests/config/test_node_config.py
+++ b/tests/config/test_node_config.py
@@ -1,4 +1,4 @@
-"""Settings: every problem at once, with its line; defaults that the .proto tells."""
+"""Settings: every problem is reported at once with its line, and `config.proto` documents the defaults."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return [(p.line, p.field) for p in caught.value.problems]
 
 
-def test_a_small_file_takes_the_defaults_and_means_what_it_says() -> None:
+def test_defaults_and_given_values_of_a_minimal_file() -> None:
     found = parse(GOOD + "routing { drain_grace_ms: 250.5 }")
     assert found.settings.roles == (Role.PREFILL, Role.DECODE) and found.kinds == ("r", "w")
     assert found.settings.classes[0].latency_objective_us == 1_000_000
@@ -36,7 +36,7 @@
     assert found.limits.open_requests == 20_000 and found.listen == "127.0.0.1:7400"
 
 
-def test_every_problem_is_told_at_once_with_its_line() -> None:
+def test_every_problem_is_reported_at_once_with_its_line() -> None:
     text = """node { slot: 4 replicas: 2
   listen: "nowhere" }
 request_class { name: "a" aim_ms: -1 deadline_ms: 5000 worht: 2 }
@@ -80,7 +80,7 @@
         (GOOD + "\0", 5, ""),
     ],
 )
-def test_what_is_no_settings_text_is_told_with_its_line(text: str, line: int, word: str) -> None:
+def test_text_that_is_no_settings_is_reported_with_its_line(text: str, line: int, word: str) -> None:
     with pytest.raises(ConfigError) as caught:
         parse(text)
     first = caught.value.problems[0]
@@ -117,11 +117,11 @@
     ]
     assert problems(GOOD + "zones { budget { bytes_per_s: 1 burst_bytes: 99999 by_traffic: 0.5 } }") == [
         (5, "zones.budget[0].by_traffic")
-    ]  # no tenant has a quota by which traffic could be measured
+    ]  # No tenant has a quota, by which traffic is measured.
     assert problems(GOOD + "zones { state_bytes_per_token: -1 }") == [(5, "zones.state_bytes_per_token")]
 
 
-def test_lists_nested_blocks_comments_and_joined_strings_are_read() -> None:
+def test_lists_nested_blocks_comments_and_adjacent_strings_are_read() -> None:
     message, located = read_text(
         """# a list
 version: 3 servers: [ { id: 1, address: "a" ':1' }, < id: 2; address: "b:2" > ]  # two
@@ -133,15 +133,15 @@
     assert located.line("servers[2].state") == 3 and message.servers[2].weight == 1.5
 
 
-def test_each_default_stands_in_the_proto_as_in_the_program() -> None:
+def test_the_proto_documents_every_default() -> None:
     text = (ROOT / "tuliptrack" / "proto" / "config.proto").read_text()
     for name, fields in DEFAULTS.items():
         block = text.split(f"message {name} {{")[1].split("\n}")[0]
         for field, default in fields.items():
             comment = re.search(rf"((?:  //[^\n]*\n)+)  optional \S+ {field} = ", block)
             assert comment, f"{name}.{field} has no comment"
-            told = re.search(r"Default:? ([\w.:]+?)[.:]?(?:\s|$)", comment.group(1) + "\n")
-            assert told, f"{name}.{field} tells no default"
+            documented = re.search(r"Default:? ([\w.:]+?)[.:]?(?:\s|$)", comment.group(1) + "\n")
+            assert documented, f"{name}.{field} documents no default"
             kind = config_pb2.DESCRIPTOR.message_types_by_name[name].fields_by_name[field]
             shown = (
                 kind.enum_type.values_by_number[default].name
@@ -152,7 +152,7 @@
                 if default == ""
                 else str(default)
             )
-            assert told.group(1) == shown, f"{name}.{field}"
+            assert documented.group(1) == shown, f"{name}.{field}"
 
 
 def test_config_check_on_the_command_line(tmp_path: Path) -> None:
@@ -161,13 +161,13 @@
     load(ROOT / "examples" / "node.textproto")
     bad = tmp_path / "bad"
     bad.write_text(GOOD + "node { slot: 9 }\nlimits { tokens: -1 }")
-    told = CliRunner().invoke(main, ["config", "check", str(bad)])
+    result = CliRunner().invoke(main, ["config", "check", str(bad)])
     assert (
-        told.exit_code == 2
-        and f"{bad}:5: node.slot:" in told.output
-        and f"{bad}:6: limits.tokens:" in told.output
+        result.exit_code == 2
+        and f"{bad}:5: node.slot:" in result.output
+        and f"{bad}:6: limits.tokens:" in result.output
     )
-    none = CliRunner().invoke(main, ["config", "check", str(tmp_path / "none")])
-    assert none.exit_code == 2 and "can't be read" in none.output
+    missing = CliRunner().invoke(main, ["config", "check", str(tmp_path / "none")])
+    assert missing.exit_code == 2 and "can't be read" in missing.output
     (tmp_path / "latin").write_bytes(b"node {\n# \xff\n}")
     assert ":2:" in CliRunner().invoke(main, ["config", "check", str(tmp_path / "latin")]).output
--- a/tests/fronts/test_grpc_status.py
+++ b/tests/fronts/test_grpc_status.py
@@ -1,7 +1,7 @@
-"""The names of failures that clients get are published and don't follow the names in the code.
+"""Clients get failures by published names, which don't change with the names in the code.
 
-A member of `Failure` was renamed, and clients that resume a stream on the published `HANDED_BACK` no longer
-knew the reason that they got. So the published names stand here in full.
+Once a member of `Failure` was renamed and its published name changed with it, so clients that resume a stream
+on `HANDED_BACK` no longer recognized the reason. So the published names are listed here in full.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 }
 
 
-@pytest.mark.parametrize("how", PUBLISHED)
-def test_a_failure_keeps_its_published_reason_and_code_on_grpc(how: Failure) -> None:
-    reason, code = PUBLISHED[how]
-    status = failure_status(how, "failed: why", next_index="3")
-    info = next(one for one in status.parsed() if isinstance(one, error_details_pb2.ErrorInfo))
+@pytest.mark.parametrize("failure", PUBLISHED)
+def test_a_failure_keeps_its_published_reason_and_code_on_grpc(failure: Failure) -> None:
+    reason, code = PUBLISHED[failure]
+    status = failure_status(failure, "failed: why", next_index="3")
+    info = next(detail for detail in status.parsed() if isinstance(detail, error_details_pb2.ErrorInfo))
     assert (info.reason, info.domain, dict(info.metadata)) == (reason, "tuliptrack", {"next_index": "3"})
     assert status.code is code
 
 
-@pytest.mark.parametrize("how", PUBLISHED)
-def test_a_failure_keeps_its_published_reason_in_kserve_texts(how: Failure) -> None:
-    assert failure_text(how, "why", 3).startswith(f"failed ({PUBLISHED[how][0]}): why")
+@pytest.mark.parametrize("failure", PUBLISHED)
+def test_a_failure_keeps_its_published_reason_in_kserve_texts(failure: Failure) -> None:
+    assert failure_text(failure, "why", 3).startswith(f"failed ({PUBLISHED[failure][0]}): why")
 
 
 def test_an_invalid_request_keeps_its_published_name() -> None:
@@ -44,6 +44,6 @@
 
 
 def test_every_failure_has_a_code_on_grpc_and_a_status_on_rest() -> None:
-    """Failure: an engine says that a request is invalid, and the front ends by KeyError in place of an answer."""
+    """Without a code, the front raises KeyError in place of an answer, such as to an invalid request."""
     assert set(PUBLISHED) == set(Failure)
     assert set(_STATUS_BY_FAILURE) == set(Failure) and _STATUS_BY_FAILURE[Failure.INVALID] == 400
--- a/tests/fronts/test_hostile_bodies.py
+++ b/tests/fronts/test_hostile_bodies.py
@@ -1,7 +1,7 @@
-"""Bodies of KServe requests with values that JSON allows and nobody expects.
+"""Bodies of KServe requests with unusual values that JSON allows.
 
-Failure: a value raises an error that the front does not foresee; the client gets a closed connection or an
-internal error in place of 400 with the field's name.
+A value that raises an error which the front does not handle gives the client a closed connection or an
+internal error, in place of status 400 with the name of the field.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def body_of(content: Any) -> bytes | None:
-    """The JSON of a value; None where Python writes none."""
+    """Return a value as JSON; None where Python can't encode it."""
     try:
         return json.dumps(content).encode()
     except (ValueError, RecursionError):
@@ -95,9 +95,9 @@
     for tensor in (text_tensor(**{field: value}), text_tensor(**{"datatype": datatype, field: value}), value):
         body = body_of({"inputs": [tensor], "outputs": value, "parameters": value, "id": value})
         simple = body_of({"inputs": [tensor]})
-        for one in (body, simple):
-            if one is None:
+        for candidate in (body, simple):
+            if candidate is None:
                 continue
             with suppress(InvalidRequestError):
-                infer, _ = parse_infer("m", "", one, None)
+                infer, _ = parse_infer("m", "", candidate, None)
                 client_request_of(infer, OPTIONS, NOW_US, None, None)
--- a/tests/fronts/test_kserve.py
+++ b/tests/fronts/test_kserve.py
@@ -1,5 +1,5 @@
-"""The v2 protocol's hard cases on real sockets: streams of many requests, models and versions, slow and
-broken clients.
+"""Edge cases of the v2 protocol on real sockets: streams of many requests, models and versions, slow and
+misbehaving clients.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class Stream:
-    """A ModelStreamInfer of ours, and what it saw by request."""
+    """A ModelStreamInfer of the test, and what it received, by request ID."""
 
     def __init__(self, w: World) -> None:
         self.text: dict[str, list[str]] = {}
@@ -71,14 +71,14 @@
     return "".join(answer_token(prompt, n) for n in range(answer_length(prompt, least, most)))
 
 
-def test_a_stream_of_ten_of_which_one_is_refused_one_breaks_and_the_client_leaves_in_the_seventh() -> None:
+def test_requests_of_one_stream_are_rejected_fail_and_are_cancelled_independently() -> None:
     async def go() -> None:
         async with world(settings=KSERVE, model="answer_least: 60 answer_most: 60 step_ms: 4") as w:
             stream = Stream(w)
             stream.ask("1")
             stream.ask("2")
             await until(lambda: len(stream.text) == 2)
-            w.node.concurrency.limits = type(w.node.concurrency.limits)(2, 20, 20)  # no room for the third
+            w.node.concurrency.limits = type(w.node.concurrency.limits)(2, 20, 20)  # Full with these two.
             stream.ask("3")
             await until(lambda: "3" in stream.errors)
             assert (
@@ -101,14 +101,14 @@
             for n in ("6", "7", "8", "9", "10"):
                 stream.ask(n)
             await until(lambda: len(stream.text.get("7", [])) > 3)
-            assert not stream.ends  # neither a refusal nor a failure has ended the stream
+            assert not stream.ends  # Neither the rejection nor the failure has ended the stream.
             stream.call.cancel()
             await until(lambda: not w.node.table.open)
             for n in "124":
                 assert "".join(stream.text[n]) == answer(f"q{n}", 60, 60) and stream.finals[n] == 1
             assert stream.finals["3"] == stream.finals["5"] == 1
             gone = {row["request"] for row in w.seen("gone", kind="write")}
-            assert len(gone) >= 5  # the fifth, and those that the client left
+            assert len(gone) >= 5  # The fifth, and those that the client cancelled.
             assert (
                 w.node.concurrency.in_flight == 0
                 and not w.node.concurrency.by_tenant
@@ -118,7 +118,7 @@
     run(go, virtual=True)
 
 
-def test_a_half_closed_stream_ends_once_its_answers_have() -> None:
+def test_a_half_closed_stream_ends_after_its_responses() -> None:
     async def go() -> None:
         async with world(settings=KSERVE) as w:
             stream = Stream(w)
@@ -137,19 +137,19 @@
     run(go, virtual=True)
 
 
-def test_the_final_flag_stands_where_the_writer_dies_behind_its_last_token() -> None:
+def test_the_final_flag_is_set_where_the_decode_engine_resets_after_its_last_token() -> None:
     async def go() -> None:
         async with world("r0 w0", settings=KSERVE) as w:
             engine = w.engines["w0"]
             finish = engine._finish
 
-            def dies(job: Any, status: Any) -> None:
-                if job.kind == "write":  # once its last token is on its way
+            def finish_or_reset(job: Any, status: Any) -> None:
+                if job.kind == "write":  # Its last token has been sent.
                     asyncio.get_running_loop().call_later(0.05, job.call.reset)
                 else:
                     finish(job, status)
 
-            engine._finish = dies  # type: ignore[method-assign]
+            engine._finish = finish_or_reset  # type: ignore[method-assign]
             stream = Stream(w)
             stream.ask("1")
             await until(lambda: stream.finals.get("1"))
@@ -160,7 +160,7 @@
     run(go, virtual=True)
 
 
-def test_an_id_may_be_used_again_once_its_answer_has_ended_but_not_before() -> None:
+def test_an_id_may_be_reused_only_after_its_response_has_ended() -> None:
     async def go() -> None:
         async with world(settings=KSERVE, model="answer_least: 40 answer_most: 40 step_ms: 4") as w:
             stream = Stream(w)
@@ -169,13 +169,13 @@
             stream.ask("1", "another")
             await until(lambda: stream.errors)
             assert stream.errors["1"] == "id: '1' is still open on this stream"
-            await until(lambda: stream.finals["1"] == 2)  # of the error, and of the answer: all has been read
-            assert "".join(stream.text["1"]) == answer("q1", 40, 40)  # the first one was not touched
+            await until(lambda: stream.finals["1"] == 2)  # Of the error and of the response: both have ended.
+            assert "".join(stream.text["1"]) == answer("q1", 40, 40)  # The first request was not affected.
             stream.text.clear()
             stream.ask("1", "another")
             await until(lambda: stream.finals["1"] == 3)
             assert "".join(stream.text["1"]) == answer("another", 40, 40)
-            # On another call the same id is a request of its own: ids are a client's, and many count from 1.
+            # On another call the same ID is a separate request: clients choose IDs, and many count from 1.
             other = Stream(w)
             stream.ask("5")
             await until(lambda: "5" in stream.text)
@@ -186,16 +186,16 @@
     run(go, virtual=True)
 
 
-def test_what_is_wrong_with_a_request_is_told_by_field_and_ends_it_alone() -> None:
+def test_an_invalid_request_gets_an_error_with_its_field_and_does_not_affect_others() -> None:
     def raw(**change: Any) -> pb.ModelInferRequest:
         made = request("q what?")
-        one = made.inputs[0]
+        tensor = made.inputs[0]
         for name, value in change.items():
             if name == "shape":
-                del one.shape[:]
-                one.shape.extend(value)
+                del tensor.shape[:]
+                tensor.shape.extend(value)
             else:
-                setattr(one, name, value)
+                setattr(tensor, name, value)
         return made
 
     double = request("q")
@@ -233,10 +233,10 @@
                 )
                 await until(lambda ends=ends: ends)  # type: ignore[misc]
                 status = ends[0].status
-                bad = next(d for d in status.parsed() if d.DESCRIPTOR.name == "BadRequest")
+                bad_request = next(d for d in status.parsed() if d.DESCRIPTOR.name == "BadRequest")
                 assert status.code is Code.INVALID_ARGUMENT
-                told = bad.field_violations[0]  # type: ignore[attr-defined]
-                assert told.field == field and words in told.description, (told, field, words)
+                violation = bad_request.field_violations[0]  # type: ignore[attr-defined]
+                assert violation.field == field and words in violation.description, (violation, field, words)
             stream = Stream(w)
             for number, (message, _, _) in enumerate(cases):
                 message.id = f"bad{number}"
@@ -245,7 +245,7 @@
             stream.ask("good")
             await until(lambda: stream.finals.get("good"))
             assert len(stream.errors) == len(cases) + 1 and "".join(stream.text["good"]) == answer("qgood")
-            assert not w.seen("call", kind="read", tag="q")  # none of them has reached an engine
+            assert not w.seen("call", kind="read", tag="q")  # None of them reached an engine.
 
     run(go, virtual=True)
 
@@ -275,7 +275,7 @@
     return ends[0], pb.ModelInferResponse.FromString(got[0] if got else b"")
 
 
-def test_models_and_versions_are_routed_apart_and_a_rollout_moves_sessions_once() -> None:
+def test_models_and_versions_are_routed_separately_and_sessions_stay_on_a_version() -> None:
     async def go() -> None:
         async with world("r0 w0 r1 w1 m0", settings=KSERVE, models=MODELS) as w:
             assert (await infer(w, "q1", "rose"))[0].status.code is Code.OK
@@ -286,7 +286,7 @@
                     end, response = await infer(w, f"q{n}", "tulip", version)
                     assert end.status.code is Code.OK and response.model_name == "tulip"
                 assert {row["engine"] for row in w.seen("call")[before:]} == engines
-            # Unnamed: by session, the same one at each time; both versions get some.
+            # Without a version, each session stays on one version, and both versions get sessions.
             used: dict[str, set[str]] = {}
             for n in range(30):
                 before = len(w.seen("call"))
@@ -301,8 +301,8 @@
             ):
                 end, _ = await infer(w, "q", model, version)
                 assert end.status.code is Code.NOT_FOUND and end.status.message.startswith(field)
-            # A failure of one model says nothing of the other: the rose's server is blamed in its own router
-            # alone.
+            # A failure of one model does not affect the other: each model has a router of its own, and only
+            # that of `rose` counts the failure.
             w.engines["m0"].apply(lab_pb2.Trouble(lose_before=1.0))
             await infer(w, "q9", "rose", timeout=400_000)
             assert (await infer(w, "q1", "tulip"))[0].status.code is Code.OK
@@ -314,7 +314,7 @@
     run(go, virtual=True)
 
 
-def test_a_model_unloaded_everywhere_refuses_who_waits_and_is_unknown_then() -> None:
+def test_a_model_that_no_engine_serves_any_more_is_rejected_and_then_unknown() -> None:
     async def go() -> None:
         async with world("r0 w0 r1 w1 m0", settings=KSERVE, models=MODELS) as w:
             w.engines["m0"].apply(lab_pb2.Trouble(pause_ms=60_000))
@@ -322,7 +322,7 @@
             await until(lambda: len(w.seen("call", engine="m0")) == 3)
             w.feed.change(w.entry("m0", fleet_pb2.ServerEntry.DRAINING))
             await until(lambda: not w.node.models.ready("rose"))
-            end, _ = await infer(w, "q8", "rose")  # known, but nothing is ready: it may come back
+            end, _ = await infer(w, "q8", "rose")  # Known, but no engine is ready; one may come back.
             assert (
                 end.status.code is Code.UNAVAILABLE and "no engines of 'rose' are ready" in end.status.message
             )
@@ -336,18 +336,15 @@
                     and end.how.value == "status"
                 )
             assert (await infer(w, "q1", "tulip"))[0].status.code is Code.OK
-            # Its router goes with the next list, as nothing of it is open any more.
+            # Its router is removed with the next list, as none of its requests is open any more.
             w.feed.change(w.entry("r0"))
             await until(lambda: not any(m.name == "rose" for m in w.node.model_routers.routers))
 
     run(go, virtual=True)
 
 
-# ---------------------------------------------------------------- REST
-
-
 class Rest:
-    """A client of plain sockets, so that it may be as slow or wrong as it likes."""
+    """A REST client on plain sockets, which can be slow or break the protocol."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -357,8 +354,8 @@
         self.writer.write("\r\n".join(head).encode() + b"\r\n\r\n" + body)
 
     def generate(self, prompt: str, stream: bool = False, **more: Any) -> None:
-        what = "generate_stream" if stream else "generate"
-        self.send("POST", f"/v2/models/m/{what}", json.dumps({"text_input": prompt, **more}).encode())
+        operation = "generate_stream" if stream else "generate"
+        self.send("POST", f"/v2/models/m/{operation}", json.dumps({"text_input": prompt, **more}).encode())
 
     async def head(self) -> tuple[int, dict[str, str]]:
         lines = (await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), 10)).decode().split("\r\n")
@@ -385,30 +382,30 @@
     plain = socket.create_connection((host, int(port)))
     plain.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
     plain.setblocking(False)
-    one = Rest(*await asyncio.open_connection(sock=plain, limit=8192))
+    client = Rest(*await asyncio.open_connection(sock=plain, limit=8192))
     try:
-        yield one
+        yield client
     finally:
-        one.writer.close()
+        client.writer.close()
 
 
-def test_rest_answers_in_order_on_one_connection_whole_and_as_events() -> None:
+def test_rest_answers_in_order_on_one_connection_as_json_and_as_events() -> None:
     async def go() -> None:
-        async with world(settings=KSERVE) as w, rest(w) as one:
-            one.generate("q1 what?")  # two at once: the second waits its turn
-            one.generate("q2 what?", max_tokens=3, id="two")
-            assert (await one.answer())[1]["text_output"] == answer("q1")
-            status, got = await one.answer()
+        async with world(settings=KSERVE) as w, rest(w) as client:
+            client.generate("q1 what?")  # Two at once: the second waits for the first.
+            client.generate("q2 what?", max_tokens=3, id="two")
+            assert (await client.answer())[1]["text_output"] == answer("q1")
+            status, got = await client.answer()
             assert (status, got["id"], got["completion_tokens"], got["finish_reason"]) == (
                 200,
                 "two",
                 3,
                 "length",
             )
-            one.generate("q3 what?", stream=True, parameters={"priority": 1})
-            status, headers = await one.head()
+            client.generate("q3 what?", stream=True, parameters={"priority": 1})
+            status, headers = await client.head()
             assert status == 200 and headers["content-type"] == "text/event-stream"
-            events = [event async for event in one.events()]
+            events = [event async for event in client.events()]
             assert (
                 "".join(e["text_output"] for e in events) == answer("q3")
                 and events[-1]["finish_reason"] == "stop"
@@ -416,10 +413,10 @@
             assert [e["index"] for e in events] == list(range(len(events)))
             assert {row["cls"] for row in w.seen("call") if row["tag"] == "q3"} == {"summary"}
             for path, status in (("/v2/models/m/huh", 404), ("/v3", 404), ("/v2/models/m/generate", 405)):
-                one.send("GET", path)
-                assert (await one.answer())[0] == status
-            one.send("GET", "/v2/health/ready")
-            assert await one.answer() == (200, {"ready": True})
+                client.send("GET", path)
+                assert (await client.answer())[0] == status
+            client.send("GET", "/v2/health/ready")
+            assert await client.answer() == (200, {"ready": True})
             for body, field in (
                 (b"{", "body"),
                 (b'{"text_input": 3}', "text_input"),
@@ -427,8 +424,8 @@
                 (b'{"text_input": "q", "parameters": 1}', "parameters"),
                 (b"[" * 100_000, "body"),
             ):
-                one.send("POST", "/v2/models/m/generate", body)
-                status, got = await one.answer()
+                client.send("POST", "/v2/models/m/generate", body)
+                status, got = await client.answer()
                 assert status == 400 and got["field"].startswith(("parameters", "body", "text_input")), (
                     body[:30],
                     got,
@@ -438,29 +435,29 @@
     run(go, virtual=True)
 
 
-def test_rest_tells_refusals_and_failures_before_and_within_a_stream() -> None:
+def test_rest_reports_rejections_and_failures_before_and_within_a_stream() -> None:
     async def go() -> None:
-        async with world(settings=KSERVE, model="answer_least: 60 answer_most: 60") as w, rest(w) as one:
+        async with world(settings=KSERVE, model="answer_least: 60 answer_most: 60") as w, rest(w) as client:
             for name in ("w0", "w1"):
                 w.engines[name].apply(lab_pb2.Trouble(lose_after=1.0, lose_after_tokens=4))
-            one.generate("q1 what?", stream=True)
-            await one.head()
-            events = [event async for event in one.events()]
+            client.generate("q1 what?", stream=True)
+            await client.head()
+            events = [event async for event in client.events()]
             assert len(events) == 5 and events[-1]["kind"] == "BROKEN" and events[-1]["next_index"] == 4
-            one.generate("q1 what?")
-            status, got = await one.answer()
+            client.generate("q1 what?")
+            status, got = await client.answer()
             assert status == 502 and got["kind"] == "BROKEN"
             w.node.concurrency.limits = type(w.node.concurrency.limits)(
                 0, 1, 1
-            )  # full: known from the headers
-            one.send("POST", "/v2/models/m/generate", b"", "expect: 100-continue", "x: y")
-            status, headers = await one.head()
+            )  # Full: the headers suffice to reject.
+            client.send("POST", "/v2/models/m/generate", b"", "expect: 100-continue", "x: y")
+            status, headers = await client.head()
             assert status == 503 and headers["retry-after"] == "1" and headers["connection"] == "close"
 
     run(go, virtual=True)
 
 
-def test_rest_clients_that_send_slowly_too_much_or_read_nothing_cost_only_themselves() -> None:
+def test_rest_clients_that_are_slow_send_too_much_or_dont_read_affect_no_others() -> None:
     async def go() -> None:
         limits = "limits { message_bytes: 20000 answer_bytes: 4096 client_stall_ms: 400 body_bytes: 30000 }"
         model = "answer_least: 30000 answer_most: 30000 step_ms: 0.2 per_answer_ms: 0"
@@ -468,50 +465,50 @@
             world(settings=KSERVE + limits, model=model) as w,
             rest(w) as slow,
             rest(w) as big,
-            rest(w) as deaf,
+            rest(w) as not_reading,
         ):
             slow.writer.write(HEAD + b"content-length: 100\r\n\r\n{")
             big.send("POST", "/v2/models/m/generate", b"")
             assert (await big.answer())[0] == 400
             big.writer.write(HEAD + b"content-length: 20001\r\n\r\n")
-            assert (await big.answer())[0] == 413  # without a byte of the body
-            async with rest(w) as chunked:  # nor is a body without a length read past the limit
+            assert (await big.answer())[0] == 413  # Without a byte of the body.
+            async with rest(w) as chunked:  # A body without a length is not read past the limit either.
                 chunked.writer.write(HEAD + b"transfer-encoding: chunked\r\n\r\n")
                 chunked.writer.write(
                     b"4000\r\n" + b" " * 0x4000 + b"\r\n" + b"4000\r\n" + b" " * 0x4000 + b"\r\n"
                 )
                 assert (await chunked.answer())[0] == 413
-            async with rest(w) as held:  # others' bodies that are still arriving leave no room for this one
-                held.writer.write(HEAD + b"content-length: 19000\r\n\r\n{")
+            async with rest(w) as arriving:  # Its body, still arriving, leaves no room for the next one.
+                arriving.writer.write(HEAD + b"content-length: 19000\r\n\r\n{")
                 await until(lambda: w.node.bodies.used_bytes >= 19_000)
-                async with rest(w) as crowded:
-                    crowded.writer.write(HEAD + b"content-length: 19000\r\n\r\n{")
-                    status, got = await crowded.answer()
+                async with rest(w) as rejected:
+                    rejected.writer.write(HEAD + b"content-length: 19000\r\n\r\n{")
+                    status, got = await rejected.answer()
                     assert status == 503 and "too many bytes" in got["error"]
             status, got = await slow.answer()
             assert status == 408 and "0.7 s" in got["error"]
             await until(lambda: w.node.bodies.used_bytes == 0)
-            deaf.generate("q1 what?", stream=True)
+            not_reading.generate("q1 what?", stream=True)
             await until(lambda: any(record.paused_at_us for record in w.node.table.open.values()))
             async with rest(w) as other:
                 other.generate("q2 what?", max_tokens=20)
                 assert (await other.answer())[1]["completion_tokens"] == 20
-            await until(lambda: not w.node.table.open)  # its time to read is over
+            await until(lambda: not w.node.table.open)  # Its time to read has passed.
             assert w.node.bodies.used_bytes == 0
 
     run(go)
 
 
-def test_both_fronts_and_rest_lead_to_the_same_requests_and_the_same_decisions() -> None:
-    """The same day through each: what the router was told, and what it decided, but for request numbers."""
-    told: dict[str, list[Any]] = {}
+def test_all_fronts_lead_to_the_same_requests_and_the_same_decisions() -> None:
+    """For the same requests, the router's events and decisions agree, but for request numbers."""
+    recorded: dict[str, list[Any]] = {}
 
     async def go(form: str) -> None:
         async with world("r0 r1 w0 w1", settings=KSERVE) as w:
-            seen = told.setdefault(form, [])
+            seen = recorded.setdefault(form, [])
             handle = w.node.router.handle
 
-            def watch(now: int, events: list[Any]) -> Any:
+            def record(now: int, events: list[Any]) -> Any:
                 actions = handle(now, events)
                 for event in events:
                     if type(event).__name__ == "Request":
@@ -521,7 +518,7 @@
                 seen.extend(("send", a.endpoint_id) for a in actions if isinstance(a, SendAttempt))
                 return actions
 
-            w.node.router.handle = watch  # type: ignore[method-assign]
+            w.node.router.handle = record  # type: ignore[method-assign]
             for n in range(12):
                 words: Any = {
                     "session": f"s{n % 3}",
@@ -537,16 +534,16 @@
                     end, _ = await infer(w, f"q{n} what?", "", max_tokens=9, **words)
                     assert end.status.code is Code.OK
                 else:
-                    async with rest(w) as one:
-                        one.generate(f"q{n} what?", parameters={**words, "max_tokens": 9})
-                        assert (await one.answer())[0] == 200
+                    async with rest(w) as client:
+                        client.generate(f"q{n} what?", parameters={**words, "max_tokens": 9})
+                        assert (await client.answer())[0] == 200
 
     for form in ("first", "v2", "rest"):
         run(lambda form=form: go(form))  # type: ignore[misc]
-    assert told["first"] == told["v2"] == told["rest"] and len(told["first"]) == 36
+    assert recorded["first"] == recorded["v2"] == recorded["rest"] and len(recorded["first"]) == 36
 
 
-def test_a_large_body_is_refused_before_it_is_read_where_the_node_is_full() -> None:
+def test_a_full_node_rejects_a_large_body_before_reading_it() -> None:
     async def go() -> None:
         async with world(settings=KSERVE + "limits { body_bytes: 100000 }") as w:
             w.node.concurrency.limits = type(w.node.concurrency.limits)(0, 1, 1)
@@ -554,8 +551,8 @@
             assert end.status.code is Code.UNAVAILABLE and "harmless" in end.status.message
             assert w.node.bodies.peak_bytes == 0 and w.node.server.rejected_early == 1
             w.node.concurrency.limits = type(w.node.concurrency.limits)(9, 9, 9)
-            one = w.ask("q" * 3_000_000)  # there is a place, but no room for such a body
-            end = await one.wait()
+            call = w.ask("q" * 3_000_000)  # Requests are accepted, but such a body exceeds the budget.
+            end = await call.wait()
             assert end.status.code is Code.UNAVAILABLE and "too many bytes" in end.status.message
             assert w.node.bodies.used_bytes == 0 and w.node.bodies.peak_bytes <= 100_000
             assert (await w.ask("q" * 60_000).wait()).status.code is Code.OK
--- a/tests/fronts/test_kserve_peers.py
+++ b/tests/fronts/test_kserve_peers.py
@@ -1,6 +1,4 @@
-"""The v2 protocol as its stock clients speak it: Triton's gRPC client (streams included) and its HTTP
-client.
-"""
+"""The v2 protocol with Triton's own clients: gRPC, streams included, and HTTP."""
 
 from __future__ import annotations
 
@@ -19,12 +17,12 @@
 KSERVE = 'kserve { rest_listen: "127.0.0.1:0" request_class: "question" tenant: "north" }'
 
 
-def whole(name: str, most: int = 30) -> str:
-    return "".join(answer_token(name, n) for n in range(min(answer_length(name, 10, 30), most)))
+def expected_text(name: str, max_tokens: int = 30) -> str:
+    return "".join(answer_token(name, n) for n in range(min(answer_length(name, 10, 30), max_tokens)))
 
 
 @pytest.mark.skipif(not PEERS.exists(), reason="./check sets up the peers' environment")
-def test_tritons_clients_find_the_protocol_as_they_know_it() -> None:
+def test_tritons_clients_work_with_both_forms_of_the_protocol() -> None:
     found = {}
 
     async def go() -> None:
@@ -36,29 +34,34 @@
             out, _ = await peer.communicate()
             assert peer.returncode == 0
             found.update(json.loads(out.decode().splitlines()[-1]))
-            # Its counter of tokens was not told: the class and the session were.
+            # The client sent the class and the session, but no number of tokens.
             assert {row["cls"] for row in w.seen("call")} == {"question", "summary"}
             assert {row["model"] for row in w.seen("call")} == {"tulip:1"}
 
     run(go, seconds=60)
     grpc, http = found["grpc"], found["http"]
-    for one in (grpc, http):
-        assert one["live"] and one["ready"] and one["model ready"] == [True, False, False]
-        assert one["metadata"]["name"] == "tuliptrack" and "generate" in one["metadata"]["extensions"]
-        assert one["model"]["versions"] == ["1"] and one["model"]["inputs"][0]["name"] == "text_input"
+    for seen in (grpc, http):
+        assert seen["live"] and seen["ready"] and seen["model ready"] == [True, False, False]
+        assert seen["metadata"]["name"] == "tuliptrack" and "generate" in seen["metadata"]["extensions"]
+        assert seen["model"]["versions"] == ["1"] and seen["model"]["inputs"][0]["name"] == "text_input"
         assert (
-            "text_input: is required" in one["no text"]
-            and "'rose' is not served here" in one["unknown model"]
+            "text_input: is required" in seen["no text"]
+            and "'rose' is not served here" in seen["unknown model"]
         )
     assert grpc["unknown model"].startswith("StatusCode.NOT_FOUND") and http["unknown model"].startswith(
         "404"
     )
     assert grpc["no text"].startswith("StatusCode.INVALID_ARGUMENT") and http["no text"].startswith("400")
     assert "parameters.huh" in grpc["bad parameter"] and "UNIMPLEMENTED" in grpc["config"]
-    assert grpc["infer"] == {"id": "one", "text": whole("q1", 5), "finish": "length"}
-    assert http["binary"] == http["json"] == {"id": "one", "text": whole("q1", 5)}
+    assert grpc["infer"] == {"id": "one", "text": expected_text("q1", 5), "finish": "length"}
+    assert http["binary"] == http["json"] == {"id": "one", "text": expected_text("q1", 5)}
     assert "'rose' is not served here" in grpc["stream error"]
     for n in (0, 1, 3):
         length = answer_length(f"q{n}", 10, 30)
-        expected = {"text": whole(f"q{n}"), "responses": length + (n == 3), "finals": 1, "empty": n == 3}
+        expected = {
+            "text": expected_text(f"q{n}"),
+            "responses": length + (n == 3),
+            "finals": 1,
+            "empty": n == 3,
+        }
         assert grpc["streams"][str(n)] == expected
--- a/tests/fronts/test_mapping.py
+++ b/tests/fronts/test_mapping.py
@@ -1,7 +1,7 @@
-"""What the parameters of a v2 request become in the core's request.
+"""The parameters of a v2 request set the fields of the core's request.
 
-A parameter whose field in the core has another name once was passed on under its own: every request that had it failed
-inside the node.
+Once a parameter was passed on under its own name although its field in the core has another name, so every
+request with that parameter failed inside the node.
 """
 
 from __future__ import annotations
--- a/tests/fronts/test_tensors.py
+++ b/tests/fronts/test_tensors.py
@@ -1,6 +1,4 @@
-"""Tensors of the v2 protocol: what is written comes back, and garbage is told, never raised past
-`TensorError`.
-"""
+"""Tensors of the v2 protocol: encoding and decoding agree; invalid data raises nothing but `TensorError`."""
 
 from __future__ import annotations
 
@@ -53,14 +51,14 @@
     data: st.DataObject, datatype: str, shape: list[int]
 ) -> None:
     count = math.prod(shape)
-    one = Tensor(
+    tensor = Tensor(
         "t", datatype, tuple(shape), data.draw(st.lists(values(datatype), min_size=count, max_size=count))
     )
-    raw = from_raw("t", datatype, shape, to_raw(one))
-    assert list(raw.values) == list(one.values) and raw.shape == one.shape
+    raw = from_raw("t", datatype, shape, to_raw(tensor))
+    assert list(raw.values) == list(tensor.values) and raw.shape == tensor.shape
     if datatype != "BYTES":
-        again = from_json("t", datatype, shape, json.loads(json.dumps(list(one.values))))
-        assert list(again.values) == list(one.values)
+        again = from_json("t", datatype, shape, json.loads(json.dumps(list(tensor.values))))
+        assert list(again.values) == list(tensor.values)
     field = {
         "BOOL": "bool_contents",
         "INT64": "int64_contents",
@@ -70,8 +68,8 @@
         "BYTES": "bytes_contents",
     }.get(datatype)
     if field:
-        contents = pb.InferTensorContents(**{field: one.values})
-        assert list(from_contents("t", datatype, shape, contents).values) == list(one.values)
+        contents = pb.InferTensorContents(**{field: tensor.values})
+        assert list(from_contents("t", datatype, shape, contents).values) == list(tensor.values)
 
 
 @examples(max_examples=300, deadline=None, derandomize=True)
@@ -80,7 +78,7 @@
     st.lists(st.integers(-2, 1 << 40), max_size=3),
     st.binary(max_size=60),
 )
-def test_raw_garbage_is_told(datatype: str, shape: list[int], data: bytes) -> None:
+def test_invalid_raw_data_is_an_error(datatype: str, shape: list[int], data: bytes) -> None:
     try:
         found = from_raw("t", datatype, shape, data)
     except TensorError as error:
@@ -119,24 +117,24 @@
 
 @examples(max_examples=400, deadline=None, derandomize=True)
 @given(JSON, st.binary(max_size=20), st.one_of(st.none(), st.text(max_size=4), st.integers(0, 200).map(str)))
-def test_json_garbage_is_told(body: Any, tail: bytes, header: str | None) -> None:
+def test_an_invalid_json_body_is_an_error(body: Any, tail: bytes, header: str | None) -> None:
     data = json.dumps(body).encode()
-    for act in (
+    for parse in (
         lambda: rest_infer("m", "", data + (tail if header is not None else b""), header),
         lambda: parse_generate("m", "", data),
     ):
         try:
-            act()
+            parse()
         except InvalidRequestError as error:
             assert error.field
 
 
 @examples(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=80))
-def test_messages_that_parse_are_taken_apart_or_told(data: bytes) -> None:
+def test_any_message_is_parsed_or_is_an_error(data: bytes) -> None:
     try:
         message = pb.ModelInferRequest.FromString(data)
-    except Exception:  # protobuf's own, by implementation
+    except Exception:  # The type of protobuf's error depends on its implementation.
         return
     try:
         grpc_infer(message)
@@ -144,7 +142,7 @@
         assert error.field
 
 
-def test_the_binary_extension_takes_tensors_apart_by_their_sizes() -> None:
+def test_the_binary_extension_splits_tensors_by_their_sizes() -> None:
     head = {
         "inputs": [
             {"name": "max_tokens", "shape": [1], "datatype": "INT32", "parameters": {"binary_data_size": 4}},
