--- a/tuliptrack/cli/bills.py
+++ b/tuliptrack/cli/bills.py
@@ -34,7 +34,7 @@
 
 def _usage_records(ledgers: tuple[str, ...]) -> list[UsageRecord]:
     try:
-        return [record for path in ledgers for record in read_parts(path)]
+        return [record for path in ledgers for record in read_usage_records(path)]
     except LedgerError as error:
         raise click.ClickException(str(error)) from None
 
@@ -50,7 +50,7 @@
         key: asdict(total) for key, total in daily_totals(compute_bills(_usage_records(ledgers))).items()
     }
     for path in ledgers:
-        for compacted in read_sums(path):
+        for compacted in read_daily_totals(path):
             row = rows.setdefault((compacted.tenant, compacted.day), {})
             for name in DailyTotal.__dataclass_fields__:
                 row[name] = row.get(name, 0) + getattr(compacted, name)
@@ -111,7 +111,7 @@
     try:
         ledger = Ledger(target)
         ledger.close()
-        existing = {record.key: record for record in read_parts(target)}
+        existing = {record.key: record for record in read_usage_records(target)}
         newest = newest_states(merged)
         ledger = Ledger(target)
         for key, record in sorted(newest.items()):
