--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -161,7 +161,7 @@
     def rejected(self, reason: str, retry_after: int) -> None:
         self.ends.append("rejected")
 
-    def failed(self, how: Failure, reason: str, next_index: int) -> None:
+    def failed(self, failure: Failure, reason: str, next_index: int) -> None:
         self.ends.append("failed")
 
 
--- a/tests/rpc/test_http1.py
+++ b/tests/rpc/test_http1.py
@@ -102,7 +102,10 @@
     async def go() -> None:
         budget = ByteBudget(10_000)
         server = HttpServer(
-            echo, reject_early, HttpLimits(body_bytes=3_000, header_bytes=500, request_within=300_000), budget
+            echo,
+            reject_early,
+            HttpLimits(body_bytes=3_000, header_bytes=500, request_timeout=300_000),
+            budget,
         )
         await server.listen()
         await talk(server, cut(REQUESTS[:at] + junk + REQUESTS[at:], places))
--- a/tuliptrack/config/node.py
+++ b/tuliptrack/config/node.py
@@ -198,7 +198,7 @@
 
     names: tuple[str, ...] = ()
     report: str = ""
-    report_every: int = 10_000_000
+    report_interval: int = 10_000_000
     """Microseconds."""
     report_bytes: int = 67_108_864
 
@@ -216,7 +216,7 @@
     priority_classes: tuple[str, ...] = ()
     """Names of request classes; the request parameter `priority` selects one, counted from 1."""
     connections: int = 1_024
-    request_within: int = 10_000_000
+    request_timeout: int = 10_000_000
     """Microseconds."""
     idle: int = 60_000_000
     """Microseconds."""
@@ -234,7 +234,7 @@
     commit: int = 200_000
     """Microseconds."""
     ledger_bytes: int = 1 << 30
-    refuse_when_full: bool = False
+    reject_when_full: bool = False
     keep_days: int = 400
     windows: dict[str, tuple[BudgetWindow, ...]] = field(default_factory=dict)
     weights: tuple[int, int, int] = (10, 1, 30)
@@ -242,7 +242,7 @@
     spread: float = 4.0
     lend: bool = True
     prices: tuple[tuple[int, TokenPrice], ...] = ()
-    refuse_over: frozenset[str] = frozenset()
+    rejecting_classes: frozenset[str] = frozenset()
     """Names of the classes whose requests are rejected when the tenant is over its budget."""
 
 
--- a/tuliptrack/fronts/kserve/rest.py
+++ b/tuliptrack/fronts/kserve/rest.py
@@ -183,7 +183,7 @@
                 header_bytes=limits.header_bytes,
                 body_bytes=limits.message_bytes,
                 pending_high=limits.answer_bytes,
-                request_within=options.request_within,
+                request_timeout=options.request_timeout,
                 idle=options.idle,
                 connections=options.connections,
             ),
--- a/tuliptrack/lab/soak/agent.py
+++ b/tuliptrack/lab/soak/agent.py
@@ -52,7 +52,7 @@
         self._starts_ms: dict[str, int] = {}
         self._changed = asyncio.Event()
         self._answering: set[asyncio.Task[None]] = set()
-        limits = HttpLimits(request_within=60_000_000, idle=60_000_000, connections=4_096)
+        limits = HttpLimits(request_timeout=60_000_000, idle=60_000_000, connections=4_096)
         self.servers = {
             address: HttpServer(self._handle, no_early_rejection, limits, large_byte_budget())
             for pair in world.agents.values()
--- a/tuliptrack/lab/soak/engine.py
+++ b/tuliptrack/lab/soak/engine.py
@@ -44,7 +44,7 @@
         self._states.mkdir(exist_ok=True)
         self._random = random.Random(f"{seed} {name}")
         self._answering: set[asyncio.Task[None]] = set()
-        limits = HttpLimits(request_within=60_000_000, idle=60_000_000)
+        limits = HttpLimits(request_timeout=60_000_000, idle=60_000_000)
         self.server = HttpServer(self._handle, no_early_rejection, limits, large_byte_budget())
 
     def _handle(self, call: HttpCall) -> None:
--- a/tuliptrack/node/billing.py
+++ b/tuliptrack/node/billing.py
@@ -97,7 +97,7 @@
 
     def rejection_reason(self) -> str:
         """Return why every new request is rejected; empty unless usage can't be recorded."""
-        is_rejecting = self.recorder.commit_error and self.options.refuse_when_full
+        is_rejecting = self.recorder.commit_error and self.options.reject_when_full
         return "bills can't be written" if is_rejecting else ""
 
     def check_budget(self, now: int, record: RequestRecord, class_index: int) -> BudgetVerdict:
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -193,7 +193,7 @@
         self.sweep()
         self.channels.close_idle()
         now = now_us()
-        if now - self._interval_closed_at_us > self.config.zones.report_every:
+        if now - self._interval_closed_at_us > self.config.zones.report_interval:
             self._interval_closed_at_us = now
             if interval := self.cross_zone_account.close_interval():
                 await asyncio.to_thread(self.cross_zone_account.write, interval)
@@ -258,7 +258,7 @@
     def admit(self, now_us: int, record: RequestRecord, class_index: int) -> AdmissionDecision:
         """Check a request against its tenant's budgets."""
         verdict = self.billing.check_budget(now_us, record, class_index)
-        if verdict.is_over and record.client_request.request_class in self.config.billing.refuse_over:
+        if verdict.is_over and record.client_request.request_class in self.config.billing.rejecting_classes:
             reason = f"the tenant's token budget of {verdict.window_us / 1e6:g} s is used up"
             # Unlike other retry delays this one is not capped: an earlier retry would be rejected too.
             return AdmissionDecision(reason, verdict.retry_after_us or 0, is_over_budget=True)
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -81,13 +81,13 @@
             headers = _retry_after(max(retry_after_us / 1e6, MIN_RETRY_AFTER_S))
         self.call.error(_SERVICE_UNAVAILABLE, rejection_text(reason), headers)
 
-    def failed(self, how: Failure, reason: str, next_index: int) -> None:
+    def failed(self, failure: Failure, reason: str, next_index: int) -> None:
         """Answer that the request failed; if the answer has started, abort the connection."""
         self.close()
         if self.call.started:
             self.call.abort()
         else:
-            self.call.error(_STATUS_BY_FAILURE[how], f"failed: {reason}")
+            self.call.error(_STATUS_BY_FAILURE[failure], f"failed: {reason}")
 
     def _free_body(self) -> None:
         self.front.body_budget.release(self._reserved_bytes)
--- a/tuliptrack/relay/node.py
+++ b/tuliptrack/relay/node.py
@@ -283,7 +283,7 @@
     return HttpLimits(
         header_bytes=MAX_HEAD_BYTES,
         body_bytes=MAX_BODY_BYTES,
-        request_within=REQUEST_TIMEOUT_US,
+        request_timeout=REQUEST_TIMEOUT_US,
         first_within=REQUEST_TIMEOUT_US,
         idle=CLIENT_IDLE_TIMEOUT_US,
         connections=max_connections,
--- a/tuliptrack/rpc/http1.py
+++ b/tuliptrack/rpc/http1.py
@@ -59,9 +59,9 @@
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
     pending_high: int = 32_768
-    request_within: int = 10_000_000
+    request_timeout: int = 10_000_000
     first_within: int = 0
-    """From the connect to the first complete request; 0: bounded by `request_within` and `idle` only."""
+    """From the connect to the first complete request; 0: bounded by `request_timeout` and `idle` only."""
     idle: int = 60_000_000
     connections: int = 1_024
 
@@ -458,7 +458,7 @@
         if self._timer:
             self._timer.cancel()
         now = self.loop.time()
-        at = now + (limits.request_within if self._was_mid_request else limits.idle) / 1e6
+        at = now + (limits.request_timeout if self._was_mid_request else limits.idle) / 1e6
         if limits.first_within and not self.served:
             at = min(at, self.connected + limits.first_within / 1e6)
         self._timer = self.loop.call_later(max(at - now, 0), self._timed_out)
@@ -468,7 +468,7 @@
         if self.call:
             return
         if self.side.is_mid_request:
-            within = self.server.limits.request_within / 1e6
+            within = self.server.limits.request_timeout / 1e6
             self.reject(Rejection(408, f"request: not sent whole within {within:g} s"))
         else:
             self.close_gracefully()
