--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -43,8 +43,8 @@
 WITHDRAWN = frozenset(WITHDRAWN_WORDS.split())
 PROTO_NAMES = frozenset({"GONE", "LookRequest", "died", "kept", "kept_tokens", "life", "trouble", "whole"})
 """Messages, enum members and fields of the .proto files."""
-STORED_KEYS = frozenset({"most_out", "most_out_zone", "refuse_over", "refuse_when_full"})
-"""Keys of plans and of settings, which are stored or written by operators."""
+STORED_KEYS = frozenset({"most_out", "most_out_zone"})
+"""Keys of rollout plans, which are stored and written by operators."""
 ALLOWED = PROTO_NAMES | STORED_KEYS | {"most_ready"}
 """Names that stay; `docs/glossary.md` has the terms of the code beside them."""
 FOREIGN_NAMES = {
