--- a/tests/decisions/test_consensus.py
+++ b/tests/decisions/test_consensus.py
@@ -25,7 +25,7 @@
 
 @dataclass
 class SimulatedNetwork:
-    """Proposers, acceptors and the messages in flight between them; delivering a message calls it."""
+    """Proposers, acceptors and the messages in flight between them. Calling a message delivers it."""
 
     proposers: list[Proposer]
     acceptors: dict[str, Acceptor]
--- a/tests/decisions/test_sequential_test.py
+++ b/tests/decisions/test_sequential_test.py
@@ -10,7 +10,7 @@
 def test_evidence_comes_from_differences_between_nodes_and_not_from_numbers_of_requests() -> None:
     """A burst that all nodes of a stratum share is no evidence, however many requests go badly in it.
 
-    A stratum without an old node is no evidence either.
+    A stratum in which every node is new is no evidence either.
     """
     baseline, test = Baseline(), SequentialTest()
     windows = [NodeWindow(f"n{i}", Stratum("z", "c"), 100, 2) for i in range(6)]
--- a/tests/relay/test_corroboration.py
+++ b/tests/relay/test_corroboration.py
@@ -167,7 +167,7 @@
 
 
 def test_an_attempt_on_a_new_connection_is_not_taken_to_have_arrived() -> None:
-    """A kernel, a proxy or a middlebox may have accepted the connection."""
+    """A kernel, a proxy or a middlebox may have accepted the connection, and not the engine itself."""
 
     async def go() -> None:
         engines = Engines()
--- a/tests/relay/test_hostile_advice.py
+++ b/tests/relay/test_hostile_advice.py
@@ -92,7 +92,8 @@
 
 @pytest.mark.parametrize("number", HOSTILE_NUMBERS.values(), ids=HOSTILE_NUMBERS)
 def test_an_answer_with_unusable_token_counts_is_served(number: str) -> None:
-    """The prefill engine's cached tokens, and the usage at the end of the decode engine's stream."""
+    """The counts are the cached tokens of the prefill engine's answer, and the usage at the end of the decode
+    engine's stream."""
     usage = (
         f'{{"usage":{{"prompt_tokens_details":{{"cached_tokens":{number}}},"completion_tokens":{number}}}}}'
     )
--- a/tests/relay/test_hostile_lists.py
+++ b/tests/relay/test_hostile_lists.py
@@ -1,7 +1,8 @@
 """Endpoint lists with values that JSON allows and nobody expects.
 
 The tests guard against a field of one entry that raises an unexpected error in the parser of lists. Every list with
-this entry would be rejected as a whole, and new requests would still go to engines that it states as draining.
+this entry would be rejected as a whole, and new requests would still go to engines that are draining according to that
+list.
 """
 
 from __future__ import annotations
--- a/tests/relay/test_ready.py
+++ b/tests/relay/test_ready.py
@@ -16,8 +16,7 @@
 from world import run, until
 
 READY_WITHIN_S = 10.0  # the platform's limit for nine nodes in ten
-# A node may take this many times the processor time of a bare interpreter until it serves. Measured, see
-# docs/design/relay.md.
+# Until it serves, a node may take this many times the processor time of a bare interpreter; see docs/design/relay.md.
 MAX_CPU_RATIO = 24
 
 
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -50,7 +50,7 @@
 
 
 def test_end_to_end_header_fields_reach_engines_and_hop_by_hop_fields_do_not() -> None:
-    """Requests of classes that may be repeated with a key carry it in a header field that no settings name."""
+    """A request of a class that may be repeated with a key has the key in a header field that no settings name."""
 
     async def go() -> None:
         async with platform(r0=answer_prefill, w0=answer_decode) as p:
--- a/tuliptrack/decisions/model_catalog.py
+++ b/tuliptrack/decisions/model_catalog.py
@@ -65,7 +65,7 @@
 
     is_full: bool
     models: set[Model]
-    """Models that count towards the limit."""
+    """Models that count towards `MAX_MODELS`."""
     endpoints: dict[Model, list[EndpointInfo]] = field(default_factory=lambda: defaultdict(list))
 
 
--- a/tuliptrack/decisions/rollout_evidence.py
+++ b/tuliptrack/decisions/rollout_evidence.py
@@ -23,7 +23,7 @@
 PROMOTION_MEASURES = ("refused", "failed", "broken", "late")
 """Measures that must be shown to be within the margin; others only must not show evidence of harm."""
 HARM_MEASURES = ("refused", "failed", "broken")
-"""Measures in which harm to old and new nodes alike is detected."""
+"""Measures whose excess over the usual shows harm that affects old and new nodes alike."""
 FALSE_ROLLBACKS = 0.002
 """Significance level over all measures; low, as nodes' lasting differences are not all known."""
 MAX_PROMOTION_EVIDENCE = 1.0
--- a/tuliptrack/decisions/rollout_plan.py
+++ b/tuliptrack/decisions/rollout_plan.py
@@ -38,7 +38,7 @@
     least_requests: int = 200
     """Requests of the new nodes that must be compared with old ones' of the same zones and classes."""
     shortest: int = 60_000_000
-    """Time since the last of its hosts was ready: a crash or a leak takes time to show."""
+    """Minimum time with all of its hosts ready before it ends: a crash or a leak takes time to show."""
     longest: int = 600_000_000
     """Time after which a stage that has shown nothing is rolled back."""
 
--- a/tuliptrack/decisions/sequential_test.py
+++ b/tuliptrack/decisions/sequential_test.py
@@ -28,7 +28,8 @@
 MAX_DEVIATION = 3.0
 """Bound on a node's deviation in one window, so that one bad moment does not decide the test."""
 PRIOR_BAD_REQUESTS = 12.0
-"""Weight of the stratum in a node's expected share, in bad requests; a node with few is little known."""
+"""The usual share of the stratum counts as this many bad requests in a node's expected share, because a node
+with few bad requests of its own is little known."""
 RETAINED_SHARE = 0.98
 """Fraction of the past that is retained at each window, so that about fifty windows count."""
 ERROR_BOUND = 2.6
@@ -57,7 +58,7 @@
 
 
 class Excess(NamedTuple):
-    """Bad requests beyond the expected, and the requests they are among."""
+    """How many more requests went badly than expected, and out of how many."""
 
     bad: float
     requests: float
@@ -110,7 +111,7 @@
         self._nodes = {key: counts for key, counts in self._nodes.items() if key[0] in nodes}
 
     def excess(self, windows: Iterable[NodeWindow]) -> Excess:
-        """Return the bad requests beyond the usual, and the requests they are among."""
+        """Return how many more requests went badly than usual, and out of how many."""
         listed = list(windows)
         return Excess(
             sum(w.bad - w.requests * self.bad_share(w.node, w.stratum) for w in listed),
--- a/tuliptrack/decisions/shared_token_bucket.py
+++ b/tuliptrack/decisions/shared_token_bucket.py
@@ -60,7 +60,7 @@
     """One node's part of a token bucket that all nodes share."""
 
     def __init__(self, settings: SharedBucketSettings) -> None:
-        """Start empty; the node may use grants that are issued after the first call with a time."""
+        """Start empty; the node may use the grants issued after the first call that passes a time."""
         quantum, burst, replicas = settings.quantum, settings.burst, settings.replicas
         rate_per_us = settings.rate_per_s / 1e6
         granted_per_us = rate_per_us * (1 - settings.by_traffic)
--- a/tuliptrack/decisions/token_budget.py
+++ b/tuliptrack/decisions/token_budget.py
@@ -5,7 +5,7 @@
 
 - Windows of up to `MAX_GRANTED_WINDOW_US` are token buckets that the nodes share by grants in turn
   (`decisions/shared_token_bucket.py`): in any period W all nodes together use at most units x
-  (W / window + 1) and a grant, whatever the traffic.
+  (W / window + 1) plus one grant, whatever the traffic.
 - Longer windows, such as a day, follow the calendar: each node's part is units x spread / replicas, and its
   usage is restored after a restart, since a grant of a day would be lost with it. `spread` says how uneven a
   tenant's traffic may be: a tenant that reaches replicas / spread of the nodes can use all of its budget, one
@@ -90,7 +90,7 @@
 
     replicas: int
     windows: Mapping[str, tuple[BudgetWindow, ...]]
-    """By tenant; tenants without any have no budget."""
+    """The windows of each tenant; a tenant without windows has no budget."""
     replica_index: int = 0
     epoch_offset_us: int = 0
     """Added to the node's clock, it gives the time since 1970; set once, at the start."""
--- a/tuliptrack/decisions/zone_recovery.py
+++ b/tuliptrack/decisions/zone_recovery.py
@@ -112,7 +112,7 @@
         return ZoneState.RECOVERING
 
     def admits(self, now_us: int, zone: int, role: Role, position: float) -> bool:
-        """Whether a session may go to a zone; `position` is its own, from 0 to 1, the same at all nodes."""
+        """Whether a session may go to a zone; its `position`, from 0 to 1, is the same at all nodes."""
         started_us = self._ramp_started_us.get((zone, role))
         if started_us is None:
             return True
--- a/tuliptrack/node/event_dispatch.py
+++ b/tuliptrack/node/event_dispatch.py
@@ -68,7 +68,7 @@
         record = self._core.table.open.get(request_id)
         self.active_router = record.router if record else router or self._core.router
         actions = self._actions_of_router(event, request_id)
-        record = self._core.table.open.get(request_id)  # Removed if its router failed.
+        record = self._core.table.open.get(request_id)  # None if its router failed.
         if record and isinstance(event, io.AttemptEnded):
             record.pending_events -= 1
         for action in actions:
--- a/tuliptrack/node/grpc_engine_client.py
+++ b/tuliptrack/node/grpc_engine_client.py
@@ -33,8 +33,8 @@
 SHORT_CALL_TIMEOUT_US = 1_000_000
 """Timeout of Release, Hold and Probe calls, which engines answer without queueing."""
 RELEASE_TIMEOUTS_US = (250_000, SHORT_CALL_TIMEOUT_US)
-"""Timeouts of the attempts to send a release: when the second one is sent, a silent connection counts as
-doubtful, so another one is used."""
+"""Timeouts of the two attempts to send a release. By the time of the second attempt, a connection that has
+stayed silent counts as doubtful, so the second attempt uses another connection."""
 RELEASE_TRANSIT_US = 60_000
 """Maximum time that a release takes to reach its engine, even on a busy machine."""
 
--- a/tuliptrack/node/log_output.py
+++ b/tuliptrack/node/log_output.py
@@ -35,7 +35,7 @@
         self._unreported = 0
         """Dropped lines that were not yet reported in the log."""
         self._has_partial_line = False
-        """Whether the last line written was cut."""
+        """Whether the last line was written only in part."""
         try:
             mode = os.fstat(descriptor).st_mode
         except OSError:
--- a/tuliptrack/node/request_reader.py
+++ b/tuliptrack/node/request_reader.py
@@ -24,7 +24,8 @@
 """The token counts of a `ClientRequest`, and the names by which clients know them."""
 
 DEADLINE_OBJECTIVE_FACTOR = 2
-"""How many times the growth of its latency objective with the prompt length a client is assumed to wait."""
+"""A client that states no deadline is assumed to wait for the deadline of its class, plus this many times the
+growth of its latency objective with the prompt length."""
 MAX_QUOTED_CHARACTERS = 60
 """Maximum number of characters of the client's own text that an error quotes."""
 
--- a/tuliptrack/relay/agent_polls.py
+++ b/tuliptrack/relay/agent_polls.py
@@ -50,7 +50,8 @@
 MAX_POLLS_PER_AGENT = 8
 """Maximum number of polls open at once, each on a connection of its own."""
 MAX_POLL_S = 2.5
-"""Maximum duration of a poll: two of them and a backoff fit into the 6 s of the platform."""
+"""Maximum duration of a poll: two polls and a backoff fit into the 6 s after which the platform considers a
+list received."""
 MAX_OLDER_ANSWERS = 3
 """After so many consecutive answers that are older than the known list, the agent must have restarted."""
 MAX_BODY_BYTES = 16_777_216
--- a/tuliptrack/routing/outlier_detection.py
+++ b/tuliptrack/routing/outlier_detection.py
@@ -52,7 +52,10 @@
         self._state, self._outbox, self._locality = state, outbox, locality
 
     def is_usable(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
-        """Whether an endpoint is not ejected for a request, or is due for a health-check attempt.
+        """Whether a request may be sent to an endpoint.
+
+        It may if the endpoint is not ejected in any scope of the request, or if a health-check attempt is due
+        in every scope of the request in which it is.
 
         Ejections for slow streams are ignored while this node sheds load: then even a slow endpoint is
         needed.
--- a/tuliptrack/routing/slow_streams.py
+++ b/tuliptrack/routing/slow_streams.py
@@ -1,10 +1,10 @@
 """Decides which decode endpoints are ejected because their streams are slower than those of their peers.
 
-Such an endpoint answers in time, so no attempt fails. It is detected because fewer of its streams complete
-per streaming time than at its peers in the same seconds; if all endpoints are equally slow, none is ejected.
-Only health checks are sent to an ejected endpoint, and its streams are migrated if clients can resume them.
-Detection and ejections are suspended while the node sheds load, because even slow capacity is needed then.
-Times are microseconds.
+Such an endpoint answers in time, so no attempt fails. It is detected because fewer of its streams complete,
+in relation to their total streaming time, than at its peers in the same seconds; if all endpoints are equally
+slow, none is ejected. Only health checks are sent to an ejected endpoint, and its streams are migrated if
+clients can resume them. Detection and ejections are suspended while the node sheds load, because even slow
+capacity is needed then. Times are microseconds.
 """
 
 from __future__ import annotations
--- a/tuliptrack/rpc/channel.py
+++ b/tuliptrack/rpc/channel.py
@@ -387,7 +387,7 @@
         return call
 
     def _connect_if_needed(self) -> None:
-        """Open a connection if calls wait, or one is doubted, and no connection is being opened."""
+        """Open a connection if calls wait or a connection is doubted, and none is being opened."""
         live = sum(1 for link in self.links if not link.core.draining and not link.proofs.doubtful)
         has_capacity = live < self.options.max_links and len(self.links) < 2 * self.options.max_links
         if (self.waiting or self._doubted) and not self._connecting and has_capacity and not self._closed:
--- a/tuliptrack/rpc/core.py
+++ b/tuliptrack/rpc/core.py
@@ -204,7 +204,7 @@
         self._reset_calls: dict[int, Traffic] = {}
         """Calls reset here whose peer may still be sending; the last `_MAX_RESET_CALLS`."""
         self._sendable: dict[int, None] = {}
-        """Calls that may have something to send, in the order in which they got it."""
+        """Calls that may have something to send, in the order in which they were added."""
         self._send_events: list[Event] = []
         self._extra_frames = bytearray()
         self._control = TokenBucket(lim.control_burst, lim.control_per_s, now)
--- a/tuliptrack/rpc/http1.py
+++ b/tuliptrack/rpc/http1.py
@@ -491,11 +491,11 @@
         self.links: dict[_HttpLink, None] = {}
         """Every connection."""
         self._idle: dict[_HttpLink, None] = {}
-        """Those that had a request and have none now, the one idle for longest first."""
+        """Connections that have had a request and have none now, the one idle for longest first."""
         self._new: dict[_HttpLink, None] = {}
-        """Those that have not sent a complete request yet, the oldest first."""
+        """Connections that have not sent a complete request yet, the oldest first."""
         self._lingering: dict[_HttpLink, None] = {}
-        """Those whose write side is shut down, the first one first."""
+        """Connections whose write side is shut down, the one shut down first comes first."""
         self.last = self.stopping = False
         """`last`: each connection is closed after its next answer."""
         self.rejected_connections = self.evictions = 0
--- a/tuliptrack/rpc/http1_client.py
+++ b/tuliptrack/rpc/http1_client.py
@@ -22,7 +22,7 @@
     """Times in microseconds, sizes in bytes."""
 
     connect_timeout: int = 250_000
-    """Within which a working connection has to be found."""
+    """Time within which a working connection has to be found."""
     idle: int = 12_000_000
     """How long a connection may be idle and still be reused."""
     rest: int = 50_000
@@ -44,7 +44,7 @@
         """Note that nothing has been received on one of its connections since then, though it should have."""
 
     def return_to_pool(self, connection: ClientConnection) -> None:
-        """Take back a connection without an exchange."""
+        """Take back a connection that has no exchange."""
 
     def remove_connection(self, connection: ClientConnection) -> None:
         """Forget a connection that has ended."""
@@ -104,7 +104,7 @@
         self.owner.mark_heard()
         self.heard_at = self.owner.loop.time()
         exchange = self.exchange
-        if exchange is None:  # No request was sent.
+        if exchange is None:  # No request is open on it.
             self.drop("unasked")
             return
         exchange.heard = exchange.heard or exchange.sent
--- a/tuliptrack/rpc/http1_exchange.py
+++ b/tuliptrack/rpc/http1_exchange.py
@@ -95,8 +95,8 @@
         self.needs_validation = False
         """It is only sent on a connection that has just been shown to work: a pooled one is probed first."""
         self.probe_sent_at = 0.0
-        """When the probe was sent, on the loop's clock, that its connection answered before the request was
-        sent on it; 0: there was none."""
+        """Time of a probe, on the loop's clock: its connection answered the probe before the request was sent
+        on it. 0 if there was no probe."""
         self.needs_new_connection = False
         """It is sent on a new connection, whatever the pool holds."""
         self.open, self.status = True, 0
@@ -109,7 +109,7 @@
         """Monotonic microseconds until which it waits for a connection; never longer than
         `ClientOptions.connect_timeout`, which alone applies if this is 0."""
         self.is_malformed = self.is_connection_only = False
-        """Of one that failed. `is_malformed`: the answer was malformed.
+        """Both say why an exchange failed. `is_malformed`: the answer was malformed.
 
         `is_connection_only`: the failure concerns its own connection, not the peer. The connection was
         reused and had brought no answer, or the answer was malformed, or other connections to the address are
--- a/tuliptrack/rpc/link.py
+++ b/tuliptrack/rpc/link.py
@@ -80,7 +80,7 @@
             self.on_event(event)
 
     def flush_soon(self) -> None:
-        """Write the core's output after the bytes being read are processed, or at the iteration's end."""
+        """Write the core's output once the bytes being read are processed; by `call_soon` if none are."""
         if _read_batch.links is not None:
             _read_batch.links[self] = None
         elif not self._scheduled and not self.closed:
--- a/tuliptrack/rpc/status.py
+++ b/tuliptrack/rpc/status.py
@@ -138,7 +138,10 @@
 
 
 def encode_message(text: str) -> bytes:
-    """Percent-encode a grpc-message: all but printable ASCII, and the percent sign."""
+    """Percent-encode the first 1024 bytes of a grpc-message.
+
+    Only printable ASCII other than the percent sign stays as it is.
+    """
     return quote_from_bytes(text.encode()[:1024], safe=" !\"#$&'()*+,/:;<=>?@[\\]^`{|}").encode()
 
 
--- a/tuliptrack/state/demand.py
+++ b/tuliptrack/state/demand.py
@@ -49,7 +49,8 @@
         """Record one request.
 
         The first requests weigh more than later ones. The overall mean starts at zero, so at first each class
-        counts as more costly than it is: twice as much, then one and a half times, and so on.
+        seems more costly in relation to it than it is: by a factor of 2 after the first request, of 1.5 after
+        the second, and so on.
         """
         self.request_count += 1
         if prefix:
--- a/tuliptrack/structures/sorted_members.py
+++ b/tuliptrack/structures/sorted_members.py
@@ -17,7 +17,7 @@
 
 
 class SortedMembers(Generic[T]):
-    """A mapping in the order of its keys. It holds the members that were put and not removed."""
+    """Members in ascending order of their keys, by position. It holds those that were put and not removed."""
 
     __slots__ = ("_keys", "_members")
 
