--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -23,7 +23,7 @@
 
 CALL_TIMEOUT_US = 2_000_000
 TIMEOUT_S = 60
-"""For one test."""
+"""Time limit of one test."""
 ONE, TWO = NodeRelease("one", "conf"), NodeRelease("two", "conf")
 NODE = f"#!{sys.executable}\nimport json, time\nprint(json.dumps({{'address': '127.0.0.1:9'}}), flush=True)\ntime.sleep(600)\n"
 IGNORES_SIGTERM = NODE.replace(
--- a/tests/fronts/test_kserve.py
+++ b/tests/fronts/test_kserve.py
@@ -493,14 +493,14 @@
             async with rest(w) as other:
                 other.generate("q2 what?", max_tokens=20)
                 assert (await other.answer())[1]["completion_tokens"] == 20
-            await until(lambda: not w.node.table.open)  # Its time to read has passed.
+            await until(lambda: not w.node.table.open)  # The client read too slowly, so it was cut off.
             assert w.node.bodies.used_bytes == 0
 
     run(go)
 
 
 def test_all_fronts_lead_to_the_same_requests_and_the_same_decisions() -> None:
-    """For the same requests, the router's events and decisions agree, but for request numbers."""
+    """The same requests cause the same router events and decisions through each front, except request numbers."""
     recorded: dict[str, list[Any]] = {}
 
     async def go(form: str) -> None:
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -115,8 +115,8 @@
 
 
 def test_a_small_fleet_of_hollow_nodes_hears_of_every_change(tmp_path: Path) -> None:
-    """Real discovery clients, lists and decisions in processes; judged by what the list servers and the nodes
-    counted.
+    """The nodes are processes with real discovery clients, endpoint lists and decisions. Checked by the counts of
+    the list servers and the nodes.
     """
     path = tmp_path / "fleet.json"
     done = CliRunner().invoke(
--- a/tests/lab/test_fleet_simulation.py
+++ b/tests/lab/test_fleet_simulation.py
@@ -51,7 +51,7 @@
 
 def test_a_fleet_that_lost_its_caches_recovers_within_8_seconds() -> None:
     """Guards against rejecting requests while prefill engines are idle: an earlier router did so for ten
-    seconds and never got back to 90% in time.
+    seconds and never got back to serving 90% of the requests in time.
     """
     recovery_us = [FleetSimulation(FLUSH, seed).run().recovery_us(FLUSH.change_start_us) for seed in SEEDS]
     assert all(us is not None and us <= 8 * SECOND_US for us in recovery_us), recovery_us
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -208,8 +208,8 @@
 
 
 def test_a_stream_handed_back_is_a_violation_only_with_hostile_advice() -> None:
-    """Guards against a false alarm, found with seed 1411: a node handed a stream back to the client to be resumed, and
-    its engine completed the answer.
+    """Guards against a false alarm (seed 1411): a node had handed a stream back to the client to be resumed, so the
+    client lacked the end of an answer that the engine completed.
     """
     cut_off = [*VIOLATING["advice"][:2], {**VIOLATING["advice"][2], "status": 200, "whole": False}]
     advice: Record = {
@@ -284,7 +284,7 @@
 
 def test_deadlines_allow_for_the_nodes_time_in_the_run_queue() -> None:
     """The kernel's count of time in the run queue shows how long the node waited for a processor."""
-    attempt = VIOLATING["deadline"]  # 0.5 s more than the client has left
+    attempt = VIOLATING["deadline"]  # its time budget is 0.5 s more than the client has left
     waits: Record = {"who": "runner", "event": "waited to run", "target": "n0"}
     before, within = {**waits, "t": 0.9, "seconds": 0.4}, {**waits, "t": 1.4, "seconds": 0.4}
     assert rules([*served(), *attempt, within]) == set()
--- a/tests/oracle/brain.py
+++ b/tests/oracle/brain.py
@@ -57,12 +57,12 @@
 )
 
 MAX_QUEUE_SHARE = 0.5  # share of the latency objective that a queue may take; above it requests spill over, and are shed if all are above it
-SPILL_ENDPOINTS = 3  # prefill endpoints in a prefix's hash order to spill over to, including the last affinity endpoint
+SPILL_ENDPOINTS = 3  # number of prefill endpoints to spill over to, in a prefix's hash order, counted from its last affinity endpoint on
 MAX_AFFINITY_SHARE = 0.28  # maximum share of the prefill endpoints with affinity to one prefix: nodes see little of their queues
 AFFINITY_HEADROOM = 2.0  # ratio of a popular prefix's share of the prefill endpoints to its share of this node's demand
 ASSIGNED_DECAY_US = 20_000_000  # microseconds, time constant of the decay of the tokens assigned to a role: some tens of requests
 MAX_CACHED_RANKINGS = 1000  # keys whose hash order is cached; sessions without a prefix are keys too
-LOW_PRIORITY_FACTOR = 0.5  # share of the queue limit above which the lowest priority is shed (the value in the design)
+LOW_PRIORITY_FACTOR = 0.5  # share of the queue limit above which the lowest priority is shed
 TOP_PRIORITY_FACTOR = 1.6  # multiple of the queue limit above which the highest priority is shed too: most of it would only be late
 SAMPLE_WEIGHT = 0.2  # weight of a new sample in an average: about the last five prefills, a second of traffic
 MIN_TIMEOUT_SHARE = 0.5  # minimum time-out, as a share of the latency objective: two attempts still fit into it
@@ -416,8 +416,8 @@
         return (loaded_sum + math.fsum(load * count for (_, _, load), count in unloaded.items())) / len(loads)
 
     def _projected_loads(self, endpoints: list[Endpoint]) -> dict[int, float]:
-        """This node's projected tokens at each endpoint and at its whole role, each divided by the listed capacity. So an
-        endpoint of both roles that has prefills takes a KV state only if the decode endpoints are as loaded.
+        """This node's projected tokens at each endpoint and at its whole role, each divided by the listed capacity. The
+        prefills of endpoints of both roles count too, so these take a KV state only if the decode endpoints are as loaded.
         """
         role_loads = {role: self.statistics[role, False].assign(0.0, self.now, ASSIGNED_DECAY_US) / self.table.capacity(role)
                  for role in {s.role for s in endpoints}}
--- a/tests/oracle/state.py
+++ b/tests/oracle/state.py
@@ -85,11 +85,11 @@
     attempt_tokens: float = 0.0
     """Smoothed tokens of an attempt."""
     attempt_us: float = 0.0
-    """Smoothed time of an attempt."""
+    """Smoothed time from the sending of an attempt to its answer."""
     queued_tokens: float = 0.0
     """Smoothed tokens of an attempt and of those queued ahead of it."""
     us_per_token: float = 0.0
-    """The ratio of these two."""
+    """`attempt_us` divided by `queued_tokens`."""
     prefill_latency_us: float = 0.0
     timeout_or_error_share: float = 0.0
     """Smoothed share of attempts that ended with their own time-out or an error."""
@@ -163,7 +163,7 @@
     reported_at_us: int = 0
     """When the last report was received."""
     reported_waiting_tokens: float = 0.0
-    """Tokens that wait there to be prefilled or fetched, by the last report."""
+    """Tokens that wait at the endpoint to be prefilled or fetched, by its last report."""
     reported_memory_share: float = 0.0
     """Share of memory in use, by the last report."""
     prefill_latency_us: float = 0.0
@@ -173,7 +173,7 @@
     service_us: float = 0.0
     """Smoothed time between two answers (a prefill or a first token) while own attempts are waiting."""
     service_tokens: float = 0.0
-    """Smoothed tokens processed in such a time."""
+    """Smoothed number of tokens processed from one such answer to the next."""
     busy_since_us: int = 0
     projected_tokens: float = 0.0
     """Projected tokens of this node's requests that are decoded there."""
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -361,7 +361,7 @@
 async def platform(
     changes: dict[str, Any] | None = None, **scripts: Script | Peer
 ) -> AsyncIterator[Platform]:
-    """Run a relay with these engines: names in `r` are prefill engines, in `w` decode engines, in `m` both."""
+    """Run a relay with these engines. The first letter of a name is the role: `r` prefill, `w` decode, `m` both."""
     engines = {
         name: await (script if isinstance(script, Peer) else Peer(script)).start()
         for name, script in scripts.items()
--- a/tests/sources/test_endpoint_list.py
+++ b/tests/sources/test_endpoint_list.py
@@ -47,7 +47,7 @@
         47_000_000,
         EndpointState.DRAINING,
     )
-    # A later start under the same id is a new one, and never in the future.
+    # A later start time under the same id means that the engine has restarted; one in the future counts as now.
     third_update = endpoints.apply(
         pb.ServerList(
             version=3, servers=[entry(2, started_unix_us=DAY_US + 9_000_000)], kind=pb.ServerList.DELTA
--- a/tests/sources/test_start_times.py
+++ b/tests/sources/test_start_times.py
@@ -52,7 +52,7 @@
         > SLOW_START_US
     )
     start_times.record_list(NOW_US)
-    later = NOW_US + 25 * SECOND_US  # after an outage of discovery
+    later = NOW_US + 25 * SECOND_US  # discovery was down, so no list came for 25 s
     assert (
         later - start_times.to_monotonic_us(2, WALL_US + 10 * SECOND_US, later, WALL_US + 25 * SECOND_US)
         == 15 * SECOND_US
--- a/tests/test_bills_path.py
+++ b/tests/test_bills_path.py
@@ -158,7 +158,7 @@
 ) -> None:
     async def go() -> None:
         async with world(settings=BUDGET) as w:
-            await asyncio.sleep(1.1)  # only grants issued after the start are usable
+            await asyncio.sleep(1.1)  # a node may use only the budget grants issued after its start
             asked = [w.ask(tenant="small", request_class="strict", max_tokens=20) for _ in range(10)]
             ends = [await one.wait() for one in asked]
             refused = [e for e in ends if e.status.code is Code.UNAVAILABLE]
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -32,7 +32,7 @@
     "store",
     "structures",
 )
-"""Packages whose names were all gone through."""
+"""Packages in which no identifier may hold a withdrawn word."""
 WITHDRAWN_WORDS = """
 abroad aim asked beside blame blamed cold dark dear died drag dragging drags far flight gone homes
 hurried kept knock lap lapses life lone look looked meter moot most news outlook patience pinned
@@ -51,8 +51,8 @@
     "config/node.py": ["REFUSE_ALL", "REFUSE"],
     "rpc/core.py": ["REFUSED_STREAM"],
 }
-"""Names from elsewhere, by the only module that may use them: enum members of `config.proto`, and an HTTP/2 error
-code of RFC 9113, from h2."""
+"""Names with a withdrawn word that are defined elsewhere, by the only module that may use each: enum members of
+`config.proto`, and an HTTP/2 error code of RFC 9113, from h2."""
 
 
 def words_of(name: str) -> set[str]:
@@ -75,7 +75,7 @@
 
 
 def finished_modules() -> list[Path]:
-    """Every module that is finished."""
+    """Every module of the packages in `FINISHED`."""
     found: list[Path] = []
     for name in FINISHED:
         path = ROOT / name
--- a/tests/world.py
+++ b/tests/world.py
@@ -48,7 +48,7 @@
 
     async def run_and_check() -> None:
         await asyncio.wait_for(make(), seconds)
-        for _ in range(50):  # Closed transports end within the next iterations of the loop.
+        for _ in range(50):  # Closed transports need a few iterations of the loop to end.
             left = asyncio.all_tasks() - {asyncio.current_task()}
             if not left:
                 return
--- a/tuliptrack/cli/lab.py
+++ b/tuliptrack/cli/lab.py
@@ -103,7 +103,8 @@
 @click.option("--json", "path", type=click.Path(dir_okay=False), help="File for the report.")
 def play_hollow_fleet(path: str | None, **options: Any) -> None:
     """Simulate a fleet of hollow nodes (real discovery and routing, but no traffic to engines) and generated
-    engines: start, changes, the loss of a zone, changes of role, and silent discovery.
+    engines: start, changes, the loss of a zone, changes of role, and discovery that does not answer
+    for a while.
     """
     from tuliptrack.lab.hollow.fleet import FleetError, FleetPlan, play_fleet
 
--- a/tuliptrack/fleet/agent_state.py
+++ b/tuliptrack/fleet/agent_state.py
@@ -26,7 +26,7 @@
 
     acceptor: Acceptor
     order: Ballot
-    """Ballot of the record behind the last order."""
+    """Ballot of the rollout record from which the last stored order was derived."""
     release: NodeRelease
     """The release that the node has to run."""
     change_count: int = 0
--- a/tuliptrack/fleet/node_process.py
+++ b/tuliptrack/fleet/node_process.py
@@ -35,7 +35,7 @@
     """By the kernel's clock; if it differs, the pid was reused by another process."""
     release: NodeRelease
     child: subprocess.Popen[bytes] | None = None
-    """If this agent started it."""
+    """Handle of the process, if this agent started it; None if an earlier agent did."""
 
     def is_running(self) -> bool:
         """Return whether the process has not ended."""
--- a/tuliptrack/fleet/operator_service.py
+++ b/tuliptrack/fleet/operator_service.py
@@ -34,7 +34,7 @@
 
 
 class OperatorService:
-    """Answers operators. Bound: one decision at a time."""
+    """Answers operators. Bound: one pending decision; others are rejected until it is settled."""
 
     def __init__(
         self,
--- a/tuliptrack/fronts/kserve/mapping.py
+++ b/tuliptrack/fronts/kserve/mapping.py
@@ -46,7 +46,7 @@
 """Name, datatype and shape of each output of a model."""
 MAX_TIMEOUT_US = 86_400_000_000
 MAX_COUNT = 1 << 40
-"""Maximum of parameters that are numbers of tokens."""
+"""Maximum value of a parameter that is a number of tokens."""
 MAX_PRIORITY = 1 << 63
 MAX_SEQUENCE_ID = 1 << 64
 MAX_DIGITS = 20
@@ -179,7 +179,7 @@
 
 
 def _read_parameters(parameters: dict[str, Value], options: KserveOptions) -> dict[str, Any]:
-    """Return the fields of `ClientRequest` that the parameters set, and `timeout` in microseconds."""
+    """Return the fields of `ClientRequest` that the parameters set, and any `timeout` in microseconds."""
     fields: dict[str, Any] = {"request_class": options.request_class, "tenant": options.tenant}
     if "priority" in parameters:
         _apply_priority(parameters, options, fields)
@@ -328,7 +328,7 @@
 
 
 def failure_text(failure: Failure, reason: str, next_index: int) -> str:
-    """Return the message of a failed request, for people."""
+    """Return the human-readable message of a failed request."""
     can_resume = failure in (Failure.BROKEN, Failure.MIGRATED)
     resume = f"; it can go on from token {next_index}" if can_resume else ""
     return f"failed ({failure.value}): {reason}{resume}"
--- a/tuliptrack/lab/client.py
+++ b/tuliptrack/lab/client.py
@@ -182,8 +182,8 @@
             node = self._pick_node(rng)
 
     def _pick_node(self, rng: random.Random) -> int:
-        """A random node, as a simple load balancer picks it; a node that stays unreachable is ejected, except
-        for 2% of trial picks.
+        """A random node, as a simple load balancer picks it. A node that stays unreachable is ejected, but is still
+        a candidate in 2% of the picks.
         """
         candidates = [
             n
--- a/tuliptrack/lab/fleet_simulation.py
+++ b/tuliptrack/lab/fleet_simulation.py
@@ -415,8 +415,8 @@
     def _end_attempt(
         self, record: _RequestRecord, attempt: int, status: Status, sent: int, cached: int = 0
     ) -> None:
-        """Report an attempt's end to its node, unless it has already ended or, its stream started, can no
-        longer time out.
+        """Report an attempt's end to its node, unless the attempt has already ended. A time-out after the first
+        token is ignored, and so is any end but OK once the request has an outcome.
         """
         engine = record.engine
         if (
--- a/tuliptrack/lab/soak/engine.py
+++ b/tuliptrack/lab/soak/engine.py
@@ -64,8 +64,8 @@
             task.add_done_callback(self._answering.discard)
 
     def _cancelled(self, call: HttpCall, call_id: str) -> None:
-        """Handle an attempt that the node has cancelled. A decode engine that had not begun to answer holds the state
-        again.
+        """Handle an attempt that the node has cancelled. A decode engine that had not begun to answer holds the KV
+        state again.
         """
         if self.name.startswith("w") and not call.started:
             (self._states / call_id).write_text(self.name)
--- a/tuliptrack/simulator_adapter/events.py
+++ b/tuliptrack/simulator_adapter/events.py
@@ -40,7 +40,7 @@
 HAS_HINT, IS_RETRY, IS_RESUMED = 1, 2, 16
 """Bits of a request's flags."""
 STATE_LOST = 1
-"""Note of an attempt that ended with `AT_CAPACITY`: the KV state is lost."""
+"""Value of the note of an attempt that ended with `AT_CAPACITY`, if its KV state is lost."""
 RESERVED = 1
 """Code of a reservation that was granted."""
 
--- a/tuliptrack/store/ledger.py
+++ b/tuliptrack/store/ledger.py
@@ -244,8 +244,8 @@
     def compact(self, before_us: int, max_batches: int = 1_000) -> int:
         """Replace old batches by daily totals, oldest first, and return how many were removed.
 
-        A batch is removed if all its records came before `before_us` (wall time), and none of their works has
-        records in a later batch. All of it is one transaction, so nothing is counted twice.
+        A batch is removed if all its records came before `before_us` (wall time), and none of the pieces of work
+        that they bill has records in a batch that is kept. All of it is one transaction, so nothing is counted twice.
         """
         with self.env.begin(write=True) as txn:
             old: list[tuple[bytes, list[UsageRecord]]] = []
