--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,7 @@
-"""What each role costs at a size: `measure` writes a result file, `render` puts its tables into
-`docs/CAPACITY.md`.
+"""Measures the cost of each process role by fleet size.
 
-Not in CI. Usage: python bench/capacity.py measure --json bench/capacity.json; python bench/capacity.py render
+`measure` writes a result file; `render` puts its tables into `docs/CAPACITY.md`. Not part of CI.
+Usage: python bench/capacity.py measure --json bench/capacity.json; python bench/capacity.py render
 """
 
 from __future__ import annotations
@@ -48,43 +48,44 @@
     "watch.calls_per_s": "1/s",
     "watch.core_share": "share of a core",
 }
-REMEMBERED: dict[str, Any] = {
+# Numbers of concurrent streams, tenants and prefixes at which the router's memory is measured.
+STATE_SIZES: dict[str, Any] = {
     "streams": (35, 70, 140, 280, 560),
     "tenants": (50, 150, 450, 1_000),
     "prefixes": (100, 500, 1_500, 5_000),
 }
-BEFORE = "before."  # of the series of another router, measured in the same run
+BEFORE = "before."  # prefix of the series of the `--before` router, measured in the same run
 
 
-def sizes_of(option: str, text: str, least: int, most: int) -> tuple[int, ...]:
-    """Sizes from `1,2,3`; a UsageError names what can't be one."""
+def parse_sizes(option: str, text: str, lowest: int, highest: int) -> tuple[int, ...]:
+    """Parses sizes such as `1,2,3,4`; raises a UsageError that quotes invalid input."""
     try:
         sizes = tuple(sorted({int(part) for part in text.split(",")}))
     except ValueError:
         raise click.UsageError(
-            f"{option}: must be whole numbers with commas between, is {text[:60]!r}"
+            f"{option}: must be whole numbers separated by commas, got {text[:60]!r}"
         ) from None
     if len(sizes) < 4:
         raise click.UsageError(f"{option}: at least four are needed for a fit, got {len(sizes)}")
-    if sizes[0] < least or sizes[-1] > most:
-        raise click.UsageError(f"{option}: must lie in [{least}, {most}], got {text[:60]!r}")
+    if sizes[0] < lowest or sizes[-1] > highest:
+        raise click.UsageError(f"{option}: must lie in [{lowest}, {highest}], got {text[:60]!r}")
     return sizes
 
 
-def other_router(path: str) -> node.Maker:
-    """The Router of a package folder with a module `routing/router.py`."""
+def load_router(path: str) -> node.Maker:
+    """Loads the Router class of a package folder that has a module `routing/router.py`."""
     folder = Path(path).resolve()
     if not (folder / "routing" / "router.py").is_file():
         raise click.UsageError(f"--before: {path!r} holds no routing/router.py")
     sys.path.insert(0, str(folder.parent))
     module = __import__(f"{folder.name}.routing.router", fromlist=["Router"])
-    made: node.Maker = module.Router
-    return made
+    router_class: node.Maker = module.Router
+    return router_class
 
 
 @click.group()
 def main() -> None:
-    """What each role costs at a size."""
+    """Cost of each process role by fleet size."""
 
 
 @main.command()
@@ -94,12 +95,15 @@
     "--json", "path", required=True, type=click.Path(dir_okay=False, path_type=Path), help="The result file."
 )
 @click.option(
-    "--before", default="", help="Package folder of another router, measured beside the program's own."
+    "--before", default="", help="Package folder of another router, measured in addition to this one."
 )
 def measure(sizes: str, hosts: str, path: Path, before: str) -> None:
     """Measure every role and write the result file."""
     set_up(json_lines=False, quiet=True)
-    engines, controlled = sizes_of("--sizes", sizes, 12, 10_000), sizes_of("--hosts", hosts, 3, 1_000)
+    engine_counts, host_counts = (
+        parse_sizes("--sizes", sizes, 12, 10_000),
+        parse_sizes("--hosts", hosts, 3, 1_000),
+    )
     results = Results(
         python=platform.python_version(),
         command=_command(sizes, hosts, before),
@@ -108,38 +112,38 @@
     by_engines = node.NodeCosts()
     yardstick = Yardstick()
     if before:
-        other = other_router(before)
-        node.measure_lists(other, engines, yardstick, by_engines, BEFORE)
-        node.measure_decisions(other, engines, yardstick, by_engines, BEFORE)
+        other_router_class = load_router(before)
+        node.measure_lists(other_router_class, engine_counts, yardstick, by_engines, BEFORE)
+        node.measure_decisions(other_router_class, engine_counts, yardstick, by_engines, BEFORE)
     click.echo("lists and decisions ...", err=True)
-    node.measure_lists(Router, engines, yardstick, by_engines)
-    node.measure_decisions(Router, engines, yardstick, by_engines)
+    node.measure_lists(Router, engine_counts, yardstick, by_engines)
+    node.measure_decisions(Router, engine_counts, yardstick, by_engines)
     click.echo("memory ...", err=True)
-    node.measure_memory(Router, engines, by_engines)
-    asyncio.run(processes.measure_node_memory(engines, by_engines))
-    remembered = {name: node.NodeCosts() for name in REMEMBERED}
-    node.measure_remembered(Router, engines[-1], remembered, REMEMBERED)
+    node.measure_memory(Router, engine_counts, by_engines)
+    asyncio.run(processes.measure_node_memory(engine_counts, by_engines))
+    costs_by_state = {name: node.NodeCosts() for name in STATE_SIZES}
+    node.measure_remembered(Router, engine_counts[-1], costs_by_state, STATE_SIZES)
     click.echo("controllers, agents, watches ...", err=True)
-    by_hosts, single = node.NodeCosts(), node.NodeCosts()
-    asyncio.run(control.measure_control(controlled, by_hosts))
-    asyncio.run(processes.measure_agent(single))
-    asyncio.run(processes.measure_watches(single))
-    for costs, by in (
+    by_hosts, fixed_costs = node.NodeCosts(), node.NodeCosts()
+    asyncio.run(control.measure_control(host_counts, by_hosts))
+    asyncio.run(processes.measure_agent(fixed_costs))
+    asyncio.run(processes.measure_watches(fixed_costs))
+    for costs, size_name in (
         (by_engines, "engines"),
         (by_hosts, "hosts"),
-        (single, "one"),
-        *((costs, name) for name, costs in remembered.items()),
+        (fixed_costs, "one"),
+        *((costs, name) for name, costs in costs_by_state.items()),
     ):
-        for one in costs.series(_unit, by):
-            results.add(one)
+        for series in costs.series(_unit, size_name):
+            results.add(series)
     results.yardstick_us = yardstick.median_us
     results.write(path)
 
 
 def _command(sizes: str, hosts: str, before: str) -> str:
-    """What was run, but for where its result went."""
-    beside = f" --before {before}" if before else ""
-    return f"python bench/capacity.py measure --sizes {sizes} --hosts {hosts}{beside}"
+    """Returns the command line of this run without the path of the result file."""
+    before_option = f" --before {before}" if before else ""
+    return f"python bench/capacity.py measure --sizes {sizes} --hosts {hosts}{before_option}"
 
 
 def _unit(name: str) -> str:
@@ -148,8 +152,8 @@
 
 
 def _commit() -> str:
-    found = subprocess.run(["git", "log", "-1", "--format=%h"], capture_output=True, text=True, cwd=ROOT)
-    return found.stdout.strip() or "unknown"
+    git_log = subprocess.run(["git", "log", "-1", "--format=%h"], capture_output=True, text=True, cwd=ROOT)
+    return git_log.stdout.strip() or "unknown"
 
 
 @main.command()
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,7 +1,7 @@
-"""Time of one decision (`Router.handle` with one event) at a given number of servers, by kind of event.
+"""Measures how long `Router.handle` takes for one event at a given number of servers, by event type.
 
-In process, against engines that answer after drawn times; not in CI. Usage: python bench/decisions.py
-[--servers 190]
+Runs in one process, in virtual time, against simulated engines with random latencies; not part of CI.
+Usage: python bench/decisions.py [--servers 190]
 """
 
 from __future__ import annotations
@@ -35,10 +35,12 @@
 @click.command()
 @click.option("--servers", default=190)
 @click.option("--requests", default=20_000)
-@click.option("--per-s", default=800.0, help="Arrivals a second at this node.")
-@click.option("--zones", default=0, help="Spread the servers over so many zones, with a budget; 0: no zones.")
+@click.option("--per-s", default=800.0, help="Requests per second that arrive at this node.")
+@click.option(
+    "--zones", default=0, help="Zones to spread the servers over, with a cross-zone budget; 0: no zones."
+)
 def main(servers: int, requests: int, per_s: float, zones: int) -> None:
-    chance = random.Random(1)
+    rng = random.Random(1)
     settings = Settings(
         replicas=4,
         roles=(Role.PREFILL, Role.DECODE),
@@ -56,96 +58,101 @@
         zone_budgets=(ZoneBudget(1e7, 1e8, 1e5),) if zones else (),
     )
     router = Router(settings, 1)
-    fleet = tuple(
+    endpoints = tuple(
         EndpointInfo(n, n % 2, cell=n // 8, zone=n // 2 % zones if zones else 0)
         for n in range(1, servers + 1)
     )
-    took: dict[str, list[float]] = defaultdict(list)
-    queue: list[tuple[int, int, object]] = [(1_000_000, 0, EndpointListUpdate(UpdateKind.FULL, 1, fleet))]
-    tie = itertools.count(1)
-    at = 1_000_000
-    for number in range(1, requests + 1):
-        at += int(chance.expovariate(per_s) * 1e6)
-        prefix = int(200 * chance.random() ** 2) + 1
+    durations_s: dict[str, list[float]] = defaultdict(list)
+    event_queue: list[tuple[int, int, object]] = [
+        (1_000_000, 0, EndpointListUpdate(UpdateKind.FULL, 1, endpoints))
+    ]
+    sequence = itertools.count(1)
+    arrival_us = 1_000_000
+    for request_number in range(1, requests + 1):
+        arrival_us += int(rng.expovariate(per_s) * 1e6)
+        prefix_id = int(200 * rng.random() ** 2) + 1
         heapq.heappush(
-            queue,
+            event_queue,
             (
-                at,
-                next(tie),
+                arrival_us,
+                next(sequence),
                 Request(
-                    number,
-                    int(chance.random() < 0.2),
+                    request_number,
+                    int(rng.random() < 0.2),
                     5_000_000,
                     3000.0,
                     2500.0,
                     200.0,
-                    chance.getrandbits(40),
-                    prefix,
-                    int(chance.random() < 0.5),
+                    rng.getrandbits(40),
+                    prefix_id,
+                    int(rng.random() < 0.5),
                 ),
             ),
         )
-    tries: dict[int, int] = defaultdict(int)
-    ends: dict[str, int] = defaultdict(int)
-    while queue:
-        now, _, event = heapq.heappop(queue)
-        begun = time.perf_counter()
-        actions = router.handle(now, [event])  # type: ignore[list-item]
-        took[type(event).__name__].append(time.perf_counter() - begun)
+    attempt_counts: dict[int, int] = defaultdict(int)
+    action_counts: dict[str, int] = defaultdict(int)
+    while event_queue:
+        now_us, _, event = heapq.heappop(event_queue)
+        started_at = time.perf_counter()
+        actions = router.handle(now_us, [event])  # type: ignore[list-item]
+        durations_s[type(event).__name__].append(time.perf_counter() - started_at)
         for action in actions:
-            ends[type(action).__name__] += 1
+            action_counts[type(action).__name__] += 1
             if not isinstance(action, SendAttempt):
                 continue
-            attempt, tries[action.request_id] = tries[action.request_id], tries[action.request_id] + 1
-            load = (float(chance.randrange(12)), chance.random() * 0.5, chance.random())
+            attempt, attempt_counts[action.request_id] = (
+                attempt_counts[action.request_id],
+                attempt_counts[action.request_id] + 1,
+            )
+            load = (float(rng.randrange(12)), rng.random() * 0.5, rng.random())
             if action.endpoint_id % 2 == 0:
-                lag = int(30_000 + chance.expovariate(1 / 40_000))
+                latency_us = int(30_000 + rng.expovariate(1 / 40_000))
                 heapq.heappush(
-                    queue,
+                    event_queue,
                     (
-                        now + lag,
-                        next(tie),
+                        now_us + latency_us,
+                        next(sequence),
                         AttemptEnded(
                             action.request_id,
                             attempt,
                             action.endpoint_id,
                             Status.PREFILLED,
-                            lag,
+                            latency_us,
                             cached_tokens=2000,
                             load_report=load,
                         ),
                     ),
                 )
             else:
-                lag = int(20_000 + chance.expovariate(1 / 20_000))
+                latency_us = int(20_000 + rng.expovariate(1 / 20_000))
                 heapq.heappush(
-                    queue,
+                    event_queue,
                     (
-                        now + lag,
-                        next(tie),
-                        StreamStarted(action.request_id, attempt, action.endpoint_id, lag),
+                        now_us + latency_us,
+                        next(sequence),
+                        StreamStarted(action.request_id, attempt, action.endpoint_id, latency_us),
                     ),
                 )
                 heapq.heappush(
-                    queue,
+                    event_queue,
                     (
-                        now + lag + 3_000_000,
-                        next(tie),
+                        now_us + latency_us + 3_000_000,
+                        next(sequence),
                         AttemptEnded(
                             action.request_id,
                             attempt,
                             action.endpoint_id,
                             Status.OK,
-                            lag + 3_000_000,
+                            latency_us + 3_000_000,
                             is_final=True,
                             load_report=load,
                         ),
                     ),
                 )
-    click.echo(f"{servers} servers, {requests} requests at {per_s:g} a second; actions {dict(ends)}")
+    click.echo(f"{servers} servers, {requests} requests at {per_s:g} a second; actions {dict(action_counts)}")
     click.echo(f"{'event':12} {'count':>7} {'median us':>10} {'p99 us':>8} {'most us':>8}")
-    took["all"] = [one for times in took.values() for one in times]
-    for name, times in took.items():
+    durations_s["all"] = [duration for times in durations_s.values() for duration in times]
+    for name, times in durations_s.items():
         times.sort()
         click.echo(
             f"{name:12} {len(times):7} {times[len(times) // 2] * 1e6:10.0f} {times[len(times) * 99 // 100] * 1e6:8.0f} "
--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -1,6 +1,6 @@
-"""The ledger's rates: parts a second, time of a commit, recovery, bytes a part; structures beside plain ones.
-Not in CI.
+"""Measures the ledger: usage records per second, commit time, time to reopen and verify, bytes per record.
 
+Also compares the timing wheel with a heap and the heavy-hitter sketch with exact counts. Not part of CI.
 Usage: python bench/ledger.py [--parts 1000000] [--batch 1000]
 """
 
@@ -23,20 +23,20 @@
 from tuliptrack.structures.timing_wheel import TimingWheel
 
 
-def timed(act: object) -> float:
-    begin = time.perf_counter()
-    act()  # type: ignore[operator]
-    return time.perf_counter() - begin
+def elapsed_s(function: object) -> float:
+    started_at = time.perf_counter()
+    function()  # type: ignore[operator]
+    return time.perf_counter() - started_at
 
 
 @click.command()
 @click.option("--parts", default=1_000_000)
 @click.option("--batch", default=1_000)
 def main(parts: int, batch: int) -> None:
-    chance = random.Random(1)
+    rng = random.Random(1)
     with tempfile.TemporaryDirectory() as folder:
         path = str(Path(folder) / "ledger")
-        ledger, commits = Ledger(path, 1 << 34), []
+        ledger, commit_times_s = Ledger(path, 1 << 34), []
         for start in range(0, parts, batch):
             for n in range(start, start + batch):
                 ledger.add(
@@ -55,56 +55,56 @@
                         request_class="question",
                     )
                 )
-            commits.append(timed(ledger.commit))
-        commits.sort()
+            commit_times_s.append(elapsed_s(ledger.commit))
+        commit_times_s.sort()
         click.echo(
-            f"{parts} parts by {batch}: {parts / sum(commits):,.0f} parts a second in commits of median "
-            f"{statistics.median(commits) * 1e3:.1f} ms, p99 {commits[len(commits) * 99 // 100] * 1e3:.1f} ms; "
+            f"{parts} parts by {batch}: {parts / sum(commit_times_s):,.0f} parts a second in commits of median "
+            f"{statistics.median(commit_times_s) * 1e3:.1f} ms, p99 {commit_times_s[len(commit_times_s) * 99 // 100] * 1e3:.1f} ms; "
             f"{ledger.size() / parts:.0f} bytes a part"
         )
         ledger.close()
         click.echo(
-            f"opened again in {timed(lambda: Ledger(path, 1 << 34).close()) * 1e3:.0f} ms, verified in "
-            f"{timed(lambda: verify(path)):.1f} s, billed in {timed(lambda: compute_bills(read_usage_records(path))):.1f} s"
+            f"opened again in {elapsed_s(lambda: Ledger(path, 1 << 34).close()) * 1e3:.0f} ms, verified in "
+            f"{elapsed_s(lambda: verify(path)):.1f} s, billed in {elapsed_s(lambda: compute_bills(read_usage_records(path))):.1f} s"
         )
     count = 1_000_000
-    whens = [chance.randrange(60_000_000) for _ in range(count)]
+    expiries = [rng.randrange(60_000_000) for _ in range(count)]
     wheel: TimingWheel[int] = TimingWheel(0)
     heap: list[tuple[int, int]] = []
 
-    def by_wheel() -> None:
-        for key, when in enumerate(whens):
-            wheel.schedule(key, when)
-        for key, when in enumerate(whens[: count // 2]):
-            wheel.schedule(key, when + 1_000_000)  # half are moved
+    def run_wheel() -> None:
+        for key, expiry in enumerate(expiries):
+            wheel.schedule(key, expiry)
+        for key, expiry in enumerate(expiries[: count // 2]):
+            wheel.schedule(key, expiry + 1_000_000)  # half are rescheduled
         for now in range(0, 62_000_000, 10_000):
             for _ in wheel.advance(now):
                 pass
 
-    def by_heap() -> None:
-        due = dict(enumerate(whens))
-        for key, when in enumerate(whens):
-            heapq.heappush(heap, (when, key))
-        for key, when in enumerate(whens[: count // 2]):
-            due[key] = when + 1_000_000
-            heapq.heappush(heap, (when + 1_000_000, key))
+    def run_heap() -> None:
+        current_expiry = dict(enumerate(expiries))
+        for key, expiry in enumerate(expiries):
+            heapq.heappush(heap, (expiry, key))
+        for key, expiry in enumerate(expiries[: count // 2]):
+            current_expiry[key] = expiry + 1_000_000
+            heapq.heappush(heap, (expiry + 1_000_000, key))
         for now in range(0, 62_000_000, 10_000):
             while heap and heap[0][0] <= now:
-                when, key = heapq.heappop(heap)
-                if due.get(key) == when:
-                    del due[key]
+                expiry, key = heapq.heappop(heap)
+                if current_expiry.get(key) == expiry:
+                    del current_expiry[key]
 
     click.echo(
-        f"{count} timers, half moved: wheel {timed(by_wheel):.2f} s, heap with dead entries {timed(by_heap):.2f} s"
+        f"{count} timers, half moved: wheel {elapsed_s(run_wheel):.2f} s, heap with dead entries {elapsed_s(run_heap):.2f} s"
     )
-    names = [f"t{int(100_000 * chance.random() ** 3)}" for _ in range(count)]
-    sketch, plain = HeavyHitterSketch(2_048), Counter[str]()
-    took = timed(lambda: [sketch.add(name, 10) for name in names])
-    took_plain = timed(lambda: [plain.update((name,)) for name in names])
-    best = {h.name for h in sketch.top(20)}
+    tenants = [f"t{int(100_000 * rng.random() ** 3)}" for _ in range(count)]
+    sketch, exact_counts = HeavyHitterSketch(2_048), Counter[str]()
+    sketch_s = elapsed_s(lambda: [sketch.add(name, 10) for name in tenants])
+    exact_s = elapsed_s(lambda: [exact_counts.update((name,)) for name in tenants])
+    heaviest = {hitter.name for hitter in sketch.top(20)}
     click.echo(
-        f"{count} amounts of {len(plain)} names: sketch of 2,048 {took:.2f} s, a table of all {took_plain:.2f} s; "
-        f"{len(best & {n for n, _ in plain.most_common(20)})} of the 20 heaviest found"
+        f"{count} amounts of {len(exact_counts)} names: sketch of 2,048 {sketch_s:.2f} s, a table of all {exact_s:.2f} s; "
+        f"{len(heaviest & {n for n, _ in exact_counts.most_common(20)})} of the 20 heaviest found"
     )
 
 
--- a/bench/passthrough.py
+++ b/bench/passthrough.py
@@ -1,6 +1,7 @@
-"""A proxy that decides nothing, on grpc.aio: reads at one engine, writes at another, passes the bytes on.
+"""A grpc.aio proxy without routing: prefills at one engine, decodes at the others in turn, relays the bytes.
 
-The yardstick of `bench/relay.py`. Arguments: READER WRITER [WRITER ...], each host:port. Prints its address.
+The baseline of `bench/relay.py`. Arguments: PREFILL DECODE [DECODE ...], each host:port. Prints its address
+as JSON.
 """
 
 from __future__ import annotations
@@ -16,31 +17,34 @@
 from tuliptrack.proto import generation_pb2 as pb
 
 
-async def main(reader: str, writers: list[str]) -> None:
-    read = grpc.aio.insecure_channel(reader).unary_unary("/tuliptrack.v1.Engine/Read")
-    turns = itertools.cycle(
-        [grpc.aio.insecure_channel(w).unary_stream("/tuliptrack.v1.Engine/Write") for w in writers]
+async def main(prefill_address: str, decode_addresses: list[str]) -> None:
+    prefill = grpc.aio.insecure_channel(prefill_address).unary_unary("/tuliptrack.v1.Engine/Read")
+    decode_calls = itertools.cycle(
+        [
+            grpc.aio.insecure_channel(address).unary_stream("/tuliptrack.v1.Engine/Write")
+            for address in decode_addresses
+        ]
     )
-    numbers = itertools.count()
+    request_numbers = itertools.count()
 
     async def generate(data: bytes, context: grpc.aio.ServicerContext):  # type: ignore[no-untyped-def, type-arg]
-        asked = pb.GenerateRequest.FromString(data)
+        request = pb.GenerateRequest.FromString(data)
         work = engine_pb2.Work(
-            request_id=f"proxy-{next(numbers)}",
-            request_class=asked.request_class,
-            tenant=asked.tenant,
-            session=asked.session,
-            prompt=asked.prompt,
-            prompt_tokens=asked.prompt_tokens,
-            max_tokens=asked.max_tokens,
+            request_id=f"proxy-{next(request_numbers)}",
+            request_class=request.request_class,
+            tenant=request.tenant,
+            session=request.session,
+            prompt=request.prompt,
+            prompt_tokens=request.prompt_tokens,
+            max_tokens=request.max_tokens,
         )
-        state = engine_pb2.ReadResponse.FromString(
-            await read(engine_pb2.ReadRequest(work=work).SerializeToString())
+        kv_state = engine_pb2.ReadResponse.FromString(
+            await prefill(engine_pb2.ReadRequest(work=work).SerializeToString())
         )
-        write = engine_pb2.WriteRequest(work=work)
-        write.state.state_id, write.state.address = state.state_id, reader
-        async for token in next(turns)(write.SerializeToString()):
-            yield token
+        decode_request = engine_pb2.WriteRequest(work=work)
+        decode_request.state.state_id, decode_request.state.address = kv_state.state_id, prefill_address
+        async for message in next(decode_calls)(decode_request.SerializeToString()):
+            yield message
 
     server = grpc.aio.server()
     handler = grpc.unary_stream_rpc_method_handler(generate)
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,9 +1,8 @@
-"""CPU of the node for each streamed token, beside a pass-through proxy on grpc.aio; memory with many open
-streams.
+"""Compares the node's CPU time per streamed token with a grpc.aio pass-through proxy; also prints node memory.
 
-Same client, same engines, the two in turn within one run; figures are the processes' own CPU time as the
-kernel accounts it. Not in CI. Usage: python bench/relay.py [--streams 10,100,1000] [--tokens 200] [--rounds
-3]
+Both use the same client and the same engines and run in turn in every round. CPU time is that of the process
+as the kernel accounts it; memory is the node's resident set after the runs with each number of streams.
+Not part of CI. Usage: python bench/relay.py [--streams 10,100,1000] [--tokens 200] [--rounds 3]
 """
 
 from __future__ import annotations
@@ -24,8 +23,8 @@
 from tuliptrack.rpc.channel import Channel, End, Options
 
 ROOT = Path(__file__).parent.parent
-TICK = os.sysconf("SC_CLK_TCK")
-NODE = """
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+NODE_CONFIG = """
 node {{ listen: "127.0.0.1:0" seed: 1 }}
 request_class {{ name: "question" worth: 1 aim_ms: 600000 deadline_ms: 600000 }}
 kind {{ name: "reader" role: READ }}
@@ -34,18 +33,18 @@
 """
 
 
-def cpu(pid: int) -> float:
-    """Seconds of CPU that a process has used."""
+def cpu_seconds(pid: int) -> float:
+    """Returns the user and system CPU time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def memory_mb(pid: int) -> float:
-    text = Path(f"/proc/{pid}/status").read_text()
-    return int(text.split("VmRSS:")[1].split()[0]) / 1024
+    status = Path(f"/proc/{pid}/status").read_text()
+    return int(status.split("VmRSS:")[1].split()[0]) / 1024
 
 
-def start(*command: str) -> tuple[subprocess.Popen[bytes], str]:
+def start_script(*command: str) -> tuple[subprocess.Popen[bytes], str]:
     process = subprocess.Popen(
         [sys.executable, *command], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, cwd=ROOT
     )
@@ -56,8 +55,9 @@
 def start_engines(
     folder: str, tokens: int, step_ms: int, processes: list[subprocess.Popen[bytes]]
 ) -> tuple[Path, list[str]]:
-    """A reader and two writers that answer with so many tokens; the file that lists them, and their
-    addresses.
+    """Starts one prefill and two decode engines whose answers have `tokens` tokens.
+
+    Appends the processes to `processes`; returns the endpoint list file and the engines' addresses.
     """
     engines = []
     for role, name in (("READ", "r"), ("WRITE", "w0"), ("WRITE", "w1")):
@@ -66,36 +66,38 @@
             f"role: {role} slots: 4000 queue: 4000 memory_tokens: 10000000 read_per_s: 1e8 "
             f"step_ms: {step_ms} per_answer_ms: 0 answer_least: {tokens} answer_most: {tokens}"
         )
-        process, address = start("-m", "tuliptrack", "lab", "engine", "--model", str(model), "--name", name)
+        process, address = start_script(
+            "-m", "tuliptrack", "lab", "engine", "--model", str(model), "--name", name
+        )
         processes.append(process)
         engines.append(address)
-    listing = Path(folder) / "servers"
-    listing.write_text(
+    servers_file = Path(folder) / "servers"
+    servers_file.write_text(
         "version: 1 "
         + " ".join(
             f'servers {{ id: {n + 1} address: "{a}" kind: "{"writer" if n else "reader"}" }}'
             for n, a in enumerate(engines)
         )
     )
-    return listing, engines
+    return servers_file, engines
 
 
-async def load(address: str, streams: int, tokens: int) -> tuple[int, float]:
-    """Open so many streams and read them all to their end; tokens that came, and seconds."""
+async def run_streams(address: str, streams: int, tokens: int) -> tuple[int, float]:
+    """Opens `streams` streams and reads them to the end; returns the messages received and the seconds taken."""
     channel = Channel(address, Options(connect_timeout=5_000_000, max_links=4))
     loop = asyncio.get_running_loop()
-    count = 0
-    overs: list[asyncio.Future[End]] = []
+    message_count = 0
+    call_ends: list[asyncio.Future[End]] = []
 
-    def got(_: bytes) -> None:
-        nonlocal count
-        count += 1
+    def count_message(_: bytes) -> None:
+        nonlocal message_count
+        message_count += 1
 
-    begin = time.monotonic()
+    started_at = time.monotonic()
     for n in range(streams):
         if n % 20 == 19:
-            await asyncio.sleep(0.02)  # A thousand prompts at once are an overload: the node would say so.
-        over: asyncio.Future[End] = loop.create_future()
+            await asyncio.sleep(0.02)  # The node would reject 1,000 prompts at once as an overload.
+        call_end: asyncio.Future[End] = loop.create_future()
         request = pb.GenerateRequest(
             request_class="question",
             session=f"s{n}",
@@ -106,17 +108,17 @@
         channel.call(
             "/tuliptrack.v1.Generation/Generate",
             message=request.SerializeToString(),
-            on_message=got,
-            on_end=over.set_result,
+            on_message=count_message,
+            on_end=call_end.set_result,
         )
-        overs.append(over)
-    for over in overs:
-        end = await over
+        call_ends.append(call_end)
+    for call_end in call_ends:
+        end = await call_end
         if end.status.code:
             raise click.ClickException(f"a stream ended with {end.status}")
-    took = time.monotonic() - begin
+    elapsed_s = time.monotonic() - started_at
     await channel.close()
-    return count, took
+    return message_count, elapsed_s
 
 
 @click.command()
@@ -127,11 +129,11 @@
     processes: list[subprocess.Popen[bytes]] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
-            listing, engines = start_engines(folder, tokens, 30, processes)
+            servers_file, engines = start_engines(folder, tokens, 30, processes)
             config = Path(folder) / "node"
-            config.write_text(NODE.format(file=listing))
-            node, node_at = start("-m", "tuliptrack", "serve", str(config), "--ready")
-            proxy, proxy_at = start("bench/passthrough.py", *engines)
+            config.write_text(NODE_CONFIG.format(file=servers_file))
+            node, node_address = start_script("-m", "tuliptrack", "serve", str(config), "--ready")
+            proxy, proxy_address = start_script("bench/passthrough.py", *engines)
             processes += [node, proxy]
             time.sleep(0.5)
             click.echo(
@@ -140,18 +142,21 @@
             click.echo(
                 f"{'streams':>8} {'node':>8} {'grpc.aio':>9} {'ratio':>6} {'node tok/s':>11} {'node MB':>8}"
             )
-            for count in map(int, streams.split(",")):
-                rows: dict[str, list[float]] = {"node": [], "proxy": [], "speed": []}
+            for stream_count in map(int, streams.split(",")):
+                samples: dict[str, list[float]] = {"node": [], "proxy": [], "speed": []}
                 for _ in range(rounds):
-                    for name, process, address in (("node", node, node_at), ("proxy", proxy, proxy_at)):
-                        before = cpu(process.pid)
-                        got, took = asyncio.run(load(address, count, tokens))
-                        rows[name].append((cpu(process.pid) - before) / got * 1e6)
+                    for name, process, address in (
+                        ("node", node, node_address),
+                        ("proxy", proxy, proxy_address),
+                    ):
+                        cpu_before = cpu_seconds(process.pid)
+                        message_count, elapsed_s = asyncio.run(run_streams(address, stream_count, tokens))
+                        samples[name].append((cpu_seconds(process.pid) - cpu_before) / message_count * 1e6)
                         if name == "node":
-                            rows["speed"].append(got / took)
-                a, b = statistics.median(rows["node"]), statistics.median(rows["proxy"])
+                            samples["speed"].append(message_count / elapsed_s)
+                node_us, proxy_us = statistics.median(samples["node"]), statistics.median(samples["proxy"])
                 click.echo(
-                    f"{count:8} {a:8.1f} {b:9.1f} {a / b:6.2f} {statistics.median(rows['speed']):11.0f} "
+                    f"{stream_count:8} {node_us:8.1f} {proxy_us:9.1f} {node_us / proxy_us:6.2f} {statistics.median(samples['speed']):11.0f} "
                     f"{memory_mb(node.pid):8.0f}"
                 )
         finally:
--- a/bench/structures.py
+++ b/bench/structures.py
@@ -1,7 +1,7 @@
-"""The indexes of the decisions beside plain ones and, where they are installed, libraries of the registry.
+"""Compares the index structures of the router with simple implementations and with third-party libraries.
 
-In process; not in CI. Usage: python bench/structures.py [--members 2550]; pip install sortedcontainers numpy
-for all rows.
+Library rows appear only for installed libraries: pip install sortedcontainers numpy for all of them. Runs in
+one process; not part of CI. Usage: python bench/structures.py [--members 2550]
 """
 
 from __future__ import annotations
@@ -23,120 +23,120 @@
 ROUNDS, REPEATS = 50, 5
 
 
-def microseconds(work: Callable[[], object]) -> float:
-    """The least of some repeats."""
-    return min(timeit.repeat(work, number=ROUNDS, repeat=REPEATS)) / ROUNDS * 1e6
+def fastest_us(function: Callable[[], object]) -> float:
+    """Returns the time of one call in microseconds: the fastest of `REPEATS` averages over `ROUNDS` calls."""
+    return min(timeit.repeat(function, number=ROUNDS, repeat=REPEATS)) / ROUNDS * 1e6
 
 
-def library(name: str) -> Any | None:
-    """A module, where it is installed."""
+def import_if_installed(name: str) -> Any | None:
+    """Returns the module, or None if it is not installed."""
     try:
         return importlib.import_module(name)
     except ImportError:
         return None
 
 
-def members_rows(count: int, chance: Random) -> dict[str, float]:
-    """One member leaves and comes back, and one is found by place."""
-    keys = [chance.getrandbits(64) for _ in range(count)]
-    own: SortedMembers[int] = SortedMembers()
-    plain = {key: key for key in keys}
+def time_sorted_members(count: int, rng: Random) -> dict[str, float]:
+    """Times removing a member, adding it again and looking up the member at a position."""
+    keys = [rng.getrandbits(64) for _ in range(count)]
+    sorted_members: SortedMembers[int] = SortedMembers()
+    members = {key: key for key in keys}
     for key in keys:
-        own.put(key, key)
+        sorted_members.put(key, key)
 
     def change() -> int:
-        own.remove(keys[7])
-        own.put(keys[7], 7)
-        return own[count // 2]
+        sorted_members.remove(keys[7])
+        sorted_members.put(keys[7], 7)
+        return sorted_members[count // 2]
 
     def rebuild() -> int:
-        plain.pop(keys[7])
-        plain[keys[7]] = 7
-        return plain[sorted(plain)[count // 2]]
+        members.pop(keys[7])
+        members[keys[7]] = 7
+        return members[sorted(members)[count // 2]]
 
-    rows = {"SortedMembers": microseconds(change), "rebuilt list": microseconds(rebuild)}
-    if sorted_containers := library("sortedcontainers"):
-        other = sorted_containers.SortedDict(plain)
+    rows = {"SortedMembers": fastest_us(change), "rebuilt list": fastest_us(rebuild)}
+    if sortedcontainers := import_if_installed("sortedcontainers"):
+        sorted_dict = sortedcontainers.SortedDict(members)
 
-        def change_other() -> Any:
-            del other[keys[7]]
-            other[keys[7]] = 7
-            return other.peekitem(count // 2)
+        def change_sorted_dict() -> Any:
+            del sorted_dict[keys[7]]
+            sorted_dict[keys[7]] = 7
+            return sorted_dict.peekitem(count // 2)
 
-        rows["sortedcontainers.SortedDict"] = microseconds(change_other)
+        rows["sortedcontainers.SortedDict"] = fastest_us(change_sorted_dict)
     return rows
 
 
-def medians_rows(count: int, chance: Random) -> dict[str, float]:
-    """A report comes, and the median without ten members is asked for."""
-    values = {key: chance.random() for key in range(count)}
-    own: GroupedValues[int] = GroupedValues()
+def time_medians(count: int, rng: Random) -> dict[str, float]:
+    """Times updating one value and computing the median with ten members excluded."""
+    values = {key: rng.random() for key in range(count)}
+    grouped_values: GroupedValues[int] = GroupedValues()
     for key, value in values.items():
-        own.put(key, 0, value)
-    left_out = set(chance.sample(range(count), 10))
+        grouped_values.put(key, 0, value)
+    excluded = set(rng.sample(range(count), 10))
 
     def change() -> float:
-        own.put(7, 0, chance.random())
-        return own.low_median(left_out)
+        grouped_values.put(7, 0, rng.random())
+        return grouped_values.low_median(excluded)
 
     def scan() -> float:
-        values[7] = chance.random()
-        ordered = sorted(value for key, value in values.items() if key not in left_out)
+        values[7] = rng.random()
+        ordered = sorted(value for key, value in values.items() if key not in excluded)
         return ordered[(len(ordered) - 1) // 2]
 
-    rows = {"GroupedValues": microseconds(change), "scan and sort": microseconds(scan)}
-    if numpy := library("numpy"):
+    rows = {"GroupedValues": fastest_us(change), "scan and sort": fastest_us(scan)}
+    if numpy := import_if_installed("numpy"):
         column = numpy.array(list(values.values()))
-        kept = numpy.ones(count, bool)
+        included = numpy.ones(count, bool)
 
         def partition() -> Any:
-            column[7] = chance.random()
-            kept[list(left_out)] = False
-            some = column[kept]
-            return numpy.partition(some, (len(some) - 1) // 2)[(len(some) - 1) // 2]
+            column[7] = rng.random()
+            included[list(excluded)] = False
+            selected = column[included]
+            return numpy.partition(selected, (len(selected) - 1) // 2)[(len(selected) - 1) // 2]
 
-        rows["numpy column"] = microseconds(partition)
+        rows["numpy column"] = fastest_us(partition)
     return rows
 
 
-def ranking_rows(count: int, chance: Random) -> dict[str, float]:
-    """The first three members for a new key."""
-    numbers = [chance.getrandbits(64) for _ in range(count)]
+def time_rankings(count: int, rng: Random) -> dict[str, float]:
+    """Times finding the three highest-ranked members for a new key."""
+    numbers = [rng.getrandbits(64) for _ in range(count)]
     hasher = RendezvousHasher(numbers, numbers, [1.0] * count)
 
-    def head() -> list[int]:
-        return [member for member, _ in zip(hasher.ranking(chance.getrandbits(64)), range(3), strict=False)]
+    def first_three() -> list[int]:
+        return [member for member, _ in zip(hasher.ranking(rng.getrandbits(64)), range(3), strict=False)]
 
-    def plain() -> list[int]:
-        key = chance.getrandbits(64)
+    def sort_all() -> list[int]:
+        key = rng.getrandbits(64)
         return sorted(numbers, key=lambda number: -rendezvous_score(key, number, 1.0))[:3]
 
-    rows = {"RendezvousHasher": microseconds(head), "one after another": microseconds(plain)}
-    if numpy := library("numpy"):
-        lanes = numpy.array([mixed for mixed in hasher.hashes(0)], dtype=numpy.uint64)
+    rows = {"RendezvousHasher": fastest_us(first_three), "one after another": fastest_us(sort_all)}
+    if numpy := import_if_installed("numpy"):
+        member_hashes = numpy.array([hashed for hashed in hasher.hashes(0)], dtype=numpy.uint64)
 
-        def vectors() -> Any:
-            mixed = lanes ^ numpy.uint64(chance.getrandbits(64))
+        def score_column() -> Any:
+            hashed = member_hashes ^ numpy.uint64(rng.getrandbits(64))
             for shift, factor in ((30, 0xBF58476D1CE4E5B9), (27, 0x94D049BB133111EB)):
-                mixed = (mixed ^ (mixed >> numpy.uint64(shift))) * numpy.uint64(factor)
-            return numpy.argpartition(mixed, -3)[-3:]
+                hashed = (hashed ^ (hashed >> numpy.uint64(shift))) * numpy.uint64(factor)
+            return numpy.argpartition(hashed, -3)[-3:]
 
-        rows["numpy column"] = microseconds(vectors)
+        rows["numpy column"] = fastest_us(score_column)
     return rows
 
 
-def start_rows() -> dict[str, float]:
-    """Milliseconds of a bare interpreter, and with each library; the least of five."""
+def time_interpreter_starts() -> dict[str, float]:
+    """Returns the start time of a bare interpreter and with each import, in milliseconds: the fastest of five."""
     rows = {}
-    for name, line in (
+    for name, statement in (
         ("bare", "pass"),
         ("our structures", "import tuliptrack.state"),
         ("sortedcontainers", "import sortedcontainers"),
         ("numpy", "import numpy"),
     ):
-        if name in ("numpy", "sortedcontainers") and not library(name):
+        if name in ("numpy", "sortedcontainers") and not import_if_installed(name):
             continue
-        command = [sys.executable, "-c", line]
+        command = [sys.executable, "-c", statement]
         rows[name] = (
             min(timeit.repeat(lambda command=command: subprocess.run(command), number=1, repeat=5)) * 1e3
         )
@@ -146,17 +146,17 @@
 @click.command()
 @click.option("--members", default=2_550, help="Members of an index.")
 def main(members: int) -> None:
-    """Print each comparison."""
-    chance = Random(1)
+    """Print all comparisons."""
+    rng = Random(1)
     for name, unit, rows in (
-        ("a change and a look by place", "us", members_rows(members, chance)),
-        ("a report and a median", "us", medians_rows(members, chance)),
-        ("the first three for a new key, a third as many", "us", ranking_rows(members // 3, chance)),
-        ("start of a process", "ms", start_rows()),
+        ("a change and a look by place", "us", time_sorted_members(members, rng)),
+        ("a report and a median", "us", time_medians(members, rng)),
+        ("the first three for a new key, a third as many", "us", time_rankings(members // 3, rng)),
+        ("start of a process", "ms", time_interpreter_starts()),
     ):
         click.echo(name)
-        for what, took in rows.items():
-            click.echo(f"  {what:30} {took:10.1f} {unit}")
+        for implementation, duration in rows.items():
+            click.echo(f"  {implementation:30} {duration:10.1f} {unit}")
 
 
 if __name__ == "__main__":
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -1,9 +1,11 @@
-"""Worth served against bytes that cross zones, at 190 nodes and 66 engines, in process; not in CI.
+"""Measures the share of priority weight served in time against the bytes that cross zones.
 
-The routers are real, the engines are drawn: readers read first come first, writers have slots and steps. A
-calm day with traffic that is uneven over zones, and one on which a zone's engines are dark for a while.
-Beside the router with budgets of 100 to 0 % of the free choice's crossings stand two baselines: zones ignored
-(free), and no server of another zone known (never). Usage: python bench/zones.py [--seconds 40] [--plot FILE]
+190 real routers run in virtual time against 66 simulated engines: prefill engines serve in order of arrival,
+decode engines have slots and a fixed time per token. The scenarios are calm traffic that is uneven over the
+zones, an overloaded zone (also with uneven load on its nodes), and an outage of one zone's engines. The router
+has cross-zone budgets of 100 to 0 % of the traffic that crosses zones without a budget, and is compared with
+two baselines: zones ignored ("free"), and no endpoint of another zone known ("never cross"). Not part of CI.
+Usage: python bench/zones.py [--seconds 40] [--plot FILE]
 """
 
 from __future__ import annotations
@@ -37,11 +39,11 @@
 from tuliptrack.routing.router import Router
 
 NODES, ENGINES, ZONES = 190, 66, 3
-Day = tuple[str, float, tuple[float, ...], tuple[float, float] | None, float]
-"""Name, requests a second, the zones' shares of them, from when to when zone 0 is dark (seconds), and the
-part of a zone's traffic that comes to a tenth of its nodes."""
-READ_US, SLOTS, STEP_US = 30.0, 40, 15_000  # a token read; a writer's slots; a token written
-PROMPT_B, STATE_B, ANSWER_B = 6.0, 16.0, 24.0
+Scenario = tuple[str, float, tuple[float, ...], tuple[float, float] | None, float]
+"""Name, requests per second, each zone's share of them, start and end in seconds of an outage of zone 0's
+engines, and the share of a zone's traffic that goes only to a tenth of its nodes."""
+PREFILL_US_PER_TOKEN, DECODE_SLOTS, DECODE_STEP_US = 30.0, 40, 15_000
+PROMPT_BYTES, STATE_BYTES, ANSWER_BYTES = 6.0, 16.0, 24.0  # per token
 CLASSES = (
     RequestClass("question", 1.0, 1_200_000, 5_000_000, inter_token_objective_us=60_000.0),
     RequestClass("summary", 2.0, 2_500_000, 12_000_000, inter_token_objective_us=80_000.0),
@@ -49,33 +51,41 @@
 
 
 class Engine:
-    """One drawn engine: when it would be done with the next thing."""
+    """A simulated engine: the times at which its decode slots and its prefill queue become free."""
 
     def __init__(self) -> None:
-        self.free = [0] * SLOTS
-        self.reader_free = 0
+        self.slots_free_at = [0] * DECODE_SLOTS
+        self.prefill_free_at = 0
         self.held = 0
-        self.dark = False
+        self.is_down = False
 
 
-def run(
-    name: str, budget: float | None, seconds: float, day: Day, by_traffic: float = 0.0, seed: int = 1
+def run_scenario(
+    name: str,
+    budget: float | None,
+    seconds: float,
+    scenario: Scenario,
+    by_traffic: float = 0.0,
+    seed: int = 1,
 ) -> dict[str, Any]:
-    """One day; `budget` in bytes a second for all nodes (None: zones ignored; -1: other zones unknown)."""
-    chance = random.Random(seed)
-    _, rate, shares, dark, skew = day
+    """Runs one scenario; `budget` is in bytes per second for all nodes.
+
+    None ignores zones; -1 hides the endpoints of other zones from each router.
+    """
+    rng = random.Random(seed)
+    _, rate, zone_shares, outage, skewed_share = scenario
     budgets = (
         ()
         if budget is None or budget < 0
         else (ZoneBudget(budget, max(budget * 5, 80_000.0), 80_000.0, by_traffic=by_traffic),)
     )
     servers = [EndpointInfo(n + 1, n % 2, cell=n % ZONES, zone=n % ZONES) for n in range(ENGINES)]
-    engines = {s.id: Engine() for s in servers}
-    zone_of = {s.id: s.zone for s in servers}
+    engines = {server.id: Engine() for server in servers}
+    zone_of = {server.id: server.zone for server in servers}
     routers, node_zone = [], []
     for slot in range(NODES):
         zone = slot % ZONES
-        known = [s for s in servers if budget != -1 or s.zone == zone]
+        endpoints = [server for server in servers if budget != -1 or server.zone == zone]
         routers.append(
             Router(
                 Settings(
@@ -89,173 +99,182 @@
                     may_cancel=True,
                     report_fields=("in_flight", "memory_share"),
                     zone_budgets=budgets,
-                    prompt_bytes=PROMPT_B,
-                    state_bytes=STATE_B,
-                    answer_bytes=ANSWER_B,
+                    prompt_bytes=PROMPT_BYTES,
+                    state_bytes=STATE_BYTES,
+                    answer_bytes=ANSWER_BYTES,
                 ),
                 slot,
             )
         )
-        routers[-1].handle(1_000_000, [EndpointListUpdate(UpdateKind.FULL, 1, tuple(known))])
+        routers[-1].handle(1_000_000, [EndpointListUpdate(UpdateKind.FULL, 1, tuple(endpoints))])
         node_zone.append(zone)
-    tie = itertools.count()
+    sequence = itertools.count()
     queue: list[tuple[int, int, int, Any]] = []
-    start, at = 2_000_000, 2_000_000.0
-    while at < start + seconds * 1e6:
-        at += chance.expovariate(rate) * 1e6
-        zone = chance.choices(range(ZONES), shares)[0]
-        few = NODES // ZONES // 10
-        node = chance.randrange(few if chance.random() < skew else NODES // ZONES) * ZONES + zone
-        cls = int(chance.random() < 0.2)
-        prompt, shared = (3000.0, 0.0) if cls else (2800.0, 2400.0)
-        ask = Request(
-            next(tie) + 1,
-            cls,
-            CLASSES[cls].deadline_us,
-            prompt * (0.7 + 0.6 * chance.random()),
-            shared,
+    start, arrival_us = 2_000_000, 2_000_000.0
+    while arrival_us < start + seconds * 1e6:
+        arrival_us += rng.expovariate(rate) * 1e6
+        zone = rng.choices(range(ZONES), zone_shares)[0]
+        skewed_nodes = NODES // ZONES // 10
+        node = rng.randrange(skewed_nodes if rng.random() < skewed_share else NODES // ZONES) * ZONES + zone
+        class_index = int(rng.random() < 0.2)
+        prompt_tokens, prefix_tokens = (3000.0, 0.0) if class_index else (2800.0, 2400.0)
+        request = Request(
+            next(sequence) + 1,
+            class_index,
+            CLASSES[class_index].deadline_us,
+            prompt_tokens * (0.7 + 0.6 * rng.random()),
+            prefix_tokens,
             200.0,
-            chance.getrandbits(40),
-            0 if cls else chance.randrange(40) + 1,
+            rng.getrandbits(40),
+            0 if class_index else rng.randrange(40) + 1,
         )
-        heapq.heappush(queue, (int(at), next(tie), node, ask))
-    if dark:
-        for begin, state in ((dark[0], EndpointState.REMOVED), (dark[1], EndpointState.READY)):
-            moment = start + int(begin * 1e6)
-            heapq.heappush(queue, (moment, next(tie), -1, state))
+        heapq.heappush(queue, (int(arrival_us), next(sequence), node, request))
+    if outage:
+        for begin, state in ((outage[0], EndpointState.REMOVED), (outage[1], EndpointState.READY)):
+            change_us = start + int(begin * 1e6)
+            heapq.heappush(queue, (change_us, next(sequence), -1, state))
             change = EndpointListUpdate(
                 UpdateKind.DELTA,
                 2,
                 tuple(
-                    EndpointInfo(s.id, s.kind, state, cell=s.cell, zone=s.zone)
-                    for s in servers
-                    if s.zone == 0
+                    EndpointInfo(server.id, server.kind, state, cell=server.cell, zone=server.zone)
+                    for server in servers
+                    if server.zone == 0
                 ),
             )
             for node in range(NODES):
-                heapq.heappush(queue, (moment + 1_000_000, next(tie), node, change))
-    asks: dict[int, tuple[Request, int]] = {}
-    tries: dict[int, int] = defaultdict(int)
-    held: dict[int, int] = {}
-    crossed: dict[CrossZoneCause | None, float] = defaultdict(float)
-    spent: deque[tuple[int, float]] = deque()
-    worth: dict[str, float] = defaultdict(float)
+                heapq.heappush(queue, (change_us + 1_000_000, next(sequence), node, change))
+    requests: dict[int, tuple[Request, int]] = {}
+    attempt_counts: dict[int, int] = defaultdict(int)
+    kv_state_zone: dict[int, int] = {}
+    crossed_by_cause: dict[CrossZoneCause | None, float] = defaultdict(float)
+    budgeted_sends: deque[tuple[int, float]] = deque()
+    priority_weights: dict[str, float] = defaultdict(float)
     by_zone: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
     while queue:
         now, _, node, event = heapq.heappop(queue)
         if node < 0:
             for server in servers:
                 if server.zone == 0:
-                    engines[server.id].dark = event is EndpointState.REMOVED
+                    engines[server.id].is_down = event is EndpointState.REMOVED
             continue
         if isinstance(event, Request):
-            asks[event.request_id] = (event, now)
-            worth["asked"] += CLASSES[event.class_index].priority_weight
+            requests[event.request_id] = (event, now)
+            priority_weights["asked"] += CLASSES[event.class_index].priority_weight
             by_zone[node_zone[node]][0] += CLASSES[event.class_index].priority_weight
         elif isinstance(event, StreamStarted):
-            ask, came = asks[event.request_id]
-            if now - came <= CLASSES[ask.class_index].latency_objective_us:
-                worth["in time"] += CLASSES[ask.class_index].priority_weight
-                by_zone[node_zone[node]][1] += CLASSES[ask.class_index].priority_weight
+            request, arrived_at = requests[event.request_id]
+            if now - arrived_at <= CLASSES[request.class_index].latency_objective_us:
+                priority_weights["in time"] += CLASSES[request.class_index].priority_weight
+                by_zone[node_zone[node]][1] += CLASSES[request.class_index].priority_weight
         for action in routers[node].handle(now, [event]):
             if not isinstance(action, SendAttempt):
                 continue
-            ask, _ = asks[action.request_id]
-            attempt, tries[action.request_id] = tries[action.request_id], tries[action.request_id] + 1
-            engine, zone, home = engines[action.endpoint_id], zone_of[action.endpoint_id], node_zone[node]
-            if engine.dark:
+            request, _ = requests[action.request_id]
+            attempt, attempt_counts[action.request_id] = (
+                attempt_counts[action.request_id],
+                attempt_counts[action.request_id] + 1,
+            )
+            engine, zone, home_zone = (
+                engines[action.endpoint_id],
+                zone_of[action.endpoint_id],
+                node_zone[node],
+            )
+            if engine.is_down:
                 heapq.heappush(
                     queue,
                     (
                         now + 2_000,
-                        next(tie),
+                        next(sequence),
                         node,
                         AttemptEnded(
-                            ask.request_id, attempt, action.endpoint_id, Status.CONNECT_FAILED, 2_000
+                            request.request_id, attempt, action.endpoint_id, Status.CONNECT_FAILED, 2_000
                         ),
                     ),
                 )
                 continue
-            answer = int(20 + chance.expovariate(1 / 60))
-            size = PROMPT_B * ask.prompt_tokens * (zone != home)
-            if action.endpoint_id % 2:  # ids start at 1: odd ones read
-                begin = max(engine.reader_free, now)
-                engine.reader_free = begin + int(READ_US * max(ask.prompt_tokens - ask.prefix_tokens, 1.0))
-                done = engine.reader_free
-                held[ask.request_id] = zone
+            answer_tokens = int(20 + rng.expovariate(1 / 60))
+            crossed_bytes = PROMPT_BYTES * request.prompt_tokens * (zone != home_zone)
+            if action.endpoint_id % 2:  # ids start at 1: odd ones are prefill engines
+                begin = max(engine.prefill_free_at, now)
+                engine.prefill_free_at = begin + int(
+                    PREFILL_US_PER_TOKEN * max(request.prompt_tokens - request.prefix_tokens, 1.0)
+                )
+                done_us = engine.prefill_free_at
+                kv_state_zone[request.request_id] = zone
                 heapq.heappush(
                     queue,
                     (
-                        done,
-                        next(tie),
+                        done_us,
+                        next(sequence),
                         node,
                         AttemptEnded(
-                            ask.request_id,
+                            request.request_id,
                             attempt,
                             action.endpoint_id,
                             Status.PREFILLED,
-                            done - now,
-                            cross_zone_bytes=size,
-                            load_report=(float(max(engine.reader_free - now, 0) // 15_000), 0.3),
+                            done_us - now,
+                            cross_zone_bytes=crossed_bytes,
+                            load_report=(float(max(engine.prefill_free_at - now, 0) // 15_000), 0.3),
                         ),
                     ),
                 )
             else:
-                size += ANSWER_B * answer * (zone != home) + STATE_B * ask.prompt_tokens * (
-                    held[ask.request_id] != zone
-                )
-                slot = min(range(SLOTS), key=engine.free.__getitem__)
-                first = max(engine.free[slot], now) + STEP_US
-                engine.free[slot] = first + answer * STEP_US
-                busy = sum(f > now for f in engine.free)
+                crossed_bytes += ANSWER_BYTES * answer_tokens * (
+                    zone != home_zone
+                ) + STATE_BYTES * request.prompt_tokens * (kv_state_zone[request.request_id] != zone)
+                slot = min(range(DECODE_SLOTS), key=engine.slots_free_at.__getitem__)
+                first_token_us = max(engine.slots_free_at[slot], now) + DECODE_STEP_US
+                engine.slots_free_at[slot] = first_token_us + answer_tokens * DECODE_STEP_US
+                busy = sum(free_at > now for free_at in engine.slots_free_at)
                 heapq.heappush(
                     queue,
                     (
-                        first,
-                        next(tie),
+                        first_token_us,
+                        next(sequence),
                         node,
-                        StreamStarted(ask.request_id, attempt, action.endpoint_id, first - now),
+                        StreamStarted(request.request_id, attempt, action.endpoint_id, first_token_us - now),
                     ),
                 )
                 heapq.heappush(
                     queue,
                     (
-                        engine.free[slot],
-                        next(tie),
+                        engine.slots_free_at[slot],
+                        next(sequence),
                         node,
                         AttemptEnded(
-                            ask.request_id,
+                            request.request_id,
                             attempt,
                             action.endpoint_id,
                             Status.OK,
-                            engine.free[slot] - now,
+                            engine.slots_free_at[slot] - now,
                             True,
-                            cross_zone_bytes=size,
-                            load_report=(float(busy), busy / SLOTS * 0.5),
+                            cross_zone_bytes=crossed_bytes,
+                            load_report=(float(busy), busy / DECODE_SLOTS * 0.5),
                         ),
                     ),
                 )
-            if size:
-                crossed[action.cross_zone_cause] += size
+            if crossed_bytes:
+                crossed_by_cause[action.cross_zone_cause] += crossed_bytes
                 if action.cross_zone_cause in (CrossZoneCause.BUDGET, CrossZoneCause.RETRY):
-                    spent.append((now, size))
-    worst, most, total = 0.0, 0.0, 0.0
+                    budgeted_sends.append((now, crossed_bytes))
+    peak_of_bound, peak_bytes, window_bytes = 0.0, 0.0, 0.0
     window: deque[tuple[int, float]] = deque()
-    for when, size in spent:  # windows of a second
-        window.append((when, size))
-        total += size
-        while window[0][0] < when - 1_000_000:
-            total -= window.popleft()[1]
-        most = max(most, total)
+    for sent_at, crossed_bytes in budgeted_sends:  # sliding window of one second
+        window.append((sent_at, crossed_bytes))
+        window_bytes += crossed_bytes
+        while window[0][0] < sent_at - 1_000_000:
+            window_bytes -= window.popleft()[1]
+        peak_bytes = max(peak_bytes, window_bytes)
     if budgets:
-        worst = most / (budgets[0].bytes_per_s + budgets[0].burst + budgets[0].quantum)
+        peak_of_bound = peak_bytes / (budgets[0].bytes_per_s + budgets[0].burst + budgets[0].quantum)
     return {
         "name": name,
-        "in time": worth["in time"] / worth["asked"],
-        "crossed": sum(crossed.values()) / seconds,
-        "forced": crossed[CrossZoneCause.FORCED] / seconds,
-        "worst": worst,
-        "zones": [done / max(asked, 1e-9) for _, (asked, done) in sorted(by_zone.items())],
+        "in time": priority_weights["in time"] / priority_weights["asked"],
+        "crossed": sum(crossed_by_cause.values()) / seconds,
+        "forced": crossed_by_cause[CrossZoneCause.FORCED] / seconds,
+        "worst": peak_of_bound,
+        "zones": [in_time / max(asked, 1e-9) for _, (asked, in_time) in sorted(by_zone.items())],
     }
 
 
@@ -264,8 +283,8 @@
 @click.option("--plot", type=click.Path())
 def main(seconds: float, plot: str | None) -> None:
     click.echo(f"{NODES} nodes, {ENGINES} engines in {ZONES} zones, {seconds:g} s a day")
-    shades = []
-    days: list[Day] = [
+    results = []
+    scenarios: list[Scenario] = [
         ("calm", 420.0, (0.42, 0.33, 0.25), None, 0.0),
         ("zone 0 overfull", 600.0, (0.72, 0.16, 0.12), None, 0.0),
         (
@@ -277,43 +296,50 @@
         ),
         ("zone 0 overfull, uneven nodes", 600.0, (0.72, 0.16, 0.12), None, 0.8),
     ]
-    for day in days:
-        title = f"{day[0]}: {day[1]:g} requests a second, shares {day[2]}"
+    for scenario in scenarios:
+        title = f"{scenario[0]}: {scenario[1]:g} requests a second, shares {scenario[2]}"
         with ProcessPoolExecutor(7) as pool:
-            free = run("free", None, seconds, day)
-            parts = (1.0, 0.3, 0.1, 0.03, 0.0)
+            free = run_scenario("free", None, seconds, scenario)
+            shares_of_free = (1.0, 0.3, 0.1, 0.03, 0.0)
             jobs = [("never cross", -1.0, 0.0)] + [
-                (f"{p:.0%} of free", p * free["crossed"], 0.0) for p in parts
+                (f"{share:.0%} of free", share * free["crossed"], 0.0) for share in shares_of_free
+            ]
+            jobs += [
+                (f"{share:.0%} by traffic", share * free["crossed"], 1.0)
+                for share in shares_of_free[:3]
+                if scenario[4]
             ]
-            jobs += [(f"{p:.0%} by traffic", p * free["crossed"], 1.0) for p in parts[:3] if day[4]]
-            found = [free] + [
+            rows = [free] + [
                 row.result()
                 for row in [
-                    pool.submit(run, name, budget, seconds, day, by_traffic)
+                    pool.submit(run_scenario, name, budget, seconds, scenario, by_traffic)
                     for name, budget, by_traffic in jobs
                 ]
             ]
         click.echo(
             f"\n{title}\n{'':15} {'in time':>8} {'KB/s crossed':>13} {'of it forced':>13} {'worst s of bound':>17}  by zone"
         )
-        for row in found:
+        for row in rows:
             click.echo(
                 f"{row['name']:15} {row['in time']:8.1%} {row['crossed'] / 1000:13.0f} {row['forced'] / 1000:13.0f} "
-                f"{row['worst']:17.0%}  " + " ".join(f"{z:.1%}" for z in row["zones"])
+                f"{row['worst']:17.0%}  " + " ".join(f"{served_share:.1%}" for served_share in row["zones"])
             )
-        shades.append((day[0], found))
-    if plot and shades:
+        results.append((scenario[0], rows))
+    if plot and results:
         import matplotlib
 
         matplotlib.use("Agg")
         from matplotlib import pyplot
 
         figure, axes = pyplot.subplots(figsize=(7, 4))
-        for name, found in shades:
+        for name, rows in results:
             axes.plot(
-                [r["crossed"] / 1000 for r in found], [r["in time"] * 100 for r in found], "o", label=name
+                [row["crossed"] / 1000 for row in rows],
+                [row["in time"] * 100 for row in rows],
+                "o",
+                label=name,
             )
-            for row in found:
+            for row in rows:
                 axes.annotate(row["name"], (row["crossed"] / 1000, row["in time"] * 100), fontsize=6)
         axes.legend()
         axes.set(xlabel="KB a second across zones", ylabel="% of the worth in time (drawn engines)")
