--- a/tuliptrack/lab/hollow/__init__.py
+++ b/tuliptrack/lab/hollow/__init__.py
@@ -1,3 +1,3 @@
-"""Hollow nodes and engines: a node's real discovery client, list and decisions with drawn traffic, many to a
-process.
+"""Hollow nodes and engines for scale tests: each node has the real discovery client, endpoint list and
+decisions, but synthetic traffic, and many nodes share a process.
 """
--- a/tuliptrack/lab/hollow/agents.py
+++ b/tuliptrack/lab/hollow/agents.py
@@ -1,4 +1,4 @@
-"""Hollow agents of hosts: what controllers see of one, the acceptor included, without a node behind it."""
+"""Hollow host agents: they serve the interface that controllers use, with a real acceptor but no node."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class HollowAgent:
-    """Promises, holds records and reports as `fleet/agent.py` does; its node is drawn. `start`, then
-    `stop`.
+    """Promises, stores records and reports as the agent in `fleet/agent.py` does, with made-up counts in place
+    of a node's.
     """
 
     def __init__(self, host: str, record: bytes = b"") -> None:
-        """`record` is what it holds from the beginning, under an epoch that no controller claims."""
+        """`record` is the value that it has accepted at the start, under an epoch that no controller claims."""
         self.host = host
         self.acceptor = Acceptor(1, Ballot(1, 1), record) if record else Acceptor()
         self.looks = 0
@@ -29,21 +29,21 @@
         self.server.add("tuliptrack.v1.Agent", "Look", unary_request(pb.LookRequest, self._look))
 
     async def start(self) -> str:
-        """Serve; returns host:port."""
+        """Start serving; return host:port."""
         return await self.server.listen("127.0.0.1", 0)
 
     async def stop(self) -> None:
-        """End its connections."""
+        """Stop serving and end all connections."""
         await self.server.stop(0)
 
     def _answer(self, call: ServerCall, agreed: bool) -> None:
-        held = self.acceptor
+        acceptor = self.acceptor
         call.send(
             pb.AgentAnswer(
                 agreed=agreed,
-                promised=held.promised_epoch,
-                value=held.value,
-                mark=pb.Mark(epoch=held.ballot.epoch, number=held.ballot.number),
+                promised=acceptor.promised_epoch,
+                value=acceptor.value,
+                mark=pb.Mark(epoch=acceptor.ballot.epoch, number=acceptor.ballot.number),
             ).SerializeToString()
         )
         call.end(Status(Code.OK))
--- a/tuliptrack/lab/hollow/fleet.py
+++ b/tuliptrack/lab/hollow/fleet.py
@@ -1,5 +1,5 @@
-"""Hollow nodes before drawn engines on one machine: start, changes, a lost zone, new roles, a silent
-discovery.
+"""Runs a fleet of hollow nodes and simulated engines on one machine, through these phases: start, ordinary
+changes, loss and return of a zone, a change of roles, and an outage of discovery.
 """
 
 from __future__ import annotations
@@ -23,18 +23,20 @@
 NODE_BYTES, PROCESS_BYTES = (
     6_000,
     45_000_000,
-)  # memory of a hollow node for each engine, and of a process without nodes
-CHANGE_EVERY_S = 5.0  # seconds between ordinary changes of the list
-LOST_PART = 0.75  # of the time in which a fleet settles: so long a zone is lost, and discovery silent
+)  # memory of a hollow node per engine, and of a process without nodes
+REPLACEMENT_PERIOD_S = 5.0  # an engine is replaced, in three changes of the list, once in this period
+OUTAGE_SHARE = 0.75  # duration of the loss of a zone and of the discovery outage, as a share of `settle`
 
 
 class FleetError(ValueError):
-    """A fleet that can't be played; the text names the option."""
+    """The fleet can't be run; the message begins with the name of the option at fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """What is played. `rate` is requests a second of one node; `router` another module file to decide by."""
+    """Size and duration of a run. `rate` is the requests per second of one node; `router` is the path of a
+    module whose `Router` replaces the built-in one.
+    """
 
     nodes: int = 350
     engines: int = 3_400
@@ -42,14 +44,14 @@
     list_servers: int = 4
     rate: float = 7.1
     seconds: float = 60.0
-    """Of ordinary changes."""
+    """Duration of the phase of ordinary changes."""
     settle: float = 8.0
-    """Seconds after each part in which nodes come up to the list."""
+    """Seconds after each change of the later phases in which nodes may catch up with the list."""
     seed: int = 1
     router: str = ""
 
     def check(self) -> None:
-        """FleetError where it can't be played on this machine."""
+        """Raise FleetError if an option is out of range or this machine has too little memory."""
         for name, least, most in (
             ("nodes", 1, 2_000),
             ("engines", 64, 10_000),
@@ -63,57 +65,57 @@
             if not least <= value <= most:
                 raise FleetError(f"{name}: must lie in [{least}, {most}], got {value}")
         if self.processes + self.list_servers > MOST_PROCESSES:
-            raise FleetError(f"processes: {MOST_PROCESSES} at most, list servers among them")
+            raise FleetError(f"processes: {MOST_PROCESSES} at most, including list servers")
         needed = self.nodes * self.engines * NODE_BYTES + (self.processes + self.list_servers) * PROCESS_BYTES
         memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
         if needed > memory / 2:
             raise FleetError(
-                f"nodes: {needed >> 20} MB would be needed, half of this machine's are {memory >> 21}"
+                f"nodes: need {needed >> 20} MB, half of this machine's memory is {memory >> 21} MB"
             )
 
 
 @dataclass(slots=True)
 class Phase:
-    """One part of the day. Times in seconds."""
+    """Measurements of one phase of the run. Times are in seconds."""
 
     name: str
     changes: int = 0
     entries: int = 0
     spread_s: list[float | None] = field(default_factory=list)
-    """Of each change: until the last node had it; None where one had not when the part was over."""
+    """For each change, the time until the last node had it; None if a node lacked it when the phase ended."""
     node_core_share: float = 0.0
-    """Processor seconds a second of one node: its discovery client, list and decisions."""
+    """Processor seconds per second of one node: its discovery client, list and decisions."""
     list_bytes_per_s: float = 0.0
-    """To and from discovery, of one node."""
+    """Traffic of one node to and from discovery."""
     calls_per_s: float = 0.0
     whole_lists: int = 0
 
 
 @dataclass(slots=True)
 class Report:
-    """What was seen."""
+    """Measurements of the whole run."""
 
     plan: FleetPlan
     phases: list[Phase] = field(default_factory=list)
     node_memory: float = 0.0
-    """Bytes of one hollow node: its process's peak by its nodes."""
+    """Bytes of one hollow node: the peak memory of the processes, divided by the number of nodes."""
     processes: int = 0
     requests: int = 0
     refusals: int = 0
     decision_us: float = 0.0
-    """Microseconds of decisions for one request."""
+    """Mean processor time of decisions per request, in microseconds."""
     longest_event_ms: float = 0.0
     cold_engines: int = 0
     cold_most_of_budget: float = 0.0
-    """The most of its budget that any engine in slow start was sent in any window, by all nodes together."""
+    """Greatest share of its budget that an engine in slow start was sent in any window, by all nodes together."""
 
     def as_dict(self) -> dict[str, Any]:
-        """For JSON."""
+        """Return the report as JSON-compatible values."""
         return asdict(self)
 
 
 class _Process:
-    """One worker process."""
+    """A worker process, controlled by lines of JSON over its standard input and output."""
 
     def __init__(self, settings: dict[str, Any]) -> None:
         self.settings = settings
@@ -129,16 +131,16 @@
             stdout=asyncio.subprocess.PIPE,
             limit=1 << 26,
         )
-        self.started = await self.say(self.settings)
+        self.started = await self.command(self.settings)
 
-    async def say(self, told: dict[str, Any]) -> dict[str, Any]:
-        """One line there, one back."""
+    async def command(self, message: dict[str, Any]) -> dict[str, Any]:
+        """Send one message and return the answer."""
         assert self.child.stdin and self.child.stdout
-        self.child.stdin.write(json.dumps(told).encode() + b"\n")
+        self.child.stdin.write(json.dumps(message).encode() + b"\n")
         await self.child.stdin.drain()
         line = await self.child.stdout.readline()
         if not line:
-            raise FleetError(f"processes: one ended with status {await self.child.wait()}")
+            raise FleetError(f"processes: a worker exited with status {await self.child.wait()}")
         answer: dict[str, Any] = json.loads(line)
         return answer
 
@@ -153,23 +155,23 @@
 
 
 class _Fleet:
-    """The processes, and what was told to them."""
+    """The worker processes, and the changes of the list made so far."""
 
     def __init__(self, plan: FleetPlan) -> None:
         self.plan, self.population = plan, Population(plan.engines)
         self.lists = [_Process({"role": "lists", "engines": plan.engines}) for _ in range(plan.list_servers)]
         self.nodes: list[_Process] = []
         self.report = Report(plan)
-        self.told_at: dict[int, float] = {}
+        self.published_at: dict[int, float] = {}
         self.began = 0.0
-        self.fresh = plan.engines
-        """Number of the next engine that joins."""
+        self.next_number = plan.engines
+        """Number of the next engine that joins; it becomes part of the engine's id."""
         self._before: dict[str, float] = {}
-        self._at = 0.0
+        self._phase_began = 0.0
 
     async def start(self) -> None:
         plan = self.plan
-        await asyncio.gather(*(one.start() for one in self.lists))
+        await asyncio.gather(*(process.start() for process in self.lists))
         for number in range(plan.processes):
             agent = self.lists[number % len(self.lists)].started["address"]
             slots = list(range(number, plan.nodes, plan.processes))
@@ -186,45 +188,45 @@
                     }
                 )
             )
-        self.began = self.told_at[1] = time.monotonic()
-        await asyncio.gather(*(one.start() for one in self.nodes))
+        self.began = self.published_at[1] = time.monotonic()
+        await asyncio.gather(*(process.start() for process in self.nodes))
         self.report.processes = len(self.lists) + len(self.nodes)
 
     async def end(self) -> None:
-        running = [one for one in [*self.nodes, *self.lists] if hasattr(one, "child")]
-        await asyncio.gather(*(one.end() for one in running), return_exceptions=True)
+        running = [process for process in [*self.nodes, *self.lists] if hasattr(process, "child")]
+        await asyncio.gather(*(process.end() for process in running), return_exceptions=True)
 
     async def change(self, entries: Iterable[dict[str, Any]]) -> int:
-        """One change of the list, at every list server."""
-        told = {"change": list(entries)}
-        answers = await asyncio.gather(*(one.say(told) for one in self.lists))
+        """Make one change of the list at every list server; return its revision."""
+        message = {"change": list(entries)}
+        answers = await asyncio.gather(*(process.command(message) for process in self.lists))
         revision = int(answers[0]["revision"])
-        self.told_at[revision] = max(answer["at"] for answer in answers)
+        self.published_at[revision] = max(answer["at"] for answer in answers)
         return revision
 
-    async def silent(self, silent: bool) -> float:
-        """Discovery says nothing, or answers again; when it was told so."""
-        answers = await asyncio.gather(*(one.say({"silent": silent}) for one in self.lists))
+    async def set_silent(self, silent: bool) -> float:
+        """Stop or resume discovery's answers; return the time at which the last list server did so."""
+        answers = await asyncio.gather(*(process.command({"silent": silent}) for process in self.lists))
         return float(max(answer["at"] for answer in answers))
 
     async def totals(self) -> dict[str, float]:
-        """Sums over all processes so far."""
-        lists = await asyncio.gather(*(one.say({"report": True}) for one in self.lists))
-        nodes = await asyncio.gather(*(one.say({"report": True}) for one in self.nodes))
+        """Return sums over all processes since their start."""
+        lists = await asyncio.gather(*(process.command({"report": True}) for process in self.lists))
+        nodes = await asyncio.gather(*(process.command({"report": True}) for process in self.nodes))
         self.last_reports = nodes
         return {
-            "node_cpu_s": sum(one["cpu_s"] for one in nodes),
-            "calls": sum(one["calls"] for one in lists),
-            "bytes": sum(one["bytes_in"] + one["bytes_out"] for one in lists),
-            "whole_lists": sum(one["whole_lists"] for one in lists),
+            "node_cpu_s": sum(report["cpu_s"] for report in nodes),
+            "calls": sum(report["calls"] for report in lists),
+            "bytes": sum(report["bytes_in"] + report["bytes_out"] for report in lists),
+            "whole_lists": sum(report["whole_lists"] for report in lists),
         }
 
     async def begin_phase(self) -> None:
-        self._before, self._at = await self.totals(), time.monotonic()
+        self._before, self._phase_began = await self.totals(), time.monotonic()
 
     async def end_phase(self, name: str, revisions: dict[int, float], entries: int) -> None:
-        """Note what happened since `begin_phase`. `revisions`: those that were told, and when."""
-        after, took = await self.totals(), time.monotonic() - self._at
+        """Record what happened since `begin_phase`. `revisions` maps each revision to when it was published."""
+        after, took = await self.totals(), time.monotonic() - self._phase_began
         used = {key: after[key] - before for key, before in self._before.items()}
         per = self.plan.nodes * took
         phase = Phase(
@@ -237,31 +239,33 @@
             whole_lists=int(used["whole_lists"]),
         )
         for revision, at in revisions.items():
-            spread = max(self._last_to_have(revision) - at, 0.0)
+            spread = max(self._time_of_last_node(revision) - at, 0.0)
             phase.spread_s.append(round(spread, 3) if spread < math.inf else None)
         self.report.phases.append(phase)
 
-    def _last_to_have(self, revision: int) -> float:
-        """When the last node had this revision or a newer one; infinite where one still has not."""
+    def _time_of_last_node(self, revision: int) -> float:
+        """Return when the last node had this revision or a newer one; infinite if a node still lacks it."""
         latest = 0.0
         for process in self.last_reports:
             for node in process["nodes"]:
-                having = [at for known, at in node["taken"].items() if int(known) >= revision]
-                latest = max(latest, min(having, default=math.inf))
+                times = [at for known, at in node["taken"].items() if int(known) >= revision]
+                latest = max(latest, min(times, default=math.inf))
         return latest
 
-    def fresh_members(self, numbers: Iterable[int], **changes: Any) -> list[dict[str, Any]]:
-        """New engines in the place of these, just started."""
+    def new_members(self, numbers: Iterable[int], **changes: Any) -> list[dict[str, Any]]:
+        """Return entries of new engines, just started, that replace these."""
         now = time.time_ns() // 1_000_000
         made = []
         for number in numbers:
-            made.append(self.population.member(number, up_since_ms=now, id=f"s-{self.fresh:08x}", **changes))
-            self.fresh += 1
+            made.append(
+                self.population.member(number, up_since_ms=now, id=f"s-{self.next_number:08x}", **changes)
+            )
+            self.next_number += 1
         return made
 
 
-async def _ordinary(fleet: _Fleet) -> None:
-    """Changes of one engine, every few seconds: it drains, goes, and another comes in its place."""
+async def _run_ordinary_changes(fleet: _Fleet) -> None:
+    """Replace one engine every few seconds: it drains, is removed, and a new one joins in its place."""
     revisions, entries = {}, 0
     await fleet.begin_phase()
     until = time.monotonic() + fleet.plan.seconds
@@ -270,70 +274,70 @@
         for entry in (
             fleet.population.member(number, phase="Terminating"),
             fleet.population.member(number, phase="Gone"),
-            *fleet.fresh_members([number]),
+            *fleet.new_members([number]),
         ):
             revision = await fleet.change([entry])
-            revisions[revision] = fleet.told_at[revision]
+            revisions[revision] = fleet.published_at[revision]
             entries += 1
-            await asyncio.sleep(CHANGE_EVERY_S / 3)
+            await asyncio.sleep(REPLACEMENT_PERIOD_S / 3)
         number += 5
     await asyncio.sleep(2.0)
     await fleet.end_phase("ordinary changes", revisions, entries)
 
 
-async def _one_change(fleet: _Fleet, name: str, entries: list[dict[str, Any]], part: float = 1.0) -> None:
+async def _run_one_change(fleet: _Fleet, name: str, entries: list[dict[str, Any]], part: float = 1.0) -> None:
     await fleet.begin_phase()
     revision = await fleet.change(entries)
     await asyncio.sleep(part * fleet.plan.settle)
-    await fleet.end_phase(name, {revision: fleet.told_at[revision]}, len(entries))
+    await fleet.end_phase(name, {revision: fleet.published_at[revision]}, len(entries))
 
 
-async def _zone(fleet: _Fleet) -> None:
-    """A zone's engines go in one change, and come back cold in one."""
+async def _run_zone_loss(fleet: _Fleet) -> None:
+    """Remove all engines of a zone in one change, then add them in another, just started."""
     lost = fleet.population.in_zone(3)
-    await _one_change(
-        fleet, "a zone lost", [fleet.population.member(n, phase="Gone") for n in lost], LOST_PART
+    await _run_one_change(
+        fleet, "a zone lost", [fleet.population.member(n, phase="Gone") for n in lost], OUTAGE_SHARE
     )
     now = time.time_ns() // 1_000_000
-    await _one_change(
+    await _run_one_change(
         fleet, "the zone back, cold", [fleet.population.member(n, up_since_ms=now) for n in lost]
     )
 
 
-async def _roles(fleet: _Fleet) -> None:
-    """Half of the readers leave and come back as writers."""
-    readers = [n for n in range(fleet.plan.engines) if fleet.population.kind(n) == 0][::2]
-    gone = [fleet.population.member(n, phase="Gone") for n in readers]
-    await _one_change(
-        fleet, "half of the readers become writers", [*gone, *fleet.fresh_members(readers, flavor="writes")]
+async def _run_role_change(fleet: _Fleet) -> None:
+    """Replace half of the prefill engines by new decode engines, in one change."""
+    prefill = [n for n in range(fleet.plan.engines) if fleet.population.kind(n) == 0][::2]
+    gone = [fleet.population.member(n, phase="Gone") for n in prefill]
+    await _run_one_change(
+        fleet, "half of the readers become writers", [*gone, *fleet.new_members(prefill, flavor="writes")]
     )
 
 
-async def _silence(fleet: _Fleet) -> None:
-    """Discovery is silent, and changes meanwhile: that counts from its return."""
+async def _run_discovery_outage(fleet: _Fleet) -> None:
+    """Stop discovery's answers, and change the list meanwhile; the spread counts from when it answers again."""
     await fleet.begin_phase()
-    await fleet.silent(True)
-    await asyncio.sleep(LOST_PART * fleet.plan.settle / 2)
+    await fleet.set_silent(True)
+    await asyncio.sleep(OUTAGE_SHARE * fleet.plan.settle / 2)
     revision = await fleet.change([fleet.population.member(2, phase="Terminating")])
-    await asyncio.sleep(LOST_PART * fleet.plan.settle / 2)
-    back = await fleet.silent(False)
+    await asyncio.sleep(OUTAGE_SHARE * fleet.plan.settle / 2)
+    back = await fleet.set_silent(False)
     await asyncio.sleep(fleet.plan.settle)
     await fleet.end_phase("discovery silent and back", {revision: back}, 1)
 
 
 async def play_fleet(plan: FleetPlan) -> Report:
-    """The whole day; FleetError where it can't be played. Nothing is left running."""
+    """Run all phases; raise FleetError if that isn't possible. No process is left running."""
     plan.check()
     fleet = _Fleet(plan)
     try:
         await fleet.start()
-        fleet._before, fleet._at = (
+        fleet._before, fleet._phase_began = (
             dict.fromkeys(("node_cpu_s", "calls", "bytes", "whole_lists"), 0.0),
             fleet.began,
         )
         await _wait_for_all(fleet)
         await fleet.end_phase("start of all", {1: fleet.began}, plan.engines)
-        for part in (_ordinary, _zone, _roles, _silence):
+        for part in (_run_ordinary_changes, _run_zone_loss, _run_role_change, _run_discovery_outage):
             await part(fleet)
         _sum_up(fleet)
         return fleet.report
@@ -341,14 +345,14 @@
         await fleet.end()
 
 
-async def _wait_for_all(fleet: _Fleet, most: float = 120.0) -> None:
-    """Until every node has a list."""
-    for _ in range(int(most)):
+async def _wait_for_all(fleet: _Fleet, timeout_s: float = 120.0) -> None:
+    """Wait until every node has a list; raise FleetError after `timeout_s` seconds."""
+    for _ in range(int(timeout_s)):
         await asyncio.sleep(1.0)
         await fleet.totals()
-        if fleet._last_to_have(1) < math.inf:
+        if fleet._time_of_last_node(1) < math.inf:
             return
-    raise FleetError(f"nodes: not every one had its list in {most:g} s")
+    raise FleetError(f"nodes: not every node had the list within {timeout_s:g} s")
 
 
 def _sum_up(fleet: _Fleet) -> None:
@@ -365,27 +369,27 @@
             sends[engine].append(at)
     report.cold_engines = len(sends)
     report.cold_most_of_budget = round(
-        max((_most_of_budget(times, fleet.plan) for times in sends.values()), default=0.0), 3
+        max((_greatest_budget_share(times, fleet.plan) for times in sends.values()), default=0.0), 3
     )
 
 
-def _most_of_budget(sends: list[float], plan: FleetPlan) -> float:
-    """The most that any window had of what the settings allow an engine that has only just started. The
-    engine's ramp is taken at its lowest, and it is taken for a reader or writer of the whole quotas' even
-    share, whichever is less.
+def _greatest_budget_share(sends: list[float], plan: FleetPlan) -> float:
+    """Return the greatest number of sends in any window, as a share of what the settings allow an engine that
+    has only just started: with the slow-start ramp at its lowest, and the capacity of an engine taken as an even
+    share of all tenants' quotas, among the prefill or the decode engines, whichever gives less.
     """
     settings = node_settings(plan.nodes)
     quotas = sum(tenant.quota_per_s for tenant in settings.tenants)
-    able = quotas / (plan.engines * 3 / 4)
+    capacity_per_s = quotas / (plan.engines * 3 / 4)
     allowed = (
         settings.slow_start_overload_factor
         * settings.slow_start_initial_share
-        * able
+        * capacity_per_s
         * settings.slow_start_window_us
         / 1e6
     )
-    most = allowed + (2 * math.sqrt(allowed) + 2 if allowed >= 30 else 3 * math.sqrt(allowed) + 3)
+    limit = allowed + (2 * math.sqrt(allowed) + 2 if allowed >= 30 else 3 * math.sqrt(allowed) + 3)
     sends.sort()
     window = settings.slow_start_window_us / 1e6
-    worst = max(sum(1 for later in sends[place:] if later < at + window) for place, at in enumerate(sends))
-    return worst / most
+    worst = max(sum(1 for later in sends[index:] if later < at + window) for index, at in enumerate(sends))
+    return worst / limit
--- a/tuliptrack/lab/hollow/node.py
+++ b/tuliptrack/lab/hollow/node.py
@@ -1,5 +1,5 @@
-"""A hollow node: the platform node's real discovery client, list and decisions in real time; clients and
-engines are drawn.
+"""A hollow node: the real discovery client, endpoint list and decisions of the platform's node, in real time,
+with simulated clients and engines.
 """
 
 from __future__ import annotations
@@ -37,26 +37,26 @@
 
 @dataclass(slots=True)
 class NodeReport:
-    """What one hollow node saw. Moments are seconds on the machine's monotonic clock."""
+    """Measurements of one hollow node. Points in time are seconds on the machine's monotonic clock."""
 
     slot: int
     taken: dict[int, float] = field(default_factory=dict)
-    """By revision of the list, when this node had it."""
+    """When this node had each revision of the list."""
     longest_event_s: float = 0.0
-    """Of processor time, as are the two below."""
+    """Processor time, as are `list_s` and `decision_s`."""
     list_s: float = 0.0
-    """Seconds spent on lists: parsed ones taken, the router told."""
+    """Seconds spent applying parsed lists and passing them to the router."""
     decision_s: float = 0.0
-    """Seconds spent on events of requests."""
+    """Seconds spent on all other events: requests, outcomes of attempts and timers."""
     requests: int = 0
     sends: int = 0
     refusals: int = 0
     cold_sends: list[tuple[int, float]] = field(default_factory=list)
-    """Engine and moment of each send to one in slow start."""
+    """Engine and time of each send to an engine in slow start."""
 
 
 class HollowNode:
-    """`start`, then `stop`; between them it asks `agent` for the list and serves drawn requests."""
+    """Between `start` and `stop`, fetches the list from `agent` and decides on synthetic requests."""
 
     def __init__(
         self, slot: int, replicas: int, agent: str, rates: Rates, seed: int, make: Callable[..., Any] = Router
@@ -69,21 +69,21 @@
         self.source = Discovery(
             agent,
             lambda: max(self.directory.revision, 0),
-            self._listed,
+            self._apply_list,
             self.settings.drain_grace_us,
             log_fault,
         )
         self._random = Random(seed)
         self._timers: set[asyncio.TimerHandle] = set()
-        self._last: tuple[UpdateKind, int] | None = None
+        self._last_update: tuple[UpdateKind, int] | None = None
 
     def start(self) -> None:
-        """Ask for the list, and let requests come."""
+        """Start the discovery client and the synthetic requests."""
         self.source.start()
-        self._later(self.traffic.pause(), self._arrive)
+        self._schedule(self.traffic.pause(), self._on_request)
 
     async def stop(self) -> None:
-        """End every call and timer."""
+        """Cancel all timers and close the discovery client."""
         for timer in self._timers:
             timer.cancel()
         await self.source.close()
@@ -92,55 +92,57 @@
         endpoint = self.router.endpoints.get(server)
         return endpoint.role if endpoint else ROLES[0]
 
-    def _listed(self, told: Any, first: bool) -> bool:
-        """As the platform's node takes a list: see `relay/node.py`."""
+    def _apply_list(self, parsed: Any, first: bool) -> bool:
+        """Apply a list as the platform's node does: see `relay/node.py`."""
         began = time.thread_time()
-        change = self.directory.apply(told, is_new_agent=first)
+        change = self.directory.apply(parsed, is_new_agent=first)
         if change is None:
             return False
-        known, self._last = self._last, (change.kind, change.version)
-        if (known != self._last or first) and (change.kind is not UpdateKind.DELTA or change.endpoints):
-            self._tell(change)
+        previous, self._last_update = self._last_update, (change.kind, change.version)
+        if (previous != self._last_update or first) and (
+            change.kind is not UpdateKind.DELTA or change.endpoints
+        ):
+            self._handle(change)
         took = time.thread_time() - began
         self.report.list_s += took
         self.report.longest_event_s = max(self.report.longest_event_s, took)
         self.report.taken.setdefault(self.directory.revision, time.monotonic())
         return True
 
-    def _arrive(self) -> None:
-        self._later(self.traffic.pause(), self._arrive)
+    def _on_request(self) -> None:
+        self._schedule(self.traffic.pause(), self._on_request)
         self.report.requests += 1
         self._decide(self.traffic.request())
 
     def _decide(self, event: Event) -> None:
         began = time.thread_time()
-        self._tell(event)
+        self._handle(event)
         took = time.thread_time() - began
         self.report.decision_s += took
         self.report.longest_event_s = max(self.report.longest_event_s, took)
 
-    def _tell(self, event: Event) -> None:
+    def _handle(self, event: Event) -> None:
         now = now_us()
         for action in self.router.handle(now, [event]):
             if isinstance(action, SendAttempt):
-                self._sent(now, action)
+                self._start_attempt(now, action)
             elif isinstance(action, SetTimer):
-                self._later(action.delay_us, self._decide, TimerFired(action.token))
+                self._schedule(action.delay_us, self._decide, TimerFired(action.token))
             elif isinstance(event, Request | AttemptEnded | StreamStarted):
                 self.report.refusals += type(action).__name__ == "Reject"
 
-    def _sent(self, now: int, action: SendAttempt) -> None:
+    def _start_attempt(self, now: int, action: SendAttempt) -> None:
         self.report.sends += 1
         started = self.router.endpoints[action.endpoint_id].info.started_at_us
         if started and now < started + self.settings.slow_start_us:
             self.report.cold_sends.append((action.endpoint_id, now / 1e6))
-        for late, answer in self.traffic.answers(action):
-            self._later(late, self._decide, answer)
+        for delay_us, answer in self.traffic.answers(action):
+            self._schedule(delay_us, self._decide, answer)
 
-    def _later(self, late: int, act: Callable[..., None], *arguments: Any) -> None:
+    def _schedule(self, delay_us: int, act: Callable[..., None], *arguments: Any) -> None:
         def run() -> None:
             self._timers.discard(handle)
             act(*arguments)
 
-        handle = asyncio.get_running_loop().call_later(late / 1e6, run)
+        handle = asyncio.get_running_loop().call_later(delay_us / 1e6, run)
         self._timers.add(handle)
--- a/tuliptrack/lab/hollow/population.py
+++ b/tuliptrack/lab/hollow/population.py
@@ -1,6 +1,4 @@
-"""Populations of drawn engines, as the platform's discovery lists them and as the decision module sees
-them.
-"""
+"""Populations of simulated engines, in the formats of the platform's discovery and of the decision module."""
 
 from __future__ import annotations
 
@@ -13,52 +11,52 @@
 
 KINDS = ("reads", "writes")
 ROLES = (Role.PREFILL, Role.DECODE)
-REQUESTS_PER_S = 2_500.0  # of the whole fleet at its peak
-PORTS = (20_000, 40_000)  # drawn engines are listed under these ports and never dialled
+REQUESTS_PER_S = 2_500.0  # peak of the whole fleet
+PORTS = (20_000, 40_000)  # simulated engines are listed under these ports; no connection is made to them
 
 
 @dataclass(frozen=True, slots=True)
 class Population:
-    """So many engines, spread evenly over zones and cells; every fourth one reads prompts."""
+    """Engines spread evenly over zones and cells; by default every fourth is a prefill engine."""
 
     engines: int
     zones: int = 8
     cells: int = 200
-    readers_every: int = 4
+    prefill_every: int = 4
 
     def __post_init__(self) -> None:
-        if self.engines < 2 * self.readers_every:
-            raise ValueError(f"engines: at least {2 * self.readers_every}, got {self.engines}")
+        if self.engines < 2 * self.prefill_every:
+            raise ValueError(f"engines: at least {2 * self.prefill_every}, got {self.engines}")
         if not 1 <= self.zones <= self.engines:
             raise ValueError(f"zones: must lie in [1, {self.engines}], got {self.zones}")
 
     def kind(self, number: int) -> int:
-        """Index into `KINDS` of one engine."""
-        return 0 if number % self.readers_every == 0 else 1
+        """Return the index into `KINDS` of an engine."""
+        return 0 if number % self.prefill_every == 0 else 1
 
     def zone(self, number: int) -> int:
-        """Where one engine lies; readers and writers are spread alike."""
-        return number // self.readers_every % self.zones
+        """Return the zone of an engine; prefill and decode engines are spread alike."""
+        return number // self.prefill_every % self.zones
 
     def cell(self, number: int) -> int:
-        """Its rack."""
-        return number // self.readers_every % min(self.cells, self.engines // self.readers_every)
+        """Return the cell (rack) of an engine."""
+        return number // self.prefill_every % min(self.cells, self.engines // self.prefill_every)
 
     def servers(self) -> tuple[EndpointInfo, ...]:
-        """The engines as the decision module is told of them, numbered from 1."""
+        """Return all engines as the decision module receives them, numbered from 1."""
         return tuple(self.server(n) for n in range(self.engines))
 
     def server(self, number: int, **changes: Any) -> EndpointInfo:
-        """One engine as the decision module is told of it."""
-        told: dict[str, Any] = {
+        """Return an engine as the decision module receives it, with `changes` to its fields."""
+        values: dict[str, Any] = {
             "kind": self.kind(number),
             "cell": self.cell(number),
             "zone": self.zone(number),
         }
-        return EndpointInfo(number + 1, **(told | changes))
+        return EndpointInfo(number + 1, **(values | changes))
 
     def member(self, number: int, **changes: Any) -> dict[str, Any]:
-        """One entry of the platform's list."""
+        """Return the entry of an engine in the platform's list, with `changes` to its fields."""
         first, last = PORTS
         entry = {
             "id": f"s-{number:08x}",
@@ -73,16 +71,16 @@
         return entry | changes
 
     def members(self) -> list[dict[str, Any]]:
-        """The whole list."""
+        """Return the platform's whole list."""
         return [self.member(n) for n in range(self.engines)]
 
     def in_zone(self, zone: int) -> list[int]:
-        """Numbers of the engines of one zone."""
+        """Return the numbers of the engines of one zone."""
         return [n for n in range(self.engines) if self.zone(n) == zone]
 
 
 def node_settings(replicas: int, slot: int = 0, tenants: int = 450) -> Settings:
-    """Settings of one node of such a fleet. Times are microseconds."""
+    """Return the settings of one node of a hollow fleet. Times are microseconds."""
     return Settings(
         replicas=replicas,
         replica_index=slot,
--- a/tuliptrack/lab/hollow/traffic.py
+++ b/tuliptrack/lab/hollow/traffic.py
@@ -1,8 +1,8 @@
-"""Drawn traffic of one node: requests come, attempts are answered after drawn times, and the router hears of
-it.
+"""Synthetic traffic of one node: requests and the outcomes of attempts, with their times, are drawn at random
+and given to the router as events.
 
-The same source drives a router on a clock of its own (`Playback`, for measurements and tests) and in real
-time (`node.py`).
+The same source drives a router in virtual time (`Playback`, for measurements and tests) and in real time
+(`node.py`).
 """
 
 from __future__ import annotations
@@ -31,21 +31,21 @@
 
 
 class Decides(Protocol):
-    """The decision module, or one in its place."""
+    """Interface of the decision module, and of modules that replace it."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take the events of one moment; return what to do."""
+        """Process events that occur at the same time; return the actions to take."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Rates:
-    """What comes to one node, and how engines answer. Times are microseconds."""
+    """Rate and kind of the requests to one node, and how engines respond. Times are microseconds."""
 
     per_s: float = 7.1
-    """Requests a second."""
+    """Requests per second."""
     answer_tokens: float = 276.0
-    """Mean length of an answer."""
+    """Mean length of a response."""
     token_us: int = 70_000
     prefixes: int = 5_000
     tenants: int = 450
@@ -55,7 +55,7 @@
 
 
 class DrawnTraffic:
-    """Requests and answers drawn from one seed. `role_of` tells what an engine does."""
+    """Requests and responses drawn from one seed. `role_of` returns the role of an engine."""
 
     def __init__(self, rates: Rates, seed: int, role_of: Callable[[int], Role]) -> None:
         self.rates, self.random, self.role_of = rates, Random(seed), role_of
@@ -63,11 +63,11 @@
         self._attempts: dict[int, int] = {}
 
     def pause(self) -> int:
-        """Microseconds to the next request."""
+        """Draw the microseconds until the next request."""
         return int(self.random.expovariate(self.rates.per_s) * _S)
 
     def request(self) -> Request:
-        """A new request: some prefixes and tenants are asked for far more often than others."""
+        """Draw a new request. Some prefixes and tenants are drawn far more often than others."""
         number = next(self._ids)
         self._attempts[number] = -1
         prefix = 1 + int(self.rates.prefixes * self.random.random() ** 3)
@@ -84,46 +84,46 @@
         )
 
     def answers(self, send: SendAttempt) -> Iterator[tuple[int, Event]]:
-        """What comes of an attempt: events, and the microseconds after which each comes."""
+        """Draw the outcome of an attempt: its events, each with its delay in microseconds from the send."""
         attempt = self._attempts[send.request_id] = self._attempts[send.request_id] + 1
-        chance = self.random
-        load = (float(chance.randrange(6)), chance.random() * 0.4, chance.random())
-        if chance.random() < self.rates.reset_share:
-            late = int(chance.expovariate(1 / 50_000))
-            yield late, AttemptEnded(send.request_id, attempt, send.endpoint_id, Status.RESET, late)
+        random = self.random
+        load = (float(random.randrange(6)), random.random() * 0.4, random.random())
+        if random.random() < self.rates.reset_share:
+            delay_us = int(random.expovariate(1 / 50_000))
+            yield delay_us, AttemptEnded(send.request_id, attempt, send.endpoint_id, Status.RESET, delay_us)
         elif self.role_of(send.endpoint_id) is Role.PREFILL:
-            took = 40_000 + int(chance.expovariate(1 / 60_000))
+            elapsed_us = 40_000 + int(random.expovariate(1 / 60_000))
             yield (
-                took,
+                elapsed_us,
                 AttemptEnded(
                     send.request_id,
                     attempt,
                     send.endpoint_id,
                     Status.PREFILLED,
-                    took,
+                    elapsed_us,
                     cached_tokens=1_800,
                     load_report=load,
                 ),
             )
         else:
-            first = 20_000 + int(chance.expovariate(1 / 20_000))
-            whole = first + int(chance.expovariate(1 / self.rates.answer_tokens) * self.rates.token_us)
-            yield first, StreamStarted(send.request_id, attempt, send.endpoint_id, first)
+            first_us = 20_000 + int(random.expovariate(1 / 20_000))
+            last_us = first_us + int(random.expovariate(1 / self.rates.answer_tokens) * self.rates.token_us)
+            yield first_us, StreamStarted(send.request_id, attempt, send.endpoint_id, first_us)
             yield (
-                whole,
+                last_us,
                 AttemptEnded(
                     send.request_id,
                     attempt,
                     send.endpoint_id,
                     Status.OK,
-                    whole,
+                    last_us,
                     is_final=True,
                     load_report=load,
                 ),
             )
 
     def forget(self, request: int) -> None:
-        """Its last event has come."""
+        """Drop the state of a request after its last event."""
         self._attempts.pop(request, None)
 
 
@@ -131,41 +131,41 @@
 
 
 class Playback:
-    """One router under drawn traffic, on a clock of its own. `watch` is called after each event."""
+    """Drives one router with synthetic traffic in virtual time. `watch` is called after each event."""
 
     def __init__(self, router: Decides, traffic: DrawnTraffic, start: int = 1_000 * _S) -> None:
         self.router, self.traffic, self.now = router, traffic, start
         self.call: Callable[[int, Event], list[Action]] = lambda now, event: router.handle(now, [event])
-        """How the router is asked; replace it to measure."""
+        """Calls the router; replace it to measure the calls."""
         self.watch: Watch = lambda now, event, actions: None
         self._queue: list[tuple[int, int, Event]] = []
         self._order = itertools.count()
-        self._left = 0
+        self._remaining = 0
 
     def tell(self, event: Event) -> list[Action]:
-        """One event, now."""
+        """Give the router one event now; schedule the responses to the attempts that it sends."""
         actions = self.call(self.now, event)
         self.watch(self.now, event, actions)
         for action in actions:
             if isinstance(action, SendAttempt):
-                for late, answer in self.traffic.answers(action):
-                    self._at(self.now + late, answer)
+                for delay_us, answer in self.traffic.answers(action):
+                    self._schedule(self.now + delay_us, answer)
         return actions
 
     def play(self, requests: int) -> None:
-        """So many requests; what is still open then stays open."""
-        self._left = requests
-        self._at(self.now + self.traffic.pause(), self.traffic.request())
-        while self._left:
+        """Play so many requests; those that are still open then stay open."""
+        self._remaining = requests
+        self._schedule(self.now + self.traffic.pause(), self.traffic.request())
+        while self._remaining:
             self.now, _, event = heapq.heappop(self._queue)
             if isinstance(event, Request):
-                self._left -= 1
-                self._at(self.now + self.traffic.pause(), self.traffic.request())
+                self._remaining -= 1
+                self._schedule(self.now + self.traffic.pause(), self.traffic.request())
             self.tell(event)
 
-    def at(self, late: int, event: Event) -> None:
-        """An event of the test's own, so many microseconds from now."""
-        self._at(self.now + late, event)
+    def at(self, delay_us: int, event: Event) -> None:
+        """Schedule an additional event, `delay_us` microseconds from now."""
+        self._schedule(self.now + delay_us, event)
 
-    def _at(self, at: int, event: Event) -> None:
-        heapq.heappush(self._queue, (at, next(self._order), event))
+    def _schedule(self, time_us: int, event: Event) -> None:
+        heapq.heappush(self._queue, (time_us, next(self._order), event))
--- a/tuliptrack/lab/hollow/worker.py
+++ b/tuliptrack/lab/hollow/worker.py
@@ -1,7 +1,8 @@
-"""A process of a hollow fleet: some hollow nodes, or one list server. Told by lines of JSON on its input.
+"""A worker process of a hollow fleet: runs some hollow nodes, or one list server.
 
-The first line is its settings (`{"role": "nodes" | "lists", ...}`); it answers with one line once it runs.
-Further lines are commands: `change`, `silent` and `report`; the end of the input ends it.
+It is controlled by lines of JSON on its standard input. The first line has its settings
+(`{"role": "nodes" | "lists", ...}`); it answers with one line once it runs. Further lines are commands:
+`change`, `silent` and `report`, each answered with one line. It exits at the end of the input.
 """
 
 from __future__ import annotations
@@ -27,37 +28,39 @@
 
 __all__ = ["main"]
 
-_LINE_BYTES = 1 << 24  # a change of a whole zone fits into one line
+_LINE_BYTES = 1 << 24  # enough for a change of a whole zone
 
 
 def _usage() -> dict[str, float]:
-    """Processor seconds and peak bytes of memory of this process."""
+    """Return the processor seconds and the peak memory in bytes of this process."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return {"cpu_s": used.ru_utime + used.ru_stime, "memory": used.ru_maxrss * 1024.0}
 
 
-def _maker(path: str) -> Callable[..., Any]:
-    """`Router`, or that of another module file."""
+def _router_class(path: str) -> Callable[..., Any]:
+    """Return the built-in `Router`, or the one in the module file at `path`."""
     if not path:
         return Router
     spec = importlib.util.spec_from_file_location("other_router", Path(path))
     if spec is None or spec.loader is None:
-        raise ValueError(f"router: {path!r} is no module")
+        raise ValueError(f"router: {path!r} can't be loaded as a Python module")
     module = importlib.util.module_from_spec(spec)
     sys.modules["other_router"] = module
     spec.loader.exec_module(module)
-    made: Callable[..., Any] = module.Router
-    return made
+    router: Callable[..., Any] = module.Router
+    return router
 
 
 class _Nodes:
-    """Some hollow nodes."""
+    """The role `nodes`: several hollow nodes."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        make, rates = _maker(told["router"]), Rates(per_s=told["rate"])
+    def __init__(self, settings: dict[str, Any]) -> None:
+        make, rates = _router_class(settings["router"]), Rates(per_s=settings["rate"])
         self.nodes = [
-            HollowNode(slot, told["replicas"], told["agent"], rates, told["seed"] * 10_000 + slot, make)
-            for slot in told["slots"]
+            HollowNode(
+                slot, settings["replicas"], settings["agent"], rates, settings["seed"] * 10_000 + slot, make
+            )
+            for slot in settings["slots"]
         ]
 
     async def start(self) -> dict[str, Any]:
@@ -66,8 +69,8 @@
             node.start()
         return {"began": began}
 
-    def command(self, told: dict[str, Any]) -> dict[str, Any]:
-        """A report; nothing else is said to nodes."""
+    def command(self, message: dict[str, Any]) -> dict[str, Any]:
+        """Return the report; nodes have no other command."""
         return {"nodes": [asdict(node.report) for node in self.nodes], **_usage()}
 
     async def stop(self) -> None:
@@ -76,28 +79,28 @@
 
 
 class _Lists:
-    """One list server."""
+    """The role `lists`: one list server."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        self.server = ListServer(Population(told["engines"]).members())
+    def __init__(self, settings: dict[str, Any]) -> None:
+        self.server = ListServer(Population(settings["engines"]).members())
 
     async def start(self) -> dict[str, Any]:
         return {"address": await self.server.start()}
 
-    def command(self, told: dict[str, Any]) -> dict[str, Any]:
-        """A change, silence, or a report."""
-        if "change" in told:
+    def command(self, message: dict[str, Any]) -> dict[str, Any]:
+        """Carry out `change` or `silent`, or return the report."""
+        if "change" in message:
             at = time.monotonic()
-            return {"revision": self.server.change(told["change"]), "at": at}
-        if "silent" in told:
-            self.server.set_silent(told["silent"])
+            return {"revision": self.server.change(message["change"]), "at": at}
+        if "silent" in message:
+            self.server.set_silent(message["silent"])
             return {"at": time.monotonic()}
-        one = self.server
+        server = self.server
         return {
-            "calls": one.calls,
-            "bytes_in": one.bytes_in,
-            "bytes_out": one.bytes_out,
-            "whole_lists": one.whole_lists,
+            "calls": server.calls,
+            "bytes_in": server.bytes_in,
+            "bytes_out": server.bytes_out,
+            "whole_lists": server.whole_lists,
             **_usage(),
         }
 
@@ -110,16 +113,16 @@
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
     )
-    told = json.loads(await reader.readline())
-    made = _Nodes(told) if told["role"] == "nodes" else _Lists(told)
-    _say(await made.start())
+    settings = json.loads(await reader.readline())
+    role = _Nodes(settings) if settings["role"] == "nodes" else _Lists(settings)
+    _answer(await role.start())
     while line := await reader.readline():
-        _say(made.command(json.loads(line)))
-    await made.stop()
+        _answer(role.command(json.loads(line)))
+    await role.stop()
 
 
-def _say(what: dict[str, Any]) -> None:
-    sys.stdout.write(json.dumps(what) + "\n")
+def _answer(message: dict[str, Any]) -> None:
+    sys.stdout.write(json.dumps(message) + "\n")
     sys.stdout.flush()
 
 
