--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -1,4 +1,4 @@
-"""Fits, result files and the page: no figure stands in `docs/CAPACITY.md` without its run."""
+"""Fits, result files, and the tables of `docs/CAPACITY.md`, which must be those rendered from the result files."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 SIZES = (100.0, 200.0, 800.0, 3_200.0)
 
 
-def of(curve: list[float]) -> Fit:
+def fit_values(curve: list[float]) -> Fit:
     return fit(list(zip(SIZES, curve, strict=True)))
 
 
-def test_a_line_a_power_and_a_bend_are_told_apart() -> None:
-    line = of([7 + 3 * size for size in SIZES])
+def test_fit_distinguishes_lines_power_laws_and_bent_curves() -> None:
+    line = fit_values([7 + 3 * size for size in SIZES])
     assert line.form is Form.LINE and line.at(1_000) == pytest.approx(3_007) and line.residual < 1e-9
-    power = of([5 * size**0.5 for size in SIZES])
+    power = fit_values([5 * size**0.5 for size in SIZES])
     assert (
         power.form is Form.POWER and power.b == pytest.approx(0.5) and power.at(10_000) == pytest.approx(500)
     )
     assert power.extrapolated(10_000) and not power.extrapolated(300)
-    bent = of([1.0, 1.0, 1.0, 40.0])
+    bent = fit_values([1.0, 1.0, 1.0, 40.0])
     assert bent.form is Form.BENT
     with pytest.raises(ValueError, match="bends"):
         bent.at(1_000)
@@ -39,23 +39,23 @@
         fit([(1.0, 1.0), (2.0, 2.0), (3.0, 3.0)])
 
 
-def test_a_measured_size_is_taken_as_measured_and_others_by_the_fit() -> None:
+def test_a_measured_size_has_its_measured_value_and_others_that_of_the_fit() -> None:
     series = Series("x", "bytes", "engines", tuple((size, 2 * size + (size == 800)) for size in SIZES))
     assert series.at(800) == 1_601 and series.at(1_600) == pytest.approx(3_200, rel=0.01)
 
 
-def test_result_files_that_cant_be_used_are_named(tmp_path: Path) -> None:
+def test_errors_name_the_result_file_and_what_is_wrong_with_it(tmp_path: Path) -> None:
     path = tmp_path / "r.json"
     with pytest.raises(ResultError, match=r"r\.json: No such file"):
         Results.read(path)
-    for text, says in (
-        ("nope", "no result file"),
+    for text, message in (
+        ("nope", "not a result file"),
         ('{"format": 9}', "format: must be 1, is 9"),
         ("[]", "format: must be"),
         ('{"format": 1}', "series: can't be read"),
     ):
         path.write_text(text)
-        with pytest.raises(ResultError, match=says):
+        with pytest.raises(ResultError, match=message):
             Results.read(path)
     results = Results(yardstick_us=200.0)
     results.add(Series("list.bytes", "bytes", "engines", tuple((size, size) for size in SIZES)))
@@ -75,7 +75,7 @@
     assert page_with_tables(page, results, fleets) == page, "python bench/capacity.py render"
 
 
-def test_the_page_names_a_carrier_or_what_is_missing_and_every_budget_is_judged() -> None:
+def test_every_row_has_a_mechanism_and_a_ratio_if_it_has_a_budget() -> None:
     results = Results.read(ROOT / "bench" / "capacity.json")
     assert {row.role for row in ROWS} == {
         "node",
@@ -86,7 +86,7 @@
         "engine",
     }
     for row in ROWS:
-        assert row.mechanism and all(value >= 0 for value in row.values(results)), row.what
+        assert row.mechanism and all(value >= 0 for value in row.values(results)), row.quantity
         assert (row.ratio(results) is None) == (row.budget is None)
 
 
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize(
-    ("options", "says"),
+    ("options", "message"),
     [
         (("--nodes", "0"), "--nodes: must lie in [1, 2000], got 0"),
         (("--engines", "63"), "--engines: must lie in [64, 10000], got 63"),
@@ -109,14 +109,14 @@
         (("--nodes", "2000", "--engines", "10000"), "--nodes: "),
     ],
 )
-def test_a_fleet_that_cant_be_played_is_told_in_one_line(options: tuple[str, ...], says: str) -> None:
+def test_invalid_fleet_options_give_a_one_line_error(options: tuple[str, ...], message: str) -> None:
     done = CliRunner().invoke(main, ["lab", "fleet", *options])
-    assert done.exit_code == 2 and says in done.output and "Traceback" not in done.output
+    assert done.exit_code == 2 and message in done.output and "Traceback" not in done.output
 
 
-def test_a_small_fleet_of_hollow_nodes_hears_of_every_change(tmp_path: Path) -> None:
-    """Real discovery clients, lists and decisions in processes; judged by what the list servers and the nodes
-    counted.
+def test_all_nodes_of_a_small_hollow_fleet_get_every_change(tmp_path: Path) -> None:
+    """Real discovery clients, lists and decisions run in worker processes; the assertions use the counts of the
+    list servers and of the nodes.
     """
     path = tmp_path / "fleet.json"
     done = CliRunner().invoke(
@@ -143,13 +143,13 @@
         ],
     )
     assert done.exit_code == 0, done.output
-    told = json.loads(path.read_text())
-    phases = {phase["name"]: phase for phase in told["phases"]}
+    report = json.loads(path.read_text())
+    phases = {phase["name"]: phase for phase in report["phases"]}
     assert phases["start of all"]["whole_lists"] == 6, "one whole list for each node, and no more after it"
     assert all(phase["whole_lists"] == 0 for name, phase in phases.items() if name != "start of all")
     assert all(spread < 6.0 for phase in phases.values() for spread in phase["spread_s"]), (
-        "told within six seconds"
+        "the last node has each change within six seconds"
     )
     assert phases["a zone lost"]["entries"] == phases["the zone back, cold"]["entries"] == 8
     assert phases["half of the readers become writers"]["entries"] == 16
-    assert told["processes"] == 4 and told["requests"] > 50 and told["cold_most_of_budget"] <= 1.0
+    assert report["processes"] == 4 and report["requests"] > 50 and report["cold_most_of_budget"] <= 1.0
--- a/tuliptrack/lab/capacity/__init__.py
+++ b/tuliptrack/lab/capacity/__init__.py
@@ -1,3 +1,3 @@
-"""Costs of each role at a size, from measured slopes: measuring, fitting, the tables of
+"""Capacity model: measures the costs of each role by size, fits curves to them, and renders the tables of
 `docs/CAPACITY.md`.
 """
--- a/tuliptrack/lab/capacity/control.py
+++ b/tuliptrack/lab/capacity/control.py
@@ -1,5 +1,5 @@
-"""What controllers, agents and the record of a fleet cost by the number of hosts, by bytes that were on the
-wire.
+"""Measures the costs of a fleet's controller and rollout record by the number of hosts. Bytes are counted on
+the wire.
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
 
 
 class Usage:
-    """Processor seconds and bytes of resident memory of a process, as the kernel counts them."""
+    """Processor seconds and resident memory in bytes of a process, as counted by the kernel."""
 
     def __init__(self, cpu_s: float, memory: int) -> None:
         self.cpu_s, self.memory = cpu_s, memory
 
 
 def usage(pid: int) -> Usage:
-    """What a process has used so far."""
+    """Return what a process has used since its start."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return Usage((int(fields[11]) + int(fields[12])) / _TICKS, int(fields[21]) * _PAGE)
 
 
 def record_of(hosts: int, changed: float = 0.5) -> bytes:
-    """The record of a rollout in its middle, as it is written to each agent."""
+    """Return the record of a half-finished rollout, as it is written to each agent."""
     names = [f"host-{n:04d}" for n in range(hosts)]
     old, new = NodeRelease("a" * 64, "b" * 64), NodeRelease("c" * 64, "b" * 64)
     stages = tuple(RolloutStage(tuple(names[start : start + 25])) for start in range(0, hosts, 25))
@@ -54,8 +54,8 @@
     return json.dumps(record.as_dict()).encode()
 
 
-class _Hosts:
-    """Hollow agents, each behind a link that counts bytes, and a real controller as a process."""
+class _HollowFleet:
+    """Hollow agents, each behind a link that counts bytes, and a real controller in a process of its own."""
 
     def __init__(self, count: int, folder: Path) -> None:
         self.folder = folder
@@ -64,7 +64,7 @@
         self.controller: asyncio.subprocess.Process
         self.channel: Channel
 
-    async def __aenter__(self) -> _Hosts:
+    async def __aenter__(self) -> _HollowFleet:
         hosts = []
         for number, agent in enumerate(self.agents):
             link = Wire(await agent.start())
@@ -102,46 +102,46 @@
         return sum(link.passed[Cut.THERE] for link in self.links)
 
     @property
-    def got(self) -> int:
+    def received(self) -> int:
         """Bytes from agents to the controller."""
         return sum(link.passed[Cut.BACK] for link in self.links)
 
-    async def settled(self) -> None:
-        """Wait until the controller acts and every agent holds what it has written."""
+    async def wait_for_takeover(self) -> None:
+        """Wait until the controller leads and every agent has accepted a record from it."""
         for _ in range(600):
             try:
-                told = await call_unary(
+                state = await call_unary(
                     self.channel, "Fleet/State", pb.StateRequest(), pb.FleetState, 5_000_000
                 )
-                if told.leads and all(agent.acceptor.ballot > (1, 1) for agent in self.agents):
+                if state.leads and all(agent.acceptor.ballot > (1, 1) for agent in self.agents):
                     return
             except CallError:
                 pass
             await asyncio.sleep(0.05)
-        raise TimeoutError("the controller never acted")
+        raise TimeoutError("the controller did not take over the fleet")
 
 
 async def measure_control(sizes: Iterable[int], costs: NodeCosts) -> None:
-    """A controller that takes over a record of so many hosts, and then looks at them."""
+    """For each number of hosts, measure a controller that takes over a record and then polls the agents."""
     for hosts in sizes:
         record = record_of(hosts)
-        costs.note("record.bytes", hosts, len(record))
+        costs.add_point("record.bytes", hosts, len(record))
         with tempfile.TemporaryDirectory() as folder:
-            async with _Hosts(hosts, Path(folder)) as fleet:
-                await fleet.settled()
-                costs.note("takeover.bytes", hosts, fleet.sent + fleet.got)
+            async with _HollowFleet(hosts, Path(folder)) as fleet:
+                await fleet.wait_for_takeover()
+                costs.add_point("takeover.bytes", hosts, fleet.sent + fleet.received)
                 await asyncio.sleep(0.5)
                 await _measure_steady(fleet, hosts, costs)
 
 
-async def _measure_steady(fleet: _Hosts, hosts: int, costs: NodeCosts) -> None:
+async def _measure_steady(fleet: _HollowFleet, hosts: int, costs: NodeCosts) -> None:
     before, began = usage(fleet.controller.pid), time.monotonic()
-    looks, sent, got = sum(a.looks for a in fleet.agents), fleet.sent, fleet.got
+    looks, sent, received = sum(a.looks for a in fleet.agents), fleet.sent, fleet.received
     await asyncio.sleep(STEADY_S)
     after, took = usage(fleet.controller.pid), time.monotonic() - began
-    looked = max(sum(a.looks for a in fleet.agents) - looks, 1)
-    costs.note("controller.core_share", hosts, (after.cpu_s - before.cpu_s) / took)
-    costs.note("controller.memory", hosts, after.memory)
-    costs.note("controller.looks_per_s", hosts, looked / took)
-    costs.note("look.bytes_out", hosts, (fleet.sent - sent) / looked)
-    costs.note("look.bytes_in", hosts, (fleet.got - got) / looked)
+    polls = max(sum(a.looks for a in fleet.agents) - looks, 1)
+    costs.add_point("controller.core_share", hosts, (after.cpu_s - before.cpu_s) / took)
+    costs.add_point("controller.memory", hosts, after.memory)
+    costs.add_point("controller.looks_per_s", hosts, polls / took)
+    costs.add_point("look.bytes_out", hosts, (fleet.sent - sent) / polls)
+    costs.add_point("look.bytes_in", hosts, (fleet.received - received) / polls)
--- a/tuliptrack/lab/capacity/fit.py
+++ b/tuliptrack/lab/capacity/fit.py
@@ -1,4 +1,4 @@
-"""A line or a power through measured points, with its residual; or word that the curve bends, and no line."""
+"""Fits a line or a power law to measured points, or reports that neither fits (a bent curve)."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 __all__ = ["BEND", "Fit", "Form", "Point", "fit"]
 
-BEND = 0.25  # largest relative residual with which a curve still counts as a line or a power
+BEND = 0.25  # largest relative residual of a curve that still counts as a line or a power law
 
 Point = tuple[float, float]
-"""A size and what was measured at it."""
+"""A size and the value measured at it."""
 
 
 class Form(Enum):
-    """What a curve is."""
+    """Form of a curve; `BENT` if neither a line nor a power law fits."""
 
     LINE = "line"
     POWER = "power"
@@ -25,8 +25,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """`value = a + b * size` for a line, `a * size ** b` for a power. `residual` is the largest relative
-    one.
+    """A fitted curve: `a + b * size` for a line, `a * size ** b` for a power law. `residual` is the largest
+    relative residual.
     """
 
     form: Form
@@ -34,28 +34,28 @@
     b: float
     residual: float
     sizes: tuple[float, float]
-    """The smallest and the largest size that was measured."""
+    """The smallest and the largest measured size."""
 
     def at(self, size: float) -> float:
-        """The value at a size; ValueError where the curve bends."""
+        """Return the value at a size; raise ValueError if the curve is bent."""
         if self.form is Form.BENT:
-            raise ValueError("the curve bends: there is no line through it")
+            raise ValueError("the curve bends: neither a line nor a power law fits")
         return self.a + self.b * size if self.form is Form.LINE else self.a * size**self.b
 
     def extrapolated(self, size: float) -> bool:
-        """Whether a size lies outside of what was measured."""
+        """Return whether a size lies outside the range of measured sizes."""
         return not self.sizes[0] <= size <= self.sizes[1]
 
     @property
     def text(self) -> str:
-        """For a table."""
+        """The curve as text for a table."""
         if self.form is Form.LINE:
             return f"{self.a:.4g} + {self.b:.4g} n"
         return f"{self.a:.4g} n^{self.b:.2f}" if self.form is Form.POWER else "bends"
 
 
 def fit(points: Sequence[Point]) -> Fit:
-    """The better of a line (least relative squares) and a power (least squares of logarithms)."""
+    """Fit a line (least relative squares) and a power law (least squares of logarithms); return the better."""
     if len(points) < 4:
         raise ValueError(f"points: at least four sizes, got {len(points)}")
     sizes = (min(x for x, _ in points), max(x for x, _ in points))
@@ -66,15 +66,15 @@
 
 
 def _line(points: Sequence[Point]) -> tuple[float, float, float]:
-    """Weighted by 1 / y**2, so that small sizes count as much as large ones."""
+    """Fit a line, weighted by 1 / y**2 so that small sizes count as much as large ones."""
     weights = [1 / max(abs(y), 1e-12) ** 2 for _, y in points]
     total = sum(weights)
     mean_x = sum(w * x for w, (x, _) in zip(weights, points, strict=True)) / total
     mean_y = sum(w * y for w, (_, y) in zip(weights, points, strict=True)) / total
     spread = sum(w * (x - mean_x) ** 2 for w, (x, _) in zip(weights, points, strict=True))
     slope = sum(w * (x - mean_x) * (y - mean_y) for w, (x, y) in zip(weights, points, strict=True)) / spread
-    start = mean_y - slope * mean_x
-    return start, slope, _residual(points, [start + slope * x for x, _ in points])
+    intercept = mean_y - slope * mean_x
+    return intercept, slope, _residual(points, [intercept + slope * x for x, _ in points])
 
 
 def _power(points: Sequence[Point]) -> tuple[float, float, float]:
--- a/tuliptrack/lab/capacity/node.py
+++ b/tuliptrack/lab/capacity/node.py
@@ -1,4 +1,4 @@
-"""What a node costs by the engines that it is told of, and by what it remembers."""
+"""Measures the costs of a node by the number of listed engines, and by the state that it keeps."""
 
 from __future__ import annotations
 
@@ -31,69 +31,69 @@
 __all__ = ["Maker", "NodeCosts", "measure_decisions", "measure_lists", "measure_memory", "playback"]
 
 Maker = Callable[[Settings, int], Any]
-"""Makes a router from its settings and seed."""
+"""Creates a router from its settings and seed."""
 
 REPLICAS = 350
 WARM_UP, COUNTED = (
     400,
     600,
-)  # requests before and in a measurement: a minute of traffic at 7.1 a second, and more
-TRACED = 20  # requests whose operations are counted
+)  # requests before and during a measurement, of traffic of 7.1 a second: about a minute, and more
+TRACED = 20  # requests whose bytecode operations are counted
 IDLE_US = 13_000_000  # microseconds that a node keeps an idle connection to an engine
 ZONES = 8
 
 
 @dataclass(slots=True)
 class NodeCosts:
-    """Points of each series, by name."""
+    """Points of each measured series, by its name."""
 
     points: dict[str, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
 
-    def note(self, name: str, size: float, value: float) -> None:
-        """One more point."""
+    def add_point(self, name: str, size: float, value: float) -> None:
+        """Add a point to a series."""
         self.points[name].append((size, round(value, 6)))
 
     def series(self, unit: Callable[[str], str], by: str) -> Iterable[Series]:
-        """All of them; `unit` of each name."""
+        """Return all series; `unit` returns the unit of a series by its name."""
         for name, points in self.points.items():
             yield Series(name, unit(name), by, tuple(points))
 
 
 def playback(make: Maker, engines: int, rates: Rates | None = None, seed: int = 1) -> Playback:
-    """A router that was told of so many engines, under drawn traffic."""
+    """Return the playback of synthetic traffic for a router that has a list of so many engines."""
     population = Population(engines, zones=min(ZONES, engines))
     router: Decides = make(node_settings(REPLICAS), seed)
-    made = Playback(
+    playback = Playback(
         router, DrawnTraffic(rates or Rates(), seed, lambda server: ROLES[population.kind(server - 1)])
     )
-    made.tell(EndpointListUpdate(UpdateKind.FULL, 1, population.servers()))
-    return made
+    playback.tell(EndpointListUpdate(UpdateKind.FULL, 1, population.servers()))
+    return playback
 
 
 @dataclass(slots=True)
 class _Timing:
-    """Times of a playback's events, in microseconds; and which connections it would have opened."""
+    """Times of a playback's events in microseconds, and the number of connections that a node would open."""
 
     by_kind: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     kept_until: dict[int, list[int]] = field(default_factory=lambda: defaultdict(list))
-    """By engine, the moments until which its idle connections are kept."""
+    """For each engine, the times until which its idle connections are kept."""
     opened: int = 0
     sent: int = 0
 
     def call(self, router: Decides) -> Callable[[int, Event], list[Action]]:
-        """`Playback.call` that takes the time of each event."""
+        """Return a replacement of `Playback.call` that times each event."""
 
         def timed(now: int, event: Event) -> list[Action]:
             actions: list[Action] = []
-            took = timed_us(lambda: actions.extend(router.handle(now, [event])))
+            elapsed_us = timed_us(lambda: actions.extend(router.handle(now, [event])))
             status = event.status.value if isinstance(event, AttemptEnded) else type(event).__name__.lower()
-            self.by_kind[status].append(took)
-            self._connections(now, event, actions)
+            self.by_kind[status].append(elapsed_us)
+            self._count_connections(now, event, actions)
             return actions
 
         return timed
 
-    def _connections(self, now: int, event: Event, actions: list[Action]) -> None:
+    def _count_connections(self, now: int, event: Event, actions: list[Action]) -> None:
         if isinstance(event, AttemptEnded):
             self.kept_until[event.endpoint_id].append(now + IDLE_US)
         for action in actions:
@@ -105,49 +105,51 @@
 
     @property
     def all(self) -> list[float]:
-        """Every event's time, the shortest first."""
+        """The times of all events in ascending order."""
         return sorted(time for times in self.by_kind.values() for time in times)
 
 
 def measure_decisions(
     make: Maker, sizes: Iterable[int], clock: Yardstick, costs: NodeCosts, prefix: str = ""
 ) -> None:
-    """Times of decisions by engines, in yardsticks; operations of a request, and the share of new
-    connections.
+    """Measure by the number of engines: times of decisions in yardsticks, bytecode operations of a request,
+    and the share of attempts that open a connection.
     """
     for engines in sizes:
-        one = playback(make, engines)
-        one.play(WARM_UP)
+        played = playback(make, engines)
+        played.play(WARM_UP)
         yardstick = clock.now_us()
         timing = _Timing()
-        one.call = timing.call(one.router)
-        one.play(COUNTED)
+        played.call = timing.call(played.router)
+        played.play(COUNTED)
         times = timing.all
-        costs.note(f"{prefix}decision.request", engines, sum(times) / COUNTED / yardstick)
+        costs.add_point(f"{prefix}decision.request", engines, sum(times) / COUNTED / yardstick)
         for kind in ("request", "read", "started", "ok"):
-            costs.note(f"{prefix}decision.{kind}_event", engines, median(timing.by_kind[kind]) / yardstick)
-        costs.note(f"{prefix}decision.p99", engines, times[len(times) * 99 // 100] / yardstick)
-        costs.note(f"{prefix}decision.operations", engines, request_operations(one))
-        costs.note(f"{prefix}connection.new_share", engines, timing.opened / timing.sent)
+            costs.add_point(
+                f"{prefix}decision.{kind}_event", engines, median(timing.by_kind[kind]) / yardstick
+            )
+        costs.add_point(f"{prefix}decision.p99", engines, times[len(times) * 99 // 100] / yardstick)
+        costs.add_point(f"{prefix}decision.operations", engines, request_operations(played))
+        costs.add_point(f"{prefix}connection.new_share", engines, timing.opened / timing.sent)
 
 
-def request_operations(one: Playback, requests: int = TRACED) -> float:
-    """Mean operations of all events that come while so many requests do."""
+def request_operations(played: Playback, requests: int = TRACED) -> float:
+    """Return the operations of all events that occur while so many requests arrive, divided by that number."""
     counted: list[int] = []
-    handle = one.router.handle
+    handle = played.router.handle
 
     def call(now: int, event: Event) -> list[Action]:
         actions: list[Action] = []
         counted.append(count_operations(lambda: actions.extend(handle(now, [event]))))
         return actions
 
-    one.call = call
-    one.play(requests)
+    played.call = call
+    played.play(requests)
     return sum(counted) / requests
 
 
-class _Listing:
-    """A node's list as discovery brings it: bytes in, the router told."""
+class _ListedNode:
+    """A node's endpoint directory and router, fed with responses of discovery as bytes."""
 
     def __init__(self, make: Maker, engines: int) -> None:
         self.population = Population(engines, zones=min(ZONES, engines))
@@ -156,72 +158,86 @@
         self.revision = 0
         self.clock = self.playback.now
 
-    def text(self, members: list[dict[str, Any]], complete: bool = False) -> bytes:
-        """An answer of discovery's agent."""
+    def response(self, members: list[dict[str, Any]], complete: bool = False) -> bytes:
+        """Return the next response of discovery's agent."""
         self.revision += 1
         return json.dumps({"revision": self.revision, "complete": complete, "members": members}).encode()
 
-    def take(self, text: bytes) -> EndpointListUpdate:
-        """Parse it and bring the list up to it."""
-        change = self.directory.apply(json.loads(text))
+    def apply(self, response: bytes) -> EndpointListUpdate:
+        """Parse a response and apply it to the directory; return the change for the router."""
+        change = self.directory.apply(json.loads(response))
         assert change
         return change
 
-    def tell(self, change: EndpointListUpdate) -> None:
-        """Tell the router."""
+    def notify_router(self, change: EndpointListUpdate) -> None:
+        """Pass a change to the router."""
         self.clock += 1_000
         self.playback.router.handle(self.clock, [change])
 
-    def both(self, text: bytes) -> None:
-        """All that a node does with an answer, but for its sockets."""
-        self.tell(self.take(text))
+    def process_response(self, response: bytes) -> None:
+        """Do all that a node does with a response, except for its sockets."""
+        self.notify_router(self.apply(response))
 
     def drain(self, number: int) -> bytes:
-        """One engine begins to drain, or is ready again."""
+        """Return a response by which one engine begins to drain, or is ready again."""
         phase = "Terminating" if self.revision % 2 else "Ready"
-        return self.text([self.population.member(number, phase=phase)])
+        return self.response([self.population.member(number, phase=phase)])
 
 
 def measure_lists(
     make: Maker, sizes: Iterable[int], clock: Yardstick, costs: NodeCosts, prefix: str = ""
 ) -> None:
-    """What lists and changes cost by engines: bytes, yardsticks, operations."""
+    """Measure lists and their changes by the number of engines: bytes, times in yardsticks, operations."""
     for engines in sizes:
-        one = _Listing(make, engines)
+        node = _ListedNode(make, engines)
         yardstick = clock.now_us()
-        members = one.population.members()
-        whole = one.text(members, complete=True)
-        costs.note(f"{prefix}list.bytes", engines, len(whole))
-        costs.note(f"{prefix}change.bytes", engines, len(one.drain(0)))
-        costs.note(f"{prefix}list.first", engines, timed_us(partial(one.both, whole)) / yardstick)
-        one.playback.play(60)
-        again = [one.text(members, complete=True) for _ in range(3)]
-        equal = median([timed_us(partial(one.both, text)) for text in again])
-        costs.note(f"{prefix}list.equal", engines, equal / yardstick)
-        _measure_changes(one, yardstick, costs, prefix, engines)
-
-
-def _measure_changes(one: _Listing, yardstick: float, costs: NodeCosts, prefix: str, engines: int) -> None:
-    drains = iter([one.drain(4 * (n // 2) + 1) for n in range(40)])
-    costs.note(f"{prefix}change.one", engines, median_us(lambda: one.both(next(drains)), 19) / yardstick)
-    changes = iter([one.take(text) for text in drains])
-    costs.note(f"{prefix}change.handle", engines, median_us(lambda: one.tell(next(changes)), 19) / yardstick)
-    costs.note(f"{prefix}change.operations", engines, count_operations(lambda: one.tell(next(changes))))
-    zone = one.population.in_zone(3)
-    gone = one.text([one.population.member(n, phase="Gone") for n in zone])
-    costs.note(f"{prefix}zone.at_once", engines, timed_us(lambda: one.both(gone)) / yardstick)
-    back = one.text([one.population.member(n) for n in zone])
-    one.both(back)
-    singly = [one.text([one.population.member(n, phase="Terminating")]) for n in zone]
-    took = sum(timed_us(partial(one.both, text)) for text in singly)
-    costs.note(f"{prefix}zone.one_by_one", engines, took / yardstick)
-    whole = one.text(one.population.members(), complete=True)
-    change = one.take(whole)
-    costs.note(f"{prefix}list.operations", engines, count_operations(lambda: one.tell(change)))
+        members = node.population.members()
+        whole = node.response(members, complete=True)
+        costs.add_point(f"{prefix}list.bytes", engines, len(whole))
+        costs.add_point(f"{prefix}change.bytes", engines, len(node.drain(0)))
+        costs.add_point(
+            f"{prefix}list.first", engines, timed_us(partial(node.process_response, whole)) / yardstick
+        )
+        node.playback.play(60)
+        again = [node.response(members, complete=True) for _ in range(3)]
+        equal = median([timed_us(partial(node.process_response, response)) for response in again])
+        costs.add_point(f"{prefix}list.equal", engines, equal / yardstick)
+        _measure_changes(node, yardstick, costs, prefix, engines)
+
+
+def _measure_changes(
+    node: _ListedNode, yardstick: float, costs: NodeCosts, prefix: str, engines: int
+) -> None:
+    drains = iter([node.drain(4 * (n // 2) + 1) for n in range(40)])
+    costs.add_point(
+        f"{prefix}change.one", engines, median_us(lambda: node.process_response(next(drains)), 19) / yardstick
+    )
+    changes = iter([node.apply(response) for response in drains])
+    costs.add_point(
+        f"{prefix}change.handle",
+        engines,
+        median_us(lambda: node.notify_router(next(changes)), 19) / yardstick,
+    )
+    costs.add_point(
+        f"{prefix}change.operations", engines, count_operations(lambda: node.notify_router(next(changes)))
+    )
+    zone = node.population.in_zone(3)
+    gone = node.response([node.population.member(n, phase="Gone") for n in zone])
+    costs.add_point(
+        f"{prefix}zone.at_once", engines, timed_us(lambda: node.process_response(gone)) / yardstick
+    )
+    back = node.response([node.population.member(n) for n in zone])
+    node.process_response(back)
+    singly = [node.response([node.population.member(n, phase="Terminating")]) for n in zone]
+    elapsed_us = sum(timed_us(partial(node.process_response, response)) for response in singly)
+    costs.add_point(f"{prefix}zone.one_by_one", engines, elapsed_us / yardstick)
+    whole = node.response(node.population.members(), complete=True)
+    change = node.apply(whole)
+    costs.add_point(f"{prefix}list.operations", engines, count_operations(lambda: node.notify_router(change)))
 
 
 def _traced(work: Callable[[], object]) -> tuple[float, object]:
-    """Bytes that are kept after some work, and what it returned, so that it is not let go."""
+    """Return the bytes allocated by `work` that remain, and its result, which keeps them alive."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -233,44 +249,46 @@
 
 
 def measure_memory(make: Maker, sizes: Iterable[int], costs: NodeCosts) -> None:
-    """Bytes of a router and its list by engines, right after the list and after some minutes of traffic."""
+    """Measure the bytes of a router and its list by the number of engines, both right after the list and after
+    some minutes of traffic.
+    """
     for engines in sizes:
-        kept, listing = _traced(partial(_listed, make, engines))
-        costs.note("memory.listed", engines, kept)
+        kept, listing = _traced(partial(_create_listed, make, engines))
+        costs.add_point("memory.listed", engines, kept)
         del listing
-        kept, played = _traced(partial(_played, make, engines, Rates(), 1_000))
-        costs.note("memory.used", engines, kept)
+        kept, played = _traced(partial(_create_played, make, engines, Rates(), 1_000))
+        costs.add_point("memory.used", engines, kept)
         del played
 
 
 def measure_remembered(
     make: Maker, engines: int, costs: dict[str, NodeCosts], sizes: dict[str, Iterable[int]]
 ) -> None:
-    """Bytes by streams at once, by tenants and by prefixes, at one size of the fleet."""
+    """Measure the bytes by concurrent streams, by tenants and by prefixes, at one size of the fleet."""
     for streams in sizes["streams"]:
         rates = Rates(per_s=streams / 19.3)
-        costs["streams"].note(
-            "memory.by_streams", streams, _traced(partial(_played, make, engines, rates, 600))[0]
+        costs["streams"].add_point(
+            "memory.by_streams", streams, _traced(partial(_create_played, make, engines, rates, 600))[0]
         )
     for tenants in sizes["tenants"]:
         rates = Rates(tenants=tenants)
-        costs["tenants"].note(
-            "memory.by_tenants", tenants, _traced(partial(_played, make, engines, rates, 600))[0]
+        costs["tenants"].add_point(
+            "memory.by_tenants", tenants, _traced(partial(_create_played, make, engines, rates, 600))[0]
         )
     for prefixes in sizes["prefixes"]:
         rates = Rates(prefixes=prefixes)
-        costs["prefixes"].note(
-            "memory.by_prefixes", prefixes, _traced(partial(_played, make, engines, rates, 600))[0]
+        costs["prefixes"].add_point(
+            "memory.by_prefixes", prefixes, _traced(partial(_create_played, make, engines, rates, 600))[0]
         )
 
 
-def _listed(make: Maker, engines: int) -> _Listing:
-    made = _Listing(make, engines)
-    made.both(made.text(made.population.members(), complete=True))
-    return made
+def _create_listed(make: Maker, engines: int) -> _ListedNode:
+    node = _ListedNode(make, engines)
+    node.process_response(node.response(node.population.members(), complete=True))
+    return node
 
 
-def _played(make: Maker, engines: int, rates: Rates, requests: int) -> Playback:
-    one = playback(make, engines, rates)
-    one.play(requests)
-    return one
+def _create_played(make: Maker, engines: int, rates: Rates, requests: int) -> Playback:
+    played = playback(make, engines, rates)
+    played.play(requests)
+    return played
--- a/tuliptrack/lab/capacity/operations.py
+++ b/tuliptrack/lab/capacity/operations.py
@@ -1,4 +1,6 @@
-"""How many bytecode operations a call executes: exact, the same on each machine, and so fit for a test."""
+"""Counts the bytecode operations that a call executes. The count is the same on each machine, so tests can
+assert on it.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +13,8 @@
 
 
 def count_operations(work: Callable[[], object]) -> int:
-    """Operations of the interpreter in `work` and all that it calls; sorts and other work in C count as one
-    each.
+    """Return the number of bytecode operations in `work` and all that it calls; a sort or other work in C
+    counts as one.
     """
     count = 0
 
--- a/tuliptrack/lab/capacity/page.py
+++ b/tuliptrack/lab/capacity/page.py
@@ -1,4 +1,4 @@
-"""The tables of `docs/CAPACITY.md`, rendered from a result file, so that no figure stands without its run."""
+"""Renders the tables of `docs/CAPACITY.md` from result files, so that each figure comes from a run."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def render_roles(results: Results) -> str:
-    """A table for each role."""
+    """Render a table for each role."""
     parts = []
     for role in dict.fromkeys(row.role for row in ROWS):
         rows = []
@@ -46,10 +46,10 @@
             shown = [_number(value) for value in row.values(results)]
             rows.append(
                 [
-                    f"{row.what}{f', {row.unit}' if row.unit else ''}",
-                    row.slope,
+                    f"{row.quantity}{f', {row.unit}' if row.unit else ''}",
+                    row.basis,
                     *shown[:2],
-                    f"{shown[2]} ({row.hour})",
+                    f"{shown[2]} ({row.worst_case})",
                     _number(row.budget) if row.budget else "-",
                     f"**{ratio:.2g}**"
                     if ratio and ratio > 1
@@ -69,26 +69,26 @@
 
 
 def render_ranking(results: Results) -> str:
-    """What is over its budget, the greatest ratio first."""
+    """Render the rows that exceed their budget, the greatest ratio first."""
     over = [(ratio, row) for row in ROWS if (ratio := row.ratio(results)) is not None and ratio > 1]
-    over.sort(key=lambda one: -one[0])
+    over.sort(key=lambda entry: -entry[0])
     return _table(
         ("ratio", "role", "what", "carried by"),
-        ([f"{ratio:.3g}", row.role, row.what, row.mechanism] for ratio, row in over),
+        ([f"{ratio:.3g}", row.role, row.quantity, row.mechanism] for ratio, row in over),
     )
 
 
 def render_series(results: Results) -> str:
-    """Every measured series, with its fit."""
+    """Render every measured series, with its fit."""
     head = (
         f"Measured with `{results.command}` at {results.commit}, Python {results.python}; one yardstick is "
         f"{results.yardstick_us:.0f} us on that machine (parsing a fixed JSON text of 100 engines)."
     )
-    rows = [_series_row(one) for one in results.series.values() if len(one.points) >= 4]
+    rows = [_series_row(series) for series in results.series.values() if len(series.points) >= 4]
     single = [
-        [one.name, one.unit, _number(one.points[0][1])]
-        for one in results.series.values()
-        if len(one.points) < 4
+        [series.name, series.unit, _number(series.points[0][1])]
+        for series in results.series.values()
+        if len(series.points) < 4
     ]
     return "\n\n".join(
         [
@@ -99,23 +99,25 @@
     )
 
 
-def _series_row(one: Series) -> list[str]:
-    fitted = one.fit
-    points = ", ".join(f"{size:g}: {value:.4g}" for size, value in one.points)
+def _series_row(series: Series) -> list[str]:
+    fitted = series.fit
+    points = ", ".join(f"{size:g}: {value:.4g}" for size, value in series.points)
     text = fitted.text if fitted.form is not Form.BENT else "bends: no line; the measured points hold"
-    return [one.name, one.unit, one.by, points, text, f"{100 * fitted.residual:.0f} %"]
+    return [series.name, series.unit, series.by, points, text, f"{100 * fitted.residual:.0f} %"]
 
 
 def render_fleets(runs: dict[str, dict[str, Any]]) -> str:
-    """The hollow fleet's runs, by name."""
+    """Render reports of hollow fleets, by the name of the run."""
     rows = []
     for name, run in runs.items():
         plan = run["plan"]
         size = f"{plan['nodes']} x {plan['engines']}, {plan['rate']:g} requests/s a node"
         for phase in run["phases"]:
-            late = [one for one in phase["spread_s"] if one is None]
+            incomplete = [spread for spread in phase["spread_s"] if spread is None]
             spread = (
-                f"not all in the part ({len(late)})" if late else f"{max(phase['spread_s'], default=0.0):.2f}"
+                f"not all in the part ({len(incomplete)})"
+                if incomplete
+                else f"{max(phase['spread_s'], default=0.0):.2f}"
             )
             rows.append(
                 [
@@ -181,7 +183,7 @@
 
 
 def page_with_tables(page: str, results: Results, fleets: dict[str, dict[str, Any]]) -> str:
-    """The page with each table put anew between its marks; ResultError where a mark is missing."""
+    """Return the page with each table between its marks replaced; raise ResultError if a mark is missing."""
     tables = {
         "roles": render_roles(results),
         "ranking": render_ranking(results),
@@ -199,15 +201,15 @@
 
 
 def read_fleets(paths: Iterable[Path]) -> dict[str, dict[str, Any]]:
-    """Reports of hollow fleets by the file's name; ResultError names one that can't be used."""
-    found = {}
+    """Read reports of hollow fleets, by file name; raise ResultError for a file that can't be used."""
+    reports = {}
     for path in paths:
         try:
-            told = json.loads(path.read_text())
-            render_fleets({path.stem: told})
+            report = json.loads(path.read_text())
+            render_fleets({path.stem: report})
         except OSError as error:
             raise ResultError(f"{path}: {error.strerror or error}") from None
         except (ValueError, KeyError, TypeError) as error:
-            raise ResultError(f"{path}: is no report of a fleet: {error!r}") from None
-        found[path.stem] = told
-    return found
+            raise ResultError(f"{path}: not a report of a fleet: {error!r}") from None
+        reports[path.stem] = report
+    return reports
--- a/tuliptrack/lab/capacity/processes.py
+++ b/tuliptrack/lab/capacity/processes.py
@@ -1,4 +1,4 @@
-"""What whole processes cost: a real node by its list, a real agent, and watches that bring nothing."""
+"""Measures whole processes: a node with a list, an agent, and the polls of an unchanged list."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 WATCHED_S = 6.0
 WATCHERS = 20
-LOOKS_PER_S = 3.0  # three controllers, each once a second
+LOOKS_PER_S = 3.0  # three controllers poll the agent, each once a second
 HOST_PROGRAM = "#!{python}\nimport json, time\nprint(json.dumps({{'address': '127.0.0.1:9'}}), flush=True)\ntime.sleep(600)\n"
 
 
 def _node_settings(population: Population) -> dict[str, Any]:
-    """A settings file of the platform for a node that knows these engines."""
+    """Return the settings of a node on the platform that knows these engines."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -78,7 +78,7 @@
 
 
 async def measure_node_memory(sizes: Iterable[int], costs: NodeCosts) -> None:
-    """Resident bytes of a real node on the platform that serves and knows so many engines."""
+    """Measure the resident bytes of a real node on the platform that knows so many engines."""
     for engines in sizes:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
@@ -92,17 +92,17 @@
                 env={**os.environ, "RELAY_CONFIG": str(path)},
             )
             assert process.stderr
-            said = b""
-            while b"serving" not in said:
-                said = await process.stderr.readline()
-                if not said:
-                    raise RuntimeError(f"the node ended with status {await process.wait()}")
-            costs.note("process.memory", engines, usage(process.pid).memory)
+            line = b""
+            while b"serving" not in line:
+                line = await process.stderr.readline()
+                if not line:
+                    raise RuntimeError(f"the node exited with status {await process.wait()}")
+            costs.add_point("process.memory", engines, usage(process.pid).memory)
             process.kill()
             await process.wait()
 
 
-async def _worker(told: dict[str, Any]) -> tuple[asyncio.subprocess.Process, dict[str, Any]]:
+async def _start_worker(settings: dict[str, Any]) -> tuple[asyncio.subprocess.Process, dict[str, Any]]:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -110,20 +110,22 @@
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
     )
-    return process, await _say(process, told)
+    return process, await _command(process, settings)
 
 
-async def _say(process: asyncio.subprocess.Process, told: dict[str, Any]) -> dict[str, Any]:
+async def _command(process: asyncio.subprocess.Process, message: dict[str, Any]) -> dict[str, Any]:
     assert process.stdin and process.stdout
-    process.stdin.write(json.dumps(told).encode() + b"\n")
+    process.stdin.write(json.dumps(message).encode() + b"\n")
     answer: dict[str, Any] = json.loads(await process.stdout.readline())
     return answer
 
 
 async def measure_watches(costs: NodeCosts) -> None:
-    """Calls, bytes and processor time of a node whose list does not change and to which nothing comes."""
-    lists, started = await _worker({"role": "lists", "engines": 400})
-    nodes, _ = await _worker(
+    """Measure the calls, bytes and processor time of a node whose list does not change and that gets next to no
+    requests.
+    """
+    lists, started = await _start_worker({"role": "lists", "engines": 400})
+    nodes, _ = await _start_worker(
         {
             "role": "nodes",
             "slots": list(range(WATCHERS)),
@@ -136,14 +138,18 @@
     )
     try:
         await asyncio.sleep(2.0)
-        before, used, began = await _say(lists, {"report": True}), usage(nodes.pid).cpu_s, time.monotonic()
+        before, used, began = (
+            await _command(lists, {"report": True}),
+            usage(nodes.pid).cpu_s,
+            time.monotonic(),
+        )
         await asyncio.sleep(WATCHED_S)
-        after, took = await _say(lists, {"report": True}), time.monotonic() - began
-        per = WATCHERS * took
-        moved = sum(after[name] - before[name] for name in ("bytes_in", "bytes_out"))
-        costs.note("watch.bytes_per_s", 1, moved / per)
-        costs.note("watch.calls_per_s", 1, (after["calls"] - before["calls"]) / per)
-        costs.note("watch.core_share", 1, (usage(nodes.pid).cpu_s - used) / per)
+        after, took = await _command(lists, {"report": True}), time.monotonic() - began
+        node_seconds = WATCHERS * took
+        transferred = sum(after[name] - before[name] for name in ("bytes_in", "bytes_out"))
+        costs.add_point("watch.bytes_per_s", 1, transferred / node_seconds)
+        costs.add_point("watch.calls_per_s", 1, (after["calls"] - before["calls"]) / node_seconds)
+        costs.add_point("watch.core_share", 1, (usage(nodes.pid).cpu_s - used) / node_seconds)
     finally:
         for process in (nodes, lists):
             process.kill()
@@ -151,8 +157,8 @@
 
 
 async def measure_agent(costs: NodeCosts) -> None:
-    """Processor time and memory of a real agent that three controllers look at, before a node that does
-    nothing.
+    """Measure the processor time and memory of a real agent that three controllers poll, with a node process
+    that does nothing.
     """
     with tempfile.TemporaryDirectory() as folder:
         root = Path(folder) / "host"
@@ -187,8 +193,8 @@
                 await asyncio.sleep(1 / LOOKS_PER_S)
             took = time.monotonic() - began
             after = usage(agent.pid)
-            costs.note("agent.core_share", 1, (after.cpu_s - used) / took)
-            costs.note("agent.memory", 1, after.memory)
+            costs.add_point("agent.core_share", 1, (after.cpu_s - used) / took)
+            costs.add_point("agent.memory", 1, after.memory)
             child = int(Path(f"/proc/{agent.pid}/task/{agent.pid}/children").read_text().split()[0])
         finally:
             await channel.close()
--- a/tuliptrack/lab/capacity/results.py
+++ b/tuliptrack/lab/capacity/results.py
@@ -1,4 +1,4 @@
-"""The result file of a measurement: what was measured, at which sizes, by which program."""
+"""The result file of a measurement: the series, and the command, commit and Python version that produced them."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class ResultError(Exception):
-    """A result file that can't be used; the text names the file and the field."""
+    """A result file can't be used; the message names the file and the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """One quantity at several sizes. `by` names what the sizes count."""
+    """A quantity measured at several sizes. `by` names what the sizes count."""
 
     name: str
     unit: str
@@ -30,40 +30,40 @@
 
     @property
     def fit(self) -> Fit:
-        """A line or a power through the points."""
+        """The curve fitted to the points."""
         return fit(self.points)
 
     def at(self, size: float) -> float:
-        """Its value at a size: measured where it was, else by the fit."""
+        """Return the value at a size: the measured one if there is one, else that of the fit."""
         known = dict(self.points)
         return known[size] if size in known else self.fit.at(size)
 
 
 @dataclass(slots=True)
 class Results:
-    """Every series of one run. Times are yardsticks: how often a fixed JSON text could have been parsed
-    meanwhile.
+    """All series of one run. Times are in yardsticks: multiples of the time to parse a fixed JSON text (see
+    `yardstick.py`).
     """
 
     series: dict[str, Series] = field(default_factory=dict)
     yardstick_us: float = 0.0
-    """Microseconds that the yardstick took on this machine."""
+    """Microseconds of one yardstick on the machine that was measured."""
     command: str = ""
     commit: str = ""
     python: str = ""
 
-    def add(self, one: Series) -> None:
-        """Keep one more series."""
-        self.series[one.name] = one
+    def add(self, series: Series) -> None:
+        """Add a series."""
+        self.series[series.name] = series
 
     def at(self, name: str, size: float) -> float:
-        """A series' value at a size; ResultError where the file has no such series."""
+        """Return a series' value at a size; raise ResultError if there is no such series."""
         if name not in self.series:
             raise ResultError(f"series: {name!r} is missing: the file is stale")
         return self.series[name].at(size)
 
     def write(self, path: Path) -> None:
-        """Put it in a file, one series a line."""
+        """Write the results to a file, one series a line."""
         head = {
             "format": FORMAT,
             "command": self.command,
@@ -79,34 +79,34 @@
 
     @staticmethod
     def read(path: Path, wanted: Iterable[str] = ()) -> Results:
-        """ResultError where the file is missing, no result, of another version, or lacks one of the wanted
-        series.
+        """Read a result file; raise ResultError if it is missing, invalid, of another format version, or lacks
+        one of the wanted series.
         """
         try:
-            told = json.loads(path.read_text())
+            document = json.loads(path.read_text())
         except OSError as error:
             raise ResultError(f"{path}: {error.strerror or error}") from None
         except ValueError as error:
-            raise ResultError(f"{path}: is no result file: {error}") from None
-        if not isinstance(told, dict) or told.get("format") != FORMAT:
-            raise ResultError(f"{path}: format: must be {FORMAT}, is {str(_of(told, 'format'))[:40]}")
+            raise ResultError(f"{path}: not a result file: {error}") from None
+        if not isinstance(document, dict) or document.get("format") != FORMAT:
+            raise ResultError(f"{path}: format: must be {FORMAT}, is {str(_get(document, 'format'))[:40]}")
         try:
-            made = Results(
+            results = Results(
                 {
                     s["name"]: Series(s["name"], s["unit"], s["by"], tuple((x, y) for x, y in s["points"]))
-                    for s in told["series"]
+                    for s in document["series"]
                 },
-                told["yardstick_us"],
-                told["command"],
-                told["commit"],
-                told["python"],
+                document["yardstick_us"],
+                document["command"],
+                document["commit"],
+                document["python"],
             )
         except (KeyError, TypeError, ValueError) as error:
             raise ResultError(f"{path}: series: can't be read: {error!r}") from None
-        if missing := sorted(set(wanted) - set(made.series)):
+        if missing := sorted(set(wanted) - set(results.series)):
             raise ResultError(f"{path}: series: {missing[0]!r} is missing: the file is stale")
-        return made
+        return results
 
 
-def _of(told: Any, name: str) -> Any:
-    return told.get(name) if isinstance(told, dict) else None
+def _get(document: Any, name: str) -> Any:
+    return document.get(name) if isinstance(document, dict) else None
--- a/tuliptrack/lab/capacity/roles.py
+++ b/tuliptrack/lab/capacity/roles.py
@@ -1,4 +1,4 @@
-"""What each role of a fleet is asked for, on an ordinary second, at the peak and in the worst hour, against
+"""The load of each role of a fleet, in an ordinary second, at the peak and in the worst hour, compared with
 its budget.
 """
 
@@ -12,11 +12,11 @@
 
 __all__ = ["MISSING", "ROWS", "Row"]
 
-ORDINARY = 0.5  # of the peak: what an ordinary second has, taken for want of a figure
-ATTEMPTS = 2.03  # attempts of a request: a read, a write, and now and then one more
+ORDINARY = 0.5  # load of an ordinary second as a share of the peak: assumed, as no figure is known
+ATTEMPTS = 2.03  # mean attempts of a request: prefill, decode, and occasionally one more
 IDLE_S = 13.0  # seconds that a node keeps an idle connection to an engine
-LOOP_HELD_MS = 10.0  # milliseconds that one event may hold a node's loop
-ENGINE_CONNECTIONS_SHARE = 0.4  # of 1,024 descriptors: what a node has for connections to engines
+LOOP_BLOCKED_MS = 10.0  # milliseconds for which one event may block a node's event loop
+ENGINE_CONNECTIONS_SHARE = 0.4  # share of 1,024 descriptors that a node may use for connections to engines
 MISSING = "*missing*"
 
 Value = Callable[[Results, Target], float]
@@ -24,33 +24,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One line of a role's table. `worst` is in the worst hour, which `hour` names; the ratio is the greatest
-    of the three values over the budget.
+    """A row of a role's table. `worst` is the value in the worst hour, whose cause `worst_case` names; the ratio
+    is the greatest of the three values divided by the budget.
     """
 
     role: str
-    what: str
+    quantity: str
     unit: str
-    slope: str
-    """Name of the series that it rests on, or how it is worked out."""
+    basis: str
+    """Name of the series that the values are computed from, or the method."""
     ordinary: Value
     peak: Value
     worst: Value
-    hour: str
+    worst_case: str
     budget: float | None
     mechanism: str
 
     def values(self, results: Results, target: Target = TARGET) -> tuple[float, float, float]:
-        """On an ordinary second, at the peak, in the worst hour."""
+        """Return the values in an ordinary second, at the peak and in the worst hour."""
         return self.ordinary(results, target), self.peak(results, target), self.worst(results, target)
 
     def ratio(self, results: Results, target: Target = TARGET) -> float | None:
-        """The greatest value over the budget; None where there is no budget."""
+        """Return the greatest value divided by the budget; None without a budget."""
         return max(self.values(results, target)) / self.budget if self.budget else None
 
 
 def _ms(results: Results, name: str, size: float) -> float:
-    """A series of yardsticks in this machine's milliseconds."""
+    """Convert the value of a series from yardsticks to milliseconds of the measured machine."""
     return results.at(name, size) * results.yardstick_us / 1e3
 
 
@@ -71,7 +71,7 @@
 
 
 def _open_connections(share: float) -> Value:
-    """Streams that run, and idle ones kept; each attempt that opens one leaves it for `IDLE_S`."""
+    """Connections of running streams, and idle ones: each attempt that opens one keeps it for `IDLE_S` after."""
     return lambda r, t: (
         share * (t.node_streams + _attempts(t) * IDLE_S * r.at("connection.new_share", t.engines))
     )
@@ -86,7 +86,7 @@
 
 
 def _control_ms(r: Results, t: Target, share: float, changes_per_s: float) -> float:
-    """Milliseconds a second of a node's control."""
+    """Processor milliseconds per second of a node's decisions, polls and list changes together."""
     return _decisions(share)(r, t) + _watch_ms(r, t) + changes_per_s * _ms(r, "change.one", t.engines)
 
 
@@ -116,7 +116,7 @@
         _series_ms("decision.p99"),
         _series_ms("decision.p99"),
         "any",
-        LOOP_HELD_MS,
+        LOOP_BLOCKED_MS,
         "`brain.py` on the indexes of `state/`, `structures/`",
     ),
     Row(
@@ -138,7 +138,7 @@
         "the three",
         lambda r, t: _control_ms(r, t, ORDINARY, t.list_changes_per_s),
         lambda r, t: _control_ms(r, t, 1.0, 10 * t.list_changes_per_s),
-        lambda r, t: _control_ms(r, t, 8 / 7, t.readers / 2 / 60),
+        lambda r, t: _control_ms(r, t, 8 / 7, t.prefill_engines / 2 / 60),
         "half of the readers in a minute, a zone's nodes lost",
         32.0,
         "the three",
@@ -150,7 +150,7 @@
         "change.one",
         _changes(lambda t: t.list_changes_per_s),
         _changes(lambda t: 10 * t.list_changes_per_s),
-        _changes(lambda t: t.readers / 2 / 60),
+        _changes(lambda t: t.prefill_engines / 2 / 60),
         "half of the readers in a minute",
         32.0,
         "`relay/agent_polls.py`, `Fleet.apply`",
@@ -164,7 +164,7 @@
         _const(0.0),
         _series_ms("zone.at_once"),
         "a zone lost",
-        LOOP_HELD_MS,
+        LOOP_BLOCKED_MS,
         "`EndpointDirectory.apply`, `Fleet.apply`: not in slices",
     ),
     Row(
@@ -188,7 +188,7 @@
         _const(0.0),
         _series_ms("list.first"),
         "all nodes restarted",
-        LOOP_HELD_MS,
+        LOOP_BLOCKED_MS,
         "`EndpointDirectory.apply`, `Fleet.apply`: not in slices",
     ),
     Row(
@@ -200,7 +200,7 @@
         _const(0.0),
         _series_ms("list.equal"),
         "a new agent, a region back",
-        LOOP_HELD_MS,
+        LOOP_BLOCKED_MS,
         "`EndpointDirectory.apply`, `Fleet.apply`: equal entries are passed over, the text is parsed",
     ),
     Row(
@@ -222,7 +222,7 @@
         "change.bytes",
         lambda r, t: t.list_changes_per_s * r.at("change.bytes", t.engines),
         lambda r, t: 10 * t.list_changes_per_s * r.at("change.bytes", t.engines),
-        lambda r, t: t.readers / 60 * r.at("change.bytes", t.engines),
+        lambda r, t: t.prefill_engines / 60 * r.at("change.bytes", t.engines),
         "half of the readers in a minute",
         20_000.0,
         "`relay/agent_polls.py`",
@@ -443,9 +443,9 @@
         "requests of all nodes at a reader",
         "1/s",
         "arithmetic",
-        lambda r, t: ORDINARY * t.requests_per_s / t.readers,
-        lambda r, t: t.requests_per_s / t.readers,
-        lambda r, t: 2 * t.requests_per_s / t.readers,
+        lambda r, t: ORDINARY * t.requests_per_s / t.prefill_engines,
+        lambda r, t: t.requests_per_s / t.prefill_engines,
+        lambda r, t: 2 * t.requests_per_s / t.prefill_engines,
         "half of the readers moved",
         None,
         "`_pick_reader`",
@@ -455,15 +455,15 @@
         "connections of all nodes that a reader holds",
         "",
         "connection.new_share",
-        lambda r, t: ORDINARY * _reader_connections(r, t),
-        lambda r, t: _reader_connections(r, t),
-        lambda r, t: 2 * _reader_connections(r, t),
+        lambda r, t: ORDINARY * _prefill_connections(r, t),
+        lambda r, t: _prefill_connections(r, t),
+        lambda r, t: 2 * _prefill_connections(r, t),
         "half of the readers moved",
         None,
         "`relay/engine_pools.py`: each node keeps its own; a subset for each node would bound them",
     ),
 )
-"""Every line of every role's table."""
+"""All rows of all roles' tables."""
 
 
 def _look_bytes(r: Results, t: Target) -> float:
@@ -471,5 +471,5 @@
     return 3 * looks * (r.at("look.bytes_out", t.nodes) + r.at("look.bytes_in", t.nodes))
 
 
-def _reader_connections(r: Results, t: Target) -> float:
-    return t.requests_per_s / t.readers * IDLE_S * r.at("connection.new_share", t.engines)
+def _prefill_connections(r: Results, t: Target) -> float:
+    return t.requests_per_s / t.prefill_engines * IDLE_S * r.at("connection.new_share", t.engines)
--- a/tuliptrack/lab/capacity/target.py
+++ b/tuliptrack/lab/capacity/target.py
@@ -1,4 +1,4 @@
-"""The size that the design is to fit: the users' figures, and what follows from them."""
+"""The deployment size that the design must support: figures given by users, and values derived from them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Sizes, rates and budgets at the peak."""
+    """Sizes, peak rates and budgets of the deployment."""
 
     nodes: int = 350
     engines: int = 3_400
@@ -19,7 +19,7 @@
     tenants: int = 450
     requests_per_s: float = 2_500.0
     tokens_per_s: float = 690_000.0
-    reader_share: float = 0.25
+    prefill_share: float = 0.25
     state_bytes_per_s: float = 780e9
     token_gap_s: float = 0.07
     config_changes_per_day: float = 5_300.0
@@ -33,56 +33,56 @@
 
     @property
     def node_requests_per_s(self) -> float:
-        """Of one node, on the mean."""
+        """Mean request rate of one node."""
         return self.requests_per_s / self.nodes
 
     @property
     def answer_tokens(self) -> float:
-        """Mean length of an answer."""
+        """Mean tokens of a response."""
         return self.tokens_per_s / self.requests_per_s
 
     @property
     def node_streams(self) -> float:
-        """Answers that run at once at one node."""
+        """Mean number of concurrent streams of one node."""
         return self.node_requests_per_s * self.answer_tokens * self.token_gap_s
 
     @property
-    def readers(self) -> float:
-        """Engines that read prompts."""
-        return self.engines * self.reader_share
+    def prefill_engines(self) -> float:
+        """Number of prefill engines."""
+        return self.engines * self.prefill_share
 
     @property
-    def writers(self) -> float:
-        """Engines that write answers."""
-        return self.engines - self.readers
+    def decode_engines(self) -> float:
+        """Number of decode engines."""
+        return self.engines - self.prefill_engines
 
     @property
     def zone_engines(self) -> int:
-        """Engines of one zone."""
+        """Number of engines of one zone."""
         return self.engines // self.zones
 
     @property
     def role_changes_per_day(self) -> float:
-        """Engines that change role: half of the readers' share, there and back; each is two entries of the
-        list.
+        """Changed entries of the list due to role changes: half of the prefill engines change to decode and back,
+        and each change is two entries.
         """
-        return 2 * 2 * self.readers / 2
+        return 2 * 2 * self.prefill_engines / 2
 
     @property
     def list_changes_per_day(self) -> float:
-        """Changed entries of the list: a restart drains, goes and comes back; a failure goes and comes
-        back.
+        """Changed entries of the list: three for a restart (draining, removed, added), two for a failure
+        (removed, added).
         """
         return 3 * self.restarts_per_day + 2 * self.failures_per_day + self.role_changes_per_day
 
     @property
     def list_changes_per_s(self) -> float:
-        """The same on an ordinary second."""
+        """Mean of `list_changes_per_day` per second."""
         return self.list_changes_per_day / 86_400
 
     @property
     def config_changes_per_s(self) -> float:
-        """Changes of configuration on an ordinary second."""
+        """Mean of `config_changes_per_day` per second."""
         return self.config_changes_per_day / 86_400
 
 
--- a/tuliptrack/lab/capacity/yardstick.py
+++ b/tuliptrack/lab/capacity/yardstick.py
@@ -1,4 +1,4 @@
-"""Times as ratios: how often a fixed JSON text could have been parsed meanwhile, in the same process."""
+"""Times as multiples of a reference operation, the parsing of a fixed JSON text in the same process."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 
 __all__ = ["Yardstick", "median_us", "timed_us"]
 
-_ENTRIES = 100  # of the fixed text: a list of so many engines, about 15 KB
+_ENTRIES = 100  # engines listed in the fixed text, which has about 15 KB
 _ROUNDS = 41
 
 
 def timed_us(work: Callable[[], object]) -> float:
-    """Microseconds that one call takes."""
+    """Return the microseconds that one call takes."""
     began = time.perf_counter_ns()
     work()
     return (time.perf_counter_ns() - began) / 1e3
 
 
 def median_us(work: Callable[[], object], rounds: int = 9) -> float:
-    """The median of some calls."""
+    """Return the median of the times of several calls."""
     return sorted(timed_us(work) for _ in range(rounds))[rounds // 2]
 
 
 class Yardstick:
-    """The fixed text, timed again before each measurement: the speed of a machine drifts."""
+    """The reference operation. It is timed again before each measurement, as the speed of a machine drifts."""
 
     def __init__(self) -> None:
         self._text = json.dumps(Population(_ENTRIES, zones=4).members())
         self.measured: list[float] = []
 
     def now_us(self) -> float:
-        """Microseconds in which the text is parsed now, the median of some rounds."""
+        """Time the parsing of the text now: the median of several rounds, in microseconds."""
         self.measured.append(median_us(lambda: json.loads(self._text), _ROUNDS))
         return self.measured[-1]
 
     @property
     def median_us(self) -> float:
-        """The median of all that was measured."""
+        """The median of all results of `now_us`."""
         return sorted(self.measured)[len(self.measured) // 2]
