--- a/tuliptrack/lab/hollow/fleet.py
+++ b/tuliptrack/lab/hollow/fleet.py
@@ -285,10 +285,12 @@
     await fleet.end_phase("ordinary changes", revisions, entries)
 
 
-async def _run_one_change(fleet: _Fleet, name: str, entries: list[dict[str, Any]], part: float = 1.0) -> None:
+async def _run_one_change(
+    fleet: _Fleet, name: str, entries: list[dict[str, Any]], settle_share: float = 1.0
+) -> None:
     await fleet.begin_phase()
     revision = await fleet.change(entries)
-    await asyncio.sleep(part * fleet.plan.settle)
+    await asyncio.sleep(settle_share * fleet.plan.settle)
     await fleet.end_phase(name, {revision: fleet.published_at[revision]}, len(entries))
 
 
@@ -337,9 +339,9 @@
         )
         await _wait_for_all(fleet)
         await fleet.end_phase("start of all", {1: fleet.began}, plan.engines)
-        for part in (_run_ordinary_changes, _run_zone_loss, _run_role_change, _run_discovery_outage):
-            await part(fleet)
-        _sum_up(fleet)
+        for run_phase in (_run_ordinary_changes, _run_zone_loss, _run_role_change, _run_discovery_outage):
+            await run_phase(fleet)
+        _summarize(fleet)
         return fleet.report
     finally:
         await fleet.end()
@@ -355,7 +357,7 @@
     raise FleetError(f"nodes: not every node had the list within {timeout_s:g} s")
 
 
-def _sum_up(fleet: _Fleet) -> None:
+def _summarize(fleet: _Fleet) -> None:
     nodes = [node for process in fleet.last_reports for node in process["nodes"]]
     report = fleet.report
     report.node_memory = sum(process["memory"] for process in fleet.last_reports) / len(nodes)
