--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -72,14 +72,14 @@
     return sizes
 
 
-def load_router(path: str) -> node.Maker:
+def load_router(path: str) -> node.RouterFactory:
     """Loads the Router class of a package folder that has a module `routing/router.py`."""
     folder = Path(path).resolve()
     if not (folder / "routing" / "router.py").is_file():
         raise click.UsageError(f"--before: {path!r} holds no routing/router.py")
     sys.path.insert(0, str(folder.parent))
     module = __import__(f"{folder.name}.routing.router", fromlist=["Router"])
-    router_class: node.Maker = module.Router
+    router_class: node.RouterFactory = module.Router
     return router_class
 
 
@@ -122,7 +122,7 @@
     node.measure_memory(Router, engine_counts, by_engines)
     asyncio.run(processes.measure_node_memory(engine_counts, by_engines))
     costs_by_state = {name: node.NodeCosts() for name in STATE_SIZES}
-    node.measure_remembered(Router, engine_counts[-1], costs_by_state, STATE_SIZES)
+    node.measure_kept_state(Router, engine_counts[-1], costs_by_state, STATE_SIZES)
     click.echo("controllers, agents, watches ...", err=True)
     by_hosts, fixed_costs = node.NodeCosts(), node.NodeCosts()
     asyncio.run(control.measure_control(host_counts, by_hosts))
--- a/tests/scale/test_costs.py
+++ b/tests/scale/test_costs.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tuliptrack.interface import Action, EndpointListUpdate, EndpointState, Reject, Role, UpdateKind
-from tuliptrack.lab.capacity.node import Maker, playback, request_operations
+from tuliptrack.lab.capacity.node import RouterFactory, playback, request_operations
 from tuliptrack.lab.capacity.operations import count_operations
 from tuliptrack.lab.hollow.population import KINDS, Population
 from tuliptrack.lab.hollow.traffic import Playback
@@ -23,7 +23,7 @@
 MINUTE, FEW = 400, 80
 
 
-def request_cost(make: Maker, engines: int, requests: int = MINUTE) -> float:
+def request_cost(make: RouterFactory, engines: int, requests: int = MINUTE) -> float:
     """Mean operations of a request's events, after so many requests of traffic."""
     traffic = playback(make, engines)
     traffic.play(requests)
@@ -41,7 +41,7 @@
         scanned.rejection_share, scanned.observed_at_us = 1.0, traffic.now
 
 
-def rejection_cost(make: Maker, engines: int, requests: int = MINUTE) -> int:
+def rejection_cost(make: RouterFactory, engines: int, requests: int = MINUTE) -> int:
     """Operations of one request that is rejected, as the search for a prefill endpoint finds none."""
     traffic = playback(make, engines)
     traffic.play(requests)
@@ -54,7 +54,7 @@
     return cost
 
 
-def change_cost(make: Maker, engines: int) -> int:
+def change_cost(make: RouterFactory, engines: int) -> int:
     """Operations of the list change by which one engine begins to drain."""
     population = Population(engines)
     traffic = playback(make, engines)
--- a/tuliptrack/cli/lab.py
+++ b/tuliptrack/cli/lab.py
@@ -106,10 +106,10 @@
     engines: start, changes, the loss of a zone, changes of role, and discovery that does not answer
     for a while.
     """
-    from tuliptrack.lab.hollow.fleet import FleetError, FleetPlan, play_fleet
+    from tuliptrack.lab.hollow.fleet import FleetError, FleetPlan, run_fleet
 
     try:
-        report = asyncio.run(play_fleet(FleetPlan(**options)))
+        report = asyncio.run(run_fleet(FleetPlan(**options)))
     except FleetError as error:
         raise click.UsageError(f"--{str(error).replace('_', '-', 1)}") from None
     text = json.dumps(report.as_dict(), indent=1)
--- a/tuliptrack/lab/capacity/node.py
+++ b/tuliptrack/lab/capacity/node.py
@@ -25,12 +25,12 @@
 from tuliptrack.lab.capacity.results import Series
 from tuliptrack.lab.capacity.yardstick import Yardstick, median_us, timed_us
 from tuliptrack.lab.hollow.population import KINDS, ROLES, Population, node_settings
-from tuliptrack.lab.hollow.traffic import Decides, DrawnTraffic, Playback, Rates
+from tuliptrack.lab.hollow.traffic import Playback, Rates, RouterProtocol, SyntheticTraffic
 from tuliptrack.relay.endpoint_directory import EndpointDirectory
 
-__all__ = ["Maker", "NodeCosts", "measure_decisions", "measure_lists", "measure_memory", "playback"]
+__all__ = ["NodeCosts", "RouterFactory", "measure_decisions", "measure_lists", "measure_memory", "playback"]
 
-Maker = Callable[[Settings, int], Any]
+RouterFactory = Callable[[Settings, int], Any]
 """Creates a router from its settings and seed."""
 
 REPLICAS = 350
@@ -59,12 +59,12 @@
             yield Series(name, unit(name), by, tuple(points))
 
 
-def playback(make: Maker, engines: int, rates: Rates | None = None, seed: int = 1) -> Playback:
+def playback(make: RouterFactory, engines: int, rates: Rates | None = None, seed: int = 1) -> Playback:
     """Return the playback of synthetic traffic for a router that has a list of so many engines."""
     population = Population(engines, zones=min(ZONES, engines))
-    router: Decides = make(node_settings(REPLICAS), seed)
+    router: RouterProtocol = make(node_settings(REPLICAS), seed)
     playback = Playback(
-        router, DrawnTraffic(rates or Rates(), seed, lambda server: ROLES[population.kind(server - 1)])
+        router, SyntheticTraffic(rates or Rates(), seed, lambda server: ROLES[population.kind(server - 1)])
     )
     playback.tell(EndpointListUpdate(UpdateKind.FULL, 1, population.servers()))
     return playback
@@ -80,7 +80,7 @@
     opened: int = 0
     sent: int = 0
 
-    def call(self, router: Decides) -> Callable[[int, Event], list[Action]]:
+    def call(self, router: RouterProtocol) -> Callable[[int, Event], list[Action]]:
         """Return a replacement of `Playback.call` that times each event."""
 
         def timed(now: int, event: Event) -> list[Action]:
@@ -110,7 +110,7 @@
 
 
 def measure_decisions(
-    make: Maker, sizes: Iterable[int], clock: Yardstick, costs: NodeCosts, prefix: str = ""
+    make: RouterFactory, sizes: Iterable[int], clock: Yardstick, costs: NodeCosts, prefix: str = ""
 ) -> None:
     """Measure by the number of engines: times of decisions in yardsticks, bytecode operations of a request,
     and the share of attempts that open a connection.
@@ -151,7 +151,7 @@
 class _ListedNode:
     """A node's endpoint directory and router, fed with responses of discovery as bytes."""
 
-    def __init__(self, make: Maker, engines: int) -> None:
+    def __init__(self, make: RouterFactory, engines: int) -> None:
         self.population = Population(engines, zones=min(ZONES, engines))
         self.playback = playback(make, engines)
         self.directory = EndpointDirectory(KINDS, tuple(f"zone-{z}" for z in range(ZONES)))
@@ -185,7 +185,7 @@
 
 
 def measure_lists(
-    make: Maker, sizes: Iterable[int], clock: Yardstick, costs: NodeCosts, prefix: str = ""
+    make: RouterFactory, sizes: Iterable[int], clock: Yardstick, costs: NodeCosts, prefix: str = ""
 ) -> None:
     """Measure lists and their changes by the number of engines: bytes, times in yardsticks, operations."""
     for engines in sizes:
@@ -248,7 +248,7 @@
         tracemalloc.stop()
 
 
-def measure_memory(make: Maker, sizes: Iterable[int], costs: NodeCosts) -> None:
+def measure_memory(make: RouterFactory, sizes: Iterable[int], costs: NodeCosts) -> None:
     """Measure the bytes of a router and its list by the number of engines, both right after the list and after
     some minutes of traffic.
     """
@@ -261,8 +261,8 @@
         del played
 
 
-def measure_remembered(
-    make: Maker, engines: int, costs: dict[str, NodeCosts], sizes: dict[str, Iterable[int]]
+def measure_kept_state(
+    make: RouterFactory, engines: int, costs: dict[str, NodeCosts], sizes: dict[str, Iterable[int]]
 ) -> None:
     """Measure the bytes by concurrent streams, by tenants and by prefixes, at one size of the fleet."""
     for streams in sizes["streams"]:
@@ -282,13 +282,13 @@
         )
 
 
-def _create_listed(make: Maker, engines: int) -> _ListedNode:
+def _create_listed(make: RouterFactory, engines: int) -> _ListedNode:
     node = _ListedNode(make, engines)
     node.process_response(node.response(node.population.members(), complete=True))
     return node
 
 
-def _create_played(make: Maker, engines: int, rates: Rates, requests: int) -> Playback:
+def _create_played(make: RouterFactory, engines: int, rates: Rates, requests: int) -> Playback:
     played = playback(make, engines, rates)
     played.play(requests)
     return played
--- a/tuliptrack/lab/hollow/fleet.py
+++ b/tuliptrack/lab/hollow/fleet.py
@@ -17,7 +17,7 @@
 
 from tuliptrack.lab.hollow.population import Population, node_settings
 
-__all__ = ["FleetError", "FleetPlan", "Phase", "Report", "play_fleet"]
+__all__ = ["FleetError", "FleetPlan", "Phase", "Report", "run_fleet"]
 
 MOST_PROCESSES = 200
 NODE_BYTES, PROCESS_BYTES = (
@@ -327,7 +327,7 @@
     await fleet.end_phase("discovery silent and back", {revision: back}, 1)
 
 
-async def play_fleet(plan: FleetPlan) -> Report:
+async def run_fleet(plan: FleetPlan) -> Report:
     """Run all phases; raise FleetError if that isn't possible. No process is left running."""
     plan.check()
     fleet = _Fleet(plan)
--- a/tuliptrack/lab/hollow/node.py
+++ b/tuliptrack/lab/hollow/node.py
@@ -23,7 +23,7 @@
     UpdateKind,
 )
 from tuliptrack.lab.hollow.population import KINDS, ROLES, node_settings
-from tuliptrack.lab.hollow.traffic import DrawnTraffic, Rates
+from tuliptrack.lab.hollow.traffic import Rates, SyntheticTraffic
 from tuliptrack.relay.discovery import Discovery
 from tuliptrack.relay.endpoint_directory import EndpointDirectory
 from tuliptrack.routing.router import Router
@@ -64,7 +64,7 @@
         self.settings = node_settings(replicas, slot)
         self.router = make(self.settings, seed)
         self.directory = EndpointDirectory(KINDS, ZONES)
-        self.traffic = DrawnTraffic(rates, seed, self._role_of)
+        self.traffic = SyntheticTraffic(rates, seed, self._role_of)
         self.report = NodeReport(slot)
         self.source = Discovery(
             agent,
--- a/tuliptrack/lab/hollow/traffic.py
+++ b/tuliptrack/lab/hollow/traffic.py
@@ -25,12 +25,12 @@
     StreamStarted,
 )
 
-__all__ = ["Decides", "DrawnTraffic", "Playback", "Rates"]
+__all__ = ["Playback", "Rates", "RouterProtocol", "SyntheticTraffic"]
 
 _S = 1_000_000
 
 
-class Decides(Protocol):
+class RouterProtocol(Protocol):
     """Interface of the decision module, and of modules that replace it."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
@@ -54,7 +54,7 @@
     """Share of the attempts whose connection breaks."""
 
 
-class DrawnTraffic:
+class SyntheticTraffic:
     """Requests and responses drawn from one seed. `role_of` returns the role of an engine."""
 
     def __init__(self, rates: Rates, seed: int, role_of: Callable[[int], Role]) -> None:
@@ -133,7 +133,7 @@
 class Playback:
     """Drives one router with synthetic traffic in virtual time. `watch` is called after each event."""
 
-    def __init__(self, router: Decides, traffic: DrawnTraffic, start: int = 1_000 * _S) -> None:
+    def __init__(self, router: RouterProtocol, traffic: SyntheticTraffic, start: int = 1_000 * _S) -> None:
         self.router, self.traffic, self.now = router, traffic, start
         self.call: Callable[[int, Event], list[Action]] = lambda now, event: router.handle(now, [event])
         """Calls the router; replace it to measure the calls."""
