--- a/tests/decisions/test_billing.py
+++ b/tests/decisions/test_billing.py
@@ -1,4 +1,4 @@
-"""Bills are a function of the set of records: order, duplicates and merging change nothing."""
+"""Bills depend only on the set of usage records: their order, duplicates and merging change nothing."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -19,7 +19,10 @@
 
 
 def expected_rejection(in_flight: list[tuple[str, int]], sender: tuple[str, int]) -> ExceededLimit | None:
-    """The limit that rejects a request at limits of 8, 5 and 3, from counting `in_flight`."""
+    """Return the limit that rejects a request, found by counting the requests `in_flight`.
+
+    The limits are 8 requests at the node, 5 of a tenant and 3 on a connection.
+    """
     tenant, connection = sender
     if len(in_flight) >= 8:
         return ExceededLimit.NODE
@@ -35,7 +38,7 @@
 def test_no_count_exceeds_its_limit_and_every_end_releases_its_request(
     steps: list[tuple[str, int] | int],
 ) -> None:
-    """A step is the sender of a new request, or a number that picks the request to end."""
+    """Each step is the tenant and connection of a new request, or a number that picks a request to end."""
     limiter, in_flight, now_us = ConcurrencyLimiter(ConcurrencyLimits(8, 5, 3)), list[tuple[str, int]](), 0
     for step in steps:
         now_us += 1000
--- a/tests/decisions/test_consensus.py
+++ b/tests/decisions/test_consensus.py
@@ -25,7 +25,7 @@
 
 @dataclass
 class SimulatedNetwork:
-    """Proposers, acceptors and the messages in flight between them. Calling a message delivers it."""
+    """Proposers, acceptors and the messages in flight between them; calling a message delivers it."""
 
     proposers: list[Proposer]
     acceptors: dict[str, Acceptor]
@@ -39,7 +39,7 @@
             self.messages.append(lambda name=name: self.deliver_prepare(index, name, epoch))  # type: ignore[misc]
 
     def propose(self, index: int) -> None:
-        """Propose a value that extends the one chosen last, as a rollout's next step does."""
+        """Propose a value that extends the value chosen last, as the next step of a rollout does."""
         proposer = self.proposers[index]
         if proposer.is_leader and proposer.chosen and proposer.chosen.ballot == proposer.ballot:
             self.proposals += 1
@@ -97,7 +97,7 @@
 
 
 def run_at_random(seed: int, steps: int = 400) -> SimulatedNetwork:
-    """Deliver messages in any order, some never, some twice; proposers start epochs at any time."""
+    """Deliver messages in random order, some never and some twice; start epochs and proposals in between."""
     random, network = Random(seed), network_of(3, ("a", "b", "c", "d", "e"))
     for _ in range(steps):
         draw = random.random()
@@ -121,7 +121,7 @@
 
 @pytest.mark.parametrize("broken", ["promise", "accept", "adopt", "quorum"])
 def test_without_any_one_guard_a_chosen_value_is_lost(broken: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The runs are those of the test above, with one guard broken."""
+    """The random runs are those of the previous test, but one guard of the protocol is broken."""
     if broken == "promise":
 
         def promise(self: Acceptor, epoch: int) -> bool:
--- a/tests/decisions/test_cross_zone_budget.py
+++ b/tests/decisions/test_cross_zone_budget.py
@@ -53,7 +53,7 @@
     restarts: list[int],
     epoch: int,
 ) -> None:
-    """Requests reserve at any node and time; nodes restart in between, and their clocks differ."""
+    """Requests reserve bytes at any node at any time; nodes restart in between, and their clocks differ."""
     budget = ZoneBudget(rate_kb * 1000.0, float(quantum * grants), float(quantum))
     # Each node's clock has an offset of its own.
     offsets = [epoch + 1_000 * replica for replica in range(replicas)]
@@ -118,7 +118,7 @@
     at, arrivals, sent = 50_000_000, list[int](), list[tuple[int, float]]()
     for number, (gap, node_number, size, _) in enumerate(moves):
         at += gap
-        node = nodes[min(node_number, 2) % replicas]  # most requests at one node
+        node = nodes[min(node_number, 2) % replicas]  # most requests arrive at one node
         arrivals.append(at)
         node.record_arrival(at)
         if node.reserve(at, number, 0, float(size), is_retry=False) is CrossZoneCause.BUDGET:
@@ -137,7 +137,7 @@
 
 
 def test_uneven_traffic_can_use_what_equal_grants_would_waste() -> None:
-    """Of twenty nodes two get nine tenths of the traffic; every request reserves a crossing."""
+    """Two of twenty nodes get nine tenths of the requests, each of which tries to reserve a crossing."""
     used = {}
     for part in (0.0, 1.0):
         budget = ZoneBudget(1_000_000.0, 5_000_000.0, 50_000.0, by_traffic=part)
@@ -154,18 +154,18 @@
         ]
         rng = random.Random(3)
         used[part] = 0
-        for number in range(3000):  # 100 a second for 30 s
+        for number in range(3000):  # 100 requests a second for 30 s
             at = 10 * S + number * 10 * MS
             node = nodes[rng.randrange(2) if rng.random() < 0.9 else rng.randrange(20)]
             node.record_arrival(at)
             used[part] += node.reserve(at, number, 0, 50_000.0, is_retry=False) is CrossZoneCause.BUDGET
     assert used[0.0] < 0.55 * 600 and 0.9 * 600 < used[1.0] <= 600 + 100 + 20, (
         used
-    )  # 600 quanta accrue, and 100 may be saved up
+    )  # 600 quanta are issued in 30 s, 100 may be saved up before, and 20 nodes may have part of one
 
 
 def test_many_nodes_share_a_budget_of_less_than_a_request_each_and_none_is_starved() -> None:
-    """190 nodes share one grant of 20,000 bytes, a request's size, every 100 ms: in 19 s each gets one."""
+    """Every 100 ms one of 190 nodes gets a grant of 20,000 bytes, a request's size: each gets one in 19 s."""
     budget = ZoneBudget(200_000.0, 40_000.0, 20_000.0)
     nodes = [budgets_of(190, replica, budget) for replica in range(190)]
     used = [0] * 190
@@ -181,14 +181,15 @@
 def test_unused_bytes_are_refunded_and_overuse_is_paid_from_the_next_grants() -> None:
     budget = ZoneBudget(1_000_000.0, 400_000.0, 100_000.0)
     node = budgets_of(1, 0, budget)
-    assert node.buckets[0].available(10 * S) == 0.0  # just started: earlier grants may have been used
+    # The node has just started: its previous incarnation may have used the grants issued before.
+    assert node.buckets[0].available(10 * S) == 0.0
     assert node.buckets[0].available(11 * S) == 400_000.0
     assert node.reserve(11 * S, 1, 0, 300_000.0, is_retry=False) is CrossZoneCause.BUDGET
     assert node.buckets[0].available(11 * S) == 100_000.0
     node.settle(11 * S, 1, 50_000.0)
     assert node.buckets[0].available(11 * S) == 350_000.0
     assert node.reserve(11 * S, 2, 0, 10_000.0, is_retry=True) is CrossZoneCause.RETRY
-    node.settle(11 * S, 2, 500_000.0)  # far more than reserved: taken from the next grants
+    node.settle(11 * S, 2, 500_000.0)  # bytes beyond the reservation are taken from the next grants
     assert node.buckets[0].available(11 * S) == 0.0
     assert node.buckets[0].available(11 * S + 150 * MS) == 0.0
     assert node.buckets[0].available(12 * S) > 0
--- a/tests/decisions/test_model_catalog.py
+++ b/tests/decisions/test_model_catalog.py
@@ -61,7 +61,8 @@
     assert [(s.id, s.state) for s in updates[A].endpoints] == [(2, EndpointState.REMOVED)]
     assert [(s.id, s.state) for s in updates[B].endpoints] == [(2, EndpointState.READY)]
     assert not models.ready("a") and models.ready("b", "1")
-    updates = models.split_update(*change({1: (PREFILL, A)}))  # a full list removes what it does not name
+    # A full list removes the endpoints that it does not name.
+    updates = models.split_update(*change({1: (PREFILL, A)}))
     assert {m: [s.id for s in c.endpoints] for m, c in updates.items()} == {A: [1], B: [], B2: []}
 
 
@@ -77,9 +78,9 @@
     assert caught.value.is_listed
     assert (
         catalog({1: (PREFILL, A), 2: (DECODE, A)}).choose("", "", "s") == A
-    )  # the only model need not be named
+    )  # a request need not name the only model
     assert catalog({1: (PREFILL, Model()), 2: (DECODE, Model())}).choose("any", "", "s") == Model()
-    assert ModelCatalog(ROLES).choose("any", "", "s") == Model()  # before the first list
+    assert ModelCatalog(ROLES).choose("any", "", "s") == Model()  # no list has arrived yet
 
 
 def test_a_rollout_moves_as_many_sessions_as_there_are_endpoints_and_each_once() -> None:
@@ -163,14 +164,14 @@
         )
     assert (
         first.state.fleet_capacity_per_s == second.state.fleet_capacity_per_s == 501.0
-    )  # half of the tenants' quotas: the endpoints are half of the fleet
+    )  # half of the tenants' quotas, as each model has half of the fleet's capacity
     actions = []
     for number in range(14):  # the second tenant's quota is two requests a second over all models
         router = (first, second)[number % 2]
         request = Request(number, 0, 5 * S, 1000.0, 0.0, 200.0, number, 0, 1)
         actions.append(router.handle(S + number * MS, [request])[-1])
     assert isinstance(actions[0], SendAttempt) and first.quotas is second.quotas
-    assert first.quotas.buckets[1].tokens < 1  # one bucket, emptied by both
+    assert first.quotas.buckets[1].tokens < 1  # both routers have emptied the one bucket
     assert not any(isinstance(a, Reject) for a in actions[:2])
     assert only(SendAttempt, [actions[0]]).endpoint_id == 10
     assert only(SendAttempt, [actions[1]]).endpoint_id == 20
--- a/tests/decisions/test_rollout.py
+++ b/tests/decisions/test_rollout.py
@@ -27,11 +27,14 @@
     margin=0.05,
 )
 Rates = Callable[[str, bool, int], dict[str, float]]
-"""Gives the share of bad requests by measure, for a host, whether it runs the new release, and a window."""
+"""Function that returns the share of bad requests by measure.
+
+Its arguments are a host, whether the host runs the new release, and the number of a window.
+"""
 
 
 class Hosts:
-    """Hosts that carry out a record; a changed host is ready after two windows."""
+    """Simulated hosts that change to the releases a record assigns, and are ready two windows later."""
 
     def __init__(
         self, seed: int, rates: Rates, new_starts: bool = True, traffic: dict[str, float] | None = None
@@ -96,7 +99,7 @@
     windows: int = 400,
     on_window: Callable[[int, Rollout, Hosts], RolloutRecord | None] = lambda *_: None,
 ) -> Rollout:
-    """Learn a baseline for 60 windows, start the plan, and continue until it has ended or is held."""
+    """Learn a baseline for 60 windows, start the plan, and run windows until the rollout ends or is held."""
     rollout, now = Rollout(), 0
     for _ in range(60):
         rollout.handle_window(now := now + 5 * S, hosts.reports())
@@ -164,7 +167,10 @@
 
 
 def test_a_severe_defect_of_few_nodes_is_not_taken_for_common_harm() -> None:
-    """The defect affects half of a third of all requests; old nodes do as usual, so the release causes it."""
+    """New nodes get a third of all requests, and the defect affects half of those.
+
+    Old nodes do as usual, so the release must be the cause.
+    """
     plan = replace(PLAN, stages=(RolloutStage(("n0", "n1", "n2"), 400),), most_out=3)
     for seed in range(4):
         record = run_rollout(Hosts(seed, worse_rates(refused=0.6)), plan).record
@@ -234,9 +240,9 @@
 
 
 def test_a_new_controller_continues_from_the_record_alone() -> None:
-    """Each new controller knows the record and the baselines, and none of the evidence.
+    """Each new controller knows the record and the baselines, but none of the evidence.
 
-    One takes over at each of the first 20 windows and at every 40th later.
+    A new controller takes over at each of the first 20 windows, and at every 40th window after them.
     """
     hosts, now = Hosts(8, usual_rates), 0
     learnt = Rollout()
--- a/tests/decisions/test_sequential_test.py
+++ b/tests/decisions/test_sequential_test.py
@@ -8,9 +8,9 @@
 
 
 def test_evidence_comes_from_differences_between_nodes_and_not_from_numbers_of_requests() -> None:
-    """A burst that all nodes of a stratum share is no evidence, however many requests go badly in it.
+    """A burst at all nodes of a stratum is no evidence of a difference, however many requests go badly.
 
-    A stratum in which every node is new is no evidence either.
+    A stratum without old nodes gives no evidence either, as there is nothing to compare with.
     """
     baseline, test = Baseline(), SequentialTest()
     windows = [NodeWindow(f"n{i}", Stratum("z", "c"), 100, 2) for i in range(6)]
--- a/tests/decisions/test_token_budget.py
+++ b/tests/decisions/test_token_budget.py
@@ -32,7 +32,7 @@
     replica_index: int = 0,
     is_lending: bool = False,
 ) -> TokenBudgets:
-    """One node's budgets, in which each prompt or output token that is not cached weighs one unit."""
+    """Return one node's budgets; an output token or uncached prompt token weighs one unit, a cached one none."""
     settings = TokenBudgetSettings(
         replicas=replicas,
         windows=windows,
@@ -50,7 +50,7 @@
 
 
 def admit(budgets: TokenBudgets, now_us: int, request_id: int, request: BudgetRequest) -> BudgetVerdict:
-    """Reserve for a request if it is within its budget."""
+    """Reserve the units of a request if it is within its tenant's budgets; return the verdict."""
     verdict = budgets.check(now_us, request)
     if not verdict.is_over:
         budgets.reserve(now_us, request_id, request, verdict)
@@ -58,7 +58,7 @@
 
 
 def serve_prompt(budgets: TokenBudgets, now_us: int, request_id: int, request: BudgetRequest) -> bool:
-    """Whether the request was admitted, and then used its prompt tokens and no others."""
+    """Settle a request by its prompt tokens alone if it is admitted; return whether it was."""
     if admit(budgets, now_us, request_id, request).is_over:
         return False
     budgets.settle(now_us, request_id, PROMPT_ONLY, is_complete=False)
@@ -77,7 +77,7 @@
 def test_all_nodes_together_stay_within_the_window_and_a_grant_and_reservations_always_settle(
     replicas: int, units: int, grants: int, is_lending: bool, moves: list[tuple[int, int, int, int]]
 ) -> None:
-    """With lending, all tenants together stay within the sum of their bounds, moved by LENDING_US."""
+    """With lending, tenants together keep the sum of their bounds for a period longer by LENDING_US."""
     quantum = units // grants
     window = BudgetWindow(S, units, quantum)
     nodes = [
@@ -121,17 +121,17 @@
         while serve_prompt(budgets, now_us + second * S, number, request):
             number += 1
     verdict = budgets.check(now_us + 59 * S, request)
-    assert verdict.window_us == 60 * S  # now the minute's window is short
+    assert verdict.window_us == 60 * S  # now the window of a minute lacks units
     assert verdict.retry_after_us is not None
     assert budgets.check(now_us + 59 * S + verdict.retry_after_us, request).is_over is False
-    never = budgets.check(now_us, request_of(prompt_tokens=10_000))  # more than the window ever has
+    never = budgets.check(now_us, request_of(prompt_tokens=10_000))  # more units than a window ever has
     assert never.retry_after_us is None
     without_budget = budgets.check(now_us, request_of("stranger", 10**6))
     assert without_budget.is_over is False
 
 
 def test_a_tenant_with_less_than_a_request_for_each_node_gets_its_grants() -> None:
-    window = BudgetWindow(S, 2000, 1000)  # two requests a second, at 190 nodes
+    window = BudgetWindow(S, 2000, 1000)  # two requests a second, for 190 nodes together
     nodes = [budgets_of({"a": (window,)}, replicas=190, replica_index=replica) for replica in range(190)]
     served = [0] * 190
     for step in range(0, 190 * S, 100_000):
@@ -163,7 +163,7 @@
     assert usage.requests == 400 and usage.open_units == 0
     assert usage.estimate_error_units < 0.5 * usage.used_units
     before = expected("a", 0, 1000)
-    for n in range(300):  # long prompts that are cancelled at once are refunded and not learnt from
+    for n in range(300):  # long prompts cancelled at once are refunded and change no estimate
         admit(budgets, 101 * S, n, request_of("a", 10**5, 200))
         budgets.settle(101 * S, n, None, is_complete=False)
     assert expected("a", 0, 1000) == before
@@ -172,12 +172,12 @@
 def test_what_was_used_beyond_the_estimate_is_paid_from_the_next_grants() -> None:
     budgets = budgets_of({"a": (BudgetWindow(S, 1000, 100),)})
     now_us, small = 102 * S, request_of(prompt_tokens=10)
-    admit(budgets, now_us, 1, request_of("a", 100, 200))  # expected to use 100 + 100
+    admit(budgets, now_us, 1, request_of("a", 100, 200))  # reserves 100 prompt and 100 output tokens
     budgets.settle(now_us, 1, ServedTokens(0, 900), is_complete=True)
     assert budgets.check(now_us, small).is_over
     assert budgets.check(now_us + 150_000, small).is_over is False
     admit(budgets, now_us + S, 2, request_of(prompt_tokens=500))
-    budgets.settle(now_us + S, 2, ServedTokens(400, 0), is_complete=True)  # cached tokens cost less
+    budgets.settle(now_us + S, 2, ServedTokens(400, 0), is_complete=True)  # cached tokens weigh nothing here
     assert budgets.usage("a").used_units == 100 + 900 + 100
 
 
@@ -194,21 +194,22 @@
 
     alone, lent = served(False, False)[0], served(True, False)[0]
     assert lent > 1.8 * alone
-    assert served(True, True)[1] == served(False, True)[1] == 200  # all that the owner asked for
+    assert served(True, True)[1] == served(False, True)[1] == 200  # all requests of the owner
 
 
 def test_a_day_is_counted_by_the_calendar_over_restarts_and_clocks_that_step_back() -> None:
     day = {"a": (BudgetWindow(DAY, 40_000),)}
     request = request_of(prompt_tokens=1000)
     budgets = budgets_of(day, replicas=8)
-    for n in range(20):  # the node's part is half: the tenant may reach only every second node
+    # This node's part is half of the budget, as the tenant's requests may reach only every second node.
+    for n in range(20):
         assert serve_prompt(budgets, 100 * S, n, request)
     full = admit(budgets, 100 * S, 99, request)
     assert full.is_over and full.window_us == DAY and full.retry_after_us == DAY - 100 * S
     restarted = budgets_of(day, replicas=8)
     restarted.restore_usage(100 * S, "a", 20_000)
     assert admit(restarted, 100 * S, 1, request).is_over
-    for n in range(20):  # the next day, from its beginning
+    for n in range(20):  # on the next day, the whole part is available again
         assert serve_prompt(restarted, DAY + 10 * S, 2 + n, request)
     # A clock that steps back over midnight must not begin a new day, with the whole budget available again.
     assert admit(restarted, 100 * S, 99, request).is_over
@@ -227,8 +228,9 @@
 
 @pytest.mark.parametrize("small_first", [True, False])
 def test_a_request_that_one_calendar_window_never_allows_gets_no_retry_delay(small_first: bool) -> None:
-    """The wait of a second window must not hide that the first never allows it: the client would retry in
-    vain.
+    """The finite wait for one window must not hide that another never allows the request.
+
+    The client would retry in vain.
     """
     small, used_up = BudgetWindow(2 * DAY, 500), BudgetWindow(DAY, 2_000)
     budgets = budgets_of({"a": (small, used_up) if small_first else (used_up, small)})
@@ -238,7 +240,7 @@
 
 
 def test_complete_outputs_without_tokens_are_learnt_as_empty() -> None:
-    """A negative length must not be learnt: it would lower what later requests reserve."""
+    """A negative length must not be learnt, as it would lower the units that later requests reserve."""
     budgets = budgets_of({"a": (BudgetWindow(3_600 * S, 1_000_000),)})
     request = request_of(max_output_tokens=1_000)
     for request_id in range(100):
--- a/tests/decisions/test_zone_recovery.py
+++ b/tests/decisions/test_zone_recovery.py
@@ -27,12 +27,12 @@
 def test_a_recovered_zone_gets_its_sessions_back_gradually_and_the_same_ones_at_all_nodes() -> None:
     recovery = ZoneRecovery()
     assert recovery.observe(0, [KEY] * 4 + [OTHER]) == []
-    assert recovery.observe(1 * S, [KEY] * 2 + [OTHER]) == []  # half is left: not lost
+    assert recovery.observe(1 * S, [KEY] * 2 + [OTHER]) == []  # a zone with half of its endpoints is not lost
     assert recovery.observe(2 * S, [OTHER]) == [change(ZoneState.LOST)]
-    assert recovery.admits(3 * S, 1, Role.PREFILL, 0.99)  # health-check attempts are not limited
+    assert recovery.admits(3 * S, 1, Role.PREFILL, 0.99)  # a lost zone's health checks are not limited
     recovered = recovery.observe(2 * S + MIN_LOST_US // 2, [KEY] * 2 + [OTHER])
     assert recovered == [change(ZoneState.RECOVERED)]
-    assert not recovery.is_ramping_up  # lost for too short a time
+    assert not recovery.is_ramping_up  # the zone was lost for too short a time
     recovery.observe(10 * S, [])
     begin = 10 * S + MIN_LOST_US
     assert change(ZoneState.RECOVERING) in recovery.observe(begin, [KEY] * 2)
--- a/tests/scale/test_costs.py
+++ b/tests/scale/test_costs.py
@@ -1,5 +1,6 @@
-"""Costs of decisions and list changes as the fleet grows, in operations: their count is the same on every
-machine.
+"""Costs of decisions and changes of the endpoint list as the fleet grows.
+
+Costs are counted in operations, whose number is the same on every machine.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 from tuliptrack.routing.router import Router
 
 SMALL, LARGE = 190, 1_900
-# Requests of one node: in a minute, and few enough for the router that scans all engines.
+# Numbers of requests at one node: those of a minute, and a few for the slow router that scans all engines.
 MINUTE, FEW = 400, 80
 
 
 def request_cost(make: RouterFactory, engines: int, requests: int = MINUTE) -> float:
-    """Mean operations of a request's events, after so many requests of traffic."""
+    """Return the mean number of operations for one request's events, after `requests` earlier requests."""
     traffic = playback(make, engines)
     traffic.play(requests)
     return request_operations(traffic)
 
 
 def _saturate_prefill(traffic: Playback) -> None:
-    """Set either router's state to that after all prefill endpoints have rejected for lack of capacity."""
+    """Set a router's state as if all prefill endpoints had just rejected requests for lack of capacity."""
     if isinstance(traffic.router, Router):
         statistics = traffic.router.state.statistics[Role.PREFILL, False]
         statistics.rejection_share, statistics.observed_at_us = 1.0, traffic.now
@@ -42,7 +43,7 @@
 
 
 def rejection_cost(make: RouterFactory, engines: int, requests: int = MINUTE) -> int:
-    """Operations of one request that is rejected, as the search for a prefill endpoint finds none."""
+    """Return the operations for a request that is rejected because no prefill endpoint has capacity."""
     traffic = playback(make, engines)
     traffic.play(requests)
     _saturate_prefill(traffic)
@@ -55,7 +56,7 @@
 
 
 def change_cost(make: RouterFactory, engines: int) -> int:
-    """Operations of the list change by which one engine begins to drain."""
+    """Return the operations for an update of the endpoint list by which one engine begins to drain."""
     population = Population(engines)
     traffic = playback(make, engines)
     traffic.play(50)
@@ -66,7 +67,7 @@
 
 
 def test_the_cost_of_a_request_hardly_grows_with_ten_times_the_engines() -> None:
-    """The growth that remains is due to a node's streams, which are spread over more engines."""
+    """The cost grows a little because a node's streams are spread over more engines."""
     assert request_cost(Router, LARGE) < 1.6 * request_cost(Router, SMALL)
 
 
@@ -101,8 +102,8 @@
             for c in changes
         ]
         cost[engines] = sum(work) / len(removed)
-    # The router searches the removed endpoints that it still knows, 128 at most: one that returns keeps its
-    # ejections and its slot.
+    # The router still knows up to 128 removed endpoints, so that an endpoint that returns keeps its ejections
+    # and its slot; it searches these endpoints too.
     assert cost[LARGE] < 2.5 * cost[SMALL]
 
 
--- a/tests/scale/test_zone_back.py
+++ b/tests/scale/test_zone_back.py
@@ -1,5 +1,6 @@
-"""A zone's engines restart cold, and 350 nodes see it at once or one after another: together the nodes keep
-within the budget of slow start.
+"""When a zone's engines restart cold, all nodes together keep within the budget of slow start.
+
+The 350 nodes see the restart at once or one after another.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 @dataclass(frozen=True)
 class LostZone(Deployment):
-    """A tenth of the target size; every engine of one zone has just started."""
+    """A fleet of a tenth of the target size, in which every engine of one zone has just started."""
 
     kinds: tuple[int, ...] = ((PREFILL,) * 3 + (DECODE,) * 9) * 12
     capacity_per_s: tuple[float, float, float] = (2.9, 1.0, 1.0)
@@ -33,7 +34,7 @@
 
 
 def max_sends(budget: float) -> float:
-    """What all nodes together may send in a window in which the settings allow `budget` calls."""
+    """Return the most requests all nodes together may send in a window for which settings allow `budget`."""
     return budget + (2 * math.sqrt(budget) + 2 if budget >= 30 else 3 * math.sqrt(budget) + 3)
 
 
--- a/tuliptrack/decisions/billing.py
+++ b/tuliptrack/decisions/billing.py
@@ -4,17 +4,18 @@
 is a function of the set of its records alone: merging ledgers is a union, so it is idempotent, and neither
 order nor duplicates change it.
 
-- Of two states of one record (same node and number) the newer one counts: a final outcome over OPEN, else
-  more tokens.
-- Output tokens are billed once each, whichever records cover them, at the price of the earliest that does.
-- The prompt is billed once for each work, by the earliest record through which the client got any token: a
-  repeated prefill, after a failure or to resume, is at the operator's cost. A work of which the client got
-  nothing is free.
+- Of two states of one record (same node and number) only the newer counts. A state with a final outcome is
+  newer than an OPEN one; otherwise the state that reaches further in the output is newer.
+- Each output token is billed once, however many records cover it, at the price of the earliest of them.
+- The prompt of a work is billed once, at the price of the earliest record through which the client got any
+  output token: another prefill, after a failure or to resume, is at the operator's cost. A work is free if
+  the client got no output token.
 - All numbers are integers: tokens, and millionths of the currency. Times are microseconds since 1970.
 
 Fields are named as in `billing.proto`, in which they are stored, and as the columns of `tuliptrack bills`.
-There `read` are prompt tokens that were not cached, `kept` cached ones, `written` output tokens, and `lost_`
-those at the operator's cost. The module does no I/O and reads no clock.
+In these names `read` stands for prompt tokens that were not cached, `kept` for cached prompt tokens,
+`written` for output tokens, and the prefix `lost_` for tokens at the operator's cost. The module does no I/O
+and reads no clock.
 """
 
 from __future__ import annotations
@@ -44,16 +45,16 @@
     """How a record's part of a work ended; the values are stored."""
 
     OPEN = 0
-    """Still streaming, or its node was killed."""
+    """The part is still being streamed, or its node was killed and has not restarted."""
     SERVED = 1
     CUT = 2
-    """The client got a part of the output."""
+    """The part ended early, and the client got some of the output."""
     NOTHING = 3
 
 
 @dataclass(frozen=True, slots=True)
 class TokenPrice:
-    """Millionths of the currency for each token."""
+    """Prices of one token of each type, in millionths of the currency."""
 
     read: int = 0
     kept: int = 0
@@ -75,7 +76,7 @@
     next: int = 0
     """The client got the output tokens from `first` up to, but without, `next`."""
     outcome: int = UsageOutcome.OPEN
-    """A `UsageOutcome`, or a number from a ledger of a later version."""
+    """A `UsageOutcome`, or a number that only later versions of this program know."""
     lost_read: int = 0
     lost_written: int = 0
     price: TokenPrice = field(default_factory=TokenPrice)
@@ -90,7 +91,7 @@
 
     @property
     def sort_key(self) -> tuple[int, str, int]:
-        """Sorts the earliest first, in the same order at every merge."""
+        """Key that sorts the earliest record first; ties are resolved alike at every merge."""
         return self.at_us, self.node, self.number
 
 
@@ -108,9 +109,9 @@
     lost_read: int = 0
     lost_written: int = 0
     parts: int = 0
-    """Number of usage records."""
+    """Number of usage records of the work."""
     whole: bool = False
-    """Whether the last token was served."""
+    """Whether the client got the last output token."""
 
 
 @dataclass(slots=True)
@@ -134,8 +135,8 @@
 def _age_key(record: UsageRecord) -> tuple[object, ...]:
     """Order states by age.
 
-    All fields are in it: two states that no correct node can have written still need an order, or the bill
-    would depend on the order of merging.
+    The key contains all fields: even two states that no correct node writes need an order, or the bill would
+    depend on the order of merging.
     """
     return (
         record.outcome != UsageOutcome.OPEN,
@@ -161,7 +162,7 @@
 def newest_states(
     records: Iterable[UsageRecord], known: dict[tuple[str, int], UsageRecord] | None = None
 ) -> dict[tuple[str, int], UsageRecord]:
-    """Return the newest state of each record by key, merged into `known` if that is given."""
+    """Return the newest state of each record by the record's key; `known`, if given, is updated in place."""
     newest = {} if known is None else known
     for record in records:
         previous = newest.get(record.key)
--- a/tuliptrack/decisions/calendar_window.py
+++ b/tuliptrack/decisions/calendar_window.py
@@ -1,6 +1,7 @@
 """Counts a tenant's usage at one node in calendar windows, such as a day.
 
-Windows are numbered from 1970. Times are in microseconds. The module does no I/O and reads no clock.
+Windows are numbered from the beginning of 1970 (UTC). Times are in microseconds. The module does no I/O
+and reads no clock.
 """
 
 from __future__ import annotations
@@ -11,15 +12,18 @@
 
 
 class CalendarClock:
-    """Converts a node's time to a Unix time that never steps back: a step back would restart a window."""
+    """Converts a node's time to a Unix time that never steps back.
+
+    A step back over the beginning of a window would reset the count of used units.
+    """
 
     def __init__(self, epoch_offset_us: int) -> None:
-        """`epoch_offset_us` is added to the node's time."""
+        """Create a clock; the node's time plus `epoch_offset_us` is the Unix time."""
         self._epoch_offset_us = epoch_offset_us
         self._latest_us = 0
 
     def unix_us(self, now_us: int) -> int:
-        """Return microseconds since 1970."""
+        """Return the Unix time for a node's time, in microseconds since 1970."""
         self._latest_us = max(now_us + self._epoch_offset_us, self._latest_us)
         return self._latest_us
 
@@ -40,5 +44,5 @@
             self._window_index, self.used_units = window_index, 0
 
     def remaining_us(self, unix_us: int) -> int:
-        """Return the time until the next window."""
+        """Return the time until the next window begins."""
         return self.length_us - unix_us % self.length_us
--- a/tuliptrack/decisions/concurrency_limit.py
+++ b/tuliptrack/decisions/concurrency_limit.py
@@ -1,11 +1,11 @@
 """Limits requests in flight at a node, for a tenant and on a connection, and the bytes of arriving bodies.
 
-These limits hold before the router sees a request, whichever front it comes from. A rejection has had no
-effect, so a retry is harmless; its reason names the limit. The retry delay that clients are given follows
-from the rate at which requests have ended lately.
+These limits are applied before the router sees a request, whichever front has received the request. A
+rejected request has had no effect, so the client may safely retry it. The reason of a rejection names the
+limit, and its retry delay is computed from the rate at which requests have ended lately.
 
-Times are in microseconds. The module does no I/O and reads no clock. Bound: one counter for each connection
-and each tenant with requests in flight.
+Times are in microseconds. The module does no I/O and reads no clock. Memory bound: one counter for each
+connection and each tenant with requests in flight.
 """
 
 from __future__ import annotations
@@ -25,12 +25,18 @@
 ]
 
 SMOOTHING = 0.05
-"""Weight of the newest interval between two request ends in the moving average."""
+"""Weight of the newest interval in the moving average of the intervals between request ends."""
 RETRY_AFTER_DIVISOR = 10
-"""The retry delay is the time in which one in this many requests in flight is expected to end."""
+"""Divisor of the number of requests in flight.
+
+The retry delay is the time in which as many requests as the quotient are expected to end.
+"""
 MIN_RETRY_AFTER_US = 10_000
 MAX_RETRY_AFTER_US = 2_000_000
-"""Bounds on the retry delay: the rate at which requests end may be unknown, or may change soon."""
+"""Upper bound on the retry delay, as `MIN_RETRY_AFTER_US` is its lower bound.
+
+The rate at which requests end may be unknown, or may change soon.
+"""
 BODIES_FULL = "too many bytes of requests are arriving"
 """Reason for rejecting a body that exceeds the capacity of a `ByteBudget`."""
 
@@ -70,13 +76,13 @@
         return True
 
     def release(self, size_bytes: int) -> None:
-        """Return bytes that were acquired."""
+        """Release bytes that were acquired."""
         self.used_bytes -= size_bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ConcurrencyLimits:
-    """Requests that may be in flight at once."""
+    """Numbers of requests that may be in flight at once: at the node, of a tenant and on a connection."""
 
     max_requests: int
     max_per_tenant: int
@@ -93,15 +99,15 @@
     by_connection: dict[Hashable, int] = field(default_factory=dict)
     rejections: int = 0
     _end_interval_us: float = 0.0
-    """Smoothed time between the ends of two requests."""
+    """Moving average of the time between the ends of successive requests."""
     _last_end_us: int = 0
 
     def is_full(self) -> bool:
-        """Whether any request would be rejected, whoever sends it; known before its body has arrived."""
+        """Whether the node rejects every request; this is known before the body of one has arrived."""
         return self.in_flight >= self.limits.max_requests
 
     def acquire(self, tenant: str, connection: Hashable) -> ExceededLimit | None:
-        """Count a request as in flight; return the limit that it would exceed instead, if any."""
+        """Count a request as in flight; if it would exceed a limit, return that limit and count nothing."""
         exceeded = self._exceeded_limit(tenant, connection)
         if exceeded is not None:
             self.rejections += 1
--- a/tuliptrack/decisions/consensus.py
+++ b/tuliptrack/decisions/consensus.py
@@ -1,13 +1,14 @@
 """Agrees on one value by a quorum of hosts, whichever controller proposes it (the Paxos protocol).
 
 The value says who acts for the fleet and what was decided last. Each host's agent is an `Acceptor` that keeps
-its promise, ballot and value on disk. A controller that wants to lead has a quorum promise its epoch. From
-those promises it learns the newest value that another proposer may have had chosen, proposes it again under
-its own epoch, and acts on nothing that a quorum has not accepted from it. An acceptor that promised a newer
-epoch accepts no values or orders of an older one. So two controllers may both believe that they lead, but
-only one can have a value chosen: safety depends on no clock and no time-out.
-
-The module does no I/O and reads no clock. Bound: a value of `MAX_VALUE_BYTES`, and one ballot for each
+its promise, ballot and value on disk. A controller that wants to lead asks all acceptors to promise its
+epoch, and leads once a quorum has. The promises tell it the newest value that may have been chosen under an
+earlier epoch. It proposes that value again under its own epoch, and acts only on values that a quorum has
+accepted from it. An acceptor that promised a newer epoch accepts no values or orders of an older one. So two
+controllers may both believe that they lead, but only one can have a value chosen: safety depends on no clock
+and no time-out.
+
+The module does no I/O and reads no clock. Memory bound: a value of `MAX_VALUE_BYTES`, and one ballot for each
 acceptor.
 """
 
@@ -30,13 +31,16 @@
 
 MAX_VALUE_BYTES = 1 << 20
 MAX_CONTROLLERS = 64
-"""Controller i starts only epochs equal to i modulo this, so no two controllers start the same one."""
+"""Number of possible controllers.
+
+Controller i starts only epochs that are i modulo this number, so no two controllers start the same epoch.
+"""
 
 
 class Ballot(NamedTuple):
     """Epoch of a proposer and number of its proposal; the greater ballot is the newer.
 
-    A tuple, because it is stored as a pair.
+    It is a tuple because it is stored as a pair.
     """
 
     epoch: int
@@ -44,7 +48,7 @@
 
 
 FIRST_BALLOT = Ballot(0, 0)
-"""Older than any proposal; the ballot of an acceptor that has accepted nothing."""
+"""Ballot of an acceptor that has accepted nothing; the ballot of every proposal is newer."""
 
 
 class AcceptedValue(NamedTuple):
@@ -58,7 +62,7 @@
 
 
 def epoch_after(epoch: int, controller: int) -> int:
-    """Return the lowest of a controller's epochs that is above `epoch`."""
+    """Return the lowest epoch above `epoch` that a controller may start."""
     if not 0 <= controller < MAX_CONTROLLERS:
         raise ValueError(f"controller: must lie in [0, {MAX_CONTROLLERS}), got {controller!r}")
     own_epoch = epoch - epoch % MAX_CONTROLLERS + controller
@@ -74,16 +78,18 @@
     value: bytes = b""
 
     def promise(self, epoch: int) -> bool:
-        """Promise to accept nothing older than an epoch; False if a newer one was promised."""
+        """Promise to accept nothing older than an epoch; return False if a newer one was promised."""
         if epoch < self.promised_epoch:
             return False
         self.promised_epoch = epoch
         return True
 
     def accept(self, ballot: Ballot, value: bytes) -> bool:
-        """Accept a value unless its epoch or ballot is older than what was promised or accepted.
+        """Accept a value and return True, unless its ballot is outdated or the value is too long.
 
-        The value that was accepted last is accepted again, as the reply may have been lost.
+        A ballot is outdated if its epoch is older than the promised one, or if it is itself older than the
+        accepted ballot. The value that was accepted last is accepted again under the same ballot, as the
+        first reply may have been lost; any other value under that ballot is rejected.
         """
         if ballot.epoch < self.promised_epoch or ballot < self.ballot or len(value) > MAX_VALUE_BYTES:
             return False
@@ -95,7 +101,7 @@
 
 @dataclass(slots=True)
 class Proposer:
-    """One controller's side of the protocol: `start_epoch`, then `propose`; it acts only on `chosen`."""
+    """One controller's side of the protocol: `start_epoch`, then `propose`; only `chosen` may be acted on."""
 
     controller: int
     acceptors: frozenset[str]
@@ -103,7 +109,7 @@
     is_leader: bool = False
     """Whether a quorum has promised this epoch and no newer one is known."""
     newest_epoch: int = 0
-    """The newest epoch that is known, of any proposer."""
+    """The newest known epoch of any proposer."""
     ballot: Ballot = FIRST_BALLOT
     """Ballot of the value that is being proposed."""
     value: bytes = b""
@@ -115,11 +121,11 @@
 
     @property
     def quorum(self) -> int:
-        """Acceptors that make a majority."""
+        """Number of acceptors that make a majority."""
         return len(self.acceptors) // 2 + 1
 
     def start_epoch(self) -> int:
-        """Start an epoch above any that is known; a quorum has to promise it."""
+        """Start an epoch above every known one and return it; a quorum has to promise it."""
         self.epoch = epoch_after(max(self.newest_epoch, self.epoch), self.controller)
         self.newest_epoch, self.is_leader, self.chosen = self.epoch, False, None
         self._promised_by, self._accepted_by = set(), set()
@@ -127,10 +133,10 @@
         return self.epoch
 
     def handle_promise(self, acceptor: str, epoch: int, accepted: AcceptedValue) -> bool:
-        """Record a promise and what its acceptor had accepted; True for the promise that completes a quorum.
+        """Record a promise and what its acceptor had accepted; return True if it completes a quorum.
 
-        The newest of the accepted values is then being proposed again (`ballot`, `value`): it may have been
-        chosen, and what was chosen must not be lost.
+        Once the quorum is complete, the newest of the accepted values is proposed again (`ballot`, `value`):
+        it may have been chosen, and a chosen value must not be lost.
         """
         is_outdated = epoch != self.epoch or self.newest_epoch > self.epoch
         if is_outdated or self.is_leader or acceptor not in self.acceptors:
@@ -145,9 +151,9 @@
         return True
 
     def propose(self, value: bytes) -> Ballot:
-        """Begin to propose a value; RuntimeError unless this controller leads.
+        """Begin to propose a value and return its ballot; RuntimeError unless this controller leads.
 
-        A value that was being proposed before may still be chosen, through another proposer.
+        The value proposed before it may still be chosen, if another proposer proposes that one again.
         """
         if not self.is_leader:
             raise RuntimeError("only the leader may propose")
@@ -158,7 +164,7 @@
         return self.ballot
 
     def handle_accept(self, acceptor: str, ballot: Ballot) -> bool:
-        """Record that a value was accepted; True for the acceptance by which the newest value is chosen."""
+        """Record that an acceptor accepted the newest proposal; return True if this gets it chosen."""
         if not self.is_leader or ballot != self.ballot or acceptor not in self.acceptors:
             return False
         previous_count = len(self._accepted_by)
@@ -169,7 +175,7 @@
         return False
 
     def handle_rejection(self, promised_epoch: int) -> None:
-        """Record an epoch that an acceptor has promised; a newer one means that another proposer leads."""
+        """Record the epoch that a rejecting acceptor has promised; a newer one ends this leadership."""
         self.newest_epoch = max(self.newest_epoch, promised_epoch)
         if promised_epoch > self.epoch:
             self.is_leader, self.chosen = False, None
--- a/tuliptrack/decisions/cross_zone_budget.py
+++ b/tuliptrack/decisions/cross_zone_budget.py
@@ -1,27 +1,30 @@
-"""Limits the bytes that cross zones, for all nodes together, and prices each crossing.
+"""Limits the bytes that all nodes together move between zones, and prices each crossing.
 
 Each node keeps its own part of a budget, without communication. The budget of `rate` bytes a second with a
-`burst` is divided into grants of `quantum` bytes, numbered on a time that all nodes share (their clocks'
-offset is set once, at the start). Grant k is issued at k x quantum / rate, belongs to the node whose index is
-k modulo `replicas`, and expires after burst / rate. So in any window of W seconds all nodes together can use
-the grants that were issued in it, and those issued before that had not expired: at most
+`burst` is divided into grants of `quantum` bytes, numbered by a time that all nodes share (the offset of each
+node's clock is set once, when the node starts). Grant k is issued at the time k x quantum / rate, belongs to
+the node whose index is k modulo `replicas`, and expires burst / rate later. So in any window of W seconds all
+nodes together can use the grants issued in the window, and the earlier ones that had not expired when it
+began. The bytes that they move between zones by choice are therefore at most
 
     rate x W + burst + quantum   (+ 2 x rate x the nodes' clock skew)
 
-bytes by choice, whatever the number of nodes, their traffic and their restarts: a node uses no grant issued
-before its start, since its previous incarnation may have used it. A clock that jumps later changes nothing,
-as only the offset at the start counts. What was reserved and not sent is refunded to its grant; what was sent
-beyond the reservation is taken from the next grants. A crossing that is forced, because no other endpoint can
-serve, takes no grants: otherwise steady forced traffic would block the budget for good.
+whatever the number of nodes, their traffic and their restarts. A node that restarts uses no grant issued
+before its start, since its previous incarnation may have used it. A clock that jumps after the start changes
+nothing, as the offset is not set again. Bytes that were reserved but not sent are refunded to their grant;
+bytes sent beyond the reservation are taken from the node's next grants. A crossing that is forced, because no
+other endpoint can serve, uses no grants: otherwise steady forced traffic would block the budget for good.
 
-Grants in turn suit nodes with equal traffic. Where traffic is uneven, the fraction `by_traffic` of the budget
-is earned instead: each request that arrives at a node earns by_traffic x rate / quotas bytes there, paid out
-in whole quanta that expire as grants do. While the tenants stay within their quotas, all nodes together earn
-at most that fraction of rate x W + burst, plus a quantum for each node that was earned before (half a quantum
-on average, as the nodes start at evenly spread fractions of a quantum).
+Issuing grants to the nodes in turn suits nodes with equal traffic. Where traffic is uneven, the fraction
+`by_traffic` of the budget is earned instead: each request that arrives at a node earns that node by_traffic x
+rate / quotas bytes, where quotas is the sum of the tenants' quotas in requests a second. Earned bytes become
+usable in whole quanta, which expire as grants do. While the tenants stay within their quotas, all nodes
+together earn in W seconds at most that fraction of rate x W + burst, plus what each node had earned towards a
+quantum before: at most one quantum, and half of one on average, as the nodes start at evenly spread fractions
+of a quantum.
 
 Times are in whole microseconds, sizes in bytes. The module does no I/O, reads no clock and draws no random
-numbers. Bound: one reservation for each request in flight.
+numbers. Memory bound: one reservation for each request in flight.
 """
 
 from __future__ import annotations
@@ -38,16 +41,16 @@
 __all__ = ["CrossZoneBudgets", "CrossZoneReservation"]
 
 PRICE_FULL = 0.5
-"""Price, in mean loads or as a share of a score, while the node's whole burst is available."""
+"""Price of a crossing, in mean loads or as a share of a score, while the node's whole burst is available."""
 PRICE_EMPTY = 8.0
-"""Price while nothing is available: another zone is chosen only if the own one is that much worse."""
+"""Price while nothing is available: another zone is chosen only if the node's own is that much worse."""
 MIN_RELATIVE_WEIGHT = 0.05
-"""Relative weight below which the price rises no further, so that it stays comparable with a load."""
+"""Relative weight of a request below which the price rises no further, to stay comparable with a load."""
 
 
 @dataclass(frozen=True, slots=True)
 class CrossZoneReservation:
-    """What one attempt has reserved."""
+    """Bytes that one attempt has reserved in a bucket."""
 
     bucket: SharedTokenBucket
     reserved_bytes: float
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _TrafficEarning:
-    """A bucket that arriving requests fill, and the bytes that each adds."""
+    """A bucket that arriving requests fill, and the bytes that each request adds to it."""
 
     bucket: SharedTokenBucket
     bytes_per_request: float
@@ -74,7 +77,7 @@
             self._first_bucket(class_index) for class_index in range(len(settings.classes))
         ]
         self.reservations: dict[int, CrossZoneReservation] = {}
-        """By request; a request has at most one attempt in flight."""
+        """Open reservations by request id; a request has at most one attempt in flight."""
         quotas_per_s = sum(tenant.quota_per_s for tenant in settings.tenants)
         self._earnings = [
             _TrafficEarning(bucket, budget.by_traffic * budget.bytes_per_s / quotas_per_s)
@@ -89,7 +92,7 @@
         return None
 
     def start(self, now_us: int) -> None:
-        """Begin to collect grants, as the node is up. Further calls change nothing."""
+        """Begin to collect grants when the node has started; further calls are harmless."""
         for bucket in self.buckets:
             bucket.advance(now_us)
 
@@ -103,8 +106,8 @@
     ) -> float:
         """Return the bytes that an attempt at an endpoint of a zone would move between zones.
 
-        `kv_state_zone` is the zone of the KV state that it would fetch, None if there is none; `total_tokens`
-        counts the prompt and the expected output.
+        `kv_state_zone` is the zone of the KV state that the endpoint would fetch, None if it would fetch
+        none; `total_tokens` is the number of tokens of the prompt and the expected output.
         """
         settings, is_remote = self._settings, zone != self._settings.zone
         size_bytes = settings.prompt_bytes * request.prompt_tokens * is_remote
@@ -122,9 +125,9 @@
     def price(self, now_us: int, class_index: int, size_bytes: float, relative_weight: float) -> float:
         """Return the price of a crossing, in mean loads or as a share of a score; 0 if nothing crosses.
 
-        It rises from PRICE_FULL to PRICE_EMPTY as the budget runs out. `relative_weight` is the request's
-        priority weight relative to the highest: the lower it is, the higher the price, so that less important
-        requests are the first to stay in their zone.
+        The price rises from PRICE_FULL to PRICE_EMPTY as the budget runs out. `relative_weight` is the
+        request's priority weight relative to the highest: the lower it is, the higher the price, so that less
+        important requests are the first to stay in their zone.
         """
         bucket = self.bucket_of(class_index)
         if not size_bytes or bucket is None:
@@ -138,7 +141,10 @@
     def reserve(
         self, now_us: int, request_id: int, class_index: int, size_bytes: float, is_retry: bool
     ) -> CrossZoneCause | None:
-        """Reserve what an attempt is expected to move; return the cause to account it to, None for none."""
+        """Reserve the bytes that an attempt is expected to move; return the cause of the crossing.
+
+        The cause is None, and nothing is reserved, if nothing crosses or no budget applies.
+        """
         bucket = self.bucket_of(class_index)
         self.reservations.pop(request_id, None)
         if not size_bytes or bucket is None:
@@ -150,7 +156,7 @@
         return CrossZoneCause.RETRY if is_retry else CrossZoneCause.BUDGET
 
     def settle(self, now_us: int, request_id: int, moved_bytes: float) -> None:
-        """Settle an ended attempt by what it has moved: refund the rest, or acquire what was missing."""
+        """Settle an ended attempt by the bytes it moved: refund unused ones, or acquire the excess."""
         reservation = self.reservations.pop(request_id, None)
         if reservation is None:
             return
--- a/tuliptrack/decisions/lending_pool.py
+++ b/tuliptrack/decisions/lending_pool.py
@@ -1,10 +1,10 @@
-"""Lends what tenants let expire unused in their token buckets to tenants whose own do not suffice.
+"""Lends tokens that expired unused in tenants' buckets to tenants whose own buckets do not suffice.
 
-A grant is lent only after it has expired for its owner, so nothing has to be revoked, and all tenants
-together stay within the sum of their bounds, shifted by up to `LENDING_US`.
+A grant is lent only after it has expired for its owner, so a loan never has to be revoked. All tenants
+together stay within the sum of their bounds, except that lent tokens are used up to `LENDING_US` later.
 
-Times are in microseconds. The module does no I/O and reads no clock. Bound: one bucket for each tenant, and
-what expires within `LENDING_US`.
+Times are in microseconds. The module does no I/O and reads no clock. Memory bound: one bucket for each
+tenant, and what expires within `LENDING_US`.
 """
 
 from __future__ import annotations
@@ -17,10 +17,13 @@
 __all__ = ["LendingPool"]
 
 LENDING_US = 2_000_000
-"""Time for which an expired grant may be lent: what was idle a minute ago says nothing of the load now."""
+"""Time for which an expired grant may be lent: tokens unused a minute ago say nothing of the load now."""
 MIN_CHECK_INTERVAL_US = 10_000
 MAX_CHECK_INTERVAL_US = 60_000_000
-"""Bounds on the time between two checks of what a tenant has let expire."""
+"""Upper bound on the time between two checks of a tenant's bucket for expired tokens.
+
+`MIN_CHECK_INTERVAL_US` is the lower bound.
+"""
 
 
 class LendingPool:
@@ -33,12 +36,12 @@
         self._expired: deque[BudgetGrant] = deque()
 
     def add_lender(self, now_us: int, tenant: str, bucket: SharedTokenBucket) -> None:
-        """Lend what expires in a tenant's bucket from now on."""
+        """Lend the tokens that expire in a tenant's bucket from now on."""
         self._lenders[tenant] = bucket
         self._next_check.schedule(tenant, now_us + MIN_CHECK_INTERVAL_US)
 
     def advance(self, now_us: int) -> None:
-        """Drop what may no longer be lent, and collect what has expired at the lenders due for a check."""
+        """Drop tokens that may no longer be lent; collect expired ones from lenders due for a check."""
         while self._expired and self._expired[0].expires_at_us <= now_us:
             self._expired.popleft()
         for tenant in self._next_check.advance(now_us):
@@ -51,11 +54,11 @@
             self._next_check.schedule(tenant, min(check_at_us, now_us + MAX_CHECK_INTERVAL_US))
 
     def available(self) -> float:
-        """Return what can be borrowed."""
+        """Return the number of units that can be borrowed."""
         return sum(grant.remaining for grant in self._expired)
 
     def borrow(self, units: float) -> None:
-        """Use up to `units`, from the oldest grants first."""
+        """Use up to `units` of the expired grants, the oldest first."""
         while units > 0 and self._expired:
             oldest = self._expired[0]
             part = min(oldest.remaining, units)
--- a/tuliptrack/decisions/model_catalog.py
+++ b/tuliptrack/decisions/model_catalog.py
@@ -1,17 +1,17 @@
 """Tracks which endpoints serve which model, and decides which model and version a request goes to.
 
-Endpoints of different models, or of two versions of one, share nothing that routing could use: KV state of
-one is of no use to the other, and queues and failures of one say nothing of the other. So each (model,
-version) has a `Router` of its own that sees only its own endpoints. The catalog divides each update of the
-endpoint list among them. The routers of one node share the tenants' quotas and the cross-zone budgets;
-`quota_share` gives each the share of the quotas that its endpoints have the capacity for.
-
-A request that names no version gets one by its session: weighted rendezvous hashing over the versions that
-can serve, weighted by their capacity. So a rollout moves as much of the traffic as there are endpoints for
-it, each session moves once, and all nodes choose the same version.
-
-The module does no I/O, reads no clock and draws no random numbers. Bound: `MAX_MODELS` models and versions;
-endpoints of further ones are not served and are listed in `over_limit`.
+Endpoints of different models, or of two versions of one model, share nothing that routing could use: KV
+state of one is of no use to the other, and queues and failures of one say nothing of the other. So each
+(model, version) has a `Router` that sees only the endpoints of that version. The catalog divides each update
+of the endpoint list among the routers. The routers of one node share the tenants' quotas and the cross-zone
+budgets; `quota_share` gives a router's part of the quotas, in proportion to the capacity of its endpoints.
+
+For a request that names no version, the version is chosen by the request's session: rendezvous hashing over
+the versions that can serve, weighted by their capacity. So a new version gets as much of the traffic as its
+endpoints have the capacity for, each session moves to it once, and all nodes choose the same version.
+
+The module does no I/O, reads no clock and draws no random numbers. Memory bound: `MAX_MODELS` models and
+versions; endpoints of further ones are not served and are listed in `over_limit`.
 """
 
 from __future__ import annotations
@@ -29,26 +29,29 @@
 
 MAX_MODELS = 256
 MIN_SHARE_CHANGE = 0.01
-"""A router whose endpoints are unchanged gets an update only if its share of the quotas changes by more."""
+"""Change of a router's share of the quotas above which the router is updated without changed endpoints."""
 MAX_NAMES_SHOWN = 8
 MAX_NAME_SHOWN_CHARS = 60
 MAX_VERSION_SHOWN_CHARS = 40
-"""Bounds on the texts of errors, which repeat what clients sent."""
+"""Longest version in the text of an error.
+
+Like `MAX_NAMES_SHOWN` and `MAX_NAME_SHOWN_CHARS`, it bounds the text, which repeats what clients sent.
+"""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Model:
-    """A model and one of its versions; both are empty if a fleet serves just one and gives no labels."""
+    """A model and one of its versions; both are empty if a fleet serves only one and sets no labels."""
 
     name: str = ""
     version: str = ""
 
 
 class NotServedError(Exception):
-    """No endpoints can serve what was asked for."""
+    """No endpoints can serve the model and version that a request asks for."""
 
     def __init__(self, field: str, reason: str, is_listed: bool = False) -> None:
-        """`field` names the field of the request; `is_listed`: endpoints are listed and may become ready."""
+        """`field` is the request's field at fault; `is_listed`: endpoints exist, but may not be ready yet."""
         super().__init__(f"{field}: {reason}")
         self.field, self.reason, self.is_listed = field, reason, is_listed
 
@@ -65,27 +68,27 @@
 
     is_full: bool
     models: set[Model]
-    """Models that count towards `MAX_MODELS`."""
+    """Models and versions that count towards `MAX_MODELS`."""
     endpoints: dict[Model, list[EndpointInfo]] = field(default_factory=lambda: defaultdict(list))
 
 
 class ModelCatalog:
-    """The endpoints of one node by model."""
+    """The endpoints that one node knows, by model and version."""
 
     def __init__(self, roles: tuple[Role, ...]) -> None:
         """`roles` gives the role of each kind of endpoint."""
         self._roles = roles
         self._endpoints: dict[int, _LabelledEndpoint] = {}
-        """Every endpoint that is listed and not removed."""
+        """Every endpoint, by id, that is listed and served."""
         self.over_limit: set[int] = set()
-        """Endpoints that are not served because there are more than `MAX_MODELS` models."""
+        """Ids of endpoints that are not served because they exceed `MAX_MODELS` models and versions."""
         self._weights: dict[Model, dict[Role, float]] = {}
-        """Sum of the ready endpoints' weights."""
+        """Sum of the weights of the ready endpoints, by model and role."""
 
     def split_update(
         self, update: EndpointListUpdate, labels: dict[int, Model]
     ) -> dict[Model, EndpointListUpdate]:
-        """Apply an update of the endpoint list, and return one for each router that is concerned.
+        """Apply an update of the endpoint list, and return an update for each router that it affects.
 
         `labels` gives the model of each endpoint in the update.
         """
@@ -146,13 +149,13 @@
         self._weights = weights
 
     def _capacity(self, model: Model) -> float:
-        """Return the weight that can serve both stages; 0 if one of them has no ready endpoint."""
+        """Return the weight that can serve both prefill and decode; 0 if either has no ready endpoint."""
         weights = self._weights.get(model, {})
         both = weights.get(Role.PREFILL_AND_DECODE, 0.0)
         return min(weights.get(Role.PREFILL, 0.0) + both, weights.get(Role.DECODE, 0.0) + both)
 
     def quota_share(self, model: Model) -> float:
-        """Return the model's part of the fleet's capacity, and so of the quotas; 1 if nothing else serves."""
+        """Return the model's part of the fleet's capacity, and so of the quotas; 1 if its capacity is 0."""
         total = sum(self._capacity(other) for other in self._weights)
         return self._capacity(model) / total if total and self._capacity(model) else 1.0
 
@@ -161,11 +164,11 @@
         return sorted({endpoint.model for endpoint in self._endpoints.values()})
 
     def serving(self, name: str = "") -> list[Model]:
-        """Return the versions of a model (of all, if empty) that have ready endpoints for both stages."""
+        """Return the versions of a model (of all, if empty) with ready endpoints for prefill and decode."""
         return sorted(m for m in self._weights if (not name or m.name == name) and self._capacity(m) > 0)
 
     def ready(self, name: str, version: str = "") -> bool:
-        """Whether a request for a model would find endpoints."""
+        """Whether a request for a model (and a version, unless empty) would find ready endpoints."""
         return any(not version or m.version == version for m in self.serving(name))
 
     def choose(self, name: str, version: str, session: str) -> Model:
--- a/tuliptrack/decisions/output_estimate.py
+++ b/tuliptrack/decisions/output_estimate.py
@@ -1,8 +1,9 @@
-"""Estimates how many output tokens a request will have, from earlier ones of its tenant and request class.
+"""Estimates a request's number of output tokens from earlier requests of its tenant and request class.
 
-An estimate is a smoothed mean and mean deviation. A tenant whose outputs are always as long as allowed raises
-only its own estimates. The module does no I/O and reads no clock. Bound: `MAX_ESTIMATES` pairs of
-tenant and class, the least recently updated of which are dropped.
+An estimate is the moving average of the outputs' lengths plus that of their deviations from it. A tenant
+whose outputs are always as long as allowed raises only its own estimates. The module does no I/O and reads no
+clock. Memory bound: `MAX_ESTIMATES` pairs of tenant and class, the least recently updated of which are
+dropped.
 """
 
 from __future__ import annotations
@@ -13,9 +14,12 @@
 __all__ = ["OutputEstimates"]
 
 SMOOTHING = 0.1
-"""Weight of a new output in the averages, once ten have been seen; the first ten weigh the same."""
+"""Weight of a new output in the averages after the first ten outputs, which all weigh the same."""
 MARGIN_DEVIATIONS = 1.0
-"""Mean deviations added to the mean: covers most outputs, and leaves little reserved in vain."""
+"""Number of mean deviations that an estimate adds to the mean.
+
+The sum covers most outputs and leaves few reserved tokens unused.
+"""
 MAX_ESTIMATES = 50_000
 
 
@@ -30,11 +34,14 @@
     """The estimates of one node."""
 
     def __init__(self) -> None:
-        """Create it without any outputs seen."""
+        """Create the estimates before any output has been seen."""
         self._estimates: OrderedDict[tuple[str, int], _Estimate] = OrderedDict()
 
     def estimate(self, tenant: str, class_index: int, max_tokens: int) -> int:
-        """Return the tokens to reserve, at most `max_tokens`; half of those while no output has been seen."""
+        """Return the number of tokens to reserve, at most `max_tokens`.
+
+        While no output has been seen, it is half of `max_tokens`.
+        """
         found = self._estimates.get((tenant, class_index))
         if found is None:
             return max_tokens // 2
--- a/tuliptrack/decisions/rollout.py
+++ b/tuliptrack/decisions/rollout.py
@@ -1,16 +1,22 @@
-"""Decides the steps of a rollout in stages, and its rollback if new nodes do worse.
+"""Decides the steps of a staged rollout, and rolls it back if nodes with the new release do worse.
 
 `Rollout` takes the reports of agents and the commands of operators, and returns the next `RolloutRecord`. A
-controller that takes over continues from the record; the evidence of the stage is collected again from the
-start, which can only make the stage longer.
-
-A stage ends in one of four ways. It is promoted if new nodes are shown to be worse by no more than the plan's
-margin. It is rolled back if they are shown to do worse, cannot start, or nothing is shown within the stage's
-longest time. It is held for an operator if all nodes do worse than usual, so that the release cannot be told
-apart from other causes. An operator aborts it, which rolls it back.
-
-Times are in microseconds, those of the controller. The module does no I/O and reads no clock. Bound: one
-entry for each host of the plan.
+controller that takes over continues from the record. It collects the evidence of the current stage again from
+the start, which can only make the stage longer.
+
+"New nodes" are those on hosts that were told to run the new release; the others are "old nodes". The rollout
+leaves a stage in one of four ways:
+
+- It goes on to the next stage, or is done after the last one, if the new nodes are shown to be worse by no
+  more than the plan's margin.
+- It is rolled back if new nodes are shown to do worse or cannot start, or if nothing is shown within the
+  stage's longest time.
+- It is held for an operator if all nodes do worse than usual, since the release cannot be told apart from
+  other causes then.
+- It is rolled back if an operator aborts it.
+
+Times are in microseconds of the controller's clock. The module does no I/O and reads no clock. Memory bound:
+one entry for each host of the plan.
 """
 
 from __future__ import annotations
@@ -26,11 +32,11 @@
 __all__ = ["Rollout", "RolloutCommand"]
 
 ROLLBACK_READY_FACTOR = 2
-"""Multiple of a plan's `ready_within` in which a rolled-back node must be ready with the old release."""
+"""Multiple of a plan's `ready_within`: the time for a rolled-back node to be ready with the old release."""
 
 
 class RolloutCommand(Enum):
-    """What an operator may command; the values are sent."""
+    """Commands of an operator; the values are what is sent to the controller."""
 
     PAUSE = "pause"
     RESUME = "resume"
@@ -45,11 +51,11 @@
         self.record = record or RolloutRecord()
         self.evidence = RolloutEvidence()
         self._stage_since_us = 0
-        """When this controller first saw the stage or phase; 0 before."""
+        """Time of the first window that this controller saw in the current stage and phase; 0 before it."""
         self._stage_ready_since_us = 0
-        """When all of the stage's hosts were first seen to be ready; 0 before."""
+        """Time since which all hosts of the stage have been seen to be ready; 0 while they are not."""
         self._unavailable_since_us: dict[str, int] = {}
-        """When each unavailable host was first seen to be unavailable."""
+        """Time since which each unavailable host has been seen to be unavailable."""
 
     @property
     def _unavailable(self) -> frozenset[str]:
@@ -57,7 +63,7 @@
         return frozenset(self._unavailable_since_us)
 
     def start(self, plan: RolloutPlan) -> RolloutRecord:
-        """Return the record that starts a plan; PlanError if it is not possible or one is under way."""
+        """Return the record that starts a plan; PlanError if it is not possible or a rollout is under way."""
         if self.record.phase.is_under_way:
             raise PlanError(f"plan: rollout {self.record.number} is under way ({self.record.phase.value})")
         plan.check()
@@ -71,7 +77,7 @@
         )
 
     def handle_command(self, command: RolloutCommand) -> RolloutRecord:
-        """Return the record that a command leads to; PlanError if it does not apply in this phase."""
+        """Return the record that a command leads to; PlanError if this phase does not allow the command."""
         record, phase = self.record, self.record.phase
         if command is RolloutCommand.PAUSE and phase in (RolloutPhase.FORWARD, RolloutPhase.BACK):
             return replace(
@@ -136,7 +142,7 @@
     def _stop_if_harmful(
         self, now_us: int, plan: RolloutPlan, by_host: Mapping[str, NodeReport]
     ) -> RolloutRecord | None:
-        """Return the record that stops the rollout, if there is reason to; otherwise None."""
+        """Return the record that rolls the rollout back or holds it; None if there is no reason to."""
         if fault := self._fault_of_new_host(now_us, plan, by_host):
             return self._roll_back(fault)
         settled = [
@@ -158,7 +164,7 @@
         return self._stop_if_overdue(now_us, plan)
 
     def _fault_of_new_host(self, now_us: int, plan: RolloutPlan, by_host: Mapping[str, NodeReport]) -> str:
-        """Return why one host alone is reason enough to roll back; empty if none is."""
+        """Return the fault of one new host that alone is reason to roll back; empty if there is none."""
         for host in sorted(self.record.new_hosts):
             report = by_host.get(host)
             if report is None:
@@ -191,12 +197,12 @@
         return self.evidence.is_shown_no_worse(self._stage(plan).least_requests, plan.margin)
 
     def _next_step(self, now_us: int, plan: RolloutPlan) -> RolloutRecord | None:
-        """Return the record that changes the next hosts of the stage or promotes it; None to wait."""
+        """Return the record that changes the next hosts of the stage or ends the stage; None to wait."""
         stage = self._stage(plan)
         remaining = [host for host in stage.hosts if host not in self.record.new_hosts]
         next_hosts = self._changeable(plan, remaining)
-        # The last old host changes only after the new ones are shown to be no worse: without it nothing is
-        # left to compare them with.
+        # The last old host changes only after the new ones are shown to be no worse: without an old host,
+        # nothing is left to compare the new ones with.
         is_last = self.record.new_hosts | next_hosts >= set(plan.zones)
         if next_hosts and not (is_last and not self._is_shown_no_worse(plan)):
             return replace(
@@ -233,7 +239,10 @@
     def _next_rollback_step(
         self, now_us: int, plan: RolloutPlan, by_host: Mapping[str, NodeReport]
     ) -> RolloutRecord | None:
-        """Return the record that rolls back the next hosts: first unavailable ones, which serve nothing."""
+        """Return the record of the next step of a rollback; None to wait.
+
+        Unavailable hosts are rolled back first, without regard to the limits, as they serve nothing anyway.
+        """
         new_hosts = self.record.new_hosts
         for host in sorted(self._unavailable - new_hosts):
             if host in by_host and self._is_overdue(now_us, host, ROLLBACK_READY_FACTOR * plan.ready_within):
@@ -247,7 +256,7 @@
         return None
 
     def _changeable(self, plan: RolloutPlan, hosts: Iterable[str]) -> frozenset[str]:
-        """Return the first of these hosts that the limits allow to be unavailable besides those that are."""
+        """Return those of the hosts, the first ones first, that may become unavailable within the limits."""
         chosen: set[str] = set()
         for host in hosts:
             unavailable = self._unavailable | chosen
--- a/tuliptrack/decisions/rollout_evidence.py
+++ b/tuliptrack/decisions/rollout_evidence.py
@@ -1,8 +1,8 @@
-"""Collects the evidence on whether a new release does worse than the old one, or no worse.
+"""Collects evidence that a new release does worse than the old one, or that it does no worse.
 
-Nodes are compared in several measures, each by a sequential test against the old nodes of the same zone and
-class, and against a baseline from windows in which nothing was changed. The module does no I/O and reads no
-clock. Bound: one entry for each node, zone, class and measure.
+New nodes are compared with the old nodes of the same zone and class, and with a baseline from windows in
+which no release was changed. Each of several measures has a sequential test. The module does no I/O and reads
+no clock. Memory bound: one entry for each node, zone, class and measure.
 """
 
 from __future__ import annotations
@@ -18,20 +18,26 @@
 __all__ = ["MEASURES", "NodeReport", "RequestCounts", "RolloutEvidence"]
 
 MEASURES = ("refused", "failed", "broken", "late", "gaps", "cpu", "memory", "died")
-"""What is counted as bad: requests of a class or, for the last three, windows of a node."""
+"""Names of the measures, in each of which a node's bad requests or windows are counted.
+
+The last three count windows of a node, the others requests of a class.
+"""
 EXIT_MEASURE = "died"
 PROMOTION_MEASURES = ("refused", "failed", "broken", "late")
-"""Measures that must be shown to be within the margin; others only must not show evidence of harm."""
+"""Measures that must be shown to be within the margin; in the others, harm must not be shown."""
 HARM_MEASURES = ("refused", "failed", "broken")
-"""Measures whose excess over the usual shows harm that affects old and new nodes alike."""
+"""Measures in which more bad requests than usual at old nodes show harm that affects all nodes alike."""
 FALSE_ROLLBACKS = 0.002
-"""Significance level over all measures; low, as nodes' lasting differences are not all known."""
+"""Significance level of all measures together.
+
+It is low because nodes may differ lastingly in ways that the baseline does not know.
+"""
 MAX_PROMOTION_EVIDENCE = 1.0
-"""Log wealth above which a stage is not promoted, as it may still grow into evidence of harm."""
+"""Evidence (log wealth) above which a stage is not promoted, as it may still grow to show harm."""
 MAX_COMMON_EXCESS = 0.15
-"""Share of requests that may go badly beyond the usual at old nodes (at all nodes once none is old)."""
+"""Share of the old nodes' requests that may go badly beyond the usual (of all nodes' once none is old)."""
 COMMON_HARM_WINDOWS = 3
-"""Consecutive windows above that share that are too many for a single burst."""
+"""Consecutive windows above `MAX_COMMON_EXCESS` that show common harm; a single burst is shorter."""
 
 
 class RequestCounts(NamedTuple):
@@ -43,35 +49,35 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeReport:
-    """What one host's agent saw of its node in a window."""
+    """What the agent of one host observed of the host's node in one window."""
 
     host: str
     zone: str
     release: NodeRelease | None
-    """The release that runs; None if none does."""
+    """The release that the node runs; None if no node runs."""
     is_ready: bool = True
     ready_for_us: int = 0
     counts: Mapping[str, Mapping[str, RequestCounts]] = field(default_factory=dict)
-    """By request class and measure."""
+    """Counts of requests by request class and measure."""
     unexpected_exits: int = 0
     broken_rule: str = ""
     """A protocol rule that the node broke, as far as its own records show; empty if none."""
 
 
 class RolloutEvidence:
-    """The baseline, and the evidence of the rollout that is under way."""
+    """The baseline, and the evidence collected in the current rollout."""
 
     def __init__(self) -> None:
-        """Create it without a baseline or evidence."""
+        """Create an empty baseline and no evidence."""
         self.baselines = {measure: Baseline() for measure in MEASURES}
         self.learnt_windows = 0
-        """Number of windows that the baseline was learnt from."""
+        """Number of windows from which the baseline was learnt."""
         self._tests: dict[str, SequentialTest] = {}
         self._compared_before_stage = 0.0
         self._common_harm_windows = 0
 
     def learn(self, reports: Iterable[NodeReport]) -> None:
-        """Add a window in which nothing is being changed to the baseline."""
+        """Add to the baseline a window in which no release is being changed."""
         self.learnt_windows += 1
         reports = list(reports)
         for measure in MEASURES:
@@ -87,7 +93,10 @@
         self._tests, self._compared_before_stage = {}, 0.0
 
     def add_window(self, reports: list[NodeReport], new_hosts: frozenset[str]) -> Excess:
-        """Compare the nodes of a window; return what went badly beyond the usual at the old ones."""
+        """Compare the nodes of a window; return the old nodes' excess of bad requests over the usual.
+
+        If there are no old nodes, that of all nodes is returned.
+        """
         excess_bad, requests = 0.0, 0.0
         for measure in MEASURES:
             windows = _node_windows(reports, measure, new_hosts)
@@ -99,7 +108,7 @@
         return Excess(excess_bad, requests)
 
     def worse_measure(self) -> str:
-        """Return text on the measure in which new nodes are shown to do worse; empty if none is."""
+        """Return a text on the measure in which new nodes are shown to do worse; empty if in none."""
         worst = max(self._tests, key=lambda measure: self._tests[measure].evidence)
         test = self._tests[worst]
         if test.evidence < log(len(MEASURES) / FALSE_ROLLBACKS):
@@ -110,7 +119,7 @@
         )
 
     def is_common_harm(self, excess: Excess) -> bool:
-        """Whether all nodes have done worse than usual for some windows, this one included."""
+        """Whether too many consecutive windows had a high excess; `excess` is that of the newest window."""
         is_harmful = excess.requests and excess.bad / excess.requests > MAX_COMMON_EXCESS
         self._common_harm_windows = self._common_harm_windows + 1 if is_harmful else 0
         return self._common_harm_windows >= COMMON_HARM_WINDOWS
@@ -118,8 +127,8 @@
     def is_shown_no_worse(self, min_requests: int, margin: float) -> bool:
         """Whether new nodes are shown to be no worse.
 
-        Enough of their requests were compared in this stage, each measure is within the margin, and none
-        shows a tendency to the contrary.
+        Enough of their requests must have been compared in this stage, the excess must be within the margin
+        in each of `PROMOTION_MEASURES`, and no measure may show a tendency to do worse.
         """
         shown = [test for measure, test in self._tests.items() if measure in PROMOTION_MEASURES]
         return (
@@ -129,7 +138,7 @@
         )
 
     def _compared_requests(self) -> float:
-        """Return the requests of new nodes that were compared, in the measure that has the fewest."""
+        """Return the number of new nodes' requests that were compared in the measure with the fewest."""
         compared = (
             test.compared_requests for measure, test in self._tests.items() if measure in PROMOTION_MEASURES
         )
--- a/tuliptrack/decisions/rollout_plan.py
+++ b/tuliptrack/decisions/rollout_plan.py
@@ -14,12 +14,12 @@
 
 
 class PlanError(ValueError):
-    """A plan or command that cannot be carried out; the text names the field. Nothing has changed."""
+    """A plan or command cannot be carried out and has changed nothing; the text names the field at fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeRelease:
-    """What a node runs: digests of its program and of its settings."""
+    """The release that a node runs, as the digests of its program and of its settings."""
 
     program: str
     settings: str
@@ -32,15 +32,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutStage:
-    """Hosts that change in this stage, and the conditions for going on to the next."""
+    """Hosts that change in a stage, and the conditions for going on to the next stage."""
 
     hosts: tuple[str, ...]
     least_requests: int = 200
-    """Requests of the new nodes that must be compared with old ones' of the same zones and classes."""
+    """New nodes' requests that must be compared with old nodes' of the same zones and request classes."""
     shortest: int = 60_000_000
-    """Minimum time with all of its hosts ready before it ends: a crash or a leak takes time to show."""
+    """Minimum time with all hosts of the stage ready before the stage ends.
+
+    A crash or a memory leak takes time to show.
+    """
     longest: int = 600_000_000
-    """Time after which a stage that has shown nothing is rolled back."""
+    """Time after which the rollout is rolled back if new nodes are not shown to be no worse."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,20 +56,26 @@
     """The zone of every host of the fleet."""
     stages: tuple[RolloutStage, ...]
     most_out: int = 1
-    """Nodes that may be unavailable at once, for any reason: no change begins that would exceed it."""
+    """Number of nodes that may be unavailable at once; no change begins that would exceed this number.
+
+    Nodes that are unavailable for other reasons count too.
+    """
     most_out_zone: int = 1
-    """The same within one zone."""
+    """Number of nodes of one zone that may be unavailable at once, as `most_out`."""
     margin: float = 0.01
-    """By how much the share of bad requests may be higher and still count as no worse."""
+    """Difference by which new nodes' share of bad requests may be higher and still count as no worse."""
     ready_within: int = 30_000_000
-    """Time for a changed node to become ready, with its slow start; later it counts as unable to start."""
+    """Time for a changed node to become ready, including its slow start.
+
+    A node that takes longer counts as unable to start.
+    """
     least_learnt: int = 20
-    """Windows of the baseline that the controller must have before the plan may begin."""
+    """Number of windows from which the controller must have learnt the baseline before the plan may start."""
     allowance: int = 10_000_000
-    """Time after a new node is ready in which its requests are not compared."""
+    """Time after a node becomes ready in which its requests are not compared."""
 
     def check(self) -> None:
-        """Check that the plan can be carried out; PlanError if not."""
+        """Check that the plan can be carried out; raise PlanError if it cannot."""
         if self.old == self.new:
             raise PlanError("new: is the same release as old")
         if not self.stages:
--- a/tuliptrack/decisions/rollout_record.py
+++ b/tuliptrack/decisions/rollout_record.py
@@ -1,7 +1,7 @@
 """The record of a rollout: what was decided last, and its JSON form, which is stored and sent.
 
 A record has no effect until a quorum has accepted it (`decisions/consensus.py`). An order to a host only says
-"run the release that the record names for you", so one that arrives twice or late changes nothing.
+"run the release that the record names for you", so an order that arrives twice or late does no harm.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 __all__ = ["RolloutPhase", "RolloutRecord"]
 
 FORMAT = 1
-"""Version of the JSON form; a newer one is rejected, as it may mean something else."""
+"""Version of the JSON form; a newer version is rejected, as its fields may have another meaning."""
 _FORM_ERRORS = (
     AttributeError,
     IndexError,
@@ -26,7 +26,7 @@
     TypeError,
     ValueError,
 )
-"""Errors that reading a value of another form may raise."""
+"""Errors that may be raised by reading a value that does not have the form of a record."""
 _OPTIONAL_PLAN_FIELDS = (
     "most_out",
     "most_out_zone",
@@ -44,9 +44,9 @@
     FORWARD = "forward"
     PAUSED = "paused"
     BACK = "back"
-    """Being rolled back, within the same limits as in FORWARD."""
+    """The rollout is being rolled back, with the same limits on unavailable nodes as in FORWARD."""
     HELD = "held"
-    """Nothing is changed until an operator decides."""
+    """No host is changed until an operator decides."""
     DONE = "done"
     ROLLED_BACK = "taken back"
 
@@ -61,24 +61,24 @@
     """What was decided last about a rollout."""
 
     number: int = 0
-    """Number of the rollout."""
+    """Number of the rollout, counted from 1; 0 before the first one."""
     phase: RolloutPhase = RolloutPhase.NONE
     plan: RolloutPlan | None = None
     stage: int = 0
     new_hosts: frozenset[str] = frozenset()
-    """Hosts of the plan that run, or are to run, the new release."""
+    """Hosts of the plan that run the new release or have been assigned it."""
     reason: str = ""
     interrupted: RolloutPhase = RolloutPhase.NONE
-    """The phase that a pause or a hold has interrupted."""
+    """The phase that a pause or a hold has interrupted; NONE in other phases."""
 
     def release(self, host: str) -> NodeRelease | None:
-        """Return what a host is to run; None if nothing is decided about it."""
+        """Return the release that a host has to run; None if the plan does not include the host."""
         if self.plan is None or host not in self.plan.zones:
             return None
         return self.plan.new if host in self.new_hosts else self.plan.old
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the JSON form."""
+        """Return the JSON form of this record."""
         plan = asdict(self.plan) | {"zones": dict(self.plan.zones)} if self.plan else None
         return {
             "format": FORMAT,
@@ -96,10 +96,10 @@
         """Return the record of a JSON form; unknown fields are ignored.
 
         Raises:
-            PlanError: Its format is newer, or it is not a record.
+            PlanError: The format is newer than this program knows, or it is not that of a record.
         """
-        # Callers expect PlanError only. Any other error from a stored value of another form would leave a
-        # controller that leads but decides nothing any more.
+        # Callers expect only PlanError. Any other error, raised by a stored value of another form, would
+        # leave a controller that still leads but decides nothing any more.
         try:
             return RolloutRecord._from_dict(json_form)
         except _FORM_ERRORS as error:
--- a/tuliptrack/decisions/shared_token_bucket.py
+++ b/tuliptrack/decisions/shared_token_bucket.py
@@ -1,12 +1,12 @@
-"""Shares one token bucket among nodes that do not communicate, without exceeding its rate and burst together.
+"""Shares one token bucket among nodes that do not communicate; together they keep to its rate and burst.
 
-The bucket of a `rate` with a `burst` is divided into grants of `quantum` tokens, numbered on a time that all
-nodes share. Grant k is issued at k x quantum / rate, belongs to the node whose index is k modulo `replicas`,
-and expires after burst / rate. `decisions/cross_zone_budget.py` states the bound over all nodes and why it
-holds.
+The bucket of a `rate` with a `burst` is divided into grants of `quantum` tokens, numbered by a time that all
+nodes share. Grant k is issued at the time k x quantum / rate, belongs to the node whose index is k modulo
+`replicas`, and expires burst / rate later. `decisions/cross_zone_budget.py` states the bound over all nodes
+and why it holds.
 
 Times are in microseconds, tokens in the unit of the budget (bytes, weighted tokens). The module does no I/O,
-reads no clock and draws no random numbers. Bound: 2 x `MAX_GRANTS` grants for each bucket.
+reads no clock and draws no random numbers. Memory bound: 2 x `MAX_GRANTS` grants for each bucket.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 __all__ = ["AcquiredTokens", "BudgetGrant", "SharedBucketSettings", "SharedTokenBucket"]
 
 MAX_GRANTS = 4096
-"""Grants that a node holds at once; if a burst would need more, each grant is larger."""
+"""Number of grants that a node holds at once; if a burst would need more, each grant is larger."""
 GOLDEN_RATIO_FRACTION = 0.6180339887498949
-"""Successive multiples of it, modulo 1, are spread evenly from 0 to 1."""
+"""Number whose successive multiples, modulo 1, are spread evenly from 0 to 1."""
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcquiredTokens:
-    """Tokens that were acquired from one grant, and may be refunded to it."""
+    """Tokens that were acquired from one grant and may be refunded to that grant."""
 
     grant: BudgetGrant
     tokens: float
@@ -42,16 +42,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedBucketSettings:
-    """One bucket, and the index of the node that has this part of it."""
+    """Settings of one bucket, and the index of the node whose part of it this is."""
 
     rate_per_s: float
     burst: float
     quantum: float
-    """Tokens of one grant."""
+    """Number of tokens of one grant."""
     replicas: int
     replica_index: int
     epoch_offset_us: int = 0
-    """Added to the node's clock, it gives the time that all nodes share."""
+    """Offset that, added to the node's time, gives the time that all nodes share."""
     by_traffic: float = 0.0
     """Fraction of the rate that is earned by requests instead of granted in turn, from 0 to 1."""
 
@@ -60,7 +60,7 @@
     """One node's part of a token bucket that all nodes share."""
 
     def __init__(self, settings: SharedBucketSettings) -> None:
-        """Start empty; the node may use the grants issued after the first call that passes a time."""
+        """Create an empty bucket; grants issued after the first call with a time may be used."""
         quantum, burst, replicas = settings.quantum, settings.burst, settings.replicas
         rate_per_us = settings.rate_per_s / 1e6
         granted_per_us = rate_per_us * (1 - settings.by_traffic)
@@ -72,16 +72,16 @@
         """Time between two consecutive grants of the fleet; 0 if nothing is granted in turn."""
         self._grant_lifetime_us = int(burst / rate_per_us) if rate_per_us else 0
         self.node_burst = max(burst / replicas, self._quantum)
-        """Tokens that this node may have saved up, if all nodes have equal traffic."""
+        """Number of tokens that this node can save up if all nodes have equal traffic."""
         self._earned = settings.replica_index * GOLDEN_RATIO_FRACTION % 1 * quantum
-        """Tokens earned by requests that do not add up to a quantum yet."""
+        """Tokens earned by requests, not yet enough for a grant of one quantum."""
         self._grants: deque[BudgetGrant] = deque()
         self._next_grant: int | None = None
         """Number of this node's next grant; None before the first call with a time."""
         self._debt = 0.0
-        """Tokens used beyond what was granted; the next grants pay for them."""
+        """Tokens used beyond the grants; they are deducted from the next grants."""
         self._expired = 0.0
-        """Tokens that expired unused and were not collected yet."""
+        """Tokens that expired unused and that `collect_expired` has not returned yet."""
 
     def advance(self, now_us: int) -> None:
         """Add the grants that have been issued, and drop those that have expired."""
@@ -97,7 +97,7 @@
         self._next_grant = grant
 
     def _first_due_grant(self, last: int) -> int:
-        """Return the number of the first grant of this node to be added, if not above `last`."""
+        """Return the number of this node's next grant to add; it is due unless it is above `last`."""
         if self._next_grant is None:
             # Grants issued before the node's start may have been used by its previous incarnation.
             first = last + 1
@@ -105,7 +105,7 @@
         max_behind = MAX_GRANTS * self._replicas
         if last - self._next_grant <= 2 * max_behind:
             return self._next_grant
-        # After a long pause all but the last grants have expired; stepping through them would stall the node.
+        # After a long pause, all but the last grants have expired; adding them all would stall the node.
         skipped = (last - self._next_grant - max_behind) // self._replicas
         self._debt = max(self._debt - skipped * self._quantum, 0.0)
         return self._next_grant + skipped * self._replicas
@@ -118,13 +118,13 @@
             self._grants.append(BudgetGrant(expires_at_us, tokens))
 
     def _pay_debt(self, tokens: float) -> float:
-        """Pay debt with up to `tokens`; return how many of them it took."""
+        """Pay debt with up to `tokens`; return the number of tokens paid."""
         paid = min(self._debt, tokens)
         self._debt -= paid
         return paid
 
     def earn(self, now_us: int, tokens: float) -> None:
-        """Credit tokens that a request earns, if traffic fills the bucket; whole quanta become a grant."""
+        """Credit tokens that a request has earned; whole quanta of earned tokens become a grant."""
         self._earned += tokens
         if self._earned < self._earned_quantum:
             return
@@ -141,7 +141,7 @@
         return sum(grant.remaining for grant in self._grants)
 
     def acquire(self, tokens: float) -> list[AcquiredTokens]:
-        """Use tokens of the oldest grants; a shortfall becomes debt, up to the node's share of a burst."""
+        """Use tokens of the oldest grants; a shortfall becomes debt, which is limited to `node_burst`."""
         acquired = []
         for grant in self._grants:
             part = min(grant.remaining, tokens)
@@ -155,14 +155,14 @@
         return acquired
 
     def refund(self, acquired: Sequence[AcquiredTokens], tokens: float) -> None:
-        """Return tokens that were acquired and not used, to the newest grants first: they expire last."""
+        """Refund tokens that were acquired and not used, to the newest grants first, as these expire last."""
         for part in reversed(acquired):
             refunded = min(part.tokens, tokens)
             part.grant.remaining += refunded
             tokens -= refunded
 
     def wait_us(self, now_us: int, tokens: float) -> int | None:
-        """Return the time until `tokens` are available if none are used until then; None for never."""
+        """Return the time until `tokens` are available if none are used meanwhile; None if they never are."""
         missing = tokens - self.available(now_us)
         if missing <= 0:
             return 0
@@ -175,11 +175,11 @@
         return max(available_at_us - now_us, 1)
 
     def _max_available(self) -> float:
-        """Return the tokens that grants in turn can add up to before the oldest expires."""
+        """Return the most tokens that this node's grants can add up to before the oldest of them expires."""
         return self._quantum * max(self._grant_lifetime_us // max(self._own_interval_us(), 1), 1)
 
     def _own_interval_us(self) -> int:
-        """Return the time between two grants of this node."""
+        """Return the time between two consecutive grants of this node."""
         return int(self._grant_interval_us * self._replicas)
 
     def collect_expired(self) -> float:
@@ -188,5 +188,5 @@
         return expired
 
     def next_expiry_us(self, now_us: int) -> int:
-        """Return when the oldest grant expires, or about when the next one is issued if there is none."""
+        """Return when the oldest grant expires; without grants, about when the next one is issued."""
         return self._grants[0].expires_at_us if self._grants else now_us + self._own_interval_us()
--- a/tuliptrack/decisions/token_budget.py
+++ b/tuliptrack/decisions/token_budget.py
@@ -1,25 +1,26 @@
 """Decides whether a request is within its tenant's token budgets, which hold for all nodes together.
 
-Tokens are weighted (prompt, cached and output tokens differ) into whole units. A tenant has a budget for each
-of several windows; a request is within budget if every window has capacity for what it is expected to use.
+Budgets are in whole units: each prompt, cached or output token counts as a number of units that depends on
+its type. A tenant has a budget for each of several windows. A request is within budget if every window has
+capacity for the units that the request is expected to use.
 
-- Windows of up to `MAX_GRANTED_WINDOW_US` are token buckets that the nodes share by grants in turn
-  (`decisions/shared_token_bucket.py`): in any period W all nodes together use at most units x
+- Windows of up to `MAX_GRANTED_WINDOW_US` are token buckets, whose grants are issued to the nodes in turn
+  (`decisions/shared_token_bucket.py`). In any period W, all nodes together use at most units x
   (W / window + 1) plus one grant, whatever the traffic.
-- Longer windows, such as a day, follow the calendar: each node's part is units x spread / replicas, and its
-  usage is restored after a restart, since a grant of a day would be lost with it. `spread` says how uneven a
-  tenant's traffic may be: a tenant that reaches replicas / spread of the nodes can use all of its budget, one
-  that reaches all of them at most `spread` times as much.
+- Longer windows, such as a day, follow the calendar. Each node may use units x spread / replicas of a window.
+  A node's usage is restored after a restart, whereas a grant for a day would be lost. `spread` says how
+  uneven a tenant's traffic may be: a tenant whose requests reach replicas / spread of the nodes can use all
+  of its budget, and a tenant whose requests reach all nodes can use at most `spread` times its budget.
 
-The number of output tokens is not known in advance: a request reserves an estimate
-(`decisions/output_estimate.py`) and settles by what was streamed. If a window lacks units at settling, they
-are taken from its next grants.
+The number of output tokens is not known in advance. A request reserves units for an estimate
+(`decisions/output_estimate.py`), and is settled by the tokens that were streamed. If a window lacks units
+when a request is settled, they are taken from its next grants.
 
-A request over budget gets a lower priority or is rejected, as the settings of its class say. What other
-tenants let expire unused is lent (`decisions/lending_pool.py`).
+A request over budget gets a lower priority or is rejected, as the settings of its class say. Units that other
+tenants let expire unused are lent (`decisions/lending_pool.py`).
 
-Times are in microseconds. The module does no I/O, reads no clock and draws no random numbers. Bounds: the
-tenants of the settings, and one reservation for each request in flight.
+Times are in microseconds. The module does no I/O, reads no clock and draws no random numbers. Memory bounds:
+the tenants of the settings, and one reservation for each request in flight.
 """
 
 from __future__ import annotations
@@ -50,20 +51,23 @@
 ]
 
 MAX_GRANTED_WINDOW_US = 3_600_000_000
-"""Longer windows follow the calendar: a node that restarts loses the grants of a whole window."""
+"""Longest window that is a token bucket; longer ones follow the calendar.
+
+It is limited because a node that restarts loses the grants of a whole window.
+"""
 DEFAULT_GRANTS_PER_WINDOW = 10
 SKETCH_COUNTERS = 2_048
-"""Size of the sketch that finds the tenants with the highest usage."""
+"""Number of counters of the sketch that finds the tenants with the most reserved units."""
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetWindow:
-    """Units that a tenant may use in a window, all nodes together."""
+    """Number of units that a tenant may use at all nodes together in a window of some length."""
 
     length_us: int
     units: int
     quantum_units: int = 0
-    """Units of one grant; 0 for a tenth of the window's."""
+    """Number of units of one grant; 0 for a tenth of `units`."""
 
     def __post_init__(self) -> None:
         """Check the values."""
@@ -73,27 +77,27 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenWeights:
-    """Units of one token, by what was done for it."""
+    """Numbers of units that one token of each type counts as."""
 
     prompt: int = 10
     cached: int = 1
     output: int = 30
 
     def units(self, prompt_tokens: int, cached_tokens: int, output_tokens: int) -> int:
-        """Return the units of some tokens; `prompt_tokens` are those that were not cached."""
+        """Return the units that tokens count as; `prompt_tokens` excludes cached ones."""
         return prompt_tokens * self.prompt + cached_tokens * self.cached + output_tokens * self.output
 
 
 @dataclass(frozen=True, slots=True)
 class TokenBudgetSettings:
-    """The budgets; the same for every node except for `replica_index` and `epoch_offset_us`."""
+    """Settings of the budgets; only `replica_index` and `epoch_offset_us` differ between nodes."""
 
     replicas: int
     windows: Mapping[str, tuple[BudgetWindow, ...]]
     """The windows of each tenant; a tenant without windows has no budget."""
     replica_index: int = 0
     epoch_offset_us: int = 0
-    """Added to the node's clock, it gives the time since 1970; set once, at the start."""
+    """Offset that, added to the node's time, gives the time since 1970; it is set once, at the start."""
     spread: float = 4.0
     weights: TokenWeights = field(default_factory=TokenWeights)
     is_lending: bool = True
@@ -101,13 +105,13 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetRequest:
-    """What the budgets need to know about a request."""
+    """The facts about a request from which its units are computed."""
 
     tenant: str
     class_index: int
     prompt_tokens: int
     cached_tokens: int
-    """Those of the prompt that are expected to be cached."""
+    """Number of prompt tokens that are expected to be cached."""
     max_output_tokens: int
 
 
@@ -116,10 +120,10 @@
     """Whether a request is within its tenant's budgets."""
 
     is_over: bool
-    """Whether some window has no capacity for it."""
+    """Whether some window has no capacity for the request."""
     reserved_units: int = 0
     retry_after_us: int | None = 0
-    """Time until every window has capacity for it; None for never."""
+    """Time until every window has capacity for the request; None if one of them never has."""
     window_us: int = 0
     """Length of a window without capacity; 0 if all have capacity."""
     is_borrowed: bool = False
@@ -127,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServedTokens:
-    """Tokens that an ended request was served."""
+    """Tokens that were cached, and tokens that were streamed, for a request that has ended."""
 
     cached_tokens: int
     output_tokens: int
@@ -135,16 +139,16 @@
 
 @dataclass(slots=True)
 class BudgetUsage:
-    """Reservations of one tenant compared with its usage, for operators."""
+    """Sums over one tenant's requests, by which operators compare reservations with usage."""
 
     reserved_units: int = 0
     used_units: int = 0
     estimate_error_units: int = 0
-    """Sum of the absolute differences of the two."""
+    """Sum over settled requests of the absolute difference between reserved and used units."""
     requests: int = 0
     over_budget: int = 0
     open_units: int = 0
-    """Units reserved now."""
+    """Units reserved by requests that are not settled yet."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -185,7 +189,7 @@
     """One node's part of every tenant's budgets."""
 
     def __init__(self, settings: TokenBudgetSettings, now_us: int) -> None:
-        """Create the budgets; this node may use its grants that are issued from now on."""
+        """Create the budgets; this node may use only those of its grants that are issued after `now_us`."""
         self._settings = settings
         self._clock = CalendarClock(settings.epoch_offset_us)
         self._lending_pool = LendingPool(now_us)
@@ -197,7 +201,7 @@
         }
         for tenant, budget in self._tenants.items():
             if budget.granted and settings.is_lending:
-                # Longer windows count the same units again, so only the shortest one lends.
+                # A tenant's longer windows count the same units again, so only its shortest one lends.
                 shortest = min(budget.granted, key=lambda window: window.length_us)
                 self._lending_pool.add_lender(now_us, tenant, shortest.bucket)
 
@@ -229,7 +233,7 @@
 
     @property
     def open_reservations(self) -> int:
-        """Number of requests that have reserved units and are not settled."""
+        """Number of requests that have reserved units and are not settled yet."""
         return len(self._reservations)
 
     def expected_output_tokens(self, request: BudgetRequest) -> int:
@@ -237,14 +241,14 @@
         return self._estimates.estimate(request.tenant, request.class_index, request.max_output_tokens)
 
     def units(self, prompt_tokens: int, cached_tokens: int, output_tokens: int) -> int:
-        """Return the units of some tokens; `prompt_tokens` are those that were not cached."""
+        """Return the units that tokens count as; `prompt_tokens` excludes cached ones."""
         return self._settings.weights.units(prompt_tokens, cached_tokens, output_tokens)
 
     def _request_units(self, request: BudgetRequest, cached_tokens: int, output_tokens: int) -> int:
         return self.units(max(request.prompt_tokens - cached_tokens, 0), cached_tokens, output_tokens)
 
     def check(self, now_us: int, request: BudgetRequest) -> BudgetVerdict:
-        """Return whether a request is within its tenant's budgets; nothing is reserved."""
+        """Return whether a request is within its tenant's budgets, without reserving any units."""
         if self._settings.is_lending:
             self._lending_pool.advance(now_us)
         units = self._request_units(request, request.cached_tokens, self.expected_output_tokens(request))
@@ -259,8 +263,8 @@
     def _check_calendar(self, now_us: int, budget: _TenantBudget, units: int) -> BudgetVerdict:
         retry_after_us: int | None = 0
         window_us = 0
-        # If one window can never allow the request, the wait for another must not replace that: the client
-        # would retry in vain.
+        # If one window can never allow the request, the finite wait for another window must not replace the
+        # None: the client would retry in vain.
         for window in budget.calendar:
             unix_us = self._clock.unix_us(now_us)
             window.advance(unix_us)
@@ -284,7 +288,7 @@
         return BudgetVerdict(window_us > 0, units, retry_after_us, window_us)
 
     def _can_borrow(self, verdict: BudgetVerdict) -> bool:
-        """Whether lent units cover the request; a calendar window's lack of units cannot be borrowed."""
+        """Whether a request over budget can borrow its units; for a calendar window, none can be borrowed."""
         return (
             verdict.is_over
             and self._settings.is_lending
@@ -319,9 +323,9 @@
             window.used_units += units
 
     def settle(self, now_us: int, request_id: int, served: ServedTokens | None, is_complete: bool) -> None:
-        """Settle an ended request by what it got, None for nothing.
+        """Settle an ended request by the tokens it was served; `served` is None if there were none.
 
-        `is_complete` tells whether the output came to its end, so that its length can be learnt from.
+        `is_complete` says that the output was not cut short, so that estimates are learnt from its length.
         """
         reservation = self._reservations.pop(request_id, None)
         if reservation is None:
@@ -341,7 +345,7 @@
         budget.usage.estimate_error_units += abs(used_units - reserved_units)
 
     def restore_usage(self, now_us: int, tenant: str, units: int) -> None:
-        """Count what a tenant has used, by the ledger, in the calendar windows that run now."""
+        """Add units that a tenant has used, according to the ledger, to its current calendar windows."""
         budget = self._tenants.get(tenant)
         if budget is not None:
             self._use_calendar(now_us, budget, units)
@@ -355,5 +359,5 @@
         return (budget.usage for budget in self._tenants.values())
 
     def top_tenants(self, count: int = 10) -> list[HeavyHitter]:
-        """Return the tenants that have reserved most, in units, with or without a budget."""
+        """Return the tenants that have reserved the most units, including tenants without a budget."""
         return self._top_tenants.top(count)
--- a/tuliptrack/decisions/zone_recovery.py
+++ b/tuliptrack/decisions/zone_recovery.py
@@ -1,11 +1,12 @@
 """Detects zones that lost their endpoints, and ramps up their traffic once they have recovered.
 
-Every node sees a recovery at nearly the same moment, in the endpoint list. If all sent a recovered zone its
-full traffic at once, its queues would grow before any load report shows them. So sessions return by their
-position from 0 to 1, the same at all nodes: those below a limit that rises linearly over `RAMP_US`.
+Every node sees a recovery at nearly the same moment, in the endpoint list. If all nodes sent a recovered zone
+its full traffic at once, the zone's queues would grow before any load report showed them. So sessions return
+gradually: each has a position from 0 to 1, the same at all nodes, and those whose position is below a limit
+return. The limit rises linearly over `RAMP_US`.
 
 Each role of a zone is tracked separately. Times are in microseconds. The module does no I/O, reads no clock
-and draws no random numbers. Bound: one entry for each zone and role that the endpoint list has named.
+and draws no random numbers. Memory bound: one entry for each zone and role that the endpoint list has named.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 LOST_SHARE = 0.5
 """A zone is lost while it has less than this share of its usual endpoints of a role."""
 MIN_LOST_US = 3_000_000
-"""Shortest loss after which traffic is ramped up; in a shorter one, sessions have not moved yet."""
+"""Shortest loss after which traffic is ramped up; in a shorter one, sessions have not moved elsewhere yet."""
 RAMP_US = 8_000_000
-"""A small multiple of the time that queues take to show in load reports."""
+"""Time over which traffic is ramped up: a small multiple of the time until load reports show queues."""
 INITIAL_SHARE = 0.1
-"""Share of the sessions that return at once, so that first latencies are observed."""
+"""Share of the sessions that return to a recovered zone at once, so that nodes observe its latency."""
 FORGET_AFTER_US = 600_000_000
 """Time after which a lost zone's remaining endpoints count as its usual ones."""
 
@@ -35,7 +36,7 @@
 
     LOST = "lost"
     RECOVERED = "recovered"
-    """After less than `MIN_LOST_US`, so nothing is ramped up."""
+    """The zone was lost for less than `MIN_LOST_US`, so its traffic is not ramped up."""
     RECOVERING = "recovering"
     FORGOTTEN = "no longer expected back"
 
@@ -55,17 +56,17 @@
 
 @dataclass(slots=True)
 class _EndpointCount:
-    """A zone's usual number of endpoints of one role, and since when it is lost."""
+    """A zone's usual number of endpoints of one role, and the time since which the zone is lost."""
 
     usual: int
     lost_since_us: int | None = None
 
 
 class ZoneRecovery:
-    """The zones that were lost, and those whose traffic is ramped up again, by role."""
+    """The zones that are lost and those whose traffic is being ramped up, for each role."""
 
     def __init__(self) -> None:
-        """Create it without any known zones."""
+        """Create the object without any known zones."""
         self._counts: dict[tuple[int, Role], _EndpointCount] = {}
         self._ramp_started_us: dict[tuple[int, Role], int] = {}
 
@@ -75,7 +76,7 @@
         return bool(self._ramp_started_us)
 
     def observe(self, now_us: int, usable: Iterable[tuple[int, Role]]) -> list[ZoneChange]:
-        """Count the usable endpoints, given by zone and role; return what has changed since the last call."""
+        """Count usable endpoints, given as their zones and roles; return changes of zones' states."""
         counts: dict[tuple[int, Role], int] = {}
         for key in usable:
             counts[key] = counts.get(key, 0) + 1
@@ -112,7 +113,7 @@
         return ZoneState.RECOVERING
 
     def admits(self, now_us: int, zone: int, role: Role, position: float) -> bool:
-        """Whether a session may go to a zone; its `position`, from 0 to 1, is the same at all nodes."""
+        """Whether a session may go to a zone; the session's `position` (0 to 1) is the same at all nodes."""
         started_us = self._ramp_started_us.get((zone, role))
         if started_us is None:
             return True
