--- a/tests/rpc/test_arrival.py
+++ b/tests/rpc/test_arrival.py
@@ -88,7 +88,7 @@
         self.closed = reason
 
     def receive(self) -> None:
-        """Receive something, on any call."""
+        """Record that something was received on the connection."""
         self.heard_at = round(self.loop.now * 1e6)
 
 
@@ -119,7 +119,7 @@
         proofs.sent(stream, calls[stream], None)
     link.loop.run_for(60_000)
     assert link.pings == 1
-    proofs.sent(3, calls[3], None)  # after the ping
+    proofs.sent(3, calls[3], None)  # sent after the ping, whose answer does not prove this call
     link.receive()
     proofs.answered()
     assert [call.arrived for call in calls] == [True, True, False, False]
@@ -142,7 +142,7 @@
     proofs = proofs_of(link)
     proofs.sent(1, Call(), None)
     link.loop.run_for(60_000 + 45_000)
-    link.receive()  # not the answer to the ping, but something
+    link.receive()  # input that is not the answer to the ping
     link.loop.run_for(55_000)
     assert not proofs.doubtful and link.doubts == 0
     link.loop.run_for(20_000)
@@ -154,12 +154,12 @@
 
 
 def test_a_delayed_loop_does_not_doubt_a_connection(link: Link) -> None:
-    """A delayed iteration of the loop runs the timer, and right after it reads an answer that was in time."""
+    """A delayed iteration of the loop runs the check just before it reads the answer, which came in time."""
     proofs, call = proofs_of(link), Call()
     proofs.sent(1, call, None)
     link.loop.run_for(60_000)
     link.loop.now += 0.5
-    link.loop.run_for(0)  # a check, half a second late
+    link.loop.run_for(0)  # runs a check half a second late
     assert not proofs.doubtful
     link.receive()
     proofs.answered()
--- a/tests/rpc/test_core.py
+++ b/tests/rpc/test_core.py
@@ -180,7 +180,7 @@
 
 def test_calls_beyond_the_limit_are_rejected_as_unprocessed_and_others_continue() -> None:
     peer = Peer(Limits(max_streams=3, control_burst=30, control_per_s=0.1))
-    for n in range(5):  # before the client has received the limit
+    for n in range(5):  # The client sends these before it has received the limit.
         peer.send_request(2 * n + 1)
     events = peer.deliver()
     assert [e.stream for e in events if isinstance(e, CallStarted)] == [1, 3, 5] == list(peer.core.calls)
@@ -190,7 +190,7 @@
     peer.read_output()
     peer.send_request(11)
     assert [e.stream for e in peer.deliver() if isinstance(e, CallStarted)] == [11]
-    for n in range(100):  # a client that ignores the limit is disconnected
+    for n in range(100):  # A client that keeps ignoring the limit is disconnected.
         peer.h2.remote_settings.max_concurrent_streams = 1000
         peer.h2.remote_settings.acknowledge()
         peer.send_request(13 + 2 * n)
@@ -256,7 +256,7 @@
     crossing = client.start("/x.Y/Z")  # crosses the GOAWAY of the server
     here, there = exchange()
     assert [e for e in here if isinstance(e, GoAway)] and client.available_streams() == 0
-    # The first GOAWAY still allows it.
+    # The first GOAWAY of the server still allows the crossing call.
     assert any(isinstance(e, CallStarted) and e.stream == crossing for e in there)
     server.send(first, b"still")
     server.finish(first, Status(Code.OK))
--- a/tests/rpc/test_core_fuzz.py
+++ b/tests/rpc/test_core_fuzz.py
@@ -28,7 +28,7 @@
 
 
 def transcript(ops: list[tuple]) -> tuple[bytes, bytes, list[Event], list[Event]]:  # type: ignore[type-arg]
-    """Run the operations; return the bytes to the server and to the client, and the events at each."""
+    """Run the operations; return the bytes to the server and to the client, and the events at each side."""
     client, server = Core(True, LIMITS), Core(False, LIMITS)
     to_server, to_client = bytearray(), bytearray()
     at_server: list[Event] = []
@@ -70,7 +70,7 @@
 
 
 def feed(core: Core, data: bytes, cuts: list[int]) -> list[Event]:
-    """Give a core these bytes in chunks; return its events, without those of its own sending."""
+    """Give a core these bytes in chunks; return its events, without those that its own sending causes."""
     events: list[Event] = []
     at = 0
     for cut in [*sorted(c % (len(data) + 1) for c in cuts), len(data)]:
@@ -93,7 +93,7 @@
     slow = Core(False, LIMITS)
     slow.h2.plain_data = False
     assert described(feed(slow, to_server, cuts)) == whole
-    # The live server saw at most these messages: its own resets and ends can only stop it earlier.
+    # The live server received at most these messages: its own resets and ends can only end calls earlier.
     lived_messages = [e.data for e in lived if isinstance(e, MessageReceived)]
     assert len(lived_messages) <= sum(1 for name, _ in whole if name == "MessageReceived")
 
--- a/tests/rpc/test_dial.py
+++ b/tests/rpc/test_dial.py
@@ -1,4 +1,4 @@
-"""Dials without any time left."""
+"""Opening a connection when no time is left for it."""
 
 from __future__ import annotations
 
--- a/tests/rpc/test_failing_calls.py
+++ b/tests/rpc/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a while, with each error that Linux documents, of listeners and connections."""
+"""Listeners and connections whose system calls fail for a while, with each error that Linux documents."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 HTTP2_PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + bytes(3) + b"\x04" + bytes(5)
 """The first bytes of a client: the preface, and an empty SETTINGS frame."""
 RECOVERY_S = 0.05
-"""How soon after the end of the failures connections are accepted again."""
+"""Seconds after the end of the failures within which connections are accepted again."""
 
 
 def log_loop_errors_of(go: Callable[[], Coroutine[Any, Any, None]]) -> None:
@@ -100,7 +100,7 @@
     async def go() -> None:
         server = await serve()
         faults.accept = (number,)
-        for _ in range(3):  # Repeatedly, as asyncio's own listener pauses at each failure.
+        for _ in range(3):  # The failures recur, as asyncio's own listener pauses at each.
             faults.share = 1.0
             waiting = asyncio.ensure_future(request_seconds(server.address))
             await asyncio.sleep(0.15)
@@ -164,10 +164,11 @@
 async def exchange_while(
     pool: Pool, faults: CallFaults, call: str, number: int, seconds: float
 ) -> tuple[ExchangeOutcome, bool, int]:
-    """Run an exchange while a system call of opening its connection fails for `seconds`.
+    """Run an exchange while a system call that opens its connection keeps failing, for `seconds`.
 
     Returns:
-        How it ended, whether the failure concerns only its connection, and the number of failed calls.
+        How the exchange ended, whether the failure concerns only its connection, and the number of
+        failed calls.
     """
     setattr(faults, call, (number,))
     faults.share, faults.failed = 1.0, 0
@@ -264,7 +265,7 @@
 def test_a_dial_cancelled_while_closes_fail_ends_its_exchange(
     faults: CallFaults, caplog: pytest.LogCaptureFixture, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """asyncio then raises IndexError in place of the cancellation or the timeout."""
+    """If closing the socket fails, asyncio raises IndexError in place of the cancellation or the timeout."""
 
     async def go() -> None:
         nobody = await UnreachableEngine().start()
--- a/tests/rpc/test_http1.py
+++ b/tests/rpc/test_http1.py
@@ -50,7 +50,9 @@
 
 
 async def talk(server: HttpServer, pieces: list[bytes]) -> bytes:
-    """Send these pieces in separate writes; return everything that the server sends until it closes."""
+    """Send these pieces in separate writes; return all that the server sends until it closes the
+    connection.
+    """
     host, _, port = server.address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -174,7 +176,7 @@
 
 
 async def dial(server: HttpServer) -> socket.socket:
-    """Open a connection that is only read on request."""
+    """Open a connection; nothing is read from it until the test does so."""
     host, _, port = server.address.rpartition(":")
     sock = socket.socket()
     sock.setblocking(False)
@@ -191,7 +193,8 @@
     return got
 
 
-UNREAD_BYTES = b"x" * 400_000  # of a body that is rejected by its head, or of requests that are not answered
+# Bytes of a body that is rejected because of its head, or of requests that are not answered.
+UNREAD_BYTES = b"x" * 400_000
 REQUESTS_THAT_CLOSE = {
     "refused from the head": b"POST /never HTTP/1.1\r\nhost: x\r\ncontent-length: 900000\r\n\r\n"
     + UNREAD_BYTES,
@@ -259,14 +262,14 @@
         server.close_idle_connections()
         for sock in (resting, silent):
             await loop.sock_sendall(sock, b"GET /late HTTP/1.1\r\nhost: x\r\n\r\n")
-        with contextlib.suppress(OSError):  # Input after the close is bounded.
+        with contextlib.suppress(OSError):  # The server reads a bounded amount after the close.
             await asyncio.wait_for(loop.sock_sendall(flood, b"x" * 20_000_000), 5)
             raise AssertionError("all input was read")
         for sock in (resting, silent):
             assert await read_all(sock) == b"", (
                 "the end without an answer, so that the request may be retried"
             )
-        await until(lambda: not server.links, 3)  # Though these two clients never close.
+        await until(lambda: not server.links, 3)  # The clients `resting` and `silent` have not closed.
         assert handled == ["/once", "/once"]
         for sock in (resting, silent, flood):
             sock.close()
@@ -326,8 +329,8 @@
 def test_a_connection_with_an_unread_request_is_not_evicted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The request arrives at the moment at which its connection, idle for longest, would be closed for a new
-    one.
+    """The request arrives just when its connection, the one idle for longest, would be closed to make room
+    for a new one.
     """
 
     async def go() -> None:
@@ -349,7 +352,7 @@
         late = await dial(server)
         assert (await asyncio.wait_for(loop.sock_recv(served[0], 65_536), 5)).startswith(b"HTTP/1.1 200")
         assert server.evictions == 1
-        with contextlib.suppress(ConnectionResetError):  # The other one was evicted.
+        with contextlib.suppress(ConnectionResetError):  # The other served connection was evicted.
             assert not await asyncio.wait_for(loop.sock_recv(served[1], 65_536), 5)
         for sock in (*served, late):
             sock.close()
@@ -359,7 +362,7 @@
 
 
 def test_a_connection_with_buffered_requests_is_not_evicted() -> None:
-    """Its client has pipelined many requests; a new connection arrives while the server buffers some."""
+    """The client has pipelined many requests; an eviction is considered while the server buffers some."""
     request_count, evictables = 40, []
 
     async def go() -> None:
@@ -386,8 +389,8 @@
 
 
 def test_no_request_is_sent_on_a_pooled_connection_that_its_peer_has_just_closed() -> None:
-    """The loop has not read the close yet: a request sent there would end as a reset, and might count as
-    processed.
+    """The loop has not read the close yet: a request sent on that connection would end as a reset,
+    and might count as processed.
     """
 
     async def go() -> None:
@@ -413,7 +416,7 @@
         first = await serve()
         await until(lambda: len(pool.idle) == 1)
         first.close()
-        ask()  # In the same iteration of the loop.
+        ask()  # Runs in the same iteration of the loop as the close.
         second = await asyncio.wait_for(serve(), 5)
         await until(lambda: len(answers) == 2)
         assert answers == [(ExchangeOutcome.ANSWER, 202)] * 2
--- a/tests/rpc/test_periodic.py
+++ b/tests/rpc/test_periodic.py
@@ -1,4 +1,4 @@
-"""Long-lived tasks that run a step periodically, also after one that raises."""
+"""Long-lived tasks that run a step periodically, and continue after a step that raises."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_a_step_that_raises_is_recorded_and_the_next_one_runs() -> None:
-    """Without the handler, the task would end silently and its work would never be done again."""
+    """If the exception were not handled, the task would end silently and never do its work again."""
 
     async def go() -> None:
         steps: list[str] = []
--- a/tests/rpc/test_process_signals.py
+++ b/tests/rpc/test_process_signals.py
@@ -1,7 +1,7 @@
 """Signals of a process that starts, runs and ends: each is handled once, and none ends the process.
 
-Guards against a SIGHUP between two steps of the start that is handled twice or not at all, and against a
-signal during the exit that replaces the exit code.
+Guards against two faults: a SIGHUP between two steps of the start is handled twice or not at all, and a
+signal during the exit replaces the exit code.
 """
 
 from __future__ import annotations
@@ -49,7 +49,9 @@
 
 
 def run_program(**steps: str) -> str:
-    """Run the program with these lines at their places; return what was handled."""
+    """Run the program with each argument inserted at the place of its name; return what the handlers
+    noted.
+    """
     places = ("before_loop", "in_loop", "attached", "serving", "ending", "ended")
     program = PROGRAM.format(**{place: steps.get(place, "") for place in places})
     done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, timeout=30)
@@ -70,7 +72,9 @@
 def test_signals_around_each_step_of_attaching_to_the_loop_are_handled_once(
     place: str, original: str
 ) -> None:
-    """A signal before and after each call by which the loop takes over is handled once, after the last."""
+    """The two signals that are sent before and after a call by which the loop takes over are handled
+    together, once, after the second.
+    """
     lines = SENT_AROUND_A_CALL.format(name="around", original=original, place=place)
     assert run_program(in_loop=lines.strip()) == "reload"
 
--- a/tests/rpc/test_stock_peers.py
+++ b/tests/rpc/test_stock_peers.py
@@ -119,7 +119,7 @@
         async with grpc.aio.insecure_channel(address, options=options) as channel:
             for code in Code:
                 sent = (("x-a", "plain"), ("x-b-bin", b"\0\xfe" * 2000))
-                for tokens in (0, 2):  # trailers-only, and trailers behind messages
+                for tokens in (0, 2):  # answers of trailers only, and with messages before them
                     call = stub(channel)(
                         pb.GenerateRequest(prompt_tokens=int(code), max_tokens=tokens, prompt="p"),
                         metadata=sent,
@@ -248,8 +248,8 @@
 
 
 def test_a_thousand_streams_on_one_connection() -> None:
-    """All are served, also on a slow machine: the target and deadline of their class are so long that none is
-    rejected for overload.
+    """All streams are served, also on a slow machine: the target and deadline of their class are so long that
+    none is rejected for overload.
     """
 
     async def go() -> None:
@@ -278,7 +278,7 @@
 
 def test_proof_pings_do_not_make_a_stock_server_end_the_connection() -> None:
     """A stock server closes the connection after a few pings without data between them. Successive calls that
-    wait long need many proofs.
+    wait long for answers need many proofs, each with a ping.
     """
 
     async def go() -> None:
--- a/tuliptrack/rpc/arrival.py
+++ b/tuliptrack/rpc/arrival.py
@@ -18,8 +18,8 @@
 ARRIVED_PING = b"arrived?"
 """The data of pings for proofs."""
 _CHECKS_BEFORE_DOUBT = 6
-"""Checks for a missing answer before a connection is doubted. A delayed event loop delays each of them, so
-that it does not doubt a connection by itself."""
+"""Number of checks that find the answer to a ping missing before the connection is doubted. A delayed event
+loop delays each check, so a delay alone does not make a connection doubtful."""
 
 
 class ProvenCall(Protocol):
@@ -38,18 +38,22 @@
         """Send a ping after everything that was written."""
 
     def unsent(self, stream: int) -> int:
-        """Return the bytes of a call that are not written yet."""
+        """Return how many bytes of a call are not written yet."""
 
     def doubted(self, checks: int) -> None:
-        """Act on silence; called at each check that finds it, with the number of such checks."""
+        """Act on a doubtful connection; called at each check that finds it silent.
+
+        `checks`: number of checks since the ping was sent or anything was last received after it.
+        """
 
     def close(self, reason: str) -> None:
-        """Close it, as nothing was received for too long."""
+        """Close the connection, because nothing was received on it for too long."""
 
 
 class ArrivalProofs:
-    """Proofs of arrival for the calls of one connection. Bound: its open calls, and one timer; ended by
-    `close`.
+    """Proofs of arrival for the calls of one connection.
+
+    Bound: the open calls of the connection, and one timer, which `close` cancels.
     """
 
     def __init__(
@@ -57,18 +61,21 @@
     ) -> None:
         """Start without calls.
 
-        `prove_after`: microseconds without an answer until a ping, and from there until the connection is
-        doubted; `timeout`: microseconds of silence after the ping until it is closed.
+        `prove_after`: microseconds without an answer until a ping is sent, and microseconds of silence after
+        the ping until the connection is doubted; `timeout`: microseconds of silence after the ping until the
+        connection is closed.
         """
         self._link, self._loop, self._prove_after, self._timeout = link, loop, prove_after, timeout
         self._unproven: dict[int, ProvenCall] = {}
-        """Calls that are not known to have arrived, by stream."""
+        """Calls that are not known to have arrived, by stream number."""
         self._to_prove: list[ProvenCall] = []
         """Calls that the answer to the pending ping proves."""
         self._pinged_at = 0
-        """When that ping was sent, or anything was last received since; 0: no ping is pending."""
+        """When the pending ping was sent, or when anything was last received after it, in monotonic
+        microseconds; 0 if no ping is pending."""
         self.checks = 0
-        """Checks for the answer to that ping, since anything was last received."""
+        """Number of checks that found the answer to the pending ping missing, since the ping was sent or
+        anything was last received after it."""
         self._timer: asyncio.TimerHandle | None = None
         self._closed = False
 
@@ -78,8 +85,8 @@
         return self.checks >= _CHECKS_BEFORE_DOUBT and self._link.heard_at <= self._pinged_at
 
     def sent(self, stream: int, call: ProvenCall, within: int | None) -> None:
-        """Note that a call was sent. Its arrival is checked after `prove_after`, or `within` if that is
-        sooner.
+        """Note that a call was sent. Its arrival is checked after `prove_after`, or after `within`
+        microseconds if that is sooner.
         """
         self._unproven[stream] = call
         self._schedule_check(within)
@@ -91,7 +98,7 @@
             self._unproven.pop(stream, None)
 
     def answered(self) -> None:
-        """Note that the peer has answered the ping."""
+        """Note that the peer has answered the pending ping."""
         for call in self._to_prove:
             call.arrived = True
         self._forget_settled()
@@ -130,7 +137,7 @@
             self._ping_unproven()
 
     def _ping_unproven(self) -> None:
-        """Ping for calls that were written completely and have no answer.
+        """Ping the peer if calls were written completely and have no answer.
 
         Each ping follows at least one call: stock servers end connections on which pings arrive without any
         data between them.
--- a/tuliptrack/rpc/channel.py
+++ b/tuliptrack/rpc/channel.py
@@ -39,43 +39,46 @@
     """What ended a call."""
 
     STATUS = "status"
-    """The peer's own status."""
+    """A status ended the call: the peer's, or this client's own for a request that can't be sent or an answer
+    that is malformed."""
     RESET = "reset"
     """The stream or the connection broke."""
     CONNECT = "connect"
-    """There was no connection in time: the peer has not received the call."""
+    """The call got no connection, or not in time: the peer has not received it."""
     TIMEOUT = "timeout"
-    """The call's timeout at this client."""
+    """The call's timeout passed at this client."""
     CANCELLED = "cancelled"
-    """`ClientCall.cancel`."""
+    """`ClientCall.cancel` ended the call."""
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """How a call ended. `unprocessed`: the peer has certainly not processed it."""
+    """How a call ended. `unprocessed`: the peer has certainly not processed the call."""
 
     how: EndReason
     status: Status
     metadata: Metadata = ()
     unprocessed: bool = False
     is_connection_only: bool = False
-    """The failure concerns its connection, not the peer: a newer connection works."""
+    """Whether the failure concerns only the call's connection, not the peer: a newer connection works."""
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Times in microseconds."""
+    """Options of a channel; times in microseconds."""
 
     connect_timeout: int = 250_000
     keepalive_after: int = 10_000_000
-    """Silence with open calls after which the peer is pinged."""
+    """Time without input on a connection with open calls, after which the peer is pinged."""
     keepalive_timeout: int = 5_000_000
-    """Silence after that ping until the connection is considered dead."""
+    """Time without input after the ping of `keepalive_after`, after which the connection is considered dead
+    and closed."""
     prove_after: int = 60_000
-    """Silence after a call was sent until the peer is pinged to prove that it arrived, and from there until a
-    missing answer makes the connection doubtful."""
+    """Time without an answer to a call, after which the peer is pinged to prove that the call arrived; and
+    time without input after that ping, after which the connection is doubtful."""
     proof_timeout: int = 1_000_000
-    """Silence after that ping until the connection is considered dead."""
+    """Time without input after the ping of `prove_after`, after which the connection is considered dead and
+    closed."""
     max_links: int = 8
     max_waiting: int = 10_000
     limits: Limits = field(default_factory=Limits)
@@ -83,7 +86,8 @@
 
 _ALIVE_PING = b"alive?"
 _CHECKS_BEFORE_CLOSE = 3
-"""Checks that find a connection silent while a newer one works, before it is closed."""
+"""Number of checks that find a doubtful connection still silent while a newer one works, before the silent
+one is closed."""
 
 
 def _noop(*_: Any) -> None:
@@ -124,14 +128,17 @@
         self.link: _ClientLink | None = None
         self.stream = 0
         self.traffic = Traffic()
-        """Bytes of its messages, also of those that cross its end; zero before there is a connection."""
+        """The bytes of the call's messages, including those that arrive after the call has ended here; zero
+        until the call is sent on a connection."""
         self.open, self.paused, self.unary = True, False, False
         self.arrived = False
-        """The peer has certainly received it: it has answered something, or a ping that was sent after it."""
+        """Whether the peer has certainly received the call: it has answered something on the call, or a ping
+        that was sent after the call."""
         self.prove_by = 0
-        """When that should be known at the latest; 0: no such time."""
+        """When the call's arrival should be proven at the latest, in monotonic microseconds; 0: no such
+        time."""
         self.out: list[bytes] = []
-        """Messages that were sent before there was a connection."""
+        """Messages to send once the call has a connection."""
         self._timer: asyncio.TimerHandle | None = None
         self._connect_timer: asyncio.TimerHandle | None = None
 
@@ -152,7 +159,7 @@
             self.link.flush_soon()
 
     def cancel(self, how: EndReason = EndReason.CANCELLED) -> None:
-        """End the call; `on_end` is called synchronously, unless it has been."""
+        """End the call if it is open; `on_end` is then called before this returns."""
         if self.open:
             if self.link:
                 self.link.core.reset(self.stream)
@@ -161,7 +168,7 @@
             self.ended(End(how, Status(code, how.value), unprocessed=self.link is None))
 
     def pause(self) -> None:
-        """Accept at most one window of messages until `resume`."""
+        """Receive at most one more stream window of messages until `resume`."""
         self.paused = True
         if self.link:
             self.link.core.pause(self.stream)
@@ -190,7 +197,7 @@
             self._timer = loop.call_later(self.timeout / 1e6, self.cancel, EndReason.TIMEOUT)
 
     def limit_connect(self, loop: asyncio.AbstractEventLoop, within: int) -> None:
-        """End the call if no connection has taken it within so many microseconds."""
+        """End the call if it is not sent on a connection within `within` microseconds."""
         self._connect_timer = loop.call_later(max(within, 0) / 1e6, self._connect_timed_out)
 
     def _connect_timed_out(self) -> None:
@@ -211,9 +218,9 @@
         self.pinged_at = 0
         self.idle_since = self.opened_at = now_us()
         self.outlived_by = 0
-        """When a newer, working connection was opened; 0: there is none."""
+        """When a newer, working connection was opened, in monotonic microseconds; 0: none is known."""
         self._close_at_check = 0
-        """The number of the check that closes it if it is still silent."""
+        """The value of `ArrivalProofs.checks` at which the connection is closed if it is still silent."""
         super().__init__(
             reader,
             writer,
@@ -248,22 +255,27 @@
         self.flush_soon()
 
     def unsent(self, stream: int) -> int:
-        """Return the bytes of a call that are not written yet."""
+        """Return how many bytes of a call are not written yet."""
         return self.core.pending(stream)
 
     def mark_outlived(self, opened_at: int) -> None:
-        """Note that a newer connection works: this one is closed if it stays silent for some more checks."""
+        """Note that a newer connection, opened at `opened_at`, works.
+
+        This connection is closed if it stays silent for `_CHECKS_BEFORE_CLOSE` more checks.
+        """
         if not self.outlived:
             self.outlived_by = opened_at
             self._close_at_check = self.proofs.checks + _CHECKS_BEFORE_CLOSE
 
     @property
     def outlived(self) -> bool:
-        """Whether it has been silent since before a newer, working connection was opened."""
+        """Whether this connection has been silent since before a newer, working one was opened."""
         return self.heard_at < self.outlived_by
 
     def doubted(self, checks: int) -> None:
-        """Act on silence: close it if a newer connection works, otherwise have another one opened."""
+        """Act on silence: close this connection if a newer one works and enough checks have passed since that
+        was known, otherwise have a new one opened if needed.
+        """
         if self.outlived and checks >= self._close_at_check:
             self.close("silent while a new connection works")
         else:
@@ -294,7 +306,9 @@
                 self.channel.confirm_working(self)
 
     def check(self, now: int) -> None:
-        """Keepalive: ping after silence with open calls, close after further silence."""
+        """Keepalive: ping a silent peer while calls are open; close the connection if the peer stays
+        silent.
+        """
         options = self.channel.options
         if not self.calls:
             self.pinged_at = 0
@@ -317,7 +331,7 @@
 
     @property
     def takes_calls(self) -> bool:
-        """Whether a call may be sent on it now."""
+        """Whether a call may be sent on this connection now."""
         return not self.closed and not self.proofs.doubtful and self.core.available_streams() > 0
 
 
@@ -330,10 +344,11 @@
         self.waiting: deque[ClientCall] = deque()
         self.tasks: set[asyncio.Task[None]] = set()
         self.connects = 0
-        """Attempts to connect so far."""
+        """Number of attempts to connect so far."""
         self._connecting = 0
         self._doubted = False
-        """A connection has fallen silent, and a new one is needed to find out whether the peer has."""
+        """Whether a connection has fallen silent, and a new one is needed to find out whether the peer has
+        too."""
         self._closed = False
         self._watch: asyncio.TimerHandle | None = None
 
@@ -356,9 +371,9 @@
             metadata: Metadata of the request.
             timeout: Microseconds until the call ends with `TIMEOUT`; also sent to the peer.
             compress: Whether to compress messages.
-            connect_within: Microseconds within which the call needs a connection, or ends. Its arrival at the
-                peer is to be proven within that time too.
-            on_message: Called with each message.
+            connect_within: Microseconds after which the call ends if it has no connection. The call's arrival
+                at the peer should be proven within the same time.
+            on_message: Called with each message of the answer.
             on_end: Called once, at the end.
             message: The only message of the request; None if the caller sends messages itself.
         """
@@ -431,7 +446,9 @@
             self._connect_if_needed()
 
     def serve_waiting(self, link: _ClientLink) -> None:
-        """Send waiting calls on a connection that has capacity; close it if it has drained."""
+        """Send waiting calls on `link` while it has capacity; close it if it takes no more and all have
+        ended.
+        """
         while self.waiting and link.takes_calls:
             call = self.waiting.popleft()
             if call.open:
@@ -443,12 +460,16 @@
         self._connect_if_needed()
 
     def doubt(self, link: _ClientLink) -> None:
-        """Open a new connection as this one has fallen silent, unless one was opened since."""
+        """Open a new connection as `link` has fallen silent, unless another was opened since its last
+        input.
+        """
         self._doubted = not any(other.opened_at > link.heard_at for other in self.links if other is not link)
         self._connect_if_needed()
 
     def confirm_working(self, working: _ClientLink) -> None:
-        """Note that a connection works: doubtful ones, silent since it was opened, are closed soon."""
+        """Note that `working` works: doubtful connections, silent since before it was opened, are closed
+        soon.
+        """
         for link in self.links:
             if link.proofs.doubtful and link.heard_at < working.opened_at:
                 link.mark_outlived(working.opened_at)
--- a/tuliptrack/rpc/core.py
+++ b/tuliptrack/rpc/core.py
@@ -61,9 +61,9 @@
 __all__ = ["Core", "Limits", "Traffic"]
 
 _LAST_STREAM = 2**31 - 1
-_PREFIX_BYTES = 5  # before each message: a flag and its length
+_PREFIX_BYTES = 5  # before each message: a flag, and the length of the message
 _MAX_RESET_CALLS = 512
-_BODIES_RETRY_AFTER_US = 100_000  # when a client may retry whose body exceeded the budget
+_BODIES_RETRY_AFTER_US = 100_000  # delay until a client whose body exceeded the budget may retry
 _DRAIN_PING = b"drained?"
 
 
@@ -83,10 +83,12 @@
     """Bytes that may wait to be sent in one call before `send` asks its caller to pause."""
     pending_low: int = 8_192
     control_burst: int = 400
-    """Pings, settings and empty frames that a peer may send in a burst; refilled by `control_per_s`."""
+    """Pings, settings, empty DATA frames and calls beyond `max_streams` that a peer may send in a burst. Each
+    second, `control_per_s` more are allowed, up to this burst."""
     control_per_s: float = 40.0
     reset_burst: int = 2_500
-    """Resets that a peer may send in a burst: for all its calls, and some more."""
+    """Resets that a peer may send in a burst: enough for all its open calls, and some more. Each second,
+    `reset_per_s` more are allowed, up to this burst."""
     reset_per_s: float = 100.0
 
 
@@ -103,9 +105,10 @@
 
 
 class Traffic:
-    """Bytes of messages, with their prefixes as on the wire, that one call has transferred.
+    """Counts of the bytes of messages, with their prefixes as on the wire, that one call has transferred.
 
-    They are still counted after the call has ended here, as bytes that cross our reset arrive all the same.
+    Counting continues after the call has ended here: bytes that the peer sent before it received our reset
+    still arrive.
     """
 
     __slots__ = ("received", "sent")
@@ -165,7 +168,8 @@
     ) -> None:
         """Set up a connection.
 
-        `bodies` limits the bytes that incomplete messages hold, on all connections that share it.
+        `bodies` limits the bytes that incomplete messages hold in total, on all connections that share this
+        budget.
         """
         self.client, self.limits, self.authority, self.bodies = client, limits or Limits(), authority, bodies
         self.h2 = Http2Connection(
@@ -198,11 +202,12 @@
         self._preface = b"" if client else b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
         """The part of the client preface that has not been received yet."""
         self.draining = False
-        """Either side has announced that it accepts no new calls."""
+        """Whether either side has announced that it accepts no new calls."""
         self._final_goaway: int | None = None
         self._unacked = 0
         self._reset_calls: dict[int, Traffic] = {}
-        """Calls reset here whose peer may still be sending; the last `_MAX_RESET_CALLS`."""
+        """Byte counts of calls that were reset here and whose peer may still be sending, by stream number;
+        only the last `_MAX_RESET_CALLS` are kept."""
         self._sendable: dict[int, None] = {}
         """Calls that may have something to send, in the order in which they were added."""
         self._send_events: list[Event] = []
@@ -287,7 +292,7 @@
                     if passed < at:
                         yield from self.h2.receive_data(data[passed:at])
                         passed = at
-                    # Checked only now, as the frames before may have changed the stream.
+                    # The call is checked only now, as the frames before this one may have changed its stream.
                     if self.calls.get(stream) is call and self.h2.take_data(stream, size):
                         self._receive_data(call, data[at + 9 : after], size, events)
                         passed = after
@@ -297,7 +302,7 @@
             yield from self.h2.receive_data(data[passed:at])
 
     def lost(self, reason: str) -> list[Event]:
-        """End every open call: the socket is closed or abandoned."""
+        """End every open call, because the socket is closed or abandoned."""
         return [] if self.dead else self._break([], ErrorCodes.NO_ERROR, reason, is_goaway_sent=True)
 
     def _break(
@@ -370,7 +375,7 @@
                 limit = self.limits.max_message_bytes
                 raise _Fault(Code.RESOURCE_EXHAUSTED, f"message of {size} bytes, {limit} allowed")
             if len(buffer) - at - _PREFIX_BYTES < size:
-                if self.bodies and size > call.reserved:  # Reserves the complete message.
+                if self.bodies and size > call.reserved:  # Reserves the size of the message.
                     if not self.bodies.acquire(size - call.reserved):
                         raise _Fault(
                             Code.UNAVAILABLE,
@@ -522,7 +527,7 @@
         if call is None:
             return
         call.remote_done = True
-        if self.client:  # Trailers would have removed the call before.
+        if self.client:  # Trailers would have removed the call: there were none.
             self._drop(call)
             status = Status(Code.INTERNAL, "the answer ended without trailers")
             events.append(CallEnded(call.stream, status, reset=True))
@@ -621,9 +626,9 @@
         return stream
 
     def send(self, stream: int, data: bytes) -> bool:
-        """Queue a message; False asks the caller to pause until `Writable`.
+        """Queue a message; return False if the caller has to pause until `Writable`.
 
-        A message of a call that has ended is dropped, with False.
+        If the call has ended or is half-closed, the message is dropped and False is returned.
         """
         call = self.calls.get(stream)
         if call is None or call.ending is not None or call.local_done:
@@ -660,7 +665,7 @@
             self._answer(call)
 
     def half_close(self, stream: int) -> None:
-        """Client: send no more messages."""
+        """Client: announce that no more messages follow in this call."""
         call = self.calls.get(stream)
         if call and not call.local_done:
             call.local_done = True
@@ -668,7 +673,7 @@
             self._sendable[stream] = None
 
     def finish(self, stream: int, status: Status, metadata: Metadata = ()) -> bool:
-        """Server: end a call after its queued messages; False if it had ended."""
+        """Server: end a call after its queued messages; return False if it had already ended."""
         call = self.calls.get(stream)
         if call is None or call.ending is not None:
             return False
@@ -690,7 +695,7 @@
         return True
 
     def reset(self, stream: int, error: int = ErrorCodes.CANCEL) -> bool:
-        """End a call immediately, without a status; False if it had ended."""
+        """End a call immediately, without a status; return False if it had already ended."""
         call = self.calls.get(stream)
         if call is None:
             return False
@@ -708,7 +713,7 @@
             pass  # The stream has closed meanwhile.
 
     def pause(self, stream: int) -> None:
-        """Stop extending the window of a call until `resume`: its application consumes no more."""
+        """Stop extending the window of a call until `resume`, as its application consumes no messages."""
         if call := self.calls.get(stream):
             call.paused = True
 
@@ -719,7 +724,7 @@
             self._acknowledge(call)
 
     def pending(self, stream: int) -> int:
-        """Return the bytes of a call that wait to be sent."""
+        """Return how many bytes of a call wait to be sent."""
         call = self.calls.get(stream)
         return call.out_bytes if call else 0
 
@@ -733,7 +738,10 @@
             self._extra_frames += PingFrame(0, opaque_data=data[:8].ljust(8, b"\0")).serialize()
 
     def drain(self) -> None:
-        """Server: accept no new calls and let open ones end; announced in two steps, as in RFC 9113."""
+        """Server: accept no new calls and let open ones end.
+
+        Two GOAWAY frames announce this, as in RFC 9113: the first still allows calls that cross it.
+        """
         if not self.draining and not self.dead:
             self.draining = True
             self._extra_frames += GoAwayFrame(0, last_stream_id=_LAST_STREAM).serialize()
@@ -761,7 +769,7 @@
         return late
 
     def _pump(self, call: _Call) -> bool:
-        """Send up to one frame of a call; True if more may be sent immediately."""
+        """Send up to one frame of a call; return True if the call may send more immediately."""
         out = call.out
         if out:
             window = min(self.h2.local_flow_control_window(call.stream), self.h2.max_outbound_frame_size)
--- a/tuliptrack/rpc/dial.py
+++ b/tuliptrack/rpc/dial.py
@@ -1,4 +1,4 @@
-"""Opens a connection with a timeout, also if cancelling the attempt fails."""
+"""Opens a connection with a timeout that holds even if cancelling the attempt fails."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
     Raises:
         OSError: The connection failed.
-        TimeoutError: It took longer than `within_s`.
+        TimeoutError: Opening the connection took longer than `within_s` seconds.
     """
     return await asyncio.wait_for(_open_cancellable(opening), within_s)
 
--- a/tuliptrack/rpc/events.py
+++ b/tuliptrack/rpc/events.py
@@ -33,7 +33,10 @@
 
 @dataclass(slots=True)
 class CallHeaders:
-    """Client: the leading headers of an answer were received; at most once a call, not for trailers-only."""
+    """Client: the leading headers of an answer were received.
+
+    This occurs at most once in a call, and never if the answer consists of trailers only.
+    """
 
     stream: int
     metadata: Metadata
@@ -56,7 +59,9 @@
 
 @dataclass(slots=True)
 class Cancelled:
-    """Server: the call ended without an answer, by a reset or an error of its client. Nothing can be sent."""
+    """Server: the call ended before its handler ended it, by a reset or an error of its client or with the
+    connection. The handler can send nothing more.
+    """
 
     stream: int
     reason: str
@@ -77,14 +82,16 @@
 
 @dataclass(slots=True)
 class Writable:
-    """The bytes that wait in a call have fallen to `Limits.pending_low` after `send` had returned False."""
+    """The bytes of a call that wait to be sent have fallen to `Limits.pending_low`, after `send` had returned
+    False.
+    """
 
     stream: int
 
 
 @dataclass(slots=True)
 class GoAway:
-    """The peer accepts no new calls on this connection; those up to `last_stream` continue."""
+    """The peer accepts no new calls on this connection; calls up to stream `last_stream` continue."""
 
     last_stream: int
     error: int
@@ -93,7 +100,7 @@
 
 @dataclass(slots=True)
 class Pong:
-    """The answer to a ping that was sent here."""
+    """The peer has answered a ping that was sent from here; `data` is the data of that ping."""
 
     data: bytes
 
--- a/tuliptrack/rpc/h1.py
+++ b/tuliptrack/rpc/h1.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 without I/O, on top of h11, for servers and clients: bytes in, events out.
 
 Every size is bounded: heads, also incomplete ones, bodies, and answers without an end. Malformed input raises
-`ProtocolError` with the status that a server answers; the connection can't be used after it.
+`ProtocolError` with the status that a server answers; the connection can't be used afterwards.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
     target: str
     fields: Fields
     content_length: int
-    """0 if the body is absent or chunked."""
+    """The size of the body in bytes, as announced; 0 if the body is absent or chunked."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
 
     def receive(self, data: bytes) -> None:
         """Take bytes from the peer; empty bytes mean the end of the connection."""
-        if not self.http.trailing_data[1]:  # Ignores input after the end.
+        if not self.http.trailing_data[1]:  # Input after the end of the connection is ignored.
             self.http.receive_data(data)
 
     @property
@@ -107,7 +107,7 @@
     def next(self) -> RequestHead | RequestBody | BodyPart | None:
         """Return the next event; None if more bytes are needed, or a request has to be answered first.
 
-        A `BodyPart` holds data only if the body is chunked, as its size was not announced by the head.
+        A `BodyPart` holds data only if the body is chunked: only then has the head not announced the size.
 
         Raises:
             ProtocolError: The input is malformed or too large.
@@ -163,8 +163,8 @@
         return self._send(h11.InformationalResponse(status_code=100, headers=[]))
 
     def head(self, status: int, fields: Fields) -> bytes:
-        """Return the head of an answer. Without a content-length the body is chunked, or for HTTP/1.0
-        delimited by the close.
+        """Return the head of an answer. Without a content-length, the body is chunked, or for an HTTP/1.0
+        client delimited by the close of the connection.
         """
         return self._send(h11.Response(status_code=status, headers=fields))
 
@@ -176,7 +176,7 @@
 
     @property
     def may_frame_chunks(self) -> bool:
-        """Whether the caller may frame the chunks of the open answer itself: h11 takes 7 us for each."""
+        """Whether the caller may frame the chunks of the open answer itself, as h11 takes 7 us for each."""
         return self.http.their_http_version == b"1.1" and self.http.our_state is h11.SEND_BODY
 
     def _send(self, event: Any) -> bytes:
@@ -224,7 +224,7 @@
             self.http.receive_data(data)
 
     def next(self) -> ResponseHead | BodyPart | ResponseEnd | None:
-        """Return the next event; None if more bytes are needed. Raise `ProtocolError` if malformed."""
+        """Return the next event; None if more bytes are needed. Raise `ProtocolError` on malformed input."""
         try:
             while True:
                 event: Any = self.http.next_event()
@@ -250,8 +250,8 @@
         return ResponseEnd() if isinstance(event, h11.EndOfMessage) else None
 
     def start_next_cycle(self) -> bool:
-        """Prepare for the next request after a complete answer; False if the connection can't have one, or
-        brought unsolicited bytes.
+        """Prepare for the next request after a complete answer; False if the connection can't carry a
+        further request, or unsolicited bytes were received on it.
         """
         if (
             self.http.our_state is not h11.DONE
--- a/tuliptrack/rpc/http1.py
+++ b/tuliptrack/rpc/http1.py
@@ -9,10 +9,10 @@
 
 Limits: the number of connections (at the limit, the connection that has been idle for longest is evicted),
 header and body sizes, the bytes of request bodies being received (a `ByteBudget` shared with the other
-servers), the time until the first complete request and for each complete request, and the bytes that wait for
-a slow reader (`send` returns False, `on_writable` is called once it may continue). A rejection that is known
-from the headers is sent before the body is read, and the connection is closed after it. A connection has no
-task: its transport calls back, and one timer enforces its timeouts.
+servers), the time from the connect to the first complete request, the time to receive each request, and the
+bytes that wait for a slow reader (`send` returns False, `on_writable` is called once it may continue). A
+rejection that is known from the headers is sent before the body is read, and the connection is closed after
+it. A connection has no task: its transport calls back, and one timer enforces its timeouts.
 
 A connection is closed in this order: pending output is sent, the write side is shut down, input is read and
 discarded until the client closes as well (at most `_LINGER_S` and `_LINGER_BYTES`), and the socket is closed.
@@ -20,8 +20,9 @@
 answer that it has not read yet. A request that arrives while the connection lingers is not processed: its
 client sees the connection end without an answer and may retry.
 
-A client that has shut down its write side counts as disconnected. This is noticed however much it sent
-before: requests beyond `_MAX_PIPELINED_BYTES` are discarded, and the connection ends after the buffered ones.
+A client that has shut down its write side counts as disconnected. The shutdown is noticed however much the
+client sent before: input beyond `_MAX_PIPELINED_BYTES` is discarded, and the connection is closed after the
+buffered requests.
 """
 
 from __future__ import annotations
@@ -45,11 +46,11 @@
 
 log = structlog.get_logger("rpc.http1")
 _SEND_BUFFER = 65_536  # kernel send buffer per connection, which a slow reader can fill
-_MAX_REQUESTS_PER_ITERATION = 4  # of one connection, before the loop serves others
-_MAX_PIPELINED_BYTES = 65_536  # buffered while a request is answered
-_LINGER_S, _LINGER_BYTES = 1.0, 1_048_576  # how long, and for how many bytes, a client's close is awaited
+_MAX_REQUESTS_PER_ITERATION = 4  # requests of one connection, before the loop serves others
+_MAX_PIPELINED_BYTES = 65_536  # input that is buffered while a request is answered
+_LINGER_S, _LINGER_BYTES = 1.0, 1_048_576  # seconds and input bytes for which a client's close is awaited
 _MAX_EVICTION_CANDIDATES = 16  # connections of each kind that are examined for an eviction
-_MAX_LINGER_S = 30.0  # how long a close is awaited while a slow reader still reads pending output
+_MAX_LINGER_S = 30.0  # seconds for which a close is awaited while a slow reader still reads output
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +62,7 @@
     pending_high: int = 32_768
     request_timeout: int = 10_000_000
     first_within: int = 0
-    """From the connect to the first complete request; 0: bounded by `request_timeout` and `idle` only."""
+    """Time from the connect to the first complete request; 0: only `request_timeout` and `idle` bound it."""
     idle: int = 60_000_000
     connections: int = 1_024
 
@@ -83,7 +84,9 @@
 
 
 class HttpCall:
-    """One request and its answer. It ends once, by `respond`, `end` or `abort`, or by calling `on_cancelled`."""
+    """One request and its answer. A call ends once: by `respond`, `end` or `abort`, or when the server calls
+    `on_cancelled`.
+    """
 
     __slots__ = (
         "_link",
@@ -169,16 +172,16 @@
         self._receiving: HttpCall | None = None
         """The request whose body is being received."""
         self.reserved_bytes = 0
-        """Bytes of the shared budget that its body holds."""
+        """Bytes of the shared budget that are reserved for the body of the request being received."""
         self.closing = self.chunked = self.served = False
-        """`closing`: its input is no longer processed."""
+        """`closing`: whether the connection's input is no longer processed."""
         self._advancing = self._is_write_paused = self._is_eof_received = False
         self._is_over_limit = False
-        """More was pipelined than is buffered: the rest of its input is discarded."""
+        """Whether the client pipelined more than `_MAX_PIPELINED_BYTES`: its further input is discarded."""
         self._is_lingering = False
-        """The write side is shut down; the client's close is awaited."""
+        """Whether the write side is shut down and the client's close is awaited."""
         self._discarded_bytes = 0
-        """Bytes received since."""
+        """Bytes that were received, and discarded, since the write side was shut down."""
         self._linger_deadline = 0.0
         self._timer: asyncio.TimerHandle | None = None
         self._was_mid_request = False
@@ -270,7 +273,7 @@
             self._start_timer()
 
     def _resume_advancing(self) -> None:
-        """Continue in the next iteration of the loop, after other connections."""
+        """Continue `_advance` in a new iteration of the loop, after other connections were served."""
         if not self.closing and self.call is None:
             self.transport.resume_reading()
             self._advance()
@@ -450,7 +453,7 @@
     # -- timeouts
 
     def _start_timer(self) -> None:
-        """Set the timer for what is expected next: the start of a request, or its end."""
+        """Set the timer for what is expected next: a request, or the rest of one received in part."""
         limits = self.server.limits
         self._was_mid_request = self.side.is_mid_request
         if self._is_lingering:
@@ -495,9 +498,9 @@
         self._new: dict[_HttpLink, None] = {}
         """Connections that have not sent a complete request yet, the oldest first."""
         self._lingering: dict[_HttpLink, None] = {}
-        """Connections whose write side is shut down, the one shut down first comes first."""
+        """Connections whose write side is shut down, in the order of the shutdowns."""
         self.last = self.stopping = False
-        """`last`: each connection is closed after its next answer."""
+        """`last`: whether each connection is closed after its next answer."""
         self.rejected_connections = self.evictions = 0
         self.loop: asyncio.AbstractEventLoop
         self._listener: Listener | None = None
@@ -505,7 +508,7 @@
         self.address = ""
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Start; return host:port, with the port that the kernel chose for port 0."""
+        """Start to listen; return host:port, with the port that the kernel chose for port 0."""
         self.loop = asyncio.get_running_loop()
         self._all_closed = asyncio.Event()
         self._listener = Listener(self.loop, lambda: _HttpLink(self))
@@ -537,13 +540,12 @@
 
         Lingering connections go first, then those that have not sent a request, so that a flood of silent
         connections evicts its own connections and not those of clients. A connection with unread input, which
-        may be a request, is kept if possible; one of a client that was served before is always kept then.
+        may be a request, is kept if possible; if its client was served before, it is always kept.
         """
         if lingering := next(iter(self._lingering), None):
             return lingering
         silent = (link for link in self._new if not link.side.is_mid_request)
-        # An idle connection may have pipelined requests that were read and are not processed yet: it is not
-        # closed then.
+        # An idle connection whose pipelined requests were read and are not processed yet is not closed.
         resting = (link for link in self._idle if not link.side.is_mid_request)
         for links in (silent, self._new, resting):
             if found := next(
@@ -577,7 +579,7 @@
     # -- shutdown
 
     def close_idle_connections(self) -> None:
-        """Close the connections without a request."""
+        """Close the connections that have no request, not even one received in part."""
         for link in [*self._idle, *self._new]:
             if not link.side.is_mid_request:
                 link.close_gracefully()
--- a/tuliptrack/rpc/http1_client.py
+++ b/tuliptrack/rpc/http1_client.py
@@ -26,7 +26,7 @@
     idle: int = 12_000_000
     """How long a connection may be idle and still be reused."""
     rest: int = 50_000
-    """How long a connection is not reused after an answer: bytes that arrive in that time are unsolicited."""
+    """How long after an answer a connection is not reused: bytes that arrive in that time are unsolicited."""
     header_bytes: int = 16_384
     body_bytes: int = 262_144
 
@@ -41,7 +41,9 @@
         """Note that something was received from the peer."""
 
     def doubt(self, since: float) -> None:
-        """Note that nothing has been received on one of its connections since then, though it should have."""
+        """Note that an answer is overdue: nothing was received on one of the pool's connections since
+        `since`, on the loop's clock.
+        """
 
     def return_to_pool(self, connection: ClientConnection) -> None:
         """Take back a connection that has no exchange."""
@@ -50,7 +52,7 @@
         """Forget a connection that has ended."""
 
     def any_established(self) -> bool:
-        """Whether the kernel reports any of its connections as established."""
+        """Whether the kernel reports any of the pool's connections as established."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -59,14 +61,14 @@
     def __init__(self, owner: Owner, opened_for: Exchange) -> None:
         self.owner = owner
         self.opened_for: Exchange | None = opened_for
-        """The exchange that it was opened for, until that has ended on it."""
+        """The exchange that the connection was opened for; None once it has been returned to the pool."""
         self.side = ClientSide(owner.options.header_bytes, owner.options.body_bytes)
         self.transport: asyncio.Transport
         self.exchange: Exchange | None = None
         self.connected = self.dead = False
         self.idle_since = 0.0
         self.opened_at = self.heard_at = 0.0
-        """When it was opened, and when something was last received on it, on the loop's clock."""
+        """When the connection was opened, and when something was last received on it, on the loop's clock."""
         self._is_reused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -104,7 +106,7 @@
         self.owner.mark_heard()
         self.heard_at = self.owner.loop.time()
         exchange = self.exchange
-        if exchange is None:  # No request is open on it.
+        if exchange is None:  # No request is open on this connection.
             self.drop("unasked")
             return
         exchange.heard = exchange.heard or exchange.sent
@@ -151,12 +153,12 @@
             exchange.ended(ExchangeOutcome.RESET if exchange.sent else ExchangeOutcome.CONNECT, reason)
 
     def is_established(self) -> bool:
-        """Whether the kernel reports the connection as established; a very recent failure may not be seen."""
+        """Whether the kernel reports the connection as established; it may miss a very recent failure."""
         return not self.dead and is_established(self.transport)
 
     def is_closed_by_peer(self) -> bool:
-        """Whether the peer has closed the connection, even if the loop has not read that yet: a request that
-        is written now is lost.
+        """Whether the peer has closed the connection, even if the loop has not read that yet. If it has, a
+        request that is written now is lost.
         """
         return self.transport.is_closing() or is_closed_by_peer(self.transport)
 
--- a/tuliptrack/rpc/http1_exchange.py
+++ b/tuliptrack/rpc/http1_exchange.py
@@ -20,15 +20,15 @@
     ANSWER = "answer"
     """The complete answer was received."""
     CONNECT = "connect"
-    """There was no working connection in time, or it broke before the last byte of the request was written:
-    the request was not processed."""
+    """There was no working connection in time, or the connection broke before the last byte of the request
+    was written: the request was not processed."""
     RESOURCE_EXHAUSTED = "no room"
     """The limit on connections or a resource of this system is exhausted, the pool is closed, or the request
     can't be encoded: it was never sent."""
     RESET = "reset"
     """The connection ended, or the answer was malformed, after the request was written."""
     CANCELLED = "given up"
-    """By `Exchange.cancel`, or by the close of its pool."""
+    """`Exchange.cancel` or the close of the pool ended the exchange."""
 
 
 class Carrier(Protocol):
@@ -43,7 +43,7 @@
     def resume(self) -> None: ...
 
     def doubt(self, since: float) -> None:
-        """Note that nothing has been received since then, on the loop's clock, though it should have."""
+        """Note that an answer is overdue: nothing was received since `since`, on the loop's clock."""
 
 
 def _noop(*_: Any) -> None:
@@ -88,26 +88,27 @@
         self.on_data: Callable[[bytes], None] = _noop
         self.on_end: Callable[[ExchangeOutcome, str], None] = _noop
         self.is_still_wanted: Callable[[], bool] = _always
-        """Called once there is a working connection, just before the request is sent; False: it is not
-        sent."""
+        """Called once there is a working connection, just before the request is sent; if it returns
+        False, the request is not sent."""
         self.before_write: Callable[[], None] = _noop
         """Called just before the request is encoded, so that headers can state the remaining time."""
         self.needs_validation = False
-        """It is only sent on a connection that has just been shown to work: a pooled one is probed first."""
+        """Whether the request is sent only on a connection that has just been shown to work: a pooled
+        connection is probed first."""
         self.probe_sent_at = 0.0
-        """Time of a probe, on the loop's clock: its connection answered the probe before the request was sent
-        on it. 0 if there was no probe."""
+        """When a probe was sent on the connection, on the loop's clock; the connection answered it before the
+        request was sent. 0 if there was no probe."""
         self.needs_new_connection = False
-        """It is sent on a new connection, whatever the pool holds."""
+        """Whether the request is sent on a new connection, even if the pool holds idle ones."""
         self.open, self.status = True, 0
         self.sent, self.sent_at = False, 0.0
-        """Whether its last byte has been written, and when, on the loop's clock. From then on the peer may
-        have processed it; before, it has not."""
+        """Whether the last byte of the request has been written, and when, on the loop's clock. From then on
+        the peer may have processed the request; before, it has not."""
         self.heard = False
-        """Something was received on its connection since it was sent."""
+        """Whether something was received on the connection since the request was sent."""
         self.connect_by = 0
-        """Monotonic microseconds until which it waits for a connection; never longer than
-        `ClientOptions.connect_timeout`, which alone applies if this is 0."""
+        """When the exchange stops waiting for a connection, in monotonic microseconds; 0: not set. It never
+        waits longer than `ClientOptions.connect_timeout`, whether this is set or not."""
         self.is_malformed = self.is_connection_only = False
         """Both say why an exchange failed. `is_malformed`: the answer was malformed.
 
@@ -119,7 +120,7 @@
         self.paused = False
 
     def cancel(self) -> None:
-        """Cancel it: its connection is closed. `on_end` is called synchronously, unless it has been."""
+        """Cancel the exchange if it is open: call `on_end` before this returns, and close the connection."""
         if self.open:
             carrier = self.carrier
             self.doubt()
@@ -128,7 +129,7 @@
                 carrier.drop("given up")
 
     def doubt(self) -> None:
-        """Note that an answer is overdue: its peer is in doubt until something is received from it."""
+        """Note that the answer is overdue: the peer is in doubt until something is received from it."""
         if self.carrier and self.sent and not self.heard:
             self.carrier.doubt(self.sent_at)
 
@@ -144,7 +145,7 @@
             self.carrier.resume()
 
     def ended(self, how: ExchangeOutcome, reason: str) -> None:
-        """End it, once; called by its connection or its pool."""
+        """End the exchange if it is open; called by its connection or its pool."""
         if self.open:
             self.open, self.carrier = False, None
             self.on_end(how, reason)
--- a/tuliptrack/rpc/http1_pool.py
+++ b/tuliptrack/rpc/http1_pool.py
@@ -28,7 +28,7 @@
 """This process or machine lacks a resource; the errors say nothing about the peer."""
 _LOCAL_NETWORK_ERRORS = frozenset({errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN})
 """This machine's network can't open a connection now; the errors say little about the peer."""
-_CONNECT_RETRY_DELAY_S = 0.02  # after one of these errors
+_CONNECT_RETRY_DELAY_S = 0.02  # after one of the local errors above
 _VALIDATION_SHARE = 0.2  # of the connect timeout: how long a pooled connection may take to answer a probe
 
 
@@ -42,7 +42,9 @@
         self.pools: list[Pool] = []
 
     def acquire(self) -> bool:
-        """Count one more; at the limit, first close the one idle for longest. False if none is idle."""
+        """Count one more connection. At the limit, first close the one idle for longest; return False if none
+        is idle.
+        """
         if self.open_count >= self.limit:
             idle = [pool.idle[0] for pool in self.pools if pool.idle]
             if not idle:
@@ -57,7 +59,9 @@
 
 
 class _Borrow:
-    """The search for a working connection for one exchange. It ends by itself within the connect timeout."""
+    """The search for a working connection for one exchange. The search ends by itself within the connect
+    timeout.
+    """
 
     def __init__(self, pool: Pool, exchange: Exchange) -> None:
         self.pool, self.exchange = pool, exchange
@@ -100,7 +104,9 @@
             self._fail(ExchangeOutcome.CONNECT, "no working connection in time", self._is_time_shortened)
 
     def _validate(self, connection: ClientConnection) -> None:
-        """Send a probe, which has no effect, on a connection; without a probe, it is assumed to work."""
+        """Send a probe, which has no effect, on a connection. If the pool has no probe, the connection is
+        assumed to work.
+        """
         probe = self.pool.make_probe(self.pool.address)
         if probe is None:
             self._use(connection)
@@ -188,7 +194,7 @@
                 within_s,
             )
         except (OSError, asyncio.CancelledError):
-            connection.drop("too late")  # It may have been established at this moment.
+            connection.drop("too late")  # The connection may have been established just now.
             raise
 
     def _not_opened(self, error: Exception) -> None:
@@ -246,7 +252,7 @@
 
 
 def no_probe(address: str) -> Exchange | None:
-    """Return no probe: for peers to which every request has an effect."""
+    """Return no probe: for peers on which every request has an effect."""
     return None
 
 
@@ -275,7 +281,7 @@
         self.heard_at = 0.0
         """When something was last received from the address, on the loop's clock."""
         self.doubted = False
-        """An answer is overdue, and nothing was received from the address since."""
+        """Whether an answer from the address is overdue and nothing was received from the address since."""
         self._closed = False
         connections.pools.append(self)
 
--- a/tuliptrack/rpc/http2.py
+++ b/tuliptrack/rpc/http2.py
@@ -56,8 +56,10 @@
 
     @property
     def open_inbound_streams(self) -> int:
-        """Never at the limit, at which h2 would end the connection: a client may open more streams before it
-        has received the limit, and `core.Core` rejects only those.
+        """Number of streams that the peer has open, or one below the limit if that is less.
+
+        At the limit, h2 would end the connection at a further stream. A client may open streams beyond the
+        limit before it has received the limit, and `core.Core` rejects only those streams.
         """
         return min(super().open_inbound_streams, self.local_settings.max_concurrent_streams - 1)
 
@@ -70,7 +72,7 @@
 
 
 class TokenBucket:
-    """A token bucket; times in microseconds."""
+    """A token bucket. `per_s` is in tokens a second, `now` in microseconds."""
 
     __slots__ = ("at", "capacity", "left", "rate")
 
--- a/tuliptrack/rpc/json_text.py
+++ b/tuliptrack/rpc/json_text.py
@@ -32,7 +32,7 @@
         return _load(text)
     except InvalidJsonError:
         raise
-    except ValueError:  # The limit on digits, which has no exception type of its own.
+    except ValueError:  # An integer exceeds the limit on digits, which has no exception type of its own.
         return _load(text, parse_int=_integer_or_infinity)
 
 
--- a/tuliptrack/rpc/link.py
+++ b/tuliptrack/rpc/link.py
@@ -19,12 +19,15 @@
 __all__ = ["Link"]
 
 _READ_SIZE = 131_072  # bytes of one read from a socket
-_WRITE_HIGH = 262_144  # bytes in the write buffer beyond which calls queue theirs
-_WRITE_LIMIT = 8_388_608  # bytes beyond which the connection is closed: only control frames can reach this
+_WRITE_HIGH = 262_144  # bytes in the write buffer beyond which calls queue their messages
+# Bytes in the write buffer beyond which the connection is closed: only control frames can fill it so far.
+_WRITE_LIMIT = 8_388_608
 
 
 class _ReadBatch(threading.local):
-    """While bytes of one connection are processed: the connections that have something to write by it."""
+    """The connections that have something to write as a result of the received bytes being processed; None
+    while no received bytes are processed.
+    """
 
     links: dict[Link, None] | None = None
 
@@ -80,7 +83,9 @@
             self.on_event(event)
 
     def flush_soon(self) -> None:
-        """Write the core's output once the bytes being read are processed; by `call_soon` if none are."""
+        """Write the core's output: once the received bytes being processed are done with, or by `call_soon`
+        if no received bytes are being processed.
+        """
         if _read_batch.links is not None:
             _read_batch.links[self] = None
         elif not self._scheduled and not self.closed:
@@ -115,7 +120,7 @@
             return
         self.closed = True
         with contextlib.suppress(OSError, RuntimeError):
-            for over in (False, True):  # Writes given answers, then ends the remaining calls.
+            for over in (False, True):  # First writes the given answers, then ends the other calls.
                 if over:
                     self._act(self.core.lost(reason))
                 if data := self.core.take():
--- a/tuliptrack/rpc/listener.py
+++ b/tuliptrack/rpc/listener.py
@@ -20,8 +20,8 @@
 
 log = structlog.get_logger("rpc.listener")
 ACCEPTED_AT_ONCE = 8
-"""Connections that are accepted in one iteration of the loop, before any of them is checked against a limit:
-few, so that a flood can't exceed the bound on descriptors."""
+"""Number of connections that are accepted in one iteration of the loop, before any of them is checked against
+a limit. The number is small so that a flood can't exceed the bound on descriptors."""
 _BACKLOG = 1_024  # connections that the kernel queues
 _RETRY_DELAY_S = 0.02
 _CONNECTION_ERRORS = frozenset(
@@ -40,7 +40,7 @@
     }
 )
 """Errors of the connection being accepted, which has failed already; Linux reports them by `accept`. The next
-connection is accepted immediately, but only for a few such errors in a row."""
+connection is accepted immediately; accepting pauses after `ACCEPTED_AT_ONCE` such errors in a row."""
 
 
 def _close(sock: socket.socket) -> None:
@@ -52,7 +52,8 @@
 class Listener:
     """Accepts connections and gives each a protocol from `factory`. `close` ends it and all its tasks.
 
-    Bound: `ACCEPTED_AT_ONCE`; the protocols limit the number of open connections.
+    Bound: `ACCEPTED_AT_ONCE` connections in one iteration of the loop; the protocols limit the number of open
+    connections.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, factory: Callable[[], asyncio.Protocol]) -> None:
@@ -61,7 +62,7 @@
         self._resume_timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.failed = 0
-        """Failed calls of `accept` since the last connection."""
+        """Number of failed calls of `accept` since a connection was last accepted."""
 
     def start(self, host: str, port: int) -> str:
         """Listen; return host:port, with the port that the kernel chose for port 0."""
@@ -106,7 +107,10 @@
             _close(connection)  # The connection has ended meanwhile.
 
     def _pause(self) -> None:
-        """Stop accepting for a moment while the system lacks resources, as the socket stays readable."""
+        """Stop accepting for `_RETRY_DELAY_S`, as the system lacks resources.
+
+        The socket stays readable while `accept` fails, so the loop would otherwise call it without a pause.
+        """
         assert self._socket
         self._loop.remove_reader(self._socket)
         self._resume_timer = self._loop.call_later(_RETRY_DELAY_S, self._resume)
--- a/tuliptrack/rpc/metadata.py
+++ b/tuliptrack/rpc/metadata.py
@@ -22,7 +22,9 @@
 
 
 def read_metadata(headers: Iterable[tuple[bytes, bytes]]) -> Metadata:
-    """Return the application's part of a header block; raise ValueError with the malformed field."""
+    """Return the application's part of a header block; raise ValueError, naming the field, if one is
+    malformed.
+    """
     found: list[tuple[str, str | bytes]] = []
     for name, value in headers:
         if name.startswith(b":") or name in _PROTOCOL_HEADERS:
--- a/tuliptrack/rpc/periodic.py
+++ b/tuliptrack/rpc/periodic.py
@@ -1,4 +1,4 @@
-"""Runs a step of a long-lived task periodically, also after one that raises."""
+"""Runs a step of a long-lived task periodically, and continues after a step that raises."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 __all__ = ["FaultHandler", "run_periodically"]
 
 FaultHandler = Callable[[str, Exception], None]
-"""Counts and logs an error that only a defect of this program can raise, by the name of the task."""
+"""A function that counts and logs an error that only a defect of this program can raise. Its arguments are
+the name of the task and the error."""
 
 
 def _log(_name: str, error: Exception) -> None:
@@ -27,13 +28,13 @@
 
     Args:
         name: Name of the task, for `record_fault`.
-        interval_s: Seconds between two steps.
+        interval_s: Seconds from the end of a step to the start of the next.
         step: A function, or a coroutine function.
         record_fault: Called with an exception that a step raises. The task continues with the next step.
     """
     while True:
-        # An exception would end the task without a log line, as nothing awaits it: a node would never be
-        # restarted, or idle connections never be swept.
+        # Uncaught, an exception would end the task without a log line, as nothing awaits the task: a node
+        # would then never be restarted, or idle connections never be swept.
         try:
             ended = step()
             if ended is not None:
--- a/tuliptrack/rpc/process_signals.py
+++ b/tuliptrack/rpc/process_signals.py
@@ -17,8 +17,8 @@
 
 
 class ProcessSignals:
-    """Takes over some signals of this process; made in its main thread. `attach`, then `handle`, then
-    `block`.
+    """Takes over some signals of this process. Create it in the main thread; call `attach`, then `handle`,
+    then `block`.
     """
 
     def __init__(self, *numbers: signal.Signals) -> None:
@@ -35,8 +35,8 @@
     def attach(self, loop: asyncio.AbstractEventLoop) -> None:
         """Receive signals through a loop from now on; no other thread may run yet."""
         # Without the mask, a signal that arrives while the loop takes over is recorded here and also read
-        # from the loop's wakeup descriptor, and settings are reloaded twice. While blocked it reaches
-        # neither, and once unblocked only the loop.
+        # from the loop's wakeup descriptor, and settings are reloaded twice. While the signal is
+        # blocked, it reaches neither; once unblocked, it reaches only the loop.
         self._loop = loop
         mask = signal.pthread_sigmask(signal.SIG_BLOCK, self._numbers)
         try:
@@ -46,7 +46,7 @@
             signal.pthread_sigmask(signal.SIG_SETMASK, mask)
 
     def handle(self, number: signal.Signals, handler: Callable[[], None]) -> None:
-        """Call `handler` for each signal from now on, and now if one is pending."""
+        """Call `handler` for each signal `number` from now on, and immediately if one is pending."""
         self._handlers[number] = handler
         self._deliver()
 
@@ -55,9 +55,9 @@
         return not self._pending.isdisjoint(numbers)
 
     def block(self) -> None:
-        """Block these signals from now on, when no handler is left."""
-        # A closing loop restores the default actions of signals. Unless they are blocked, a process that has
-        # finished its work may be ended by a signal, in place of its exit code.
+        """Block these signals from now on; called when no handler is left."""
+        # A closing loop restores the default actions of signals. Unless they are blocked, a signal may end a
+        # process that has finished its work, and replace its exit code.
         signal.pthread_sigmask(signal.SIG_BLOCK, self._numbers)
 
     def _record(self, number: int, _frame: object) -> None:
--- a/tuliptrack/rpc/retry.py
+++ b/tuliptrack/rpc/retry.py
@@ -67,7 +67,7 @@
         The result of the first attempt that succeeds.
 
     Raises:
-        Exception: The first error that may not pass, or the last one when the time is over.
+        Exception: The first error for which `may_pass` is false, or the last one when the time is over.
     """
     budget = _RetryBudget(what, seconds, may_pass)
     while True:
@@ -79,7 +79,7 @@
 
 
 async def retry_async(what: str, attempt: Callable[[], Awaitable[Result]], seconds: float) -> Result:
-    """Do the same in a running event loop, for transient errors of the system."""
+    """Do the same as `retry` in a running event loop, but only for `TRANSIENT_ERRORS`."""
     budget = _RetryBudget(what, seconds, _is_transient_error)
     while True:
         try:
--- a/tuliptrack/rpc/server.py
+++ b/tuliptrack/rpc/server.py
@@ -1,8 +1,8 @@
 """A gRPC server on asyncio streams: methods by path, handlers of calls, graceful shutdown.
 
 A handler is called synchronously when the headers of a call were received, and sets the callbacks of the
-call; neither it nor they may block. `unary_request` makes a handler from a function that takes a single
-message.
+call; neither the handler nor the callbacks may block. `unary_request` makes a handler from a function that
+takes a single message.
 """
 
 from __future__ import annotations
@@ -44,8 +44,8 @@
 class ServerCall:
     """One call at the server. It ends once: by `end` or `reset`, or by a call of `on_cancelled`.
 
-    `deadline` is in monotonic microseconds, None if the client has set none. Then the server itself ends the
-    call with DEADLINE_EXCEEDED, and calls `on_cancelled`.
+    `deadline` is in monotonic microseconds, None if the client has set none. At the deadline, the server
+    itself ends the call with DEADLINE_EXCEEDED, and calls `on_cancelled`.
     """
 
     __slots__ = (
@@ -89,7 +89,7 @@
         return going
 
     def end(self, status: Status, metadata: Metadata = ()) -> bool:
-        """End the call after its queued messages; False if it had ended."""
+        """End the call after its queued messages; return False if it had already ended."""
         if not self.open:
             return False
         self._mark_ended()
@@ -105,7 +105,7 @@
         self.link.flush_soon()
 
     def reset(self) -> None:
-        """End the call immediately without a status, as a crash would."""
+        """End the call immediately without a status, as a crash of the server would."""
         if self.open:
             self._mark_ended()
             self.link.core.reset(self.stream)
@@ -234,7 +234,7 @@
             call.end(Status(Code.INTERNAL, "the handler failed"))
 
     def check_drained(self) -> None:
-        """During a shutdown, close once the last call has ended and its answer is written."""
+        """During a shutdown, close the connection once its last call has ended and the answer is written."""
         if self.server.stopping and not self.calls:
             self.loop.call_soon(self._close_drained)
 
@@ -276,7 +276,7 @@
             self.early.add(f"/{service}/{method}")
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Start; return host:port, with the port that the kernel chose for port 0."""
+        """Start to listen; return host:port, with the port that the kernel chose for port 0."""
         self._listener = Listener(asyncio.get_running_loop(), self._protocol)
         self.address = self._listener.start(host, port)
         return self.address
@@ -302,7 +302,7 @@
         try:
             await link.run()
         except asyncio.CancelledError:
-            pass  # Only `stop` cancels, and expects a quiet end.
+            pass  # Only `stop` cancels this task, and expects it to end without an error.
         finally:
             self.links.pop(link, None)
 
@@ -314,7 +314,7 @@
         return sum(len(link.calls) for link in self.links)
 
     async def stop(self, grace: float = 0.0) -> None:
-        """Accept no new calls, let open ones run for `grace` seconds, then end all."""
+        """Accept no new calls, let open ones run for `grace` seconds, then end all calls and connections."""
         self.stopping = True
         if self._listener:
             await self._listener.close()
@@ -336,7 +336,7 @@
             for call in list(link.calls.values()):
                 call.end(Status(Code.UNAVAILABLE, "this server has shut down"))
                 call.on_cancelled("server stopped")
-            link.close("server stopped")  # after the answers of `on_grace_over`
+            link.close("server stopped")  # after the answers that `on_grace_over` has given
         for task in tasks:
             if not task.done():
                 task.cancel()
--- a/tuliptrack/rpc/status.py
+++ b/tuliptrack/rpc/status.py
@@ -99,7 +99,7 @@
 def rejection_details(kind: str, retry_after_us: int, **facts: str) -> list[Message]:
     """Return the details of a rejection: its kind, its facts, and when to retry.
 
-    `retry_after_us` is in microseconds; 0 gives no advice.
+    `retry_after_us` is in microseconds; 0 means that no time is advised.
     """
     retry = error_details_pb2.RetryInfo()
     retry.retry_delay.FromMicroseconds(max(retry_after_us, 0))
@@ -114,7 +114,7 @@
 
 
 def from_http(status: int) -> Code:
-    """Return the code for an answer without a grpc-status."""
+    """Return the code for an answer that has this HTTP status and no grpc-status."""
     return {
         400: Code.INTERNAL,
         401: Code.UNAUTHENTICATED,
--- a/tuliptrack/rpc/tcp.py
+++ b/tuliptrack/rpc/tcp.py
@@ -27,7 +27,7 @@
 
 
 def is_established(transport: asyncio.BaseTransport) -> bool:
-    """Whether the kernel reports the connection as established; a very recent failure may not be seen."""
+    """Whether the kernel reports the connection as established; it may miss a very recent failure."""
     return _state(transport) == _ESTABLISHED
 
 
@@ -39,8 +39,8 @@
 def set_nodelay(transport: asyncio.BaseTransport) -> None:
     """Send small writes without delay.
 
-    asyncio sets TCP_NODELAY itself only if a socket states its protocol, which one that was accepted from a
-    plain listener does not.
+    asyncio sets TCP_NODELAY itself only if a socket states its protocol, which a socket that was accepted
+    from a plain listener does not.
     """
     sock = transport.get_extra_info("socket")
     if sock is not None and sock.family in (socket.AF_INET, socket.AF_INET6):
