--- a/tests/node/test_core_orders.py
+++ b/tests/node/test_core_orders.py
@@ -1,5 +1,6 @@
-"""Plays events against the core in every order: clients disconnect, attempts end in all ways, endpoints drain,
-reservations are released, attempts are cancelled, the node shuts down; each event may also come twice.
+"""Plays events against the core in every order: clients disconnect, attempts end in all ways, endpoints
+drain, reservations are released, attempts are cancelled, the node shuts down; each event may also be reported
+twice.
 
 Hypothesis plays them on a virtual clock. A model of the engines knows which KV states are really reserved and
 which attempts have really executed, and checks the five rules. A core without one of its guards must break a
@@ -37,7 +38,7 @@
 from tuliptrack.node.requests import Attempt, KvStateLocation, RequestRecord
 
 US_PER_S = 1_000_000
-RELEASE_SLACK_US = 300_000  # allowed by the platform beyond the `release_within_us` of the settings
+RELEASE_SLACK_US = 300_000  # the platform allows so much beyond the settings' `release_within_us`
 ENDPOINTS = (
     io.EndpointInfo(1, PREFILL),
     io.EndpointInfo(2, PREFILL),
@@ -85,9 +86,9 @@
     record: RequestRecord
     attempt: Attempt
     sent_at_us: int = 0
-    """When its last byte was written; 0: not written."""
+    """The time at which the last byte of the attempt was written; 0 if it was not written."""
     has_arrived: bool = False
-    """Whether its engine has it."""
+    """Whether the engine has the attempt."""
     is_streaming: bool = False
     is_over: bool = False
 
@@ -105,7 +106,7 @@
             )
 
     def delivery(self) -> Delivery:
-        """What a node can know: until the first token, only the engine knows `has_arrived`."""
+        """Return what a node can know: until the first token, only the engine knows `has_arrived`."""
         if not self.sent_at_us:
             return Delivery.NOT_SENT
         return Delivery.CONFIRMED if self.is_streaming else Delivery.POSSIBLE
@@ -119,7 +120,7 @@
     def resume(self) -> None: ...
 
     def end(self, ended: AttemptResult) -> None:
-        """End once; the model of the engines is updated first."""
+        """End the attempt, unless it has ended; the model of the engines is updated first."""
         if not self.is_over:
             self.is_over = True
             self.engines.ended(self, ended)
@@ -135,10 +136,11 @@
     deadline_us: int
     left_at_us: int = 0
     reserved_since_us: int = 0
-    """Since when a KV state is reserved and no attempt waits for it; 0: none is reserved, or an attempt waits."""
+    """The time since which a KV state is reserved and no attempt waits for the state; 0 if none is reserved
+    or an attempt waits."""
     is_reserved: bool = False
     executed_at_us: int = 0
-    """When the first attempt was sent that may have executed; 0: none."""
+    """The time at which the first attempt that may have executed was sent; 0 if there is none."""
 
 
 @dataclass(eq=False)
@@ -234,12 +236,12 @@
             observed.executed_at_us = call.sent_at_us
 
     def leave_state(self, call: Call) -> None:
-        """A prefill has succeeded at its engine and left a KV state."""
+        """Record that a prefill has succeeded at its engine and left a KV state."""
         observed = self.observed[call.record.id]
         observed.is_reserved, observed.reserved_since_us = True, self.now
 
     def is_awaited(self, request: int) -> bool:
-        """Whether a decode attempt waits for the KV state of the request."""
+        """Return whether a decode attempt waits for the KV state of the request."""
         return any(
             not call.is_over and call.has_arrived and not call.attempt.is_prefill
             for call in self.calls
@@ -290,7 +292,7 @@
         self.patch.setattr(timers, "now_us", lambda: round(self.loop.moment * US_PER_S))
 
     def remove_guard(self, core: Core) -> None:
-        """Overridden to remove one of the guards of the core."""
+        """Remove one of the guards of the core; overridden by the machines that do so."""
 
     @initialize(
         effect=st.sampled_from(list(io.Idempotency)),
@@ -338,7 +340,7 @@
         return among[number % len(among)]
 
     def calls_in_flight(self, **wanted: bool) -> list[Call]:
-        """Attempts in flight with these properties."""
+        """Return the attempts in flight with these properties."""
         calls = [call for call in self.engines.calls if not call.is_over]
         if "is_sent" in wanted:
             calls = [call for call in calls if bool(call.sent_at_us) is wanted["is_sent"]]
@@ -349,7 +351,7 @@
         return calls
 
     def awaited_requests(self) -> list[int]:
-        """Requests whose clients still wait for an answer or read it."""
+        """Return the requests whose clients still wait for an answer or read it."""
         return [
             n
             for n, observed in self.engines.observed.items()
@@ -382,7 +384,8 @@
 
     @rule(deadline_us=st.sampled_from(DEADLINES_US[1:]), prefix=st.integers(1, 3))
     def submit_and_prefill(self, deadline_us: int, prefix: int) -> None:
-        """A request whose prompt is prefilled at once, so that many get as far as decoding."""
+        """Submit a request whose prompt is prefilled at once, so that many requests get as far as
+        decoding."""
         self.submit_request(deadline_us, prefix)
         call = next(
             (
@@ -398,8 +401,8 @@
 
     @rule(prefix=st.integers(1, 3))
     def prefill_breaks_and_the_next_connection_is_late(self, prefix: int) -> None:
-        """An attempt that may have executed is retried on a connection that comes up after the deduplication
-        window.
+        """An attempt that may have executed is retried on a connection that is established only after the end
+        of the deduplication window.
         """
         self.submit_request(DEADLINES_US[-1], prefix)
         for breaks in (True, False):
@@ -422,7 +425,8 @@
     @precondition(lambda self: self.awaited_requests())
     @rule(number=st.integers(0, 9), unread=st.booleans())
     def client_leaves(self, number: int, unread: bool) -> None:
-        """The disconnection is reported at once, or found only when the next attempt is about to begin."""
+        """A client disconnects, which is reported at once or found only when the next attempt is about to
+        begin."""
         request = self.pick(number, self.awaited_requests())
         self.engines.observed[request].left_at_us = self.core.now()
         if not unread:
@@ -431,7 +435,7 @@
     @precondition(lambda self: self.engines.observed)
     @rule(number=st.integers(0, 9))
     def ends_are_reported_again(self, number: int) -> None:
-        """Releases, cancellations and ends are repeated, in any order."""
+        """Releases, cancellations and ends of attempts are reported again, in any order."""
         request = self.pick(number, list(self.engines.observed))
         observed = self.engines.observed[request]
         if observed.left_at_us:
@@ -473,7 +477,8 @@
     @precondition(lambda self: self.calls_in_flight(has_arrived=True, is_prefill=True))
     @rule(number=st.integers(0, 9), broke=st.booleans())
     def prefill_ends(self, number: int, broke: bool) -> None:
-        """A prefill succeeds, and either reports it or loses its connection at that moment."""
+        """A prefill succeeds, and its engine either reports the success or loses the connection at that
+        moment."""
         self.end_prefill(self.pick(number, self.calls_in_flight(has_arrived=True, is_prefill=True)), broke)
 
     def end_prefill(self, call: Call, broke: bool) -> None:
@@ -546,7 +551,8 @@
 
     @rule(chance=st.integers(0, 9))
     def node_shuts_down(self, chance: int) -> None:
-        """Rarely: streams are handed back to their clients, or the grace period ends."""
+        """For two of the ten values of `chance`, streams are handed back to their clients or the grace period
+        ends."""
         if chance < 2:
             self.run_on_loop((self.core.migrate_streams, self.core.conclude_open_requests)[chance])
 
@@ -622,7 +628,7 @@
 
 
 def with_write_as_arrival(core: Core) -> None:
-    """Written bytes stop the lease, though the engine may never read them."""
+    """Replace a guard: written bytes stop the lease, though the engine may never read them."""
     expire = core.leases.expire
 
     def unless_written(record: RequestRecord) -> None:
@@ -687,9 +693,9 @@
 
 def test_release_is_repeated_when_the_attempt_that_kept_the_state_reserved_ends() -> None:
     """A client disconnects while a decode attempt waits for the KV state of its request. The release that
-    follows does not free the state, because an attempt waits for it. When that attempt ended too, nothing
-    released the state any more, and the memory of the engine stayed reserved forever. So the core must send
-    another release when the attempt ends."""
+    follows does not free the state, because an attempt waits for it. Unless the core sends another release
+    when that attempt ends, nothing releases the state, and the memory of the engine stays reserved
+    forever."""
     machine = CoreMachine()
     machine.start(io.Idempotency.IDEMPOTENT, may_cancel=False, connect_timeout=250_000)
     machine.submit_and_prefill(1_500_000, 1)
--- a/tests/node/test_kv_state_leases.py
+++ b/tests/node/test_kv_state_leases.py
@@ -1,4 +1,5 @@
-"""Leases of KV states: each lease expires in the end, however the attempts on the state end."""
+"""Leases of KV states: each lease expires eventually, whatever the results of the attempts that use the
+state."""
 
 from __future__ import annotations
 
@@ -50,7 +51,7 @@
 
 
 def make_record() -> RequestRecord:
-    """A request as the table makes it; leases use neither its client nor its router."""
+    """Return a request's record as the table makes it; leases use neither its client nor its router."""
     unused: Any = None
     table = RequestTable("n")
     return table.add(ClientRequest("chat", "prompt"), unused, now_us() + 1_000_000, now_us(), unused, Model())
--- a/tests/node/test_leases_on_grpc.py
+++ b/tests/node/test_leases_on_grpc.py
@@ -1,4 +1,5 @@
-"""Leases of KV states on the gRPC node: they end in time while connections to decode engines can't be made."""
+"""Leases of KV states on the gRPC node: they expire in time while connections to decode engines can't be
+made."""
 
 from __future__ import annotations
 
@@ -15,7 +16,7 @@
 
 @asynccontextmanager
 async def unreachable_decode_engines(engines: str, settings: str = "") -> AsyncIterator[World]:
-    """A node and engines; no connection to a decode engine can be made."""
+    """Run a node and engines; no connection to a decode engine can be made."""
     async with world(engines, settings=settings) as w:
         decode_engines = {
             name: await UnreachableEngine().start() for name in w.engines if name.startswith("w")
@@ -29,7 +30,7 @@
 
 
 def reserved_times_us(w: World) -> list[int]:
-    """For how many microseconds each KV state was reserved."""
+    """Return the microseconds for which each KV state was reserved."""
     released_at = {row["state"]: row["t"] for row in w.seen("let go")}
     return [released_at[row["state"]] - row["t"] for row in w.seen("kept")]
 
--- a/tests/node/test_log_output.py
+++ b/tests/node/test_log_output.py
@@ -18,7 +18,7 @@
     which would delay every request; the log itself tells the operator that lines are missing."""
     read_end, write_end = os.pipe()
     output, line = LogOutput(write_end), "x" * 999 + "\n"
-    for _ in range(200):  # More than the pipe accepts while nobody reads; no write blocks.
+    for _ in range(200):  # More lines than the pipe accepts unread; no write blocks.
         output.write(line)
     first = read_all(read_end)
     assert 0 < output.lost < 200 and len(first) == 200 - output.lost
@@ -46,7 +46,7 @@
     read_end, write_end = os.pipe()
     os.close(write_end)
     output = LogOutput(write_end)
-    reused = os.open("/dev/null", os.O_WRONLY)  # The number stands for another file now.
+    reused = os.open("/dev/null", os.O_WRONLY)  # The descriptor's number stands for another file now.
     output.write("lost\n")
     assert output.lost == 1
     os.close(reused)
--- a/tests/node/test_silent_connections_on_grpc.py
+++ b/tests/node/test_silent_connections_on_grpc.py
@@ -24,7 +24,7 @@
 
 @asynccontextmanager
 async def proxied(engines: str, settings: str) -> AsyncIterator[tuple[World, Proxies]]:
-    """A node and engines with a proxy in front of each, and open connections to all of them."""
+    """Run a node and engines with a proxy in front of each engine, and open connections to all of them."""
     async with world(engines, settings=settings) as w:
         proxies = {
             name: await FaultProxy(engine.server.address).start() for name, engine in w.engines.items()
@@ -43,7 +43,8 @@
 
 
 def silence_open(roles: str) -> Callable[[Proxies], None]:
-    """The open connections to engines of these roles discard all data; new ones work."""
+    """Return a fault: the open connections to engines of these roles discard all data; new connections
+    work."""
 
     def begin(proxies: Proxies) -> None:
         for name, proxy in proxies.items():
@@ -54,7 +55,7 @@
 
 
 def silence_machine(name: str) -> Callable[[Proxies], None]:
-    """All connections to an engine discard all data, including new ones."""
+    """Return a fault: all connections to an engine discard all data, including new connections."""
     return lambda proxies: proxies[name].fail_machine(Fault.DISCARD)
 
 
@@ -66,8 +67,8 @@
 
 
 def longest_reserved_us(w: World, since: int) -> int:
-    """The longest time in microseconds for which a KV state prefilled since then was reserved: until it was
-    released, or an attempt that fetches it had reached a decode engine.
+    """Return the longest time in microseconds for which a KV state prefilled after `since` was reserved:
+    until the state was released, or an attempt that fetches it had reached a decode engine.
     """
     rows = [row for row in w.seen() if row["t"] >= since]
 
--- a/tests/relay/test_agents.py
+++ b/tests/relay/test_agents.py
@@ -40,8 +40,8 @@
 
 
 def test_the_list_of_an_agent_that_comes_back_is_applied_within_the_drain_grace() -> None:
-    """Calls that are open during an outage are never answered, also not after it: an open watch stays silent while new
-    calls are answered."""
+    """Calls that are open during an outage are never answered, not even after the outage: an open watch stays
+    silent while new calls are answered."""
 
     async def go() -> None:
         async with platform(r0=answer_prefill, r1=answer_prefill, w0=answer_decode, w1=answer_decode) as p:
@@ -69,6 +69,6 @@
             for _ in range(10):
                 assert (await p.send_request()).is_complete
             assert not p.engines["r0"].all_received and not p.engines["w0"].all_received
-            assert p.agent.connections > 4  # After each broken watch there was a call on a new connection.
+            assert p.agent.connections > 4  # Each broken watch was followed by a call on a new connection.
 
     run(go, virtual=True)
--- a/tests/relay/test_attempts_in_flight.py
+++ b/tests/relay/test_attempts_in_flight.py
@@ -1,5 +1,5 @@
-"""The attempts in flight by the router's accounts, by the node's request table and by its connections are the same after
-every event, while engines break, hang, drain and are replaced and clients leave."""
+"""After every event, the router's accounts, the node's request table and its connections agree on the
+attempts in flight, while engines break, hang, drain and are replaced and clients leave."""
 
 from __future__ import annotations
 
--- a/tests/relay/test_client_disconnects.py
+++ b/tests/relay/test_client_disconnects.py
@@ -1,6 +1,6 @@
-"""A client that has closed, half-closed or reset its connection has disconnected. No attempt for it starts more than
-0.1 s later, whatever state its request is in and however late the node reads its socket. Judged by what engines
-received."""
+"""A client that has closed, half-closed or reset its connection has disconnected. No attempt for the client
+starts more than 0.1 s later, whatever state its request is in and however late the node reads its socket. The
+tests judge by what engines received."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from world import run, until
 
 NO_ATTEMPT_AFTER_S = 0.1
-"""The platform allows no attempt later than this after a disconnect."""
+"""The time after a disconnect beyond which the platform allows no attempt."""
 Disconnect = Callable[[socket.socket], None]
 
 
@@ -77,7 +77,7 @@
                 await may_end.wait()
             await answer_prefill(received, writer)
 
-        # The node may not cancel attempts: the prefill ends well, after its client has left.
+        # The node may not cancel attempts: the prefill succeeds after its client has left.
         limits = {**SETTINGS["limits"], "cancel": False}
         async with platform({"settings": {"limits": limits}}, r0=slow_prefill, w0=answer_decode) as p:
             sock = client(p, request("leaves"))
@@ -139,7 +139,8 @@
 
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_requests_of_clients_that_left_while_the_node_was_busy_are_not_sent(disconnect: Disconnect) -> None:
-    """The node has no processor time while clients connect, send and leave; one that stays is served."""
+    """The node has no processor time while clients connect, send and leave; one client stays and is
+    served."""
 
     async def go() -> None:
         async with platform(r0=answer_prefill, w0=answer_decode) as p:
@@ -161,7 +162,7 @@
 
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_no_retry_follows_an_attempt_that_broke_after_its_client_left(disconnect: Disconnect) -> None:
-    """An engine breaks the prefill off while the node is busy, after the client has left."""
+    """While the node is busy, the client leaves and the engine breaks off the prefill."""
 
     async def go() -> None:
         may_break = asyncio.Event()
@@ -187,8 +188,8 @@
 
 
 def test_an_attempt_cancelled_before_it_was_sent_is_retried() -> None:
-    """The engine accepted no connection until the attempt timed out. The attempt never ran, so it is retried at
-    another engine, though its class may not be repeated."""
+    """The engine accepted no connection until the attempt timed out. The attempt never ran, so the request is
+    retried at another engine, though requests of its class may not be repeated."""
 
     async def go() -> None:
         keyed = {**SETTINGS["classes"][0], "effect": "guarded", "keyScope": "zone", "dedupWindow": 1}
--- a/tests/relay/test_corroboration.py
+++ b/tests/relay/test_corroboration.py
@@ -1,5 +1,5 @@
-"""Attempts whose engine sends nothing for longer than a lease: those that have arrived and wait there, and those that
-never arrived."""
+"""Attempts whose engine sends nothing for longer than a lease: those that have arrived and wait at the
+engine, and those that never arrived."""
 
 from __future__ import annotations
 
@@ -51,11 +51,12 @@
 
 
 class Engines:
-    """Two prefill engines and a decode engine; records what reached them of one request."""
+    """Two prefill engines and a decode engine; records when one request's prefill and releases reached
+    them."""
 
     def __init__(self) -> None:
         self.overloaded = False
-        """The decode engine lets requests wait for `OVERLOAD_S` before it starts an answer."""
+        """Whether the decode engine lets requests wait for `OVERLOAD_S` before it starts an answer."""
         self.prefilled_at = 0.0
         self.released_at: list[float] = []
         self.by_name: dict[str, Proxied] = {
@@ -66,7 +67,7 @@
 
     @property
     def scripts(self) -> dict[str, Script | Peer]:
-        """For a platform."""
+        """Return the engines by name, as arguments of a platform."""
         return dict(self.by_name)
 
     async def prefill(self, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
@@ -89,7 +90,7 @@
             self.released_at.append(now())
 
     async def warm_up(self, p: Platform) -> None:
-        """Serve requests, so that there is one idle connection to each engine that got some."""
+        """Serve requests, so that there is one idle connection to each engine that got a request."""
         for _ in range(4):
             await p.send_request()
             await asyncio.sleep(0.1)
@@ -126,7 +127,8 @@
 
 
 def silence_all_open_connections(engines: Engines) -> None:
-    """New connections work, also those to the decode engine's machine."""
+    """Silence the open connections to all engines; new ones work, also those to the decode engine's
+    machine."""
     for engine in engines.by_name.values():
         engine.proxy.fail_open_connections(Fault.DISCARD)
 
@@ -135,7 +137,7 @@
 def test_a_state_is_released_in_time_if_its_attempt_is_lost_as_it_arrives(
     silence: Callable[[Engines], None],
 ) -> None:
-    """The connection answered a probe the moment before, and falls silent with the attempt."""
+    """The connection answered a probe right before the attempt, and falls silent as the attempt arrives."""
 
     async def go() -> None:
         engines = Engines()
@@ -150,7 +152,7 @@
 
 
 def test_a_state_is_released_in_time_after_an_attempt_that_arrived_is_cancelled() -> None:
-    """The attempt's arrival had ended the lease of the state; a new one starts with the attempt's end."""
+    """The attempt's arrival had stopped the lease of the state; the end of the attempt starts a new lease."""
 
     async def go() -> None:
         engines = Engines()
@@ -188,7 +190,8 @@
         engines = Engines()
         async with platform(LONG_OBJECTIVE, **engines.scripts) as p:
             await engines.warm_up(p)
-            # In each direction, which is still within the time that an idle connection has to answer.
+            # The delay of each direction; the sum is still within the time that an idle connection has to
+            # answer.
             engines.by_name["w0"].proxy.delay_s = 0.015
             engines.overloaded = True
             await p.send(request("watched"))
--- a/tests/relay/test_counters.py
+++ b/tests/relay/test_counters.py
@@ -1,4 +1,4 @@
-"""The counters of a node as operators read them, and its log line of a request."""
+"""The counters of a node as operators read them, and the node's log line of a request."""
 
 from __future__ import annotations
 
--- a/tests/relay/test_deadlines.py
+++ b/tests/relay/test_deadlines.py
@@ -18,11 +18,12 @@
 from world import run
 
 BUDGET_S = 3.0
-TOLERANCE_S = 0.15  # the platform's tolerance
+TOLERANCE_S = 0.15  # the excess of stated over remaining time that the platform tolerates
 
 
 class StatedDeadlines:
-    """The remaining time that each attempt stated, and what was truly left as it reached its engine."""
+    """The remaining time that each attempt stated, and the time that was truly left as the attempt reached
+    its engine."""
 
     def __init__(self) -> None:
         self.started_at = 0.0
@@ -58,7 +59,8 @@
         return (await p.send(request("d1", budget=f"{BUDGET_S:.3f}"))).status
 
     def excess(self) -> float:
-        """Return by how many seconds an attempt stated more than its client had left, at most."""
+        """Return the largest number of seconds by which an attempt stated more time than its client had
+        left."""
         return max(stated - left for _, stated, left in self.attempts)
 
 
@@ -94,7 +96,7 @@
 def test_the_check_fails_for_a_node_that_states_the_whole_time_to_each_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The check of the tests above, on a node that does not subtract the time that has passed."""
+    """The node does not subtract the time that has passed, so the check of the tests above has to fail."""
 
     async def go() -> None:
         deadlines = StatedDeadlines()
--- a/tests/relay/test_descriptors.py
+++ b/tests/relay/test_descriptors.py
@@ -17,7 +17,7 @@
 from tuliptrack.relay.config import MIN_DESCRIPTORS
 
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-RECEIVED_WITHIN_S = 6.0  # the platform's limit for a changed list
+RECEIVED_WITHIN_S = 6.0  # the platform expects a changed list to be applied within this time
 
 
 @pytest.mark.parametrize("descriptors", [MIN_DESCRIPTORS, 96])
@@ -38,7 +38,8 @@
                 return (await send_request(connection)).is_complete
 
             def other_descriptors() -> int:
-                """Return the node's descriptors without its connections to engines, which it keeps open."""
+                """Return the number of the node's descriptors without its connections to engines, which the
+                node keeps open."""
                 return node.descriptors - sum(engine.open_connections for engine in p.engines.values())
 
             earlier = await node.connect()
--- a/tests/relay/test_discovery.py
+++ b/tests/relay/test_discovery.py
@@ -1,5 +1,5 @@
-"""A change of the endpoint list is applied within 6 s once its agent has it and can be reached, whatever polls failed
-before. Judged by what engines and the agent received."""
+"""A change of the endpoint list is applied within 6 s once its agent has it and can be reached, whatever
+polls failed before. The tests judge by what engines and the agent received."""
 
 from __future__ import annotations
 
@@ -30,7 +30,8 @@
 
 
 def answers_with(data: bytes, ends: bool = True) -> Script:
-    """Answer every poll with these bytes, and then close the connection or send nothing more."""
+    """Return an agent that answers every poll with these bytes, and then closes the connection or sends
+    nothing more."""
 
     async def script(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
@@ -63,7 +64,8 @@
 
 
 async def assert_drain_is_followed(p: Platform, spare: str = "") -> None:
-    """The agent states from now on that two engines drain: this is applied in time, and they get no new request."""
+    """Let the agent state that two engines drain; check that this is applied in time and that they get no new
+    request."""
     started_at = asyncio.get_running_loop().time()
     p.publish(r0="Terminating", w0="Terminating")
     await until(
@@ -121,7 +123,7 @@
 
     p.agent.script = send_slowly
     polls = len(p.agent.all_received)
-    await until(lambda: len(p.agent.all_received) > polls + 1)  # The polls before have been answered.
+    await until(lambda: len(p.agent.all_received) > polls + 1)  # All earlier polls have been answered.
 
 
 async def _busy_process(p: Platform, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -190,7 +192,7 @@
             p.relay.source.switch_to(third.address)
             await until(lambda: bool(third.all_received))
             first_polls, polls = len(p.agent.all_received), len(second.all_received)
-            await until(lambda: len(second.all_received) > polls + 2)  # It answers and is polled again.
+            await until(lambda: len(second.all_received) > polls + 2)  # The second one answers and is polled.
             await assert_drain_is_followed(p)
             assert len(p.agent.all_received) == first_polls, "the first one is no longer polled"
             for agent in (second, third):
@@ -207,7 +209,7 @@
         async with platform(r0=answer_prefill, r1=answer_prefill, w0=answer_decode, w1=answer_decode) as p:
             p.revision = 40
             await assert_drain_is_followed(p)
-            p.revision, p.phases = 3, {}  # Without the drain.
+            p.revision, p.phases = 3, {}  # The new agent's list lacks the drain.
             other = await Peer(p.answer_poll).start()
             await p.agent.stop()
             p.relay.source.switch_to(other.address)
--- a/tests/relay/test_endings.py
+++ b/tests/relay/test_endings.py
@@ -30,7 +30,7 @@
 
 
 def one_class(**changes: Any) -> dict[str, Any]:
-    """Return settings with a single class, the usual one with these changes."""
+    """Return settings with a single class: the first class of the usual settings, with these changes."""
     return {"settings": {"classes": [{**CLASS, **changes}]}}
 
 
@@ -69,7 +69,7 @@
                     writer.write(data[at : at + size])
                     await asyncio.sleep(0)
                 writer.write(data[len(data) - size :])
-                writer.write_eof()  # In the same turn of the event loop as the last byte.
+                writer.write_eof()  # The end is sent in the same turn of the event loop as the last byte.
                 await until(lambda: not p.relay.front.server.links)
                 writer.close()
             assert not p.received("POST")
--- a/tests/relay/test_endpoint_directory.py
+++ b/tests/relay/test_endpoint_directory.py
@@ -41,8 +41,8 @@
 
 
 def test_an_unusable_entry_is_left_out() -> None:
-    """Some entries have a field that the settings do not know or that is no value of its type, and one is no
-    object. The other entries are applied."""
+    """Some entries have a field whose value the settings do not know or that is of a wrong type, and one
+    entry is no object. The other entries are applied."""
     directory = new_directory()
     good = entry("a")
     broken: list[Any] = [
@@ -72,9 +72,9 @@
 
 
 def test_an_older_list_of_a_new_agent_does_not_revive_endpoints() -> None:
-    """The node follows another agent, which lags behind the one before: it lists endpoints as ready that have been
-    draining or removed since. Endpoints with the same start keep their last state; one that has restarted is new.
-    Later lists of the new agent are applied in full."""
+    """The node follows a new agent, which lags behind the former one: the new agent lists endpoints as ready
+    that have been draining or removed since. Endpoints with the same start keep their last state; one that
+    has restarted is new. Later lists of the new agent are applied in full."""
     directory = new_directory()
     directory.apply(full_list(5, entry("a"), entry("b"), entry("c"), entry("d")))
     directory.apply(delta(6, entry("a", "Terminating"), entry("d", "Terminating")))
--- a/tests/relay/test_event_stream.py
+++ b/tests/relay/test_event_stream.py
@@ -29,7 +29,7 @@
 
 
 def test_a_stream_with_bytes_after_its_last_event_is_incomplete() -> None:
-    """An engine breaks off in an event after the one that marks the end."""
+    """The engine breaks the stream off within an event that follows the event marking the end."""
     stream = new_stream()
     stream.feed(EVENTS)
     assert not stream.is_complete
--- a/tests/relay/test_floods.py
+++ b/tests/relay/test_floods.py
@@ -1,5 +1,6 @@
-"""Some clients pipeline hundreds of requests, send a head byte by byte, read slowly or send nothing, all at once. Other
-clients are served as without them, and the node's memory is bounded. The node runs as a process."""
+"""Some clients pipeline hundreds of requests, send a head byte by byte, read slowly or send nothing, all at
+once. Other clients are served as they are without such clients, and the node's memory is bounded. The node
+runs as a process."""
 
 from __future__ import annotations
 
@@ -38,7 +39,7 @@
 
 
 async def read_slowly(node: Node) -> None:
-    """Send requests and read their answers at a byte every 0.1 s."""
+    """Send requests and read their answers slowly, one byte every 0.1 s."""
     for number in itertools.count():
         with contextlib.suppress(OSError):
             reader, writer = await node.connect()
--- a/tests/relay/test_hostile_advice.py
+++ b/tests/relay/test_hostile_advice.py
@@ -72,7 +72,8 @@
 
 @pytest.mark.parametrize("number", HOSTILE_NUMBERS.values(), ids=HOSTILE_NUMBERS)
 def test_an_answer_with_an_unusable_load_report_is_served(number: str) -> None:
-    """Both engines send it in the head, and the decode engine in a comment of its stream too."""
+    """Both engines send the load report in the head, and the decode engine also sends it in a comment of its
+    stream."""
     report = f'{{"inflight":{number},"x0":0.5}}'
     head = f"x-load-report: {report}\r\n".encode()
     opening = STREAM_HEAD.replace(b"\r\n", b"\r\n" + head, 1)
--- a/tests/relay/test_hostile_lists.py
+++ b/tests/relay/test_hostile_lists.py
@@ -1,8 +1,8 @@
 """Endpoint lists with values that JSON allows and nobody expects.
 
-The tests guard against a field of one entry that raises an unexpected error in the parser of lists. Every list with
-this entry would be rejected as a whole, and new requests would still go to engines that are draining according to that
-list.
+The tests guard against a field of one entry that raises an unexpected error in the parser of lists. If a
+field raised such an error, every list with this entry would be rejected as a whole, and new requests would
+still go to engines that are draining according to that list.
 """
 
 from __future__ import annotations
@@ -61,8 +61,8 @@
 @example(BEYOND_FLOATS)
 @examples(max_examples=80, deadline=None, derandomize=True)
 def test_no_value_of_an_entry_changes_what_is_read_of_its_neighbours(field: str, value: Any) -> None:
-    """A hostile entry precedes one that states that another engine drains, in two full lists and in a delta. The router
-    accepts what is left of the hostile entry."""
+    """A hostile entry precedes an entry that states that another engine drains, in two full lists and in a
+    delta. The router accepts what is left of the hostile entry."""
     directory, router = EndpointDirectory(("reads",), ("z",)), new_router()
     hostile = {**entry("hostile"), field: value}
     for message in (
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("field", ["host_port", "locality", "flavor", "size", "up_since_ms", "cell"])
 @pytest.mark.parametrize("phase", ["Terminating", "Gone"])
 def test_the_phase_of_an_entry_is_applied_although_another_field_is_unusable(field: str, phase: str) -> None:
-    """If such an entry of a delta were ignored, the engine would stay ready."""
+    """If a delta's entry with an unusable field were ignored, the engine would stay ready."""
     directory = EndpointDirectory(("reads",), ("z",))
     directory.apply(full_list(1, entry("a"), entry("b")))
     hostile = {**entry("a", phase), field: [BEYOND_FLOATS]}
--- a/tests/relay/test_kv_state_releases.py
+++ b/tests/relay/test_kv_state_releases.py
@@ -1,6 +1,7 @@
-"""KV states are released within the time that the settings allow, judged by when engines got the releases.
+"""KV states are released within the time that the settings allow, as judged by the times at which engines got
+the releases.
 
-"In time" below means within what the platform allows: the time in the settings plus 0.3 s."""
+"In time" means within the time that the platform allows: the time in the settings plus 0.3 s."""
 
 from __future__ import annotations
 
@@ -39,7 +40,7 @@
 
 @dataclass
 class Timeline:
-    """When engines answered prefills, and when they got releases, by request."""
+    """The times at which engines answered prefills and got releases, by request."""
 
     prefilled_at: dict[str, float] = field(default_factory=dict)
     released_at: dict[str, list[float]] = field(default_factory=dict)
@@ -99,8 +100,8 @@
 
 
 def test_a_release_between_two_rounds_of_an_earlier_one_starts_at_once() -> None:
-    """A state may have been reserved after the first round was confirmed. The time allowed for its release runs from
-    the second call of `release`, so waiting for the next round would be too late."""
+    """A state may have been reserved after the first round was confirmed. The time allowed for its release
+    runs from the second call of `release`, so a release that waited for the next round would be too late."""
 
     async def go() -> None:
         timeline = Timeline()
@@ -136,8 +137,8 @@
 
 
 def test_a_state_is_released_in_time_while_its_attempt_waits() -> None:
-    """The attempt's bytes were acknowledged by TCP, which does not prove that the engine has them. So the state is
-    released while the attempt goes on: an engine keeps a state for which an attempt waits."""
+    """The attempt's bytes were acknowledged by TCP, which does not prove that the engine has them. So the
+    state is released while the attempt is in flight: an engine keeps a state for which an attempt waits."""
 
     async def go() -> None:
         timeline = Timeline()
@@ -270,8 +271,8 @@
 
 
 def test_a_prefill_that_ends_just_after_it_was_cancelled_is_released() -> None:
-    """The client leaves while its prefill runs. The first release may arrive before the prefill has ended, and
-    what that reserves is released by a second one."""
+    """The client leaves while its prefill runs. The first release may arrive before the prefill has ended,
+    and a second release frees what the prefill reserves."""
 
     async def go() -> None:
         timeline = Timeline()
--- a/tests/relay/test_late_releases.py
+++ b/tests/relay/test_late_releases.py
@@ -1,4 +1,5 @@
-"""An engine that hangs during a request and ends its prefill later gets a release of its own, in time."""
+"""An engine that hangs during a request and completes the prefill later gets a release of its own, in
+time."""
 
 from __future__ import annotations
 
@@ -24,8 +25,8 @@
 
 @dataclass
 class StoppedPrefillEngine:
-    """A prefill engine whose process is stopped: it processes what reached it when it continues, also what was
-    cancelled meanwhile."""
+    """A prefill engine whose process is stopped. Once the process continues, it handles all requests that
+    have reached it, also those that were cancelled meanwhile."""
 
     continues: asyncio.Event = field(default_factory=asyncio.Event)
     prefilled_at: dict[str, float] = field(default_factory=dict)
@@ -59,14 +60,14 @@
 
 
 def test_a_prefill_that_ends_after_a_hang_is_released_in_time() -> None:
-    """The engine hangs until long after the request has failed. When it continues it ends the prefill, and a
-    state is reserved that no attempt will use."""
+    """The engine hangs until long after the request has failed. When the engine continues, it completes the
+    prefill and reserves a state that no attempt will use."""
 
     async def go() -> None:
         engine = StoppedPrefillEngine()
         async with platform(r0=engine, w0=answer_decode) as p:
             await time_out(p, "hung")
-            await asyncio.sleep(3 * ALLOWED_S)  # All releases at running engines are over.
+            await asyncio.sleep(3 * ALLOWED_S)  # All releases at running engines have ended.
             engine.continues.set()
             await until(lambda: engine.prefilled_at and engine.released_after_s("hung") is not None, 2.0)
             reserved_s = engine.released_after_s("hung")
@@ -93,7 +94,7 @@
 
 
 def test_one_release_at_a_time_is_tried_at_an_engine_and_none_after_its_removal() -> None:
-    """Many releases are pending at an engine that hangs; then it leaves the endpoint list."""
+    """Many releases are pending at an engine that hangs; then the engine leaves the endpoint list."""
 
     async def go() -> None:
         engine = StoppedPrefillEngine()
@@ -110,7 +111,8 @@
 
 
 def test_pending_releases_are_bounded_and_cancelled_when_the_client_sends_again() -> None:
-    """More releases start than may be pending; then a client sends one of these requests again."""
+    """More releases start than may be pending; then a client sends again a request whose release is
+    pending."""
 
     async def go() -> None:
         engine = StoppedPrefillEngine()
--- a/tests/relay/test_malformed_answers.py
+++ b/tests/relay/test_malformed_answers.py
@@ -55,7 +55,7 @@
     ],
 )
 def test_a_stream_that_is_malformed_before_its_first_event_is_retried(parts: tuple[bytes, ...]) -> None:
-    """The first decode engine answers with something that is no event stream; nothing has reached the client,
+    """The first decode engine answers with data that is no event stream. None of it has reached the client,
     so another engine gets the request."""
 
     async def go() -> None:
@@ -104,7 +104,7 @@
 
 
 def test_an_answer_to_no_request_reaches_no_client() -> None:
-    """An engine sends a second answer on a connection after the one to its request."""
+    """An engine sends two answers to a request; the second one belongs to no request."""
 
     async def go() -> None:
         async def sends_twice(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
--- a/tests/relay/test_process_failures.py
+++ b/tests/relay/test_process_failures.py
@@ -31,9 +31,9 @@
 READY_WITHIN_S = 10.0
 LONG_OBJECTIVE_US = 60_000_000
 FAULT_S = 0.8
-"""How long the system fails for a node that starts or reloads."""
+"""Time during which the system fails for a node that starts or reloads."""
 RELOADED_WITHIN_S = 4.0
-"""After a SIGHUP at which the settings could not be read."""
+"""Time within which a node loads its settings after a SIGHUP at which they could not be read."""
 
 FAILING_OPEN = f"""
 import errno, io, os, time
@@ -95,7 +95,8 @@
 
 @contextlib.contextmanager
 def full_pipe() -> Iterator[int]:
-    """Nobody reads the pipe and its buffer is full: a write to it blocks for ever."""
+    """Yield the write end of a pipe that nobody reads and whose buffer is full: a write to it blocks
+    forever."""
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
     with contextlib.suppress(BlockingIOError):
@@ -121,7 +122,8 @@
 
 
 def settings_without_shedding() -> dict[str, object]:
-    """On a slow machine the stub engines answer late; with a long latency objective no request is shed for it."""
+    """Return settings with a long latency objective, so that no request is shed because stub engines answer
+    late on a slow machine."""
     classes = [{**request_class, "promise": LONG_OBJECTIVE_US} for request_class in SETTINGS["classes"]]
     return {**SETTINGS, "classes": classes}
 
@@ -206,7 +208,7 @@
 
 
 def program_has_begun(process: asyncio.subprocess.Process) -> bool:
-    """Whether the shell has become the node."""
+    """Return whether the shell has replaced itself by the node."""
     return "tuliptrack.relay" in Path(f"/proc/{process.pid}/cmdline").read_text().split("\0")
 
 
@@ -220,7 +222,7 @@
             changes = {"listen": f"127.0.0.1:{port}", "known": known_list(p)}
             async with starting(path, settings_text(p.agent.address, **changes)) as process:
                 await until(lambda: program_has_begun(process))
-                # From the program's first instruction on, through its imports and its start.
+                # The signals come from the program's first instruction on, during its imports and its start.
                 for _ in range(20):
                     process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.01)
@@ -249,8 +251,8 @@
 def test_a_sighup_as_the_loop_registers_its_handler_reloads_the_settings_once(
     tmp_path: Path,
 ) -> None:
-    """Guards against two reloads for one signal: it could be recorded as one that came before the loop, and be read
-    from the loop's wakeup descriptor too."""
+    """Guards against two reloads for one signal: the signal could be recorded as one that came before the
+    event loop ran, and be read from the loop's wakeup descriptor too."""
 
     async def go() -> None:
         async with platform(r0=answer_prefill, w0=answer_decode) as p:
@@ -360,7 +362,7 @@
 
 
 def not_readable(path: Path, text: str) -> None:
-    """Reading fails, since a folder has the file's path."""
+    """Make reading the settings fail: a folder has the file's path."""
     path.unlink()
     path.mkdir()
 
--- a/tests/relay/test_ready.py
+++ b/tests/relay/test_ready.py
@@ -15,7 +15,7 @@
 from relay_process import Node, start_node
 from world import run, until
 
-READY_WITHIN_S = 10.0  # the platform's limit for nine nodes in ten
+READY_WITHIN_S = 10.0  # the platform expects nine nodes in ten to be ready within this time
 # Until it serves, a node may take this many times the processor time of a bare interpreter; see docs/design/relay.md.
 MAX_CPU_RATIO = 24
 
@@ -62,7 +62,7 @@
 
 
 def test_nine_in_ten_of_a_fleet_restarted_at_once_on_one_core_are_ready_in_time(tmp_path: Path) -> None:
-    nodes = 10  # Each has a tenth of the core.
+    nodes = 10  # Each node has a tenth of the core.
 
     async def go() -> None:
         async with platform(r0=answer_prefill, w0=answer_decode) as p:
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -50,7 +50,8 @@
 
 
 def test_end_to_end_header_fields_reach_engines_and_hop_by_hop_fields_do_not() -> None:
-    """A request of a class that may be repeated with a key has the key in a header field that no settings name."""
+    """A request whose class may be repeated with a key carries the key in a header field that no settings
+    name."""
 
     async def go() -> None:
         async with platform(r0=answer_prefill, w0=answer_decode) as p:
@@ -103,8 +104,8 @@
 
 
 def test_a_state_is_released_in_time_while_one_connection_after_another_times_out() -> None:
-    """With three decode engines that accept no connection, the state once stayed reserved for three times
-    `connectTimeout`."""
+    """Guards against a state that stays reserved for three times `connectTimeout` if three decode engines
+    accept no connection."""
 
     async def go() -> None:
         prefilled_at: list[float] = []
@@ -241,8 +242,8 @@
 
 
 def test_a_request_that_may_have_run_is_not_rejected_as_the_node_stops() -> None:
-    """Its second prefill is in progress, after a decode attempt that broke. A rejection would state that the request
-    never ran."""
+    """The second prefill of the request is in progress, after a decode attempt that broke. A rejection would
+    state that the request never ran."""
 
     async def go() -> None:
         async def break_decode(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
@@ -307,14 +308,16 @@
 def test_no_retry_is_sent_on_a_connection_that_opens_after_the_deduplication_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The first attempt breaks within the window; the connection of the second one opens after it."""
+    """The first attempt breaks within the deduplication window; the connection of the second attempt opens
+    after the window."""
 
     async def go() -> None:
         async def breaks(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.1)
             writer.transport.abort()
 
-        # A node may stall for so long before it writes, so the window that it applies is that much shorter.
+        # A node may stall for `NODE_STALL_US` before it writes, so it shortens the deduplication window by
+        # that time.
         stall_s = NODE_STALL_US / 1e6
         window = 0.4
         keyed = {
--- a/tests/relay/test_restarts.py
+++ b/tests/relay/test_restarts.py
@@ -71,8 +71,8 @@
             endless_writer.write(request("endless"))
             reply = await asyncio.wait_for(read_reply(endless_reader), 3.5)
             assert (reply.status, reply.is_complete) == (200, False)
-            # From then on the node rejects new requests. It does not close a connection before it has answered, since a
-            # request may be in transit.
+            # From the end of the stream on, the node rejects new requests. It does not close a connection
+            # before it has answered, since a request may be in transit.
             late_writer.write(request("last"))
             reply = await asyncio.wait_for(read_reply(late_reader), 3.5)
             assert (reply.status, reply.is_complete, reply.head.get("connection")) == (503, True, "close")
@@ -85,11 +85,11 @@
 
 
 def test_two_nodes_restarted_in_turn_under_load_answer_all_requests(tmp_path: Path) -> None:
-    """Prefill engines are slow. One decode engine hangs, later all of them. Each node is killed as soon after SIGTERM as
-    the platform may do it. Clients keep their connections for as long as these stay open, and send the next request
-    at once."""
+    """Prefill engines are slow. One decode engine hangs; later all of them hang. Each node is killed as soon
+    after SIGTERM as the platform may kill it. Clients keep their connections for as long as the node does,
+    and send the next request at once."""
     deadline_s, client_count = 2.0, 6
-    hang_s = 1.4  # For so long before the kill all decode engines hang.
+    hang_s = 1.4  # All decode engines hang for this time before the kill.
     kill_after_s = deadline_s + 0.7  # The platform kills a node 0.7 s after the longest deadline.
 
     async def go() -> None:
@@ -159,7 +159,7 @@
                 process, address = nodes[number].process, nodes[number].address
                 process.send_signal(signal.SIGTERM)
                 await asyncio.sleep(kill_after_s - hang_s)
-                # Requests that come from now on have to be answered before the kill too.
+                # Requests that arrive from now on also have to be answered before the kill.
                 for name in ("w0", "w1"):
                     p.engines[name].script = hanging_decode
                 await asyncio.sleep(hang_s)
--- a/tests/relay/test_silent_connections.py
+++ b/tests/relay/test_silent_connections.py
@@ -1,8 +1,8 @@
 """Connections and machines between a node and its engines fall silent without an error. The node runs as a process.
 
-The tests judge by what reached the engines, never by what the node believes. The last byte of a decode request
-that takes a KV state, or of its release, has to reach a running engine within the time of the settings plus what
-the platform adds to it."""
+The tests judge by what reached the engines, never by what the node believes. The last byte of a decode
+request that takes a KV state, or of its release, has to reach a running engine within the time in the
+settings plus the 0.3 s that the platform adds."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 BUDGET_S = 3.0
 ARRIVALS_S = 0.5  # the span over which the requests are sent
 ALLOWED_S = SETTINGS["specifics"]["letGoBy"] / 1e6 + 0.3
-STREAM_S = 6.0  # allowed for the rest of an answer; bytes of some engines are 1.2 s late in each direction
+STREAM_S = 6.0  # limit for the rest of an answer; some engines' bytes are 1.2 s late in each direction
 MARGIN_S = 0.05  # for delays of the stub engines, which share one process
-MIN_SERVED_SHARE = 0.9  # of the requests that may be repeated, if some engines or new connections work
+MIN_SERVED_SHARE = 0.9  # share of repeatable requests, if some engines or new connections work
 
 
 def now() -> float:
@@ -44,11 +44,12 @@
 
 @dataclass
 class Journal:
-    """When prefills were answered, and when decode requests and releases reached an engine, by request."""
+    """The times at which prefills were answered and decode requests and releases reached an engine, by
+    request."""
 
     prefilled_at: dict[str, float] = field(default_factory=dict)
     settled_at: dict[str, float] = field(default_factory=dict)
-    """When a state was first taken by a decode request or released."""
+    """The time at which a decode request first took a request's state or the state was released."""
     decode_requests: dict[str, int] = field(default_factory=dict)
     """How often each request reached a decode engine."""
 
@@ -72,7 +73,7 @@
         self.settled_at.setdefault(received.target.rpartition("/")[2], now())
 
     def overdue(self) -> dict[str, float]:
-        """Return the states that were reserved for too long, and the seconds for each."""
+        """Return the requests whose states were reserved for too long, and the seconds for each."""
         reserved_s = {name: self.settled_at.get(name, now()) - at for name, at in self.prefilled_at.items()}
         return {name: round(span, 3) for name, span in reserved_s.items() if span > ALLOWED_S + MARGIN_S}
 
@@ -180,11 +181,12 @@
     name: str
     begin: Callable[[Deployment], None]
     others_work: bool = True
-    """Some engines or new connections work, so that most of the requests that may be repeated are served."""
+    """Whether some engines or new connections work, so that most of the requests that may be repeated are
+    served."""
 
 
 def machines(kind: str, count: int) -> Callable[[Deployment], None]:
-    """`count` machines fall silent, on open connections and on new ones."""
+    """Return a fault: `count` machines fall silent, on open connections and on new ones."""
 
     def begin(deployment: Deployment) -> None:
         for proxy in deployment.proxies_of(kind)[:count]:
@@ -194,7 +196,7 @@
 
 
 def kept_connections(*kinds: str) -> Callable[[Deployment], None]:
-    """All open connections to engines of these kinds fall silent; new ones work."""
+    """Return a fault: all open connections to engines of these kinds fall silent; new ones work."""
 
     def begin(deployment: Deployment) -> None:
         for kind in kinds:
@@ -205,7 +207,7 @@
 
 
 def late_bytes(kind: str) -> Callable[[Deployment], None]:
-    """All bytes to and from these engines arrive 1.2 s late."""
+    """Return a fault: all bytes to and from these engines arrive 1.2 s late."""
 
     def begin(deployment: Deployment) -> None:
         for proxy in deployment.proxies_of(kind):
@@ -215,7 +217,7 @@
 
 
 def held_bytes(kind: str, count: int) -> Callable[[Deployment], None]:
-    """`count` machines are cut off and receive all bytes once the fault is over."""
+    """Return a fault: `count` machines are cut off, and receive all bytes once the fault is over."""
 
     def begin(deployment: Deployment) -> None:
         for proxy in deployment.proxies_of(kind)[:count]:
@@ -251,7 +253,7 @@
 
 
 def unserved_log_lines(node: Node) -> str:
-    """Return the node's log lines but for those of requests that it served."""
+    """Return the node's log lines without those of requests that it served."""
     return "\n" + "".join(line for line in node.log if "end=served" not in line)
 
 
--- a/tests/relay/test_streams_in_time.py
+++ b/tests/relay/test_streams_in_time.py
@@ -1,5 +1,5 @@
-"""Events are passed from an engine to its client as they come, while other clients read slowly or flood the node and
-other engines are silent."""
+"""Events are passed from an engine to its client as they arrive, while other clients read slowly or flood the
+node and other engines are silent."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 from world import run, until
 
-IN_TIME_S = 0.3  # the platform's limit
+IN_TIME_S = 0.3  # the platform allows an event to arrive this long after the engine sent it
 STREAMS, EVENTS, PAUSE_S = 24, 20, 0.04
 
 
@@ -33,7 +33,7 @@
 
 @dataclass
 class Lag:
-    """How late this process itself runs. A delay beyond that is caused by the node."""
+    """The delay of this process itself. Any delay of an event beyond it is caused by the node."""
 
     worst_s: float = 0.0
     task: asyncio.Task[None] | None = None
@@ -68,7 +68,8 @@
 
 
 async def large_decode(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    """A decode engine that sends, all at once, nearly as much as a stream may have, and never ends the stream."""
+    """A decode engine that sends, all at once, nearly as many bytes as a stream may have, and never ends the
+    stream."""
     if received.method == "POST":
         writer.write(STREAM_HEAD + chunk(b'data: {"x":"' + b"y" * 16_000 + b'"}\n\n') * 15)
         await never_answer(received, writer)
@@ -106,8 +107,8 @@
         async def by_kind(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await (large_decode if received.call_id.startswith("slow") else timed_decode)(received, writer)
 
-        # All requests come at once to a process that runs the stub engines too. With a short latency objective some
-        # would rightly be rejected.
+        # All requests come at once to a process that runs the stub engines too. With a short latency
+        # objective, the node would rightly reject some of the requests.
         long_objective = {**SETTINGS["classes"][0], "promise": 600_000_000}
         async with platform(
             {
--- a/tuliptrack/node/attempt_call.py
+++ b/tuliptrack/node/attempt_call.py
@@ -23,10 +23,10 @@
         """Return what this node knows about the delivery of the attempt."""
 
     def confirm_arrival(self) -> None:
-        """Check whether the attempt has arrived, because the lease of its KV state expires soon."""
+        """Check whether the attempt has arrived; called when the lease of its KV state expires soon."""
 
     def mark_doubtful(self) -> None:
-        """Treat its connection and its host, silent for too long, as unreliable until they answer."""
+        """Treat the attempt's connection and host, silent for too long, as unreliable until they answer."""
 
     def pause(self) -> None:
         """Stop reading the answer until `resume` is called."""
--- a/tuliptrack/node/attempt_end.py
+++ b/tuliptrack/node/attempt_end.py
@@ -39,7 +39,7 @@
         self._answers = answers
 
     def handle(self, record: RequestRecord, attempt: Attempt, attempt_result: AttemptResult) -> None:
-        """Handle the end of an attempt; one that is no longer the request's attempt is ignored."""
+        """Handle the end of an attempt, unless the request no longer has this attempt in flight."""
         if record.attempt is not attempt:
             return
         core = self._core
--- a/tuliptrack/node/attempt_start.py
+++ b/tuliptrack/node/attempt_start.py
@@ -118,7 +118,7 @@
         """Return the time by which an attempt needs its connection; 0 if there is no limit.
 
         After that time the lease of its KV state has expired, or an engine would treat a retry as a new
-        request: its deduplication window counts from the earliest time at which an attempt may have executed.
+        request: the deduplication window counts from the earliest time at which an attempt may have executed.
         """
         request_class = self._core.class_of(record)
         lease_end_us = self._core.leases.connect_by_us(record)
--- a/tuliptrack/node/attempt_state.py
+++ b/tuliptrack/node/attempt_state.py
@@ -38,14 +38,16 @@
     """What this node knows about the delivery of an attempt to its engine."""
 
     NOT_SENT = "not sent"
-    """Its last byte was not written: it has not executed, and never will if it ends now."""
+    """The last byte of the attempt was not written: the attempt has not executed, and never will if it ends
+    now."""
     POSSIBLE = "possible"
-    """Its last byte was written. It may have arrived, may still arrive, or may never arrive."""
+    """The last byte of the attempt was written. The attempt may have arrived, may still arrive, or may never
+    arrive."""
     CORROBORATED = "corroborated"
-    """Its connection answered a probe right before it was written, and its engine has answered on other
-    connections since."""
+    """The attempt's connection answered a probe right before the attempt was written, and the engine has
+    answered on other connections since then."""
     CONFIRMED = "confirmed"
-    """The engine has answered on the same connection since."""
+    """The engine has answered on the attempt's connection since the attempt was written."""
 
 
 class Verdict(Enum):
@@ -84,8 +86,8 @@
     """Decide whether the next attempt of a request may begin at an endpoint now.
 
     Args:
-        is_concluded: the request has its final answer.
-        is_client_disconnected: its client has closed the connection.
+        is_concluded: whether the request has its final answer.
+        is_client_disconnected: whether the client has closed the connection.
         is_in_flight: whether another attempt of the request is in flight.
         endpoint_state: the state of the endpoint; None if it is not on the list.
     """
@@ -107,8 +109,9 @@
 
     Args:
         idempotency: the effect of repeating the request.
-        executed_at_us: the earliest time at which an attempt may have executed; 0: none can have.
-        window_us: the deduplication window of its idempotency key.
+        executed_at_us: the earliest time at which an attempt may have executed; 0 if no attempt can have
+            executed.
+        window_us: the deduplication window of the request's idempotency key.
         now_us: the current time.
     """
     if not executed_at_us or idempotency is Idempotency.IDEMPOTENT:
--- a/tuliptrack/node/billing.py
+++ b/tuliptrack/node/billing.py
@@ -56,7 +56,7 @@
         """
         self.options = options
         self.epoch_offset_us = settings.epoch_offset_us
-        """Offset from the node's clock to microseconds since 1970; taken once."""
+        """Difference between microseconds since 1970 and the time on the node's clock; determined once."""
         self.budgets = TokenBudgets(_budget_settings(options, settings), now) if options.windows else None
         self.recorder = UsageRecorder(options, instance, self.epoch_offset_us)
         self._task: asyncio.Task[None] | None = None
@@ -74,7 +74,7 @@
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _recover_usage(self, now: int) -> None:
-        """Restore the usage of the open calendar windows from the ledger: they continue after a restart."""
+        """Restore the usage of open calendar windows from the ledger: a restart does not end a window."""
         calendar_lengths = [
             window.length_us
             for windows in self.options.windows.values()
@@ -89,14 +89,14 @@
             self.budgets.restore_usage(now, bill.tenant, units)
 
     async def close(self) -> None:
-        """Stop the periodic commits, after a last one."""
+        """Stop the periodic commits, then commit what is left."""
         if self._task:
             self._task.cancel()
             await asyncio.wait([self._task])
         await self.recorder.close()
 
     def rejection_reason(self) -> str:
-        """Return why every new request is rejected; empty unless usage can't be recorded."""
+        """Return why all new requests are rejected because usage can't be recorded; empty if they are not."""
         is_rejecting = self.recorder.commit_error and self.options.reject_when_full
         return "bills can't be written" if is_rejecting else ""
 
@@ -115,13 +115,13 @@
             self.budgets.reserve(now, record.id, _budget_request(record, class_index), verdict)
 
     def _price_at(self, wall_time_us: int) -> TokenPrice:
-        """Return the price in force; prices are sorted by the times from which they apply."""
+        """Return the price in force at a wall time; the prices are sorted by when they begin to apply."""
         starts = [start for start, _ in self.options.prices]
         index = bisect_right(starts, wall_time_us)
         return self.options.prices[index - 1][1] if index else TokenPrice()
 
     def stream_started(self, record: RequestRecord) -> None:
-        """Record the usage of a request also while it streams, from its first token on."""
+        """Record the usage of a request from its first token on, not only at its end."""
         self.recorder.stream_started(record)
 
     def request_ended(self, now: int, record: RequestRecord) -> None:
--- a/tuliptrack/node/core.py
+++ b/tuliptrack/node/core.py
@@ -37,7 +37,7 @@
 log = structlog.get_logger("node")
 
 LATE_ANSWER_US = 500_000
-"""How long after the client's deadline a rejection or failure counts as late."""
+"""Time after the client's deadline beyond which a rejection or failure counts as late."""
 
 SHUTTING_DOWN = "this node is shutting down"
 
@@ -158,7 +158,8 @@
     ) -> AdmissionDecision:
         """Decide whether to admit a request.
 
-        `model_rejection` is why its model can't be served, or empty.
+        `model_rejection` states why the request's model can't be served; it is empty if the model can be
+        served.
         """
         if self.stopping:
             return AdmissionDecision(SHUTTING_DOWN)
@@ -187,7 +188,7 @@
         """
         record.deadline_timer = None
         if record.state is RequestState.STREAMING:
-            if record.client_request.deadline_us is not None:  # Else only the first token had one.
+            if record.client_request.deadline_us is not None:  # Else only the first token had a deadline.
                 reason = "the client's deadline expired mid-stream"
                 self.answers.break_stream(record, Failure.DEADLINE, reason, io.Status.TIMEOUT)
         elif not record.is_concluded and record.attempt is None:
@@ -265,7 +266,7 @@
             self.dispatch(io.ReservationResult(record.id, attempt.number, endpoint_id, is_reserved))
 
     def attempt_ended(self, record: RequestRecord, attempt: Attempt, attempt_result: AttemptResult) -> None:
-        """Handle the end of an attempt: notify the router, and the client if its stream ends too."""
+        """Handle the end of an attempt: notify the router, and the client if this ends its stream."""
         self.attempt_ends.handle(record, attempt, attempt_result)
 
     # Actions of the router.
@@ -319,7 +320,7 @@
         """Give open requests their final answers, once the grace period of the drain is over.
 
         Args:
-            accepted_since_us: only requests accepted at or after this monotonic time.
+            accepted_since_us: the monotonic time at or after which the concluded requests were accepted.
         """
         for record in list(self.table.open.values()):
             if record.accepted_at_us >= accepted_since_us:
--- a/tuliptrack/node/core_state.py
+++ b/tuliptrack/node/core_state.py
@@ -46,7 +46,7 @@
 
         Args:
             settings: the settings of the routers.
-            seed: the seed of their random choices.
+            seed: the seed of the routers' random choices.
             instance: a name unique to this incarnation of the node.
             limits: size and time limits of the node.
             concurrency_limits: how many requests may be in flight.
@@ -109,7 +109,7 @@
     # Hooks that a node may override.
 
     def choose_router(self, client_request: ClientRequest) -> RouterChoice:
-        """Return the model and router of a request, and why it is rejected if it is.
+        """Return the model and router of a request, and the reason if the request is rejected.
 
         Raises:
             InvalidRequestError: the request names no model that is served.
--- a/tuliptrack/node/counters.py
+++ b/tuliptrack/node/counters.py
@@ -15,10 +15,10 @@
 log = structlog.get_logger("invariants")
 
 MAX_TRACE_STEPS = 48
-"""Maximum number of recorded steps per request; beyond it the oldest are dropped."""
+"""Maximum number of recorded steps per request; beyond it, the oldest steps are dropped."""
 
 MAX_RECORDED_VIOLATIONS = 64
-"""Maximum number of recorded violations; beyond it the oldest are dropped."""
+"""Maximum number of recorded violations; beyond it, the oldest violations are dropped."""
 
 
 class InvariantError(AssertionError):
@@ -49,10 +49,10 @@
     strict: bool = False
     """Whether to raise `InvariantError` when an invariant is violated."""
     watchers: list[Callable[[str], None]] = []  # noqa: RUF012  # Shared by design: tests watch every node of a process.
-    """Called with the text of each violated invariant."""
+    """Functions that are called with the text of each violated invariant."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Start with every count at zero."""
         self.violations: deque[str] = deque(maxlen=MAX_RECORDED_VIOLATIONS)
         """The latest violated invariants, each with the fields that were logged."""
         self._values: Counter[str] = Counter()
@@ -65,7 +65,7 @@
         """Count and log a violated invariant.
 
         Args:
-            invariant: its name.
+            invariant: the name of the invariant.
             trace: the steps of the request concerned.
             **facts: further fields for the log.
 
--- a/tuliptrack/node/cross_zone_account.py
+++ b/tuliptrack/node/cross_zone_account.py
@@ -3,9 +3,9 @@
 Bytes are counted at the node's own sockets; for transfers between engines, the engines report them.
 
 A transfer is counted while it runs and for `LATE_BYTES_US` after its call has ended, because the counters of
-a connection still include bytes that were in flight when the node reset its call. So its last bytes are
-booked in an interval after that end. The rows of one interval are bounded by the number of combinations of
-class, tenant, stage, pair of zones and cause: beyond `MAX_KEYS`, further combinations are booked under
+a connection still include bytes that were in flight when the node reset its call. So the last bytes of a
+transfer are booked in an interval after the end of its call. An interval has one row for each combination of
+class, tenant, stage, pair of zones and cause: beyond `MAX_KEYS` rows, further combinations are booked under
 `other`. An interval that can't be written is written together with the next one that can.
 
 Sizes are in bytes, times in microseconds on the monotonic clock; only the report's `t` is in seconds since
@@ -35,9 +35,10 @@
 MAX_KEYS = 50_000
 """Maximum number of rows of one account, not counting `other`."""
 MAX_TRANSFERS = 200_000
-"""Maximum number of tracked transfers; beyond it, the oldest is booked as it is and no longer tracked."""
+"""Maximum number of tracked transfers; beyond it, the bytes that the oldest one has transferred so far are
+booked and it is no longer tracked."""
 LATE_BYTES_US = 2_000_000
-"""How long after the end of its call the bytes of a transfer that were in flight may still arrive."""
+"""Time after the end of a transfer's call during which bytes that were in flight are still counted."""
 
 
 class TransferStage(Enum):
@@ -91,14 +92,15 @@
     target: int
     cause: CrossZoneCause
     count_bytes: Callable[[], int]
-    """Returns the bytes transferred so far."""
+    """Function that returns the number of bytes transferred so far."""
     tokens: float = 0.0
     booked_bytes: int = 0
-    """Bytes that the account already contains."""
+    """Number of bytes of the transfer that the account already contains."""
     has_ended: bool = False
-    """Whether its call has ended: bytes still in flight are counted for `LATE_BYTES_US`."""
+    """Whether the call of the transfer has ended: bytes still in flight are counted for `LATE_BYTES_US`."""
     tracked_until_us: int = 0
-    """When its tracking ends; 0 until the end of its call is seen."""
+    """The time at which the tracking of the transfer ends; 0 until the account has seen the end of its
+    call."""
 
 
 def _add(totals: Totals, key: TransferKey, added: TransferTotals) -> None:
@@ -118,7 +120,7 @@
 
         Args:
             zone_names: The names of the zones, by number.
-            path: The report file; empty: no report is written.
+            path: The report file; if empty, no report is written.
             max_report_bytes: Size beyond which the report is rotated to `path` with `.1` added.
             replica_index: The replica index of the node, which identifies it in the report.
         """
@@ -126,14 +128,14 @@
         self.max_report_bytes, self.replica_index = max_report_bytes, replica_index
         self.transfers: list[Transfer] = []
         self.total: Totals = {}
-        """Everything since the start."""
+        """The totals of all transfers booked since the account was created."""
         self.unwritten: Totals = {}
-        """Intervals that could not be written yet."""
+        """The totals of the intervals that could not be written yet."""
         self._interval: Totals = {}
         """The part of the open interval that comes from transfers that are no longer tracked."""
 
     def zone_name(self, zone: int) -> str:
-        """Return the name of a zone, or its number where it has none."""
+        """Return the name of a zone, or its number if it has no name."""
         return self.zone_names[zone] if zone < len(self.zone_names) else str(zone)
 
     def track(self, transfer: Transfer) -> Transfer:
@@ -159,7 +161,7 @@
         return interval
 
     def _book(self, transfer: Transfer, interval: Totals) -> None:
-        """Add what a transfer has moved since it was last booked."""
+        """Add what was transferred since the transfer was last booked."""
         size_bytes = transfer.count_bytes()
         if size_bytes <= transfer.booked_bytes:
             return
--- a/tuliptrack/node/endpoint_list_cache.py
+++ b/tuliptrack/node/endpoint_list_cache.py
@@ -25,7 +25,7 @@
         """Create the cache without accessing the file.
 
         Args:
-            path: The file; empty: nothing is saved.
+            path: The file; if empty, nothing is saved.
             current_list: Returns the list to save; called on the event loop.
         """
         self.path, self.current_list = path, current_list
@@ -34,7 +34,7 @@
         self._is_save_due = False
 
     def save(self) -> None:
-        """Save the list as it is now, or, if a save is running, as it is when that has ended."""
+        """Save the list as it is now or, if a save is running, as it is when that save has ended."""
         if not self.path:
             return
         self._is_save_due = True
--- a/tuliptrack/node/event_dispatch.py
+++ b/tuliptrack/node/event_dispatch.py
@@ -23,13 +23,13 @@
 
 
 class EventDispatcher:
-    """The only entry point for events of a node. The queue is bounded by what one event causes."""
+    """The only entry point for events of a node. Its queue holds only events that one event causes."""
 
     def __init__(self, core: CoreState, on_router_failure: Callable[[int], None]) -> None:
         """Start with an empty queue.
 
         Args:
-            core: the core whose events these are.
+            core: the core whose events are dispatched.
             on_router_failure: called when a router raises, with the id of the request concerned (0: none).
         """
         self.action_handlers: dict[type, Callable[[Any], None]] = {}
@@ -68,7 +68,7 @@
         record = self._core.table.open.get(request_id)
         self.active_router = record.router if record else router or self._core.router
         actions = self._actions_of_router(event, request_id)
-        record = self._core.table.open.get(request_id)  # None if its router failed.
+        record = self._core.table.open.get(request_id)  # None if the router of the request failed.
         if record and isinstance(event, io.AttemptEnded):
             record.pending_events -= 1
         for action in actions:
@@ -96,7 +96,7 @@
         self._core.timers.call_later(action.delay_us, lambda: self._core.dispatch(fired, router))
 
     def check_health(self, action: io.CheckHealth) -> None:
-        """Check an endpoint for the router whose actions are being carried out."""
+        """Check the health of an endpoint for the router whose actions are being carried out."""
         router = self.active_router
         engines = self._core.engines
         if not engines.has_address(action.endpoint_id):
--- a/tuliptrack/node/final_answers.py
+++ b/tuliptrack/node/final_answers.py
@@ -25,7 +25,7 @@
         self._core = core
 
     def reject(self, record: RequestRecord, reason: str, retry_after_us: int) -> None:
-        """Reject the request, which means that a retry is harmless, unless it has its final answer."""
+        """Reject the request unless it has its final answer; a rejection means that a retry is harmless."""
         if record.conclude(RequestState.REJECTED, reason):
             record.response.rejected(reason, retry_after_us)
 
@@ -62,13 +62,13 @@
             self.break_stream(record, Failure.MIGRATED, reason, io.Status.CANCELLED)
 
     def fail_after_internal_error(self, request_id: int) -> None:
-        """Fail a request after an error such as an exception of its router: its state is unknown."""
+        """Fail a request whose state is unknown after an error, such as an exception of its router."""
         record = self._core.table.open.get(request_id)
         if record is None or not record.conclude(RequestState.FAILED, "internal"):
             return
         record.response.failed(Failure.LOST, "internal", record.next_index)
         self._core.leases.release(record)
-        # Makes the router drop the request, if it still can.
+        # Makes the router drop the request, if the router still can.
         self._core.dispatch(io.ClientDisconnected(request_id), record.router)
         if record.attempt and record.attempt.call:
             record.attempt.call.cancel(io.Status.CANCELLED)
@@ -77,7 +77,7 @@
     def conclude_at_shutdown(self, record: RequestRecord) -> None:
         """Give an open request its final answer when the node shuts down.
 
-        It is rejected only if a retry by its client is harmless.
+        The request is rejected only if a retry by its client is harmless.
         """
         reason = "this node has shut down"
         if record.state is RequestState.STREAMING:
@@ -98,7 +98,7 @@
         self._core.remove_if_finished(record)
 
     def _executed_at_us(self, record: RequestRecord) -> int | None:
-        """Return when the first attempt that may have had an effect was sent; None if there is none."""
+        """Return when the first attempt that may have had an effect was sent; None if none may have had."""
         if record.executed_at_us:
             return record.executed_at_us
         attempt = record.attempt
--- a/tuliptrack/node/grpc_engine_client.py
+++ b/tuliptrack/node/grpc_engine_client.py
@@ -180,7 +180,7 @@
         self.core.output_forwarded(record, attempt, may_send_more)
 
     def release(self, endpoint_id: int, record: RequestRecord, has_unconfirmed_attempt: bool = False) -> None:
-        """Release what an engine reserves for a request; retry once if there was no answer."""
+        """Release what an engine reserves for a request; retry once if the engine does not answer."""
         self._release(endpoint_id, record, RELEASE_TIMEOUTS_US)
 
     def _release(self, endpoint_id: int, record: RequestRecord, timeouts_us: tuple[int, ...]) -> None:
--- a/tuliptrack/node/grpc_outcome.py
+++ b/tuliptrack/node/grpc_outcome.py
@@ -31,7 +31,7 @@
 
 
 def status_of(end: End) -> Status:
-    """Return the status of a call; one that the engine did not process counts as a failed connection."""
+    """Return the status of a call; a call that the engine did not process counts as a failed connection."""
     if end.how is EndReason.CONNECT or (end.unprocessed and end.how is EndReason.RESET):
         return Status.CONNECT_FAILED
     if end.how is EndReason.STATUS:
--- a/tuliptrack/node/kv_state_leases.py
+++ b/tuliptrack/node/kv_state_leases.py
@@ -3,9 +3,9 @@
 A KV state is reserved from the end of its prefill, or possibly from the time at which a prefill was
 interrupted. Its lease runs until an attempt that fetches the state is known to have arrived
 (`attempt_state.has_arrived`): an attempt that was written and has not been answered may be on a silent
-connection. When the lease expires, the state is therefore released while such an attempt is still in flight.
-If the attempt did arrive, the engine keeps the state that the attempt waits for; if it arrives later, the
-engine reports the state as lost and the prompt is prefilled again.
+connection. When the lease expires, the state is therefore released even if such an attempt is still in
+flight. If the attempt did arrive, the engine keeps the state that the attempt waits for; if the attempt
+arrives later, the engine reports the state as lost and the prompt is prefilled again.
 
 Nothing is released while a prefill in flight is unanswered: engines would also free a state whose prefill is
 still running (see `docs/incidents/silent-connections.md`). What that prefill may leave is released when the
@@ -33,14 +33,15 @@
 __all__ = ["KvStateLeases"]
 
 TIMER_TOLERANCE_US = 1_000
-"""The event loop may fire a timer this much early."""
+"""Time by which the event loop may fire a timer too early."""
 
 CONFIRMATION_LEAD_US = 80_000
-"""How long before a lease expires the arrival of its attempt is checked: one round trip to an engine, even on
-a new connection."""
+"""Time before the end of a lease at which the node checks whether the attempt has arrived: enough for one
+round trip to an engine, even on a new connection."""
 
 MIN_LEASE_SHARE = 0.5
-"""Minimum share of the allowed time that a lease lasts, however long a release takes to arrive."""
+"""Minimum duration of a lease, as a share of the time for which a state may stay reserved, however long a
+release takes to arrive."""
 
 
 class KvStateLeases:
@@ -57,7 +58,8 @@
 
         Args:
             release_within_us: how long a state may stay reserved with no attempt at an engine.
-            engines: returns the client that sends releases; called on use, as the node creates it later.
+            engines: returns the client that sends releases; called at each use, because the node creates the
+                client after the leases.
             now_us: the node's monotonic clock.
             counters: the node's counters.
         """
@@ -68,7 +70,7 @@
 
     @property
     def lease_us(self) -> int:
-        """How long a lease lasts: short enough for the release to arrive within the allowed time."""
+        """Duration of a lease: short enough for the release to arrive while the state may stay reserved."""
         shortest_us = int(self._release_within_us * MIN_LEASE_SHARE)
         return max(self._release_within_us - self._engines().release_transit_us, shortest_us)
 
@@ -110,10 +112,10 @@
         self._send_release(record)
 
     def release(self, record: RequestRecord) -> None:
-        """Release what is or may be reserved.
+        """Release what is, or may be, reserved for a request.
 
-        While an attempt is in flight the state stays on record: the engine keeps what that attempt waits for,
-        and it is released when the attempt ends.
+        While an attempt is in flight, the request's record keeps the state: the engine keeps what that
+        attempt waits for, and the state is released when the attempt ends.
         """
         self._send_release(record)
         if record.attempt is None:
@@ -145,10 +147,10 @@
     def handle_attempt_ended(
         self, record: RequestRecord, attempt: Attempt, attempt_result: AttemptResult
     ) -> None:
-        """Handle the end of an attempt: begin anew a lease that its arrival had stopped.
+        """Handle the end of an attempt: begin anew the lease that the attempt's arrival had stopped.
 
         If a decode attempt ended unconfirmed, its engine may see that end only after a release has reached
-        another engine, which has then kept what the attempt was waiting for. A second release is needed.
+        another engine, which has then kept what the attempt was waiting for. So a second release is needed.
         """
         if self._was_lease_stopped(record):
             self.restart(record)
@@ -172,7 +174,7 @@
             Whether the state is lost, so that the prompt has to be prefilled again.
         """
         if self._is_state_lost(record, attempt, attempt_result):
-            self.release(record)  # Even if an engine reports it as lost: the report may be wrong.
+            self.release(record)  # Even if an engine reports the state as lost: the report may be wrong.
             return True
         has_arrived_at_engine = attempt_result.is_confirmed or attempt_result.is_corroborated
         if has_arrived_at_engine and record.has_reserved_state:
@@ -183,7 +185,7 @@
         """Return whether a decode attempt that ended without a token leaves no state to decode from.
 
         If a release was sent while the attempt was in flight, and the attempt was never answered, the state
-        is most likely gone: trying it elsewhere costs more than a new prefill.
+        is most likely gone: an attempt to fetch it at another endpoint costs more than a new prefill.
         """
         was_not_connected_in_time = (
             attempt_result.status is io.Status.CONNECT_FAILED
--- a/tuliptrack/node/log_output.py
+++ b/tuliptrack/node/log_output.py
@@ -13,10 +13,10 @@
 __all__ = ["LogOutput"]
 
 ATOMIC_WRITE_BYTES = select.PIPE_BUF
-"""Bytes that a pipe that polls as writable accepts without blocking."""
+"""Number of bytes that a pipe accepts without blocking if `poll` reports it as writable."""
 
 CLOSED = -1
-"""Stands for a descriptor that is not open."""
+"""Value that stands for a descriptor that is not open."""
 
 
 class LogOutput:
@@ -28,12 +28,12 @@
         A descriptor that is not open now is never written to, even if its number is reused later.
         """
         self.lost = 0
-        """Lines that were dropped."""
+        """Number of lines that were dropped."""
         self._descriptor = descriptor
         self._poll: select.poll | None = None
-        """Polled before each write if a write may block; else None."""
+        """The object that polls the descriptor before each write; None if a write can't block."""
         self._unreported = 0
-        """Dropped lines that were not yet reported in the log."""
+        """Number of dropped lines that were not yet reported in the log."""
         self._has_partial_line = False
         """Whether the last line was written only in part."""
         try:
--- a/tuliptrack/node/logs.py
+++ b/tuliptrack/node/logs.py
@@ -22,9 +22,9 @@
     """Configure structlog for the process.
 
     Args:
-        json_lines: log JSON, one object per line; otherwise text.
-        quiet: log warnings and errors only.
-        colours: whether text has colours; None: only on a terminal.
+        json_lines: whether to log JSON, one object per line, instead of text.
+        quiet: whether to log only warnings and errors.
+        colours: whether text has colours; if None, it has them only on a terminal.
     """
     processors: list[structlog.typing.Processor] = [
         structlog.processors.add_log_level,
--- a/tuliptrack/node/model_routers.py
+++ b/tuliptrack/node/model_routers.py
@@ -51,7 +51,7 @@
             self.dispatch(update, None)
             return
         updates = self.catalog.split_update(update, dict(labels))
-        if update.kind is UpdateKind.CACHED:  # The default router waits for it, even if it has no endpoints.
+        if update.kind is UpdateKind.CACHED:  # The default router awaits it, even without endpoints.
             updates.setdefault(Model(), EndpointListUpdate(update.kind, update.version))
         listed = set(self.catalog.listed())
         for model, model_update in updates.items():
@@ -76,12 +76,12 @@
                 del self.routers[model]
 
     def choose_router(self, request: ClientRequest) -> RouterChoice:
-        """Return the model and router of a request, and why it is rejected if it is.
+        """Return the model and router of a request, and the reason if the request is rejected.
 
         Raises:
             InvalidRequestError: The request names a model that isn't known here.
         """
-        # All requests of a session go to one version, so that what is cached for it is found again.
+        # All requests of a session go to one version, so that what is cached for the session is found again.
         session = f"{request.tenant}\0{request.session or request.prompt}"
         try:
             model = self.catalog.choose(request.model, request.model_version, session)
--- a/tuliptrack/node/node.py
+++ b/tuliptrack/node/node.py
@@ -56,7 +56,7 @@
 log = structlog.get_logger("node")
 
 MAX_LOGGED_ENTRIES = 5
-"""How many of the entries left out of one endpoint list are logged with their reason."""
+"""Maximum number of entries left out of one endpoint list that are logged with their reasons."""
 SWEEP_INTERVAL_S = 0.25
 """Interval between checks for silent streams, stalled clients and idle connections."""
 
@@ -72,7 +72,8 @@
             source: The source of the endpoint list; None: as configured.
         """
         self.config = config
-        # Nodes share wall time. The offset is taken once, so that setting the clock later has no effect.
+        # Nodes share wall time. The offset from the node's clock to wall time is taken once, so that setting
+        # the clock later has no effect.
         settings = replace(config.settings, epoch_offset_us=wall_us() - now_us())
         seed = config.seed or secrets.randbits(63)
         super().__init__(
@@ -205,10 +206,10 @@
     # Endpoint list and gossip.
 
     def handle_list(self, message: fleet_pb2.ServerList, kind: io.UpdateKind | None = None) -> None:
-        """Apply a list or a change of it; an invalid one is logged and ignored.
+        """Apply an endpoint list or a change of the list; an invalid message is logged and ignored.
 
         Args:
-            message: The list, as its source sent it.
+            message: The list or the change, as its source sent it.
             kind: The kind of update, if the message itself doesn't give it.
         """
         previous_ids = set(self.endpoint_list.entries)
@@ -246,7 +247,7 @@
     # Hooks that the core calls.
 
     def choose_router(self, client_request: ClientRequest) -> RouterChoice:
-        """Return the model and router of a request, and why it is rejected if it is.
+        """Return the model and router of a request, and the reason if the request is rejected.
 
         Raises:
             InvalidRequestError: The request names a model that isn't known here.
@@ -260,7 +261,7 @@
         verdict = self.billing.check_budget(now_us, record, class_index)
         if verdict.is_over and record.client_request.request_class in self.config.billing.rejecting_classes:
             reason = f"the tenant's token budget of {verdict.window_us / 1e6:g} s is used up"
-            # Unlike other retry delays this one is not capped: an earlier retry would be rejected too.
+            # Unlike other retry delays, this one is not capped: an earlier retry would be rejected too.
             return AdmissionDecision(reason, verdict.retry_after_us or 0, is_over_budget=True)
         record.is_billed = True
         self.billing.request_admitted(now_us, record, class_index, verdict)
--- a/tuliptrack/node/port.py
+++ b/tuliptrack/node/port.py
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """The result of an attempt, with the router's statuses."""
+    """The result of an attempt, expressed as a status that the router knows."""
 
     status: Status
     reason: str = ""
     """Explanation for logs, and for the client if its stream broke."""
     is_state_lost: bool = False
-    """Whether the KV state that the attempt needed is lost. With `RESET` this is only likely, so the state is
-    released too."""
+    """Whether the KV state that the attempt needed is lost. With the status `RESET` the loss is only likely,
+    so the state is released all the same."""
     load_report: tuple[float, ...] = ()
     """The load report that came with the result, in the order of `Settings.report_fields`; may be empty."""
     is_connection_only: bool = False
@@ -35,10 +35,11 @@
     is_invalid_request: bool = False
     """Whether the engine can't process the request, and no other engine could."""
     is_confirmed: bool = False
-    """Whether the engine is known to have had the complete request: it has answered on that connection
-    since."""
+    """Whether the engine is known to have had the complete request: it has answered on the attempt's
+    connection since the request was written."""
     is_corroborated: bool = False
-    """Whether the engine is assumed to have had the complete request, though it has not answered it."""
+    """Whether the engine is assumed to have had the complete request, though it has not answered the
+    request."""
     detail: Any = None
     """Protocol-specific details of the end, for accounting that knows the protocol."""
 
@@ -46,24 +47,24 @@
 class EngineClient(Protocol):
     """Carries out attempts.
 
-    Ends are reported through `Core.attempt_ended`, never from within these calls.
+    The ends of attempts are reported through `Core.attempt_ended`, never from within these calls.
     """
 
     prefills_have_no_effect: bool
-    """Whether a prefill is a separate call. If the prefill is the request itself, a hung engine may still
-    execute it later."""
+    """Whether a prefill has no effect, because it is a separate call. If the prefill is the request itself, a
+    hung engine may still execute the request later."""
     releases_are_global: bool
     """Whether a release at any engine frees everything reserved for a request, except what an attempt waits
-    for; if so, the first token of an answer does the same."""
+    for; if so, the first token of an answer frees the same."""
     release_transit_us: int
-    """How long a release may take to reach its engine, if the time for which a state may stay reserved
-    includes no margin for that."""
+    """Time that a release may take to reach its engine, if this counts towards the time for which a state may
+    stay reserved; else 0."""
 
     def has_address(self, endpoint_id: int) -> bool:
         """Return whether an endpoint list has given an address for this endpoint."""
 
     def start(self, record: RequestRecord, attempt: Attempt, timeout_us: int) -> AttemptCall:
-        """Start an attempt, for which the node will wait `timeout_us`."""
+        """Start an attempt; the node will wait for its answer for at most `timeout_us`."""
 
     def release(self, endpoint_id: int, record: RequestRecord, has_unconfirmed_attempt: bool = False) -> None:
         """Release what is reserved for a request, except what an attempt waits for.
@@ -76,7 +77,7 @@
     def release_later(self, endpoint_id: int, record: RequestRecord) -> None:
         """Release what an engine may still reserve for a request that has ended.
 
-        An attempt there ended unconfirmed. The release is repeated until the engine answers.
+        An attempt at that engine ended unconfirmed. The release is repeated until the engine answers.
         """
 
     def cancel_release(self, record: RequestRecord) -> None:
@@ -86,7 +87,7 @@
         """Ask an endpoint to reserve capacity; the answer goes to `Core.reservation_answered`."""
 
     def check_health(self, endpoint_id: int, done: Callable[[HealthCheckResult], None]) -> None:
-        """Check an endpoint and call `done` with the result."""
+        """Check the health of an endpoint and call `done` with the result."""
 
     def close_idle_connections(self, endpoint_id: int) -> None:
         """Close idle connections to an endpoint."""
--- a/tuliptrack/node/request_reader.py
+++ b/tuliptrack/node/request_reader.py
@@ -24,8 +24,8 @@
 """The token counts of a `ClientRequest`, and the names by which clients know them."""
 
 DEADLINE_OBJECTIVE_FACTOR = 2
-"""A client that states no deadline is assumed to wait for the deadline of its class, plus this many times the
-growth of its latency objective with the prompt length."""
+"""Factor in the assumed deadline of a client that states none: the deadline of its class, plus this many
+times the growth of the latency objective with the prompt length."""
 MAX_QUOTED_CHARACTERS = 60
 """Maximum number of characters of the client's own text that an error quotes."""
 
@@ -42,13 +42,13 @@
     max_tokens: int = 1_048_576
     """Maximum number of tokens of one prompt or answer."""
     bytes_per_token: float = 4.0
-    """For estimating the tokens of a prompt if the client does not give them."""
+    """Bytes per token for the estimate of a prompt's tokens if the client does not state their number."""
     answer_lead_us: int = 50_000
-    """How long before the client's deadline an answer is sent at the latest."""
+    """Minimum time from the sending of an answer to the client's deadline."""
     max_client_stall_us: int = 30_000_000
-    """How long a client may leave its answer unread."""
+    """Maximum time for which a client may leave its answer unread."""
     max_token_silence_us: int = 15_000_000
-    """How long a stream that has begun may produce no output."""
+    """Maximum time for which a stream that has begun may produce no output."""
 
 
 class RequestReader:
@@ -97,7 +97,7 @@
         )
 
     def answer_by_us(self, client_request: ClientRequest) -> int | None:
-        """Return by when an answer has to be sent to meet the client's own deadline; None if it has none."""
+        """Return the latest time to send an answer that meets the client's deadline; None if it has none."""
         deadline_us = client_request.first_token_deadline_us
         if deadline_us is None:
             deadline_us = client_request.deadline_us
@@ -145,7 +145,7 @@
             raise InvalidRequestError("resume.next_index", f"{resume_index} is past max_tokens {max_tokens}")
 
     def _time_left_us(self, client_request: ClientRequest, now_us: int) -> int:
-        """Return the time left for a first token: by the client's deadline, else by class and prompt."""
+        """Return the time left for a first token, by the client's deadline, or else by class and prompt."""
         answer_by_us = self.answer_by_us(client_request)
         if answer_by_us is not None:
             return max(answer_by_us - now_us, 1)
--- a/tuliptrack/node/request_state.py
+++ b/tuliptrack/node/request_state.py
@@ -61,4 +61,4 @@
     RequestState.FAILED: frozenset(),
     RequestState.DISCONNECTED: frozenset(),
 }
-"""From each state, the states that may follow."""
+"""The states that may follow each state."""
--- a/tuliptrack/node/requests.py
+++ b/tuliptrack/node/requests.py
@@ -34,21 +34,21 @@
     sent_at_us: int
     call: AttemptCall | None = None
     is_prefill: bool = False
-    """Whether it was sent to a prefill endpoint."""
+    """Whether the attempt was sent to a prefill endpoint."""
     ends_at_deadline: bool = False
-    """Whether its timeout is the client's deadline, not one that the router chose."""
+    """Whether the attempt's timeout is the client's deadline, not a timeout that the router chose."""
     timer: asyncio.TimerHandle | None = None
     cross_zone_cause: CrossZoneCause | None = None
-    """Why it may cross zones; None if it does not."""
+    """The reason for which the attempt may cross zones; None if it does not cross zones."""
     transfers: list[Transfer] = field(default_factory=list)
-    """Its transfers between zones."""
+    """The attempt's transfers between zones."""
     state_endpoint_id: int = 0
-    """The endpoint whose KV state it fetches; 0: none."""
+    """The endpoint whose KV state the attempt fetches; 0 if it fetches none."""
     state_bytes: int = 0
-    """How many bytes of that state were transferred."""
+    """Number of bytes of the fetched KV state that were transferred."""
     connect_by_us: int = 0
-    """The time by which it needs its connection, because then the lease of its KV state or the deduplication
-    window ends; 0 if there is no limit."""
+    """The time by which the attempt needs its connection, because the lease of its KV state or the
+    deduplication window ends at that time; 0 if neither limits the attempt."""
 
 
 @dataclass(slots=True)
@@ -68,23 +68,24 @@
 
     id: int
     name: str
-    """Its name at engines and in bills: unique across all nodes and all incarnations of this one."""
+    """The name of the request at engines and in bills: unique across all nodes and all incarnations of this
+    node."""
     client_request: ClientRequest
     response: ResponseWriter
     deadline_us: int
-    """When its first token, or a final answer, is due."""
+    """The time at which the first token, or a final answer, is due."""
     accepted_at_us: int
     router: Router
-    """The router of its model."""
+    """The router of the request's model."""
     model: Model
     has_concurrency_slot: bool = False
-    """Whether it occupies a slot of the concurrency limit."""
+    """Whether the request occupies a slot of the concurrency limit."""
     is_billed: bool = False
-    """Whether it has to be settled with the budgets of its tenant, and billed."""
+    """Whether the request has to be settled with its tenant's budgets, and billed."""
     price: TokenPrice = field(default_factory=TokenPrice)
-    """The price in force when it arrived."""
+    """The price in force when the request arrived."""
     prefills: int = 0
-    """Number of attempts that have prefilled its prompt."""
+    """Number of attempts that have prefilled the request's prompt."""
     state: RequestState = RequestState.ACCEPTED
     attempt_count: int = 0
     attempt: Attempt | None = None
@@ -92,10 +93,11 @@
     possible_kv_state_endpoint_id: int | None = None
     """The endpoint at which a prefill was interrupted, and which may nevertheless have reserved a state."""
     lease_began_at_us: int = 0
-    """Since when the state may have been reserved with no attempt at an engine: the end of its prefill, or of
-    the last attempt that is known to have arrived."""
+    """The time since which the KV state may have been reserved with no attempt at an engine: the end of its
+    prefill, or the end of the last attempt that is known to have arrived."""
     was_release_sent: bool = False
-    """Whether a release was sent since then, in case the attempt in flight never reaches its engine."""
+    """Whether a release was sent since `lease_began_at_us`, in case the attempt in flight never reaches its
+    engine."""
     needs_second_release: bool = False
     """Whether a decode attempt ended unconfirmed: a release may reach the engine before that end does, so one
     release is not enough."""
@@ -103,44 +105,45 @@
     """Endpoints at which a prefill, or a decode that fetches a KV state, ended unconfirmed: they may still
     reserve something later."""
     executed_at_us: int = 0
-    """The earliest time at which an attempt may have had an effect; 0: none can have."""
+    """The earliest time at which an attempt may have had an effect; 0 if none can have had one."""
     lease_timer: asyncio.TimerHandle | None = None
-    """The timer of the lease, while it runs."""
+    """The timer of the lease, while the lease runs."""
     deadline_timer: asyncio.TimerHandle | None = None
     """The timer of the client's deadline for the whole call."""
     reserved_endpoint_id: int | None = None
     """The endpoint that was asked to reserve capacity."""
     pending_events: int = 0
-    """Number of attempt ends that the router has yet to handle: it may act on them, so the record stays."""
+    """Number of attempt ends that the router has yet to handle: the router may act on them, so the record
+    stays."""
     next_index: int = 0
     """The index of the next output token."""
     cached_tokens: int = 0
     finish_reason: FinishReason | None = None
     first_token_at_us: int = 0
     last_output_at_us: int = 0
-    """When the last part of the answer arrived."""
+    """The time at which the last part of the answer arrived."""
     paused_at_us: int = 0
-    """When the client stopped reading; 0: it reads."""
+    """The time at which the client stopped reading; 0 while it reads."""
     reason: str = ""
-    """Why it has its final state, for the log."""
+    """The reason for the request's final state, for the log."""
     trace: RequestTrace = field(init=False)
-    """Its steps, for the log."""
+    """The steps of the request, for the log."""
     endpoint_ids: list[int] = field(default_factory=list)
-    """The endpoints of its attempts, in order."""
+    """The endpoints of the request's attempts, in the order of the attempts."""
     state_bytes_moved: dict[int, int] = field(default_factory=dict)
-    """Bytes of its KV states that attempts have fetched across zones, by prefill endpoint."""
+    """Bytes of the request's KV states that attempts have fetched across zones, by prefill endpoint."""
 
     def __post_init__(self) -> None:
         self.trace = RequestTrace(self.accepted_at_us)
 
     @property
     def is_concluded(self) -> bool:
-        """Whether it has its final state."""
+        """Whether the request has its final state."""
         return self.state in FINAL_STATES
 
     @property
     def has_reserved_state(self) -> bool:
-        """Whether a KV state is reserved for it, or may be."""
+        """Whether a KV state is, or may be, reserved for the request."""
         return self.kv_state is not None or self.possible_kv_state_endpoint_id is not None
 
     def enter(self, state: RequestState) -> None:
@@ -163,7 +166,8 @@
 class RequestTable:
     """All requests of the node.
 
-    Bounded by the slots of the concurrency limit; requests beyond them are rejected and removed at once.
+    The number of requests is bounded by the slots of the concurrency limit: requests beyond them are rejected
+    and removed at once.
     """
 
     def __init__(self, instance: str) -> None:
--- a/tuliptrack/node/timers.py
+++ b/tuliptrack/node/timers.py
@@ -34,7 +34,7 @@
 
 
 class TimerSet:
-    """The timers of one node. Bound: the timers of its open requests and of its routers."""
+    """The timers of one node: no more than those of its open requests and of its routers."""
 
     def __init__(self) -> None:
         """Start without timers."""
--- a/tuliptrack/node/transfer_accounting.py
+++ b/tuliptrack/node/transfer_accounting.py
@@ -88,7 +88,7 @@
         Args:
             record: The request.
             attempt: Its attempt.
-            end: How its call ended, if there was one.
+            end: How the call of the attempt ended, if there was a call.
 
         Returns:
             The bytes that the attempt has transferred between zones, as far as they are known now.
@@ -112,7 +112,7 @@
             self._ask_prefill_engine(record, attempt, state)
 
     def _ask_prefill_engine(self, record: RequestRecord, attempt: Attempt, state: Transfer) -> None:
-        """Ask how much of the request's KV states was fetched; `state` is counted until the answer."""
+        """Ask how much of the request's KV states was fetched; `state` stays tracked until the answer."""
         channel = self.channels.channel(attempt.state_endpoint_id)
         if channel is None:
             return
--- a/tuliptrack/node/usage_recorder.py
+++ b/tuliptrack/node/usage_recorder.py
@@ -2,8 +2,8 @@
 
 The usage of a request is recorded when it ends and, while it streams, with each commit, so that a killed node
 loses at most what was sent since the last commit. Commits run in a thread, one at a time. While they fail,
-records wait in memory, up to the ledger's bound; beyond it requests are not billed, which is counted and
-logged.
+records wait in memory, up to the ledger's bound; beyond that bound, requests are not billed, and the loss is
+counted and logged.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
         )
 
     async def usage_since(self, wall_time_us: int) -> list[Bill]:
-        """Return the usage since a time, in microseconds since 1970; empty if there is no ledger."""
+        """Return the usage since `wall_time_us`, in microseconds since 1970; empty if there is no ledger."""
         if self.ledger is None:
             return []
         return list(compute_bills(await asyncio.to_thread(self.ledger.records_since, wall_time_us)))
--- a/tuliptrack/node/zone_coverage.py
+++ b/tuliptrack/node/zone_coverage.py
@@ -1,4 +1,4 @@
-"""Warns about zones without a ready prefill or decode endpoint: every request there has to cross zones."""
+"""Warns about zones without a ready prefill or decode endpoint: requests from there have to cross zones."""
 
 from __future__ import annotations
 
--- a/tuliptrack/relay/__main__.py
+++ b/tuliptrack/relay/__main__.py
@@ -1,8 +1,8 @@
 """Runs one node on the platform: `python -m tuliptrack.relay`, configured by its environment.
 
-`config.py` describes the settings. SIGHUP reloads the settings file and switches to the discovery agent named
-there. SIGTERM or SIGINT stops the node gracefully: it keeps serving until shortly before SIGKILL may follow,
-since clients keep their connections, and then ends what is open.
+`config.py` describes the settings. SIGHUP reloads the settings file and switches to the discovery agent that
+the file names. SIGTERM or SIGINT stops the node gracefully: the node keeps serving until shortly before
+SIGKILL may follow, since clients keep their connections, and then ends the open requests.
 """
 
 from __future__ import annotations
@@ -26,13 +26,14 @@
 
 log = structlog.get_logger("relay")
 CONFIG_RETRY_S = 5.0
-"""How long the start retries to read the settings and to open an event loop."""
+"""Time for which the start retries to read the settings and to open an event loop."""
 MAX_DEADLINE_BEFORE_KILL_S = 3.0
 KILL_MARGIN_S = 0.7
-"""SIGKILL follows SIGTERM no sooner than the longest deadline plus this margin; a deadline above
-`MAX_DEADLINE_BEFORE_KILL_S` counts as that maximum."""
+"""Margin added to the longest deadline: SIGKILL follows SIGTERM no sooner than after the sum. A deadline
+above `MAX_DEADLINE_BEFORE_KILL_S` counts as that maximum."""
 STOP_GRACE_DEADLINES = 4
-"""At the end, open requests get this many times the longest deadline to finish."""
+"""Time that the requests still open when the server stops get to finish, as a multiple of the longest
+deadline."""
 
 
 async def _run(config: RelayConfig, signals: ProcessSignals) -> None:
--- a/tuliptrack/relay/agent_polls.py
+++ b/tuliptrack/relay/agent_polls.py
@@ -1,18 +1,20 @@
 """Polls one discovery agent for its endpoint list by consecutive long polls, which overlap if one is late.
 
-The platform considers an endpoint list received 6 s after the agent had it and was reachable, whichever polls
-failed in between. So the node does not rely on any single poll. The agent answers a long poll within
-`LONG_POLL_GRACE_SHARE` of the drain grace, with an empty delta if nothing changes. If there is no answer
-after a further `LATE_GRACE_SHARE`, the next poll starts in parallel on another connection, and one more after
-each such time-out. The earlier polls continue: a connection may be established slowly, an answer may arrive
-in small pieces, or this process may be late to read it. With `MAX_POLLS_PER_AGENT` open, the poll that has
-received nothing for longest is cancelled; no poll lasts longer than `MAX_POLL_S`, including its connection.
-
-How long a change takes to arrive once the agent is reachable, so that it answers a poll in full within
-`MAX_POLL_S`: in the worst case all `MAX_POLLS_PER_AGENT` polls are open, each still receiving an answer older
-than the change, and end at `MAX_POLL_S`; then follow a backoff and a poll that takes `MAX_POLL_S` itself.
-That is 2 x 2.5 s + 1.5 x `BACKOFF_GRACE_SHARE` of 2 s at most: 5.3 s, which leaves 0.7 s for delays of this
-process. If answers come at once, it is one time-out and one backoff: 0.65 of the grace.
+The platform expects a node to apply an endpoint list within 6 s once the agent has the list and is reachable,
+whichever polls failed in between. So the node does not rely on any single poll. The agent answers a long poll
+within `LONG_POLL_GRACE_SHARE` of the drain grace, with an empty delta if nothing changes. If there is no
+answer after a further `LATE_GRACE_SHARE`, the next poll starts in parallel on another connection, and one
+more after each such time-out. The earlier polls continue: a connection may be established slowly, an answer
+may arrive in small pieces, or this process may be late to read it. With `MAX_POLLS_PER_AGENT` open, the poll
+that has received nothing for longest is cancelled; no poll lasts longer than `MAX_POLL_S`, including its
+connection.
+
+The time that a change takes to arrive is bounded once the agent is reachable, which means that the agent
+answers a poll in full within `MAX_POLL_S`. In the worst case all `MAX_POLLS_PER_AGENT` polls are open, each
+still receiving an answer older than the change, and end at `MAX_POLL_S`; then follow a backoff and a poll
+that takes `MAX_POLL_S` itself. The bound is 2 x 2.5 s + 1.5 x `BACKOFF_GRACE_SHARE` of 2 s (the longest
+grace), which is 5.3 s and leaves 0.7 s for delays of this process. If answers come at once, the change takes
+at most one time-out and one backoff: 0.65 of the drain grace.
 
 A poll that fails at once (connection rejected or reset, half a body, 503, not JSON) is followed by one
 backoff. So is an answer that is rejected, after which the full list is requested. Polls start at least a
@@ -50,20 +52,20 @@
 MAX_POLLS_PER_AGENT = 8
 """Maximum number of polls open at once, each on a connection of its own."""
 MAX_POLL_S = 2.5
-"""Maximum duration of a poll: two polls and a backoff fit into the 6 s after which the platform considers a
-list received."""
+"""Maximum duration of a poll: two polls and a backoff fit into the 6 s within which the platform expects a
+list to be applied."""
 MAX_OLDER_ANSWERS = 3
-"""After so many consecutive answers that are older than the known list, the agent must have restarted."""
+"""Number of consecutive answers older than the known list after which the agent must have restarted."""
 MAX_BODY_BYTES = 16_777_216
-"""Maximum body of one answer."""
+"""Maximum size of the body of one answer."""
 MAX_REASON_CHARACTERS = 200
 _HTTP_OK = 200
 _PATH = "/api/targets"
 
 ListHandler = Callable[[Any, bool], bool]
 """Handles the JSON of an answer; the second argument says whether it is the first answer of an agent, or of a
-restarted agent. Returns whether it was applied: False if it is older than the known list. Raises
-`InvalidEndpointListError` if it cannot be used."""
+restarted agent. Returns whether the answer was applied: False if it is older than the known list. Raises
+`InvalidEndpointListError` if the answer cannot be used."""
 
 FaultHandler = Callable[[Exception], None]
 """Counts and logs an error that can only be caused by a bug in this program."""
@@ -95,7 +97,7 @@
 
 
 class AgentPolls:
-    """Polls one agent from its creation until `stop` or `close`."""
+    """Polls one agent, from the creation of this object until `stop` or `close`."""
 
     def __init__(
         self,
@@ -111,7 +113,7 @@
         self._handle = handle
         self._record_fault = record_fault
         self._poll_timeout_s = (LONG_POLL_GRACE_SHARE + LATE_GRACE_SHARE) * drain_grace_s
-        """After this time a poll is late, and the next one starts in parallel."""
+        """Time after which a poll is late, and the next one starts in parallel."""
         self._needs_full_list = True
         """Whether the next poll requests the full list."""
         self._is_first_answer = True
@@ -125,7 +127,7 @@
         """Polls that ended without being cancelled here, and have not been handled yet."""
         self._has_ended_poll = asyncio.Event()
         self._next_poll_at = 0.0
-        """On the event loop's clock, in seconds."""
+        """The time at which the next poll is due, on the event loop's clock, in seconds."""
         self._is_stopped = False
         self._loop = asyncio.get_running_loop()
         self._task = self._loop.create_task(self._run())
@@ -242,8 +244,8 @@
             self._needs_full_list = True
             return self._handle_failure(error)
         except Exception as error:
-            # An unforeseen answer may raise any error in the handler. It must not end the polling task, after
-            # which the list would never change again: the error is counted, and polling continues.
+            # An unforeseen answer may raise any error in the handler. If the error ended the polling task,
+            # the list would never change again. So the error is counted, and polling continues.
             self._needs_full_list = True
             self._record_fault(error)
             return self._handle_failure(error)
--- a/tuliptrack/relay/config.py
+++ b/tuliptrack/relay/config.py
@@ -1,4 +1,4 @@
-"""The settings of one node: the JSON file that `RELAY_CONFIG` names, and the environment for what it omits.
+"""The settings of one node: the JSON file that `RELAY_CONFIG` names, and the environment for missing fields.
 
 Only this module knows the names of the file's fields. Error messages name the wrong field.
 """
@@ -19,7 +19,8 @@
 
 MAX_FILE_BYTES = 16_777_216
 MIN_DESCRIPTORS = 48
-"""A node needs as many to serve: those of its own, and some for clients and engines."""
+"""Minimum number of file descriptors with which a node can serve: its own, and some for clients and
+engines."""
 DEFAULT_DESCRIPTORS = 1_024
 DEFAULT_MEMORY_MIB = 192
 DEFAULT_MAX_OPEN_REQUESTS = 20_000
@@ -29,7 +30,7 @@
 MAX_PORT = 65_535
 MAX_PORT_DIGITS = 5
 MAX_QUOTED_CHARACTERS = 120
-"""How much of a wrong value an error message quotes."""
+"""Maximum number of characters of a wrong value that an error message quotes."""
 MAX_ERROR_CHARACTERS = 200
 """Maximum length of a JSON error's text, since it may quote a long value."""
 
@@ -41,7 +42,8 @@
 class RelayConfigUnreadableError(RelayConfigError):
     """The file cannot be read, or is not complete JSON.
 
-    It may be in the middle of being written, or its folder may be unavailable for a while: a retry may help.
+    The file may be in the middle of being written, or its folder may be unavailable for a while: a retry may
+    help.
     """
 
 
@@ -58,7 +60,8 @@
     """Seed of the router's random choices; 0: a random seed."""
     memory_bytes: int
     max_descriptors: int
-    """File descriptors that the process may use: the lower of the limits of the settings and the system."""
+    """File descriptors that the process may use: the lower of the limit in the settings and the system's
+    limit."""
     cached_list: Mapping[str, Any]
     """The last endpoint list that this node had, in the agent's format; it may be out of date."""
     settings: Settings
@@ -67,7 +70,7 @@
     zones: tuple[str, ...]
     """Names of the zones; the index of a name is the number of its zone."""
     report_names: tuple[str, ...]
-    """Names of a load report's values, in the order of the settings; empty where engines send no reports."""
+    """Names of a load report's values, in the order of the settings; empty if engines send no reports."""
     engine_idle_timeout_us: int
     """Time after which an engine closes an idle connection; 0: unknown."""
     max_open_requests: int
@@ -196,5 +199,5 @@
     """Return the beginning of a value's text, for an error message."""
     try:
         return repr(value)[:MAX_QUOTED_CHARACTERS]
-    except (ValueError, RecursionError):  # Too many digits, or nested too deeply.
+    except (ValueError, RecursionError):  # The value has too many digits, or is nested too deeply.
         return f"a {type(value).__name__}"
--- a/tuliptrack/relay/corroboration.py
+++ b/tuliptrack/relay/corroboration.py
@@ -1,14 +1,14 @@
 """Decides whether an attempt that its engine has not responded to may be assumed to have arrived.
 
 An engine sends nothing about a request until its first token, which takes seconds under overload. A release
-that is sent while an attempt waits costs its engine work, so it is sent only if the attempt may not have
-arrived. Three facts together corroborate the arrival:
-
-1. The attempt's connection answered a probe right before: the attempt's last byte was sent at most
-   `MAX_PROBE_AGE_S` after the probe. An established connection does not show that a process serves it, so an
-   attempt on a connection that was not probed is never corroborated.
-2. The engine has answered a probe that was sent on another connection after the attempt: its machine was not
-   cut off from the network, and its process runs.
+that is sent while an attempt waits costs its engine work, so a release is sent only if the attempt may not
+have arrived. Three facts together corroborate the arrival:
+
+1. The attempt's connection answered a probe right before the attempt: the attempt's last byte was sent at
+   most `MAX_PROBE_AGE_S` after the probe. An established connection does not show that a process serves it,
+   so an attempt on a connection that was not probed is never corroborated.
+2. The engine has answered a probe that was sent on another connection after the attempt: the engine's machine
+   was not cut off from the network, and the engine's process runs.
 3. A connection to another engine, open before the attempt's connection was probed, has received something
    since the attempt was sent: the open connections have not all fallen silent together.
 
@@ -29,13 +29,14 @@
 __all__ = ["Corroboration"]
 
 MAX_PROBE_AGE_S = 0.02
-"""The longer it is, the more likely the connection fails between its probe and the attempt."""
+"""Maximum time from the sending of a connection's probe to the attempt's last byte. The longer this time is,
+the more likely the connection fails in between."""
 
 
 class Corroboration:
     """The facts about one attempt.
 
-    It sends two probes at most, each of which ends by its connect time-out or by `close`.
+    At most two probes are sent, each of which is over by its connect time-out or by `close`.
     """
 
     def __init__(self, pools: EnginePools, pool: Pool, exchange: Exchange) -> None:
@@ -75,7 +76,7 @@
             probe.cancel()
 
     def _was_connection_probed(self) -> bool:
-        """Return whether the first fact holds: the connection was probed right before."""
+        """Return whether the first fact holds: the connection was probed right before the attempt."""
         exchange = self._exchange
         return (
             exchange.sent
@@ -101,7 +102,7 @@
         ]
 
     def _other_pool_to_probe(self) -> Pool | None:
-        """Return the pool to probe: with an older idle connection to another engine, heard from last."""
+        """Return the pool to probe: of other engines with an older idle connection, the one heard last."""
         pools = [
             pool
             for pool in self._pools.all()
--- a/tuliptrack/relay/discovery.py
+++ b/tuliptrack/relay/discovery.py
@@ -17,11 +17,11 @@
 __all__ = ["MAX_CONNECTIONS", "Discovery"]
 
 MAX_CONNECTIONS = 2 * MAX_POLLS_PER_AGENT
-"""Connections to the followed agent and to the new one together."""
+"""Maximum number of connections to the followed agent and to the new one together."""
 MIN_DRAIN_GRACE_S = 0.1
-"""Minimum for a shorter drain grace: at this one there are already twenty polls a second."""
+"""Value that replaces a shorter drain grace: with this value there are already twenty polls a second."""
 MAX_DRAIN_GRACE_S = 2.0
-"""Maximum for a longer drain grace: polls follow each other within half of it."""
+"""Value that replaces a longer drain grace: polls follow each other within half of the drain grace."""
 
 
 class Discovery:
@@ -39,7 +39,7 @@
 
         Args:
             address: The agent's host:port.
-            known_revision: Returns the revision of the known list; changes since then are requested.
+            known_revision: Returns the revision of the known list; changes since that revision are requested.
             handle: Called with each answer.
             drain_grace_us: Time after which a draining endpoint must not get further requests.
             record_fault: Called with each error of `handle` other than `InvalidEndpointListError`.
--- a/tuliptrack/relay/endpoint_directory.py
+++ b/tuliptrack/relay/endpoint_directory.py
@@ -36,17 +36,17 @@
 """Maximum number of left-out entries that are logged, each once."""
 MAX_LOGGED_NAME_CHARACTERS = 60
 _VERSION_MASK = 0xFFFFFFFF
-"""The router's list versions have 32 bits."""
+"""Mask for the router's list versions, which have 32 bits."""
 _UNKNOWN_START: object = 0
 
 
 @dataclass(frozen=True, slots=True)
 class _LastState:
-    """The state of an endpoint that an agent stated last."""
+    """The last state that an agent has stated for an endpoint."""
 
     state: EndpointState
     started_at_ms: object
-    """Identifies the incarnation of the endpoint that the state belongs to."""
+    """The start time that identifies the incarnation of the endpoint to which the state belongs."""
 
 
 class EndpointDirectory:
@@ -65,7 +65,8 @@
         self._parser = EntryParser(kinds, zones, self._start_times)
         self._logged: set[str] = set()
         self._last_states: dict[int, _LastState] = {}
-        """By `endpoint_id`, ordered by when they were stated, the latest at the end."""
+        """The last stated states by `endpoint_id`, ordered by when they were stated, the latest at the
+        end."""
 
     def apply(
         self, message: object, *, is_cached: bool = False, is_new_agent: bool = False
@@ -74,9 +75,9 @@
 
         Args:
             message: The JSON of an agent's answer, or the list in the settings.
-            is_cached: Whether it is the list in the settings, which is full.
-            is_new_agent: Whether it is the first list of an agent that was not followed before. It must be
-                full, and is applied even if its revision is below the known one.
+            is_cached: Whether the message is the list in the settings, which is full.
+            is_new_agent: Whether the message is the first list of an agent that was not followed before. This
+                list must be full, and is applied even if its revision is below the known one.
 
         Returns:
             The update for the router; None if the list is older than the known one.
@@ -132,8 +133,8 @@
     def _leaving_entry(self, received: object) -> EndpointEntry | None:
         """Return the known entry in its new state if an unusable entry says that the endpoint is leaving."""
         # If an engine drains and another field of its entry is unusable, leaving out that entry of a delta
-        # would keep the engine ready, and requests would be sent there after the drain grace. The name and
-        # the state of the entry suffice to prevent that.
+        # would keep the engine ready, and requests would be sent to the engine after the drain grace. The
+        # name and the state of the entry suffice to prevent that.
         state = parse_state(received)
         known = self._entries.get(entry_name(received) or "")
         if known is None or state in (None, EndpointState.READY):
@@ -143,9 +144,10 @@
     def _keep_last_state(self, entry: EndpointEntry) -> EndpointEntry:
         """Return an entry of an older list, with the last known state of the same incarnation."""
         # A new agent that lags behind the former one may list an endpoint as ready that has been draining or
-        # removed since, and requests would be sent there after the drain grace. A draining endpoint does not
-        # become ready again before its next start, so the state known of the same start is the later one. If
-        # it is wrong after all, the agent's next entry of the endpoint replaces it.
+        # removed since, and requests would be sent to that endpoint after the drain grace. A draining
+        # endpoint does not become ready again before its next start, so the state known of the same start is
+        # the later one. If the known state is wrong after all, the agent's next entry of the endpoint
+        # replaces it.
         last = self._last_states.get(entry.endpoint.id)
         if last is None or last.state is EndpointState.READY or last.started_at_ms != entry.started_at_ms:
             return entry
@@ -195,5 +197,5 @@
 def _is_equal(known: object, received: object) -> bool:
     try:
         return known == received
-    except RecursionError:  # Nested too deeply to be compared, so it is no usable entry either.
+    except RecursionError:  # An entry nested too deeply to be compared is unusable too.
         return False
--- a/tuliptrack/relay/endpoint_entries.py
+++ b/tuliptrack/relay/endpoint_entries.py
@@ -30,17 +30,18 @@
 ]
 
 MAX_ENDPOINTS = 10_000
-"""Maximum number of entries of one list. It bounds memory and time, and exceeds any fleet of the platform."""
+"""Maximum number of entries of one list. This bounds memory and time, and is more than any fleet of the
+platform has."""
 MAX_PORT = 65_535
 MAX_WEIGHT = 1e9
 MAX_CELL = 2**53
 MAX_STARTED_AT_MS = 2**53
 MAX_QUOTED_CHARACTERS = 40
-"""How much of a wrong value an error message quotes."""
+"""Maximum number of characters of a wrong value that an error message quotes."""
 MAX_QUOTED_ADDRESS_CHARACTERS = 80
 US_PER_MS = 1_000
 _ADDRESS = re.compile(r"[\x21-\x7e]+:[0-9]{1,5}")
-"""Only printable ASCII, as the address goes into the `Host` field of requests."""
+"""Pattern of an address: printable ASCII only, as the address goes into the `Host` field of requests."""
 
 _STATES = {
     "Ready": EndpointState.READY,
@@ -59,7 +60,7 @@
 
     revision: int
     is_full: bool
-    """Whether it lists every endpoint, not only those that changed."""
+    """Whether the answer lists every endpoint, not only those that changed."""
     entries: list[Any]
 
 
@@ -69,7 +70,7 @@
 
     monotonic_us: int
     wall_us: int
-    """Microseconds since the Unix epoch."""
+    """Wall time in microseconds since the Unix epoch."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,20 +78,21 @@
     """One entry of a list: its JSON and the values parsed from it."""
 
     received: Mapping[str, Any]
-    """The entry's JSON, so that an equal one is not parsed again; empty if `endpoint` differs from it."""
+    """The entry's JSON, kept so that an equal entry is not parsed again; empty if `endpoint` differs from
+    it."""
     endpoint: EndpointInfo
     address: str
-    """host:port"""
+    """host:port of the endpoint."""
     name: str
     started_at_ms: object
-    """As stated by the agent, unconverted: it identifies an incarnation of the endpoint."""
+    """Start time as stated by the agent, unconverted: it identifies an incarnation of the endpoint."""
 
 
 def parse_message(message: object) -> ListMessage:
     """Check an answer as a whole.
 
     Raises:
-        InvalidEndpointListError: It is not an endpoint list.
+        InvalidEndpointListError: The answer is not an endpoint list.
     """
     if not isinstance(message, dict) or not isinstance(message.get("members", []), list):
         raise InvalidEndpointListError("must be an object with members")
--- a/tuliptrack/relay/engine_client.py
+++ b/tuliptrack/relay/engine_client.py
@@ -36,7 +36,7 @@
     prefills_have_no_effect = False
     releases_are_global = True
     release_transit_us = 0
-    """The platform grants the transit time in addition to the time that the settings state."""
+    """No time, since the platform grants the transit time in addition to the time that the settings state."""
 
     def __init__(self, core: Core, pools: EnginePools, report_names: tuple[str, ...]) -> None:
         self.core, self.pools = core, pools
@@ -94,7 +94,7 @@
         self.late_releases.cancel(call_id)
 
     def release_later(self, endpoint_id: int, record: RequestRecord) -> None:
-        """Have an engine that sent nothing about an attempt release what it may still reserve."""
+        """Release what an engine may still reserve; the engine sent nothing about the attempt."""
         self.late_releases.start(endpoint_id, record.client_request.call_id)
 
     def reserve(self, endpoint_id: int, record: RequestRecord, attempt: Attempt) -> None:
--- a/tuliptrack/relay/engine_pools.py
+++ b/tuliptrack/relay/engine_pools.py
@@ -23,7 +23,8 @@
         """host:port of the listed endpoints."""
         self._pools: dict[int, Pool] = {}
         self._retired: list[Pool] = []
-        """Pools of endpoints that were removed or changed their address, until their exchanges have ended."""
+        """Pools of endpoints that were removed or changed their address, kept until their exchanges have
+        ended."""
         self._closing: set[asyncio.Task[None]] = set()
 
     def __iter__(self) -> Iterator[int]:
@@ -44,7 +45,7 @@
         return pool
 
     def get(self, endpoint_id: int) -> Pool | None:
-        """Return the pool of an endpoint; None if the endpoint has not been used."""
+        """Return the pool of an endpoint; None if no pool has been created for it."""
         return self._pools.get(endpoint_id)
 
     def all(self) -> list[Pool]:
--- a/tuliptrack/relay/event_stream.py
+++ b/tuliptrack/relay/event_stream.py
@@ -38,7 +38,7 @@
 
     cached_tokens: int
     output_tokens: int | None
-    """None if the engine states no valid number."""
+    """Number of output tokens; None if the engine states no valid number."""
 
 
 class EventStream:
@@ -116,7 +116,10 @@
 
 
 def _parse_usage(text: bytes) -> StreamUsage | None:
-    """Return the token counts of an event; None if they are invalid, as they are meant for the client."""
+    """Return the token counts of an event; None if they are invalid.
+
+    Invalid counts are not an error of the stream, as the counts are meant for the client.
+    """
     try:
         usage = parse_json(text)["usage"]
         cached_tokens = token_count(usage["prompt_tokens_details"]["cached_tokens"])
--- a/tuliptrack/relay/forwarded_request.py
+++ b/tuliptrack/relay/forwarded_request.py
@@ -16,6 +16,6 @@
     method: str
     target: str
     body: bytes
-    """Emptied once the answer has started, since no further attempt will need it."""
+    """The request's body; emptied once the answer has started, since no further attempt will need it."""
     fields: Fields
     """The header fields that are forwarded."""
--- a/tuliptrack/relay/front.py
+++ b/tuliptrack/relay/front.py
@@ -19,7 +19,8 @@
 
 MIN_RETRY_AFTER_S = 0.001
 BODY_BUDGET_RETRY_AFTER_S = 0.1
-"""Bodies are freed when answers start, so a retry may soon find enough of the budget free."""
+"""Advised retry delay if the body budget is exhausted: bodies are freed when answers start, so a retry may
+soon find enough of the budget free."""
 MAX_QUOTED_METHOD_CHARACTERS = 20
 MAX_QUOTED_ID_CHARACTERS = 60
 _OK = 200
@@ -48,12 +49,12 @@
     def __init__(self, front: Front, call: HttpCall, call_id: str, reserved_bytes: int) -> None:
         self.front, self.call, self.call_id = front, call, call_id
         self._reserved_bytes = reserved_bytes
-        """Share of the body budget that the request holds."""
+        """The bytes of the body budget that the request holds."""
 
     def close(self) -> None:
         """Free the body budget and the call id of the request; may be called more than once."""
         self._free_body()
-        # A later request may use the same id by now.
+        # A later request may use the same call id by now.
         if self.front.open_requests.get(self.call_id) is self:
             del self.front.open_requests[self.call_id]
 
@@ -111,7 +112,7 @@
         self.is_ready = False
 
     def _reject_early(self, call: HttpCall) -> Rejection | None:
-        """Return the rejection of a request under overload, known before its body has arrived; else None."""
+        """Under overload, return the rejection of a request before its body arrives; else None."""
         # A stopping node closes the connection after its answer. If the client were still sending, the close
         # would overtake the answer and the client would see a reset connection. So while the node stops, the
         # rejection waits until the whole request has arrived.
--- a/tuliptrack/relay/http_attempt.py
+++ b/tuliptrack/relay/http_attempt.py
@@ -34,7 +34,7 @@
 
 log = structlog.get_logger("engines")
 MAX_BODY_BYTES = 65_536
-"""Maximum body of an answer that is not a stream."""
+"""Maximum size of the body of an answer that is not a stream."""
 _REJECTED_FIELD = "x-rejected"
 _STREAM_STATUS = 200
 _PREFILL_STATUS = 202
@@ -89,7 +89,7 @@
         exchange.on_end = self._handle_end
 
     def cancel(self, status: Status) -> None:
-        """Cancel the attempt; it ends as `status`."""
+        """Cancel the attempt; its end is reported as `status`."""
         self._status_if_cancelled = status
         self.exchange.cancel()
 
@@ -107,7 +107,7 @@
             self._corroboration.check()
 
     def mark_doubtful(self) -> None:
-        """Do not rely on its connection and its engine until they send something."""
+        """Rely on neither the attempt's connection nor its engine until they send something."""
         self.exchange.doubt()
 
     def pause(self) -> None:
@@ -184,7 +184,7 @@
     def _unsent_result(self) -> AttemptResult:
         """Return the result of an attempt that was cancelled before it was sent.
 
-        It never ran. All that its end may show of the engine is that no connection was established in time.
+        The attempt never ran. Its end shows at most that no connection to the engine was established in time.
         """
         is_timeout = self._status_if_cancelled is Status.TIMEOUT
         return AttemptResult(
--- a/tuliptrack/relay/kv_state_releases.py
+++ b/tuliptrack/relay/kv_state_releases.py
@@ -9,8 +9,8 @@
 them, until an engine confirms the release or `ABANDONED_AFTER_S` has passed.
 
 An attempt that ended unconfirmed, such as a cancelled prefill, may reach its engine after a release was
-confirmed, and reserve a state that no attempt will use. Its release has `UNCONFIRMED_END_ROUNDS` rounds, half
-of the allowed time apart.
+confirmed, and reserve a state that no attempt will use. The release of such an attempt has
+`UNCONFIRMED_END_ROUNDS` rounds, half of the allowed time apart.
 
 Bounds: `MAX_PENDING` releases, beyond which the one that has been pending for longest is abandoned for a new
 one; `MAX_OPEN_EXCHANGES` exchanges, beyond which steps wait in the order in which they are due.
@@ -43,19 +43,21 @@
 MAX_PENDING = 4_096
 MAX_OPEN_EXCHANGES = 512
 STEPS = 6
-"""Steps within the time that the settings allow."""
+"""Number of steps within the time that the settings allow."""
 FAILED_STEP_SPEEDUP = 10
-"""Divides the pause between two steps if all exchanges have failed, as no answer is pending then."""
+"""Divisor of the pause between two steps that applies if all exchanges have failed, as no answer is pending
+then."""
 EXCHANGES_BY_STEP = (1, 2, 4)
-"""New exchanges of each step; the last number applies to all further steps."""
+"""Number of new exchanges of each step; the last number applies to all further steps."""
 NEW_CONNECTIONS_FROM_STEP = 2
-"""From this step on, exchanges use new connections, since the idle ones may all have fallen silent."""
+"""The step from which on exchanges use new connections, since the idle ones may all have fallen silent."""
 UNCONFIRMED_END_ROUNDS = 2
-"""Rounds of a release whose attempt may reach its engine after the first confirmation."""
+"""Number of rounds of a release whose attempt may reach its engine after the first confirmation."""
 LATE_AFTER_S = 0.3
-"""The platform's tolerance: a release that takes longer may be too late."""
+"""Time beyond which a confirmed release is counted as late: the platform's tolerance, so a release that takes
+longer may be too late."""
 ABANDONED_AFTER_S = 15.0
-"""Twice the longest network outage that is expected."""
+"""Time after which a release is abandoned: twice the longest network outage that is expected."""
 MIN_ALLOWED_S = 0.001
 _SUCCESS_STATUSES = range(200, 300)
 _PATH = "/bootstrap/rooms/"
@@ -87,15 +89,15 @@
     """Number of confirmations that are still missing."""
     step: int = 0
     exchanges: list[Exchange] = field(default_factory=list)
-    """Its open exchanges."""
+    """The open exchanges of the release."""
     contacted: set[int] = field(default_factory=set)
     """Endpoints that were asked since the last time that all of them had been."""
     timer: asyncio.TimerHandle | None = None
-    """Starts the next step or round."""
+    """The timer that starts the next step or round."""
     awaits_round: bool = False
-    """Whether it is confirmed and waits for its next round."""
+    """Whether the release is confirmed and waits for its next round."""
     awaits_capacity: bool = False
-    """Whether its next step waits until fewer exchanges are open."""
+    """Whether the next step of the release waits until fewer exchanges are open."""
 
 
 class KvStateReleases:
@@ -112,7 +114,8 @@
         self._pools, self._counters = pools, counters
         self._allowed_s = allowed_seconds(release_within_us)
         self._pending: dict[str, _Release] = {}
-        """Ordered by the start of their rounds, so the first one has been pending for longest."""
+        """Pending releases by call id, ordered by the start of their rounds, so the first one has been
+        pending for longest."""
         self._waiting: deque[_Release] = deque()
         """Releases whose next step waits until fewer exchanges are open."""
         self._open_exchanges: dict[Exchange, asyncio.TimerHandle] = {}
--- a/tuliptrack/relay/late_releases.py
+++ b/tuliptrack/relay/late_releases.py
@@ -3,7 +3,7 @@
 A release that another engine confirms covers only what is reserved by then. An engine that hangs, or whose
 machine is cut off from the network, may finish a prefill later, or notice later that an attempt has ended. So
 every engine that sent nothing about an attempt gets a release of its own once the request is over. It gets
-another one a while later, since it may process the requests in its queue in any order.
+another one a while later, since the engine may process the requests in its queue in any order.
 
 Bounds: `MAX_PENDING` releases, beyond which a new one is dropped and counted; one try at a time for each
 engine; each release is abandoned after `ABANDONED_AFTER_S`, or once its engine is no longer listed.
@@ -29,7 +29,8 @@
 
 MAX_PENDING = 4_096
 ROUNDS = 2
-"""Confirmations of each release: an engine may process the first release before the attempt itself."""
+"""Number of confirmations that each release needs: an engine may process the first release before the attempt
+itself."""
 
 
 @dataclass(slots=True, eq=False)
@@ -38,7 +39,7 @@
 
     call_id: str
     abandoned_at: float
-    """On the event loop's clock, in seconds."""
+    """The time at which the release is abandoned, on the event loop's clock, in seconds."""
     rounds: int = ROUNDS
     """Number of confirmations that are still missing."""
     has_failed: bool = False
@@ -52,7 +53,7 @@
     releases: deque[_LateRelease] = field(default_factory=deque)
     open_try: Exchange | None = None
     timer: asyncio.TimerHandle | None = None
-    """Cancels the open try, or starts the next one."""
+    """The timer that cancels the open try, or starts the next one."""
 
 
 class LateReleases:
@@ -71,7 +72,7 @@
         """Time limit of a try, and the pause after a failed one."""
         self._queues: dict[int, _EngineQueue] = {}
         self._pending: dict[tuple[int, str], _LateRelease] = {}
-        """By `endpoint_id` and call id."""
+        """The pending releases by `endpoint_id` and call id."""
 
     def __len__(self) -> int:
         """Return how many releases are pending."""
--- a/tuliptrack/relay/load_reports.py
+++ b/tuliptrack/relay/load_reports.py
@@ -13,7 +13,8 @@
 
 REPORT_FIELD = "x-load-report"
 MAX_REPORTED_VALUE = 1e9
-"""This and greater values are treated as invalid: counts, shares and seconds stay far below."""
+"""Value at and above which a reported value is treated as invalid: counts, shares and seconds stay far
+below."""
 
 
 def parse_load_report(text: str | bytes, names: tuple[str, ...]) -> tuple[float, ...]:
--- a/tuliptrack/relay/node.py
+++ b/tuliptrack/relay/node.py
@@ -39,39 +39,42 @@
 SWEEP_INTERVAL_S = 0.25
 """Interval between checks for silent streams, stalled clients and idle connections."""
 LISTEN_RETRY_S = 5.0
-"""How long listening is retried if the address is not available yet."""
+"""Time for which listening is retried if the address is not available yet."""
 READY_WITHOUT_LIST_AFTER_S = 2.0
-"""A node that knows no engines waits this long for a list before it reports that it is ready anyway."""
+"""Time for which a node that knows no engines waits for a list before it reports that it is ready anyway."""
 TOKEN_SILENCE_US = 4_000_000
-"""Longest silence of a stream. The platform lets a client wait for 5 s on a stream that has stopped."""
+"""Longest silence of a stream before the node ends it. The platform allows that a client waits for up to 5 s
+on a stream that has stopped."""
 GRACE_AFTER_SIGTERM_S = 0.6
-"""The platform excuses failures this soon after SIGTERM; later requests must be answered before SIGKILL."""
+"""Time after SIGTERM within which the platform excuses failures; requests that arrive later must be answered
+before SIGKILL."""
 MIGRATE_BEFORE_KILL_S = 1.1
-"""How long before the earliest SIGKILL streams are migrated and new requests are rejected."""
+"""Time before the earliest SIGKILL at which streams are migrated and new requests begin to be rejected."""
 CONCLUDE_BEFORE_KILL_S = 0.5
-"""How long before the earliest SIGKILL the open requests that arrived late get their final answers."""
+"""Time before the earliest SIGKILL at which the open requests that arrived more than `GRACE_AFTER_SIGTERM_S`
+after SIGTERM get their final answers."""
 RESERVED_DESCRIPTORS = 8 + ACCEPTED_AT_ONCE + MAX_CONNECTIONS
-"""Descriptors for neither clients nor engines: log and standard streams (3), listener, selector and its
-wake-up (2), the settings file, one that an import may need; connections accepted but not handled yet; polls
-of the list."""
+"""Number of descriptors that serve neither clients nor engines: log and standard streams (3), listener,
+selector and its wake-up (2), the settings file, one that an import may need; connections accepted but not
+handled yet; polls of the list."""
 CLIENT_DESCRIPTOR_SHARE = 0.45
 """Maximum share of all descriptors for client connections."""
 ENGINE_DESCRIPTOR_SHARE = 0.4
 """Maximum share of all descriptors for engine connections."""
 MAX_BODY_BYTES = 262_144
-"""Maximum body of a request or an answer, set by the protocol."""
+"""Maximum size of the body of a request or an answer, set by the protocol."""
 MAX_HEAD_BYTES = 16_384
 REQUEST_TIMEOUT_US = 2_500_000
 CLIENT_IDLE_TIMEOUT_US = 30_000_000
 DEFAULT_ENGINE_IDLE_TIMEOUT_US = 15_000_000
 IDLE_MARGIN_US = 2_000_000
-"""Idle connections are closed this long before their engine would close them."""
+"""Time by which idle connections are closed before their engine would close them."""
 ANSWER_LEAD_US = 20_000
-"""How long before the client's deadline its answer is sent at the latest."""
+"""Minimum time from the sending of an answer to the client's deadline."""
 ARRIVING_MEMORY_DIVISOR = 8
-"""The share of the memory for request bodies that are arriving is 1 / this."""
+"""Divisor of the memory: the quotient is available for request bodies that are arriving."""
 BODY_MEMORY_DIVISOR = 6
-"""The share of the memory for the bodies of open requests is 1 / this."""
+"""Divisor of the memory: the quotient is available for the bodies of open requests."""
 
 
 class RelayNode(Core):
@@ -106,7 +109,7 @@
             lambda error: self.record_fault("endpoint list", error),
         )
         self._last_rejection = ""
-        """Why the last list was rejected, so that a repeated reason is logged once."""
+        """The reason why the last list was rejected, kept so that a repeated reason is logged once."""
         self._last_update: tuple[UpdateKind, int] | None = None
         """Kind and version of the last list that was accepted."""
         self._sweeper: asyncio.Task[None] | None = None
@@ -206,7 +209,8 @@
         rolling restart there may be no other node yet. Then streams are migrated while their clients can find
         another node, since the kill would break them. Requests that arrive from then on are rejected, and
         each answer closes its connection. A connection without a request stays open until the kill is due,
-        since a request may be on its way. `grace_s` bounds how long what is open then may take to end.
+        since a request may be on its way. `grace_s` bounds the time that the requests open after that may
+        take to end.
         """
         started_at_us = self.now()
         log.info("stopping", open=len(self.table.open))
@@ -251,7 +255,7 @@
         self.source.switch_to(config.discovery_address)
 
     def _become_ready(self) -> None:
-        """Stop waiting for the first list and report that the node is ready, if it still waits."""
+        """If the node still waits for its first list, stop waiting and report that the node is ready."""
         if self._readiness_timer:
             self._readiness_timer.cancel()
             self._readiness_timer, self.front.is_ready = None, True
--- a/tuliptrack/relay/request_parser.py
+++ b/tuliptrack/relay/request_parser.py
@@ -20,9 +20,9 @@
 __all__ = ["check_body", "parse_call_id", "parse_request"]
 
 MAX_BUDGET_S = 86_400.0
-"""A budget of more than a day is rejected as invalid."""
+"""Maximum budget: one of more than a day is rejected as invalid."""
 MAX_QUOTED_CHARACTERS = 40
-"""How much of a wrong value an error message quotes."""
+"""Maximum number of characters of a wrong value that an error message quotes."""
 MAX_QUOTED_ID_CHARACTERS = 60
 MAX_QUOTED_METHOD_CHARACTERS = 20
 MAX_ERROR_CHARACTERS = 200
@@ -44,8 +44,8 @@
 )
 """Fields that apply to one connection only (RFC 9110, section 7.6.1)."""
 _REPLACED_FIELDS = frozenset({"host", "x-call-id", "x-budget", "content-length", "expect", "accept-encoding"})
-"""Fields that the node sets itself for each attempt or must not forward. It parses the events of engines, so
-these must not arrive compressed."""
+"""Fields that the node sets itself for each attempt or must not forward. The node parses the events of
+engines, so the events must not arrive compressed."""
 
 
 def parse_call_id(call: HttpCall) -> str:
@@ -140,7 +140,7 @@
 
 
 def _parse_budget(text: str | None) -> int | None:
-    """Return when the client's budget, given in seconds, ends, in monotonic microseconds."""
+    """Return the monotonic time in microseconds at which the budget, stated in seconds, is used up."""
     if text is None:
         return None
     budget_s = _parse_float(text)
