--- a/tuliptrack/interface/actions.py
+++ b/tuliptrack/interface/actions.py
@@ -1,7 +1,8 @@
 """The actions that a router returns for its host to carry out. Times are microseconds.
 
 `routing.Router` does not use `CheckHealth`, `ReserveCapacity`, `CloseIdleConnections`, `FetchEndpointList`
-and `SendGossip`, and ignores the events that answer them. Hosts carry them out, for routers that do.
+and `SendGossip`, and ignores the events that answer them. Hosts carry these actions out for other routers,
+which use them.
 """
 
 from __future__ import annotations
@@ -36,10 +37,10 @@
     request_id: int
     endpoint_id: int
     timeout_us: int = 0
-    """After how long to abandon the attempt; 0: not before the client's deadline."""
+    """Time after which the attempt is abandoned; 0 if it is not abandoned before the client's deadline."""
     cross_zone_cause: CrossZoneCause | None = None
-    """Why the attempt may move bytes between zones; None if it moves none, or cross-zone traffic is not
-    budgeted."""
+    """Why the attempt may move bytes between zones; None if the attempt moves none, or if cross-zone traffic
+    is not budgeted."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Check the health of an endpoint, where that is allowed."""
+    """Check the health of an endpoint, if the host allows health checks."""
 
     endpoint_id: int
 
@@ -123,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send bytes to one node (by its replica index), or to all others (None)."""
+    """Send bytes to the node whose replica index is `peer`, or to all other nodes if `peer` is None."""
 
     data: bytes
     peer: int | None = None
--- a/tuliptrack/interface/events.py
+++ b/tuliptrack/interface/events.py
@@ -39,9 +39,9 @@
     FULL = "full"
     """Endpoints that are not in the update have been removed."""
     CACHED = "cached"
-    """As `FULL`, but from before the start of this process."""
+    """A full list, as with `FULL`, but one that was received before the start of this process."""
     FAILED = "failed"
-    """No list: the subscription has ended, or the list could not be fetched."""
+    """The update contains no list: the subscription has ended, or the list could not be fetched."""
 
 
 class Status(Enum):
@@ -52,7 +52,7 @@
     """The prompt is prefilled, and its KV state is reserved for the request."""
     ERROR = "error"
     AT_CAPACITY = "at capacity"
-    """The endpoint has rejected the attempt; it has had no effect."""
+    """The endpoint has rejected the attempt, which has had no effect."""
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
@@ -63,7 +63,7 @@
     def may_have_executed(self, is_prefill: bool) -> bool:
         """Whether an attempt with this status may have had an effect.
 
-        A prefill has none, unless it timed out: an engine that hangs may execute it later.
+        A prefill has no effect, unless it timed out: an engine that hangs may execute it later.
         """
         if is_prefill:
             return self is Status.TIMEOUT
@@ -83,19 +83,20 @@
     cell: int = 0
     zone: int = 0
     started_at_us: int = 0
-    """0 if it started long ago, else a time on the host's clock; slow start counts from it."""
+    """Start time of the endpoint on the host's clock, at which slow start begins; 0 if it started long
+    ago."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """The endpoint list has changed, or a call for it has failed (`FAILED`)."""
+    """The endpoint list has changed; or, if the kind is `FAILED`, the list could not be obtained."""
 
     kind: UpdateKind
     version: int = 0
     endpoints: tuple[EndpointInfo, ...] = ()
     quota_share: float = 1.0
-    """Share of the tenants' quotas that these endpoints are provisioned for, where others serve other
-    models."""
+    """Share of the tenants' quotas that the listed endpoints are provisioned for; below 1 if other endpoints
+    serve other models."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,7 +109,7 @@
     time_left_us: int
     prompt_tokens: float = 0.0
     prefix_tokens: float = 0.0
-    """Tokens of the prefix that the prompt shares with others."""
+    """Tokens of the prefix that the prompt shares with other prompts."""
     max_tokens: float = 0.0
     session: int = 0
     """Hash of the client's session."""
@@ -117,12 +118,12 @@
     tenant: int = 0
     """Index into `Settings.tenants`."""
     stream_time_hint_us: int | None = None
-    """How long the stream may be expected to take; None if the client does not say."""
+    """Expected duration of the stream, by the client's hint; None if the client gives no hint."""
     is_retry: bool = False
     is_resumed: bool = False
-    """It asks for the rest of a stream that was interrupted."""
+    """Whether the request asks for the rest of a stream that was interrupted."""
     is_over_token_budget: bool = False
-    """Its tenant's token budget is exhausted."""
+    """Whether the token budget of the request's tenant is exhausted."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -145,20 +146,20 @@
     status: Status
     latency_us: int
     is_final: bool = False
-    """Nothing more is owed for the request."""
+    """Whether the client needs no further answer to the request."""
     cached_tokens: int = 0
     """Prompt tokens that needed no prefill."""
     is_state_lost: bool = False
-    """The KV state that the attempt needed is lost, or most likely is: the prompt is prefilled again. It can
-    accompany any failure status."""
+    """Whether the KV state that the attempt needed is lost or most likely lost, so that the prompt has to be
+    prefilled again. This can be the case with any failure status."""
     load_report: tuple[float, ...] = ()
-    """The values named by `Settings.report_fields`, or nothing."""
+    """The endpoint's values of the `Settings.report_fields`, in their order; empty if it reported none."""
     cross_zone_bytes: float = 0.0
     """Bytes that this attempt has moved between zones."""
     is_connection_only: bool = False
-    """With `RESET` or `CONNECT_FAILED`: only this connection failed, not the endpoint. Either the connection
-    was idle and its peer closed it, or it delivered an answer that cannot be parsed, or other connections to
-    the endpoint are still open."""
+    """Whether only this connection failed, not the endpoint; true only with `RESET` or `CONNECT_FAILED`.
+    Either the connection was idle and its peer closed it, or it delivered an answer that cannot be parsed, or
+    other connections to the endpoint are still open."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tuliptrack/interface/settings.py
+++ b/tuliptrack/interface/settings.py
@@ -29,11 +29,12 @@
     """Whether a request may be sent more than once."""
 
     IDEMPOTENT = "idempotent"
-    """Repeating it has no effect."""
+    """A repeat of the request has no further effect."""
     WITH_KEY = "with key"
-    """It carries an idempotency key: endpoints of a scope drop repeats within the deduplication window."""
+    """The request carries an idempotency key: endpoints in the scope of the key drop repeats of the request
+    within the deduplication window."""
     NOT_IDEMPOTENT = "not idempotent"
-    """Repeating it does harm."""
+    """A repeat of the request does harm."""
 
 
 class IdempotencyScope(Enum):
@@ -46,16 +47,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests. ValueError names a field that is out of range."""
+    """One class of requests. A field that is out of range raises a ValueError, which names the field."""
 
     name: str
     priority_weight: float
     latency_objective_us: int
-    """For the time to the first token."""
+    """Objective for the time from a request's arrival to its first token."""
     deadline_us: int
-    """For the time to the final answer."""
+    """Limit of the time from a request's arrival to its final answer."""
     objective_us_per_1000_tokens: float = 0.0
-    """Added to the latency objective for each 1,000 tokens of the prompt."""
+    """Microseconds that are added to the latency objective for each 1,000 tokens of the prompt."""
     inter_token_objective_us: float = 0.0
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
@@ -89,7 +90,7 @@
     """Why an attempt moves bytes between zones."""
 
     BUDGET = "budget"
-    """The endpoint was chosen, and the budget had capacity."""
+    """The router chose an endpoint in another zone, and the budget had capacity."""
     FORCED = "forced"
     """No other endpoint could serve the request, or serve it in time, and the budget had no capacity."""
     RETRY = "retry"
@@ -98,11 +99,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneBudget:
-    """Bytes that may cross zones for some classes, or for all (`classes` empty), all nodes together.
+    """A limit on the bytes that all nodes together may move between zones.
 
-    `bytes_per_s` in the long run, `burst` at once; granted to the nodes in rotation in units of `quantum`
-    bytes, which is at least what a usual request moves. `by_traffic` is the share that the nodes earn by the
-    requests that arrive there instead, measured by the tenants' quotas.
+    The limit applies to the request classes in `classes`, or to all classes if `classes` is empty. Up to
+    `bytes_per_s` may be moved in the long run, and up to `burst` bytes at once. The bytes are granted to the
+    nodes in rotation, in units of `quantum` bytes, which is at least what a usual request moves. The
+    fraction `by_traffic` of the budget is not granted in rotation: the nodes earn it by the requests that
+    arrive at them, measured by the tenants' quotas.
     """
 
     bytes_per_s: float
@@ -126,15 +129,16 @@
 class Settings:
     """The configuration of a node; the same for all nodes except for `replica_index`.
 
-    How much an endpoint in slow start is sent follows from `replica_index`, `replicas` and the tenants'
-    quotas, whose sum is used as the capacity of the whole fleet: each node needs an index of its own.
+    Each node needs an index of its own: the number of requests that a node sends to an endpoint in slow start
+    follows from `replica_index`, `replicas` and the tenants' quotas. The sum of the quotas is used as the
+    capacity of the whole fleet.
 
-    Without `zone_budgets`, traffic between zones is neither limited nor priced. ValueError names a field that
-    is out of range.
+    Without `zone_budgets`, traffic between zones is neither limited nor priced. A field that is out of range
+    raises a ValueError, which names the field.
     """
 
     replicas: int
-    """Nodes of the fleet."""
+    """Number of nodes that share the traffic, including this node."""
     classes: tuple[RequestClass, ...]
     roles: tuple[Role, ...]
     """The role of each kind of endpoint, by the kind's index."""
@@ -144,21 +148,22 @@
     zone: int = 0
     """Zone of this node."""
     over_quota_weight_factor: float = 1.0
-    """Multiplies the priority weight of requests above their tenant's quota."""
+    """Factor for the priority weight of requests above their tenant's quota."""
     max_attempts: int = 1
-    """Attempts of one request, the prefill included."""
+    """Maximum number of attempts of one request; prefills count as attempts."""
     release_within_us: int = 300_000
-    """How long a KV state may stay reserved without an attempt at an endpoint."""
+    """Time for which a KV state may stay reserved while its request has no attempt at any endpoint."""
     drain_grace_us: int = 0
-    """After an endpoint is listed as draining, how long new attempts there are tolerated."""
+    """Time for which new attempts at an endpoint are tolerated after it is listed as draining."""
     must_subscribe: bool = False
-    """Whether the endpoint list has to be subscribed to."""
+    """Whether the router has to subscribe to the endpoint list."""
     slow_start_us: int = 0
-    """How long an endpoint is in slow start after its start."""
+    """Duration of slow start, from the start of the endpoint."""
     slow_start_initial_share: float = 1.0
     """Share of its capacity that an endpoint has at its start."""
     slow_start_overload_factor: float = 1.0
-    """Multiple of its capacity in a window at which an endpoint in slow start fails."""
+    """Load at which an endpoint in slow start fails, as a multiple of its capacity in a window of
+    `slow_start_window_us`."""
     slow_start_window_us: int = 1_000_000
     connect_timeout_us: int = 250_000
     may_cancel: bool = False
@@ -167,17 +172,18 @@
     """Whether clients can resume streams, so that streams may be migrated."""
     max_retry_after_us: int = 0
     report_fields: tuple[str, ...] = ()
-    """Names of the values of a load report. The router reads `in_flight` (requests, with reserved KV states),
-    `memory_share` (0 to 1) and `tokens_waiting_k` (thousands of tokens to prefill or fetch)."""
+    """Names of the values in a load report, in their order. The router reads `in_flight` (number of requests,
+    including those with a reserved KV state), `memory_share` (0 to 1) and `tokens_waiting_k` (thousands of
+    tokens that wait to be prefilled or fetched)."""
     zone_budgets: tuple[ZoneBudget, ...] = ()
     prompt_bytes: float = 0.0
-    """Bytes of a token of the prompt in cross-zone traffic."""
+    """Number of bytes that one prompt token adds to cross-zone traffic."""
     state_bytes: float = 0.0
-    """Bytes of a token of KV state."""
+    """Number of bytes that the KV state of one token adds to cross-zone traffic."""
     answer_bytes: float = 0.0
-    """Bytes of a token of output."""
+    """Number of bytes that one output token adds to cross-zone traffic."""
     epoch_offset_us: int = 0
-    """Offset from the host's clock to a clock that all nodes share."""
+    """Microseconds to add to the host's clock to obtain the clock that all nodes share."""
 
     def __post_init__(self) -> None:
         """Check the values."""
--- a/tuliptrack/routing/admission.py
+++ b/tuliptrack/routing/admission.py
@@ -1,9 +1,9 @@
 """Decides whether a new request is admitted or shed, and where an admitted one starts.
 
 A request is shed if its estimated time to first token exceeds a share of its latency objective, or if its
-first token could not meet the client's deadline. The share depends on its priority weight: requests of the
-lowest priority are shed first, those of the highest last. Before a request is shed, alternatives are tried:
-another zone, a recovering zone ahead of its ramp, an endpoint in slow start with an open slot, and any
+first token could not meet the client's deadline. The share depends on the request's priority weight: requests
+of the lowest priority are shed first, those of the highest last. Before a request is shed, alternatives are
+tried: another zone, a recovering zone ahead of its ramp, an endpoint in slow start with an open slot, and any
 endpoint with a short queue. Times are microseconds.
 """
 
@@ -29,10 +29,10 @@
 SHEDDING_CONDITION = "shedding load by priority"
 """Log text for the condition that requests are being shed."""
 LOW_PRIORITY_FACTOR = 0.5
-"""Multiple of the queue limit above which the lowest priority is shed."""
+"""Multiple of the queue limit above which requests of the lowest priority are shed."""
 TOP_PRIORITY_FACTOR = 1.6
-"""Multiple of the queue limit above which the highest priority is shed too, because most of its requests
-would only be late."""
+"""Multiple of the queue limit above which requests of the highest priority are shed too, because most of them
+would only be answered late."""
 
 
 class ShedReason(Enum):
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class _Placement:
-    """An endpoint where a request could start, and the estimated time to first token there."""
+    """An endpoint where a request could start, and the estimated time to first token at that endpoint."""
 
     endpoint: Endpoint | None
     time_to_first_token_us: float
--- a/tuliptrack/routing/attempt_timeout.py
+++ b/tuliptrack/routing/attempt_timeout.py
@@ -17,19 +17,21 @@
 __all__ = ["NO_TIMEOUT", "AttemptTimeout"]
 
 NO_TIMEOUT = 0
-"""The attempt is not abandoned before the client's deadline."""
+"""Value instead of a time-out for an attempt that is not abandoned before the client's deadline."""
 MIN_TIMEOUT_SHARE = 0.5
-"""Minimum time-out, as a share of the latency objective: two attempts still fit into it."""
+"""Minimum time-out, as a share of the latency objective: two attempts still fit into the objective."""
 TIMEOUT_RATIO = 2.5
-"""Multiple of the latency at the start of the slowest fifth of the answers."""
+"""Ratio of the time-out to the lowest latency among the slowest fifth of the answers."""
 TIMEOUT_GROWTH = 1.5
-"""Factor for each earlier time-out or error of the request, so that a general slowdown causes no retry
-storm."""
+"""Factor by which the time-out grows with each earlier time-out or error of the request, so that a general
+slowdown causes no retry storm."""
 MAX_TIMEOUT_SHARE = 0.7
-"""Share of attempts with time-outs or errors that shows an overload; from it on, no attempt is abandoned."""
+"""Share of attempts with time-outs or errors from which on an overload is assumed and no attempt is
+abandoned."""
 MIN_OTHER_NODES_SHARE = 0.5
 OTHER_NODES_SHARE_EXPONENT = 0.75
-"""With few nodes, a long wait can be explained by the queue, so the time-out is longer."""
+"""Minimum of `other_nodes_share`, and its exponent, in the divisor of the minimum time-out. With few nodes, a
+long wait can be explained by the queue, so the time-out is longer."""
 
 
 class AttemptTimeout:
@@ -67,13 +69,13 @@
 
     def _computed_timeout_us(self, request: InFlightRequest, endpoint: Endpoint) -> float:
         statistics, state = endpoint.statistics, self._state
-        # The oldest waiting attempt at each endpoint counts as an answer: a general slowdown shows there
-        # first.
+        # The oldest waiting attempt at each endpoint counts as an answer: a general slowdown shows in the
+        # waiting attempts first.
         ages = (
             (state.now_us - attempt.sent_at_us) / attempt.latency_objective_us
             for _, attempt in state.table.oldest_waiting(endpoint.role)
         )
-        # Never empty: the attempt itself is already waiting.
+        # The list is never empty, because the attempt itself is already waiting.
         latencies = sorted([*statistics.relative_latencies, *ages])
         slowest_fifth = latencies[-len(latencies) // 5]
         min_share = (
--- a/tuliptrack/routing/decode_placement.py
+++ b/tuliptrack/routing/decode_placement.py
@@ -26,9 +26,11 @@
 __all__ = ["DecodePlacement"]
 
 NEAR_TIE_SHARE = 1.0
-"""Share of the mean load by which an endpoint may exceed the least loaded one and still be preferred."""
+"""Share of the mean load by which an endpoint's load may exceed the lowest load and still count as
+similar."""
 MEMORY_MARGIN = 0.12
-"""How far an endpoint's memory share may exceed the median before the endpoint is left out."""
+"""Maximum excess of an endpoint's memory share, from 0 to 1, over the median; above it the endpoint is left
+out."""
 
 
 @dataclass(slots=True)
@@ -122,8 +124,8 @@
     def _preferred_cell(self, request: InFlightRequest) -> int | None:
         """Return the cell that holds the KV state, or None if no cell is preferred.
 
-        A cell is preferred for no more of its prefills than its decode endpoints have capacity for; the rest
-        would overload them.
+        A cell is preferred for only as many of its prefills as its decode endpoints have capacity for; more
+        would overload these endpoints.
         """
         if request.kv_holder is None:
             return None
--- a/tuliptrack/routing/eligibility.py
+++ b/tuliptrack/routing/eligibility.py
@@ -1,9 +1,9 @@
 """Decides which endpoints a request may be sent to now.
 
 An endpoint is eligible if it has not rejected or failed the request, if an attempt there cannot repeat the
-effect of an earlier one, and if it is warm or has an open slow-start slot. Usable endpoints are preferred:
-those that are not ejected for such requests, and whose zone may get the request while traffic to recovered
-zones is ramped up. Other eligible endpoints are used only if none is usable.
+effect of an earlier attempt, and if the endpoint is warm or has an open slow-start slot. Usable endpoints are
+preferred: those that are not ejected for such requests, and whose zone may get the request while traffic to
+recovered zones is ramped up. Other eligible endpoints are used only if none is usable.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Eligibility:
-    """Combines the conditions of the other modules on an endpoint and a request."""
+    """Combines the conditions that the other modules set for sending a request to an endpoint."""
 
     def __init__(
         self, state: NodeState, slow_start: SlowStart, locality: Locality, outliers: OutlierDetection
--- a/tuliptrack/routing/idempotency.py
+++ b/tuliptrack/routing/idempotency.py
@@ -51,7 +51,7 @@
     """
     if executed_at_us is None or request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
-    # The repeat may reach any endpoint, so a key only helps if its scope is all of them.
+    # The repeat may reach any endpoint, so a key only helps if its scope is all endpoints.
     has_fleet_wide_key = (
         request_class.idempotency is Idempotency.WITH_KEY
         and request_class.idempotency_scope is IdempotencyScope.ALL
@@ -60,7 +60,7 @@
         return False
     # The latest arrival of the repeat must be within the window. Otherwise the request would take effect
     # twice if the client retries late, or if the repeat is queued at another node, which does not know of the
-    # first attempt. Measuring the window from the time of sending is safe, because it ends later at the
-    # engine.
+    # first attempt. Measuring the window from the time of sending is safe, because the engine's window begins
+    # later, and so ends later.
     repeat_arrives_by_us = now_us + max_retry_after_us + request_class.deadline_us + NODE_STALL_US
     return repeat_arrives_by_us <= executed_at_us + request_class.deduplication_window_us
--- a/tuliptrack/routing/locality.py
+++ b/tuliptrack/routing/locality.py
@@ -1,8 +1,8 @@
 """Decides what traffic may cross zones, and how fast a recovered zone gets its traffic back.
 
-This applies only if `zone_budgets` are set; otherwise no zone is remote and nothing has a price. Budgets and
-recovery ramps are implemented in `decisions/cross_zone_budget.py` and `decisions/zone_recovery.py`; this
-module applies them to endpoints and requests. Sizes are bytes.
+The module has an effect only if `zone_budgets` are set; otherwise no zone is remote and nothing has a price.
+Budgets and recovery ramps are implemented in `decisions/cross_zone_budget.py` and
+`decisions/zone_recovery.py`; this module applies them to endpoints and requests. Sizes are bytes.
 """
 
 from __future__ import annotations
@@ -29,7 +29,8 @@
         Args:
             state: the shared state of the node.
             outbox: receives log lines about lost and recovered zones.
-            budgets: of cross-zone traffic, shared by the node's routers of several models, or None.
+            budgets: the budgets of cross-zone traffic, shared by the node's routers of all models; None if
+                cross-zone traffic is not budgeted.
         """
         self._state, self._outbox = state, outbox
         self.budgets = budgets
@@ -61,7 +62,8 @@
     def price(self, request: InFlightRequest, zone: int, is_decode: bool) -> float:
         """Return the price of an attempt in a zone; 0 if no bytes cross zones.
 
-        Prefill placement uses it as a share of a score, decode placement as a multiple of the mean load.
+        Prefill placement raises a score by this share of it; decode placement raises a load by this multiple
+        of the mean load.
         """
         if self.budgets is None:
             return 0.0
--- a/tuliptrack/routing/node_state.py
+++ b/tuliptrack/routing/node_state.py
@@ -13,7 +13,7 @@
 __all__ = ["SHEDDING_PERIOD_US", "NodeState"]
 
 SHEDDING_PERIOD_US = 2_000_000
-"""How many microseconds after the last shed request this node still counts as shedding load."""
+"""Time, in microseconds after the last shed request, for which this node still counts as shedding load."""
 
 
 class NodeState:
@@ -33,7 +33,8 @@
         self.statistics = {
             (role, is_remote): RoleStatistics() for role in Role for is_remote in (False, True)
         }
-        """Statistics of each role. Remote zones have their own if cross-zone traffic is budgeted."""
+        """Statistics by role, and by whether the endpoints are in remote zones. Without cross-zone budgets,
+        no zone counts as remote."""
         self.total_quota_per_s = sum(tenant.quota_per_s for tenant in settings.tenants)
         self.fleet_capacity_per_s = self.total_quota_per_s
         """Requests per second that the listed endpoints are provisioned for."""
@@ -49,7 +50,7 @@
         self.first_event_at_us = self.first_event_at_us or now_us
 
     def record_arrival(self) -> None:
-        """Update the smoothed time between two requests."""
+        """Record that a request has arrived: update the smoothed time between two arriving requests."""
         gap_us = self.now_us - (self._arrived_at_us or self.now_us)
         self.arrival_gap_us = smoothed(self.arrival_gap_us, gap_us)
         self._arrived_at_us = self.now_us
--- a/tuliptrack/routing/outbox.py
+++ b/tuliptrack/routing/outbox.py
@@ -1,4 +1,4 @@
-"""The actions of one call of `Router.handle`, in order, and the conditions that are logged for operators."""
+"""The actions that one call of `Router.handle` returns, and the conditions that are logged for operators."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     def __init__(self) -> None:
         self.actions: list[Action] = []
         self.conditions: set[str] = set()
-        """Active conditions: those whose beginning was logged, but not their end."""
+        """Active conditions: those whose beginning was logged, and whose end was not logged yet."""
 
     def start_batch(self) -> list[Action]:
         """Begin a new list of actions and return it."""
--- a/tuliptrack/routing/outlier_detection.py
+++ b/tuliptrack/routing/outlier_detection.py
@@ -2,11 +2,11 @@
 
 A failed attempt ejects an endpoint for the requests that share the cause:
 
-- A connection that breaks or is not established ejects the endpoint for all requests. If only this one
-  connection failed, `MAX_CONNECTION_FAILURES` in a row are needed.
-- An error or a time-out ejects it for the request class.
-- An early rejection shows a lack of capacity, and ejects it for all requests; a late one shows throttling,
-  and ejects it for the tenant.
+- A connection that breaks or is not established ejects the endpoint for all requests. If only the
+  connection of the attempt failed, it takes `MAX_CONNECTION_FAILURES` such failures in a row.
+- An error or a time-out ejects the endpoint for the request class.
+- An early rejection shows a lack of capacity, and ejects the endpoint for all requests; a late rejection
+  shows throttling, and ejects the endpoint for the tenant.
 
 An ejected endpoint is used only if no other is left, or for one attempt when a health check is due. That
 attempt is a client's request (as in the half-open state of a circuit breaker), not a `CheckHealth`. The check
@@ -27,13 +27,16 @@
 __all__ = ["OutlierDetection", "ejected_condition"]
 
 CHECK_INTERVAL_US = 700_000
-"""Interval before the first health-check attempt; doubled with each failure, then jittered."""
+"""Interval before the first health-check attempt. It is doubled with each further failure, then jittered."""
 CHECK_INTERVAL_REQUESTS = 20
-"""Minimum interval before jitter, in requests arriving at this node, because each check delays a request."""
+"""Minimum interval between health checks, before jitter, as the number of requests that this node receives
+meanwhile. Each check delays a request."""
 MAX_CHECK_INTERVAL_US = 15_000_000
-"""Maximum interval before jitter. Longer ones would leave a recovered endpoint unused."""
+"""Maximum interval between health checks, before jitter. A longer interval would leave a recovered endpoint
+unused."""
 EARLY_REJECTION_SHARE = 0.08
-"""A rejection within this share of the latency objective shows a lack of capacity, a later one throttling."""
+"""Share of the latency objective up to which a rejection counts as early. An early rejection shows a lack of
+capacity, a later one throttling."""
 MAX_CONNECTION_FAILURES = 4
 """Consecutive failures of single connections, with no answer in between, that eject the endpoint."""
 CONNECTION_STATUSES = (Status.CONNECT_FAILED, Status.RESET)
@@ -54,11 +57,11 @@
     def is_usable(self, endpoint: Endpoint, request: InFlightRequest) -> bool:
         """Whether a request may be sent to an endpoint.
 
-        It may if the endpoint is not ejected in any scope of the request, or if a health-check attempt is due
-        in every scope of the request in which it is.
+        The request may be sent if, in each of its scopes, the endpoint is not ejected or a health-check
+        attempt is due.
 
-        Ejections for slow streams are ignored while this node sheds load: then even a slow endpoint is
-        needed.
+        Ejections for slow streams are ignored while this node sheds load, because even a slow endpoint is
+        needed then.
         """
         if not endpoint.ejections:
             return True
@@ -69,7 +72,7 @@
         return all(now_us >= ejections[scope].next_check_at_us for scope in scopes if scope in ejections)
 
     def record_attempt(self, endpoint: Endpoint, request: InFlightRequest) -> None:
-        """Record that an attempt is sent. At an ejected endpoint it is the health check that was due."""
+        """Record that an attempt is sent, which at an ejected endpoint is the health check that was due."""
         if not endpoint.ejections:
             return
         for scope in (SLOW_STREAMS, *request.ejection_scopes):
--- a/tuliptrack/routing/prefill_placement.py
+++ b/tuliptrack/routing/prefill_placement.py
@@ -25,9 +25,11 @@
 __all__ = ["PrefillPlacement"]
 
 SPILL_ENDPOINTS = 3
-"""Number of endpoints in a prefix's order to spill over to, including the last affinity endpoint."""
+"""Number of endpoints that a request may spill over to: the last affinity endpoint of its prefix, and those
+that follow in the prefix's order."""
 MAX_AFFINITY_SHARE = 0.28
-"""Maximum share of the endpoints that have affinity to one prefix: a node sees little of the queues there."""
+"""Maximum share of the endpoints that have affinity to one prefix. It is limited because a node sees little
+of the queues at affinity endpoints."""
 AFFINITY_HEADROOM = 2.0
 """Ratio of a popular prefix's share of the endpoints to its share of the demand."""
 
@@ -95,7 +97,7 @@
     def _affinity_count(self, request: InFlightRequest, ranking: Collection[Endpoint]) -> int:
         """Return how many affinity endpoints the request's prefix has.
 
-        A prefix has `SPILL_ENDPOINTS` of them if it is short enough to be prefilled at each within the queue
+        A prefix has `SPILL_ENDPOINTS` affinity endpoints if that many prefills of it fit into the queue
         limit, else one. A popular prefix has more, in proportion to its share of the demand.
         """
         prefix = request.request.prefix
--- a/tuliptrack/routing/queue_estimate.py
+++ b/tuliptrack/routing/queue_estimate.py
@@ -21,11 +21,11 @@
 __all__ = ["MAX_QUEUE_SHARE", "QueueEstimate", "endpoint_queue_us"]
 
 MAX_QUEUE_SHARE = 0.5
-"""Share of the latency objective that a queue may take. Above it requests spill over to other endpoints, and
-are shed if all endpoints are above it."""
+"""Maximum queue time at an endpoint, as a share of the latency objective. Above this limit, requests spill
+over to other endpoints; they are shed if all endpoints are above the limit."""
 STATISTICS_MAX_AGE_US = 5_000_000
-"""Time after which role statistics no longer count. Otherwise they would never change once all requests are
-shed."""
+"""Age from which on role statistics no longer count. Without this limit, they would never change once all
+requests are shed."""
 ROLE_QUEUE_WEIGHT = 0.9
 """Weight of the role's queue time, multiplied by the square of `other_nodes_share`."""
 AGE_EXPONENT = 6
@@ -34,10 +34,10 @@
 
 
 def endpoint_queue_us(state: NodeState, endpoint: Endpoint) -> float:
-    """Return the time in which an endpoint processes the tokens that wait there.
+    """Return the time that an endpoint needs to process the tokens that wait there.
 
-    It is based on the speed observed at that endpoint, so the same limit suits fast and slow endpoints, short
-    and long prompts; a slow endpoint alone is not an overload.
+    The time is based on the speed observed at that endpoint, so the same limit suits fast and slow endpoints,
+    short and long prompts. One slow endpoint does not indicate an overload.
     """
     now_us = state.now_us
     if endpoint.role is Role.PREFILL_AND_DECODE:
@@ -61,7 +61,7 @@
         self._decode_placement = decode_placement
 
     def time_to_first_token_us(self, request: InFlightRequest, endpoint: Endpoint | None) -> float:
-        """Estimate the time to first token if the request starts at `endpoint`; None: there is none.
+        """Estimate the time to first token if the request starts at `endpoint` (None if there is none).
 
         A short queue at the endpoint does not lower the role's queue time, or one idle endpoint would hide an
         overload of all others. An open slot at an endpoint in slow start counts as capacity, so there only
@@ -77,7 +77,7 @@
         return max(queue_us, role_us)
 
     def fastest_time_to_first_token_us(self, request: InFlightRequest, endpoint: Endpoint | None) -> float:
-        """Estimate the fastest time to first token: the first quartile of recent answers of each stage."""
+        """Estimate the fastest time to first token, from the first quartile of each stage's latencies."""
         roles = _stages_at(endpoint)
         latencies = (self._state.local_statistics(role).fast_relative_latency for role in roles)
         return sum(latencies) * request.latency_objective_us
@@ -108,7 +108,10 @@
         return max(weight * (observed_us + rejections_us), self._median_age_us(statistics, role))
 
     def _waiting_tokens(self, statistics: RoleStatistics, endpoint: Endpoint | None, role: Role) -> float:
-        """Return the tokens that wait at an endpoint: by its own fresh report, else the role's average."""
+        """Return the tokens that wait at an endpoint.
+
+        The endpoint's own report counts less the older it is; the role's average makes up the rest.
+        """
         waiting_tokens = statistics.waiting_tokens
         if endpoint and endpoint.role is role:
             own_difference = endpoint.reported_waiting_tokens - waiting_tokens
--- a/tuliptrack/routing/retry.py
+++ b/tuliptrack/routing/retry.py
@@ -1,9 +1,9 @@
 """Decides whether a failed attempt is retried, and whether the retry may go to the same endpoint.
 
-A retry excludes the endpoint that failed. Only if nothing but the connection of the attempt failed may the
-next attempt go to the same endpoint, because its prompt is cached there; a decode endpoint to which no
-connection could be made is excluded in any case. A rejection is not retried while many attempts at the role
-are rejected, because the load of retries would delay all requests.
+A retry does not go to the endpoint that failed, with one exception: if only the connection of the attempt
+failed, the next attempt may go to the same endpoint, because the prompt is cached there; a decode endpoint to
+which no connection could be made is excluded in any case. A rejection is not retried while many attempts at
+the role are rejected, because the load of retries would delay all requests.
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 __all__ = ["Retry"]
 
 MAX_CONNECTION_ONLY_RETRIES = 2
-"""Connection-only failures of a request, at any endpoints, up to which the endpoint is not excluded."""
+"""Number of connection-only failures of a request, over all endpoints, up to which the endpoint of the last
+one is not excluded."""
 MAX_REJECTION_SHARE = 0.4
 """Share of early rejections among a role's attempts above which rejected requests are not retried."""
 
--- a/tuliptrack/routing/router.py
+++ b/tuliptrack/routing/router.py
@@ -64,7 +64,8 @@
 __all__ = ["Router"]
 
 RESUBSCRIBE_US = 500_000
-"""Minimum delay before a failed subscription to the endpoint list is repeated; jitter at most doubles it."""
+"""Minimum delay before a failed subscription to the endpoint list is repeated; jitter at most doubles the
+delay."""
 RESUBSCRIBE_TOKEN = 0
 """Token of the only timer that a router sets."""
 
@@ -77,13 +78,14 @@
 
         Args:
             settings: the settings of the node.
-            seed: the seed of its random numbers.
-            sibling_router: this node's router of another model; they share quotas and zone budgets.
+            seed: the seed of the router's random numbers.
+            sibling_router: this node's router of another model, with which the new router shares quotas and
+                zone budgets; None if there is no other router.
         """
         self.settings = settings
         self.state = state = NodeState(settings, seed)
         self.in_flight: dict[int, InFlightRequest] = {}
-        """Requests that are not concluded or have an attempt in flight, by id."""
+        """Requests that are not concluded yet, or that still have an attempt in flight, by id."""
         self.outbox = outbox = Outbox()
         self.quotas: TenantQuotas = sibling_router.quotas if sibling_router else TenantQuotas(settings)
         self.locality = Locality(state, outbox, _zone_budgets(settings, sibling_router))
--- a/tuliptrack/routing/slow_start.py
+++ b/tuliptrack/routing/slow_start.py
@@ -3,9 +3,9 @@
 A warming endpoint fails if all nodes together send it much more than N requests in one window, where N is the
 number that the settings allow in that time; an excess of 2 x sqrt(N) + 2 is within random variation. Nodes
 therefore send by numbered slots. A slot becomes due whenever the ramp of the endpoint allows one more
-request, at the rate of `SLOT_RATE_SHARE` x `slow_start_overload_factor` x its share of the capacity. Slot k
-belongs to the node whose replica index is k modulo the number of replicas; the id of the endpoint shifts this
-assignment. A slot is valid for one attempt and expires after one window.
+request, at the rate of `SLOT_RATE_SHARE` x `slow_start_overload_factor` x the endpoint's share of the
+capacity. Slot k belongs to the node whose replica index is k modulo the number of replicas; the id of the
+endpoint shifts this assignment. A slot is valid for one attempt and expires after one window.
 
 In any window the usable slots are those that became due in it (a third of N), unused ones of the previous
 window (a third of N), and one for each node. The last third covers half as many additional processes as there
@@ -31,11 +31,13 @@
 __all__ = ["WARM", "SlowStart"]
 
 SLOT_RATE_SHARE = 1 / 3
-"""Share of the overload factor at which slots become due; the module docstring explains why it is a third."""
+"""Rate at which slots become due, as a share of the rate that overloads the endpoint; the module docstring
+explains why the share is a third."""
 GOLDEN_RATIO_FRACTION = (math.sqrt(5) - 1) / 2
-"""Its multiples by successive slot numbers, modulo 1, are spread evenly from 0 to 1."""
+"""Fraction of the golden ratio: its products with successive slot numbers, modulo 1, are spread evenly from 0
+to 1."""
 WARM = 0
-"""Returned instead of a slot number for an endpoint that needs no slot. Slots are numbered from 1."""
+"""Value instead of a slot number for an endpoint that needs no slot. Slots are numbered from 1."""
 
 
 class SlowStart:
--- a/tuliptrack/routing/slow_streams.py
+++ b/tuliptrack/routing/slow_streams.py
@@ -24,19 +24,23 @@
 CHECK_INTERVAL_US = 250_000
 """Minimum time between two comparisons."""
 MIN_MEAN_LENGTH_US = 100_000
-"""Lower limit of the mean stream length: a short pause of the machine would outlast many shorter streams."""
+"""Minimum of the mean stream length that is used in a comparison: a short pause of the machine would outlast
+many shorter streams."""
 SLOWDOWN = 3.0
-"""Factor by which the streams of a slow endpoint are assumed to take longer."""
+"""Factor by which the streams of a slow endpoint are assumed to take longer than those of its peers."""
 MIN_LOG_ODDS = 5.0
-"""Minimum logarithm of the odds that an endpoint is slow. With frequent comparisons, lower odds occur by
-chance."""
+"""Minimum natural logarithm of the odds that an endpoint is slow, for an ejection. With frequent comparisons,
+lower odds occur by chance."""
 MIN_PEER_STREAMS = 4.0
-"""Minimum completed streams at the peers, so that a slowdown of all is not attributed to one endpoint."""
+"""Minimum number of completed streams at the peers, so that a slowdown of all endpoints is not attributed to
+one of them."""
 MAX_SLOW_SHARE = 0.34
-"""Share of the decode endpoints that may be ejected at once; if more are slow, there is a common cause."""
+"""Share of the decode endpoints that may be ejected for slow streams at once; if more of them are slow, there
+is a common cause."""
 INITIAL_FAILURES = 2
 MAX_FAILURES = 4
-"""Range of the failure count, which determines the interval of health checks."""
+"""Lowest and highest failure count of an ejection for slow streams. The count determines the interval of
+health checks."""
 
 
 def slow_condition(endpoint_id: int) -> str:
--- a/tuliptrack/routing/tenant_quota.py
+++ b/tuliptrack/routing/tenant_quota.py
@@ -13,9 +13,10 @@
 __all__ = ["TenantQuotas", "TokenBucket"]
 
 BURST_S = 2.0
-"""Bucket size, in seconds of quota: absorbs random variation, but is too small to hide a burst."""
+"""Bucket size, in seconds of quota. It absorbs random variation, but is too small to hide a burst."""
 MIN_BURST_REQUESTS = 4.0
-"""Minimum bucket size, in requests: at one of hundreds of nodes, a tenant's requests arrive at random."""
+"""Minimum bucket size, in requests: if there are hundreds of nodes, a tenant's requests arrive at each of
+them at random."""
 
 
 @dataclass(slots=True)
--- a/tuliptrack/simulator_adapter/__init__.py
+++ b/tuliptrack/simulator_adapter/__init__.py
@@ -1,8 +1,8 @@
 """The simulator's protocol: frames on standard input and output, translated to and from the interface.
 
-`python -m tuliptrack.simulator_adapter` hosts any number of routers, each under its node number. It makes no
-decisions. Input that cannot be decoded ends the process with one line on standard error and exit code
-2, because a router that has handled half of a frame has a wrong view of the simulation.
+`python -m tuliptrack.simulator_adapter` hosts any number of routers, each under its node number. The adapter
+makes no decisions. Input that cannot be decoded ends the process with one line on standard error and exit
+code 2, because a router that has handled half of a frame has a wrong view of the simulation.
 
 The protocol's own field names appear here and nowhere else.
 """
--- a/tuliptrack/simulator_adapter/actions.py
+++ b/tuliptrack/simulator_adapter/actions.py
@@ -13,7 +13,7 @@
 
 MAX_U32 = 0xFFFFFFFF
 ALL_PEERS = MAX_U32
-"""Peer number of a message to all other nodes."""
+"""Peer number that stands for all other nodes."""
 MAX_TEXT_BYTES = 0xFFFF
 NODE_BYTES = 2
 """Size of the node number that each record begins with."""
--- a/tuliptrack/simulator_adapter/events.py
+++ b/tuliptrack/simulator_adapter/events.py
@@ -40,9 +40,10 @@
 HAS_HINT, IS_RETRY, IS_RESUMED = 1, 2, 16
 """Bits of a request's flags."""
 STATE_LOST = 1
-"""Value of the note of an attempt that ended with `AT_CAPACITY`, if its KV state is lost."""
+"""Value of the `note` field that means a lost KV state, in the record of an attempt that ended with
+`AT_CAPACITY`."""
 RESERVED = 1
-"""Code of a reservation that was granted."""
+"""Result code of a reservation that was granted."""
 
 
 @dataclass(frozen=True)
--- a/tuliptrack/simulator_adapter/host.py
+++ b/tuliptrack/simulator_adapter/host.py
@@ -15,7 +15,7 @@
 __all__ = ["serve"]
 
 BATCH_HEADER = struct.Struct("<IQI")
-"""Size of the batch in bytes, the time in microseconds, and the number of records."""
+"""Header of a batch: size of the batch's body in bytes, time in microseconds, and number of records."""
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
@@ -41,7 +41,8 @@
 ) -> list[tuple[int, io.Action]]:
     """Let each node handle its own events, in order, and return the actions of all nodes.
 
-    A start or halt within the batch discards the events before it: they belong to an earlier incarnation.
+    A start or halt of a node discards the node's earlier events in the batch, which belong to its earlier
+    process.
     """
     pending: dict[int, list[io.Event]] = {}
     for node, event in records:
--- a/tuliptrack/simulator_adapter/records.py
+++ b/tuliptrack/simulator_adapter/records.py
@@ -10,7 +10,7 @@
 __all__ = ["RECORD", "RecordReader"]
 
 RECORD = struct.Struct("<HI")
-"""Code of a record, and the number of bytes that follow."""
+"""Header of a record: its code, and the number of bytes that follow the header."""
 
 
 class RecordReader:
@@ -23,7 +23,7 @@
         """Return the next fields, in the notation of `struct` (little endian).
 
         Raises:
-            WireError: the record has fewer bytes.
+            WireError: the record has fewer bytes left than the fields need.
         """
         size = struct.calcsize("<" + field_format)
         if self.position + size > len(self.body):
@@ -34,12 +34,12 @@
         return values
 
     def read_bytes(self, length_format: str) -> bytes:
-        """Return bytes that are preceded by their number."""
+        """Return a byte string that is preceded by its length, in the given format."""
         (size,) = self.read(length_format)
         return bytes(self.read(f"{size}s")[0])
 
     def read_floats(self) -> tuple[float, ...]:
-        """Return floats that are preceded by their number, as one byte."""
+        """Return floats that are preceded by one byte, which holds the number of floats."""
         (count,) = self.read("B")
         return self.read(f"{count}f")
 
--- a/tuliptrack/simulator_adapter/settings.py
+++ b/tuliptrack/simulator_adapter/settings.py
@@ -34,7 +34,7 @@
     """Translate a settings text; unknown keys are ignored.
 
     Raises:
-        WireError: a key is missing or a value is wrong; it is named.
+        WireError: a key is missing or a value is wrong; the message says which.
     """
     try:
         environment = json.loads(text)
@@ -47,7 +47,7 @@
     """Translate a settings object that is already parsed; unknown keys are ignored.
 
     Raises:
-        WireError: a key is missing or a value is wrong; it is named.
+        WireError: a key is missing or a value is wrong; the message says which.
     """
     if not isinstance(environment, dict):
         raise WireError("settings: not a JSON object")
--- a/tuliptrack/state/candidates.py
+++ b/tuliptrack/state/candidates.py
@@ -13,7 +13,7 @@
 __all__ = ["Candidates"]
 
 MAX_DRAWS = 64
-"""Random draws for a suitable endpoint before all candidates are examined."""
+"""Maximum number of random draws for a suitable endpoint; after them all candidates are examined."""
 MAX_MEAN_DRAWS = 8
 """Random draws are used only if at most this many are needed on average to find a suitable endpoint."""
 
--- a/tuliptrack/state/capacity_index.py
+++ b/tuliptrack/state/capacity_index.py
@@ -7,13 +7,13 @@
 __all__ = ["CapacityIndex"]
 
 WEIGHT_UNITS = 2**30
-"""Weights are summed as integer multiples of 1 / `WEIGHT_UNITS`, so sums do not depend on the order of
-changes."""
+"""Units per weight of 1. Weights are summed as integer numbers of units, so sums do not depend on the order
+of changes."""
 MIN_CAPACITY = 1e-6
 
 
 class CapacityIndex:
-    """Sums of listed weights. It holds one entry for each role and cell of the list."""
+    """Sums of listed weights, with one entry for each role and cell of the list."""
 
     def __init__(self) -> None:
         self._ready: dict[tuple[Role, int | None], int] = {}
@@ -21,7 +21,7 @@
         self._known: dict[Role, tuple[int, int]] = {}
         """Summed weight and number of all known endpoints by role, ready or not."""
         self._most_ready = {Role.PREFILL: 0, Role.DECODE: 0}
-        """The highest number of ready endpoints so far that serve each stage."""
+        """By stage, the highest number of endpoints that were ready to serve it at any time so far."""
 
     def add_ready(self, role: Role, info: EndpointInfo) -> None:
         """Count an endpoint as ready."""
@@ -68,11 +68,11 @@
         return self.capacity(role, cell) / self.capacity(role)
 
     def endpoint_share(self, role: Role, weight: float) -> float:
-        """Return the share of its stage that a ready endpoint contributes.
+        """Return the share of its stage's capacity that a ready endpoint contributes.
 
-        It is computed from the mean weight of its role and the highest number of endpoints that were ever
-        ready, so it does not grow when others are removed. An endpoint of both roles contributes to both
-        stages.
+        The share is computed from the mean weight of the role and the highest number of endpoints that were
+        ever ready, so it does not grow when other endpoints are removed. An endpoint of both roles
+        contributes to both stages.
         """
         units, count = self._known[role]
         mean_weight = (units / WEIGHT_UNITS or 1.0) / count
--- a/tuliptrack/state/demand.py
+++ b/tuliptrack/state/demand.py
@@ -10,9 +10,10 @@
 __all__ = ["MAX_PREFIXES", "REQUEST_WEIGHT", "DemandStatistics", "RequestSize"]
 
 MAX_PREFIXES = 256
-"""Prefixes whose frequency is stored; many more than the number of requests that the averages reflect."""
+"""Maximum number of prefixes whose frequency is stored. It is much higher than the number of requests that
+the averages reflect."""
 REQUEST_WEIGHT = 0.05
-"""Weight of one request in the averages, which therefore reflect about the last twenty."""
+"""Weight of one request in the averages, which therefore reflect about the last twenty requests."""
 
 
 @dataclass(slots=True)
@@ -34,7 +35,7 @@
 class DemandStatistics:
     """Mean request sizes by class and overall, and the share of requests that each prefix had.
 
-    It holds at most `MAX_PREFIXES` prefixes; the least recently requested one is evicted first.
+    The statistics hold at most `MAX_PREFIXES` prefixes; the least recently requested one is evicted first.
     """
 
     def __init__(self) -> None:
@@ -42,8 +43,8 @@
         self.mean_size = RequestSize()
         self.mean_size_by_class: dict[int, RequestSize] = {}
         self._prefixes: dict[int, tuple[float, int]] = {}
-        """For each prefix: its decayed number of requests, and the value of `request_count` at its last one.
-        The number decays with each request."""
+        """For each prefix: its number of requests, which decays with each request of any prefix, and the
+        value of `request_count` at the prefix's last request, up to which the number is decayed."""
 
     def record(self, class_index: int, size: RequestSize, prefix: int = 0) -> None:
         """Record one request.
--- a/tuliptrack/state/ejection.py
+++ b/tuliptrack/state/ejection.py
@@ -32,21 +32,22 @@
 
 
 ALL_REQUESTS = EjectionScope(ScopeKind.ALL_REQUESTS)
-"""All requests: connections to the endpoint fail."""
+"""Scope of all requests, for endpoints to which connections fail or that lack capacity."""
 SLOW_STREAMS = EjectionScope(ScopeKind.SLOW_STREAMS)
-"""All requests, unless this node sheds load: streams there take much longer than at its peers."""
+"""Scope of all requests unless this node sheds load, for endpoints whose streams take much longer than those
+of their peers."""
 
 
 @dataclass(slots=True)
 class Ejection:
-    """Consecutive failures of one scope at one endpoint, and when the next health check is due."""
+    """Consecutive failures in one scope at one endpoint, and the time from which on a health check is due."""
 
     failures: int
     """Number of consecutive failures."""
     failed_at_us: int
     """When the last failure was seen; attempts sent before it count as part of the same failure."""
     next_check_at_us: int
-    """When the next attempt may be sent to the endpoint, as a health check."""
+    """Time from which on an attempt may be sent to the endpoint again, as a health check."""
 
 
 def scopes_of(request: Request) -> tuple[EjectionScope, EjectionScope, EjectionScope]:
--- a/tuliptrack/state/endpoint.py
+++ b/tuliptrack/state/endpoint.py
@@ -14,7 +14,8 @@
 __all__ = ["REPORT_MAX_AGE_US", "Endpoint", "WaitingAttempt"]
 
 REPORT_MAX_AGE_US = 2_000_000
-"""Microseconds after which a load report no longer counts: about two of the slowest report intervals."""
+"""Age, in microseconds, from which on a load report no longer counts: about twice the longest interval
+between reports."""
 
 
 @dataclass(slots=True)
@@ -24,7 +25,7 @@
     request_id: int
     sent_at_us: int
     tokens: float
-    """Tokens that it has to prefill or fetch."""
+    """Tokens that the attempt has to prefill or fetch."""
     latency_objective_us: int
 
 
@@ -35,10 +36,10 @@
     info: EndpointInfo
     role: Role
     statistics: RoleStatistics = field(init=False)
-    """Statistics of its role, in this zone or in remote ones. The router sets it with each change of the
-    endpoint list."""
+    """Statistics of the endpoint's role, in this zone or in remote zones. The router sets this attribute with
+    each change of the endpoint list."""
     reported_in_flight: float = 0.0
-    """Requests in flight at the endpoint by its last load report; 0 before the first."""
+    """Requests in flight at the endpoint, by its last load report; 0 before the first report."""
     reported_at_us: int = 0
     """When the last load report was received."""
     reported_waiting_tokens: float = 0.0
@@ -46,7 +47,7 @@
     reported_memory_share: float = 0.0
     """Share of the endpoint's memory in use, by the last report."""
     prefill_latency_us: float = 0.0
-    """Smoothed latency of a prefill; 0 before the first."""
+    """Smoothed latency of a prefill at the endpoint; 0 before the first prefill."""
     waiting_tokens: float = 0.0
     """Tokens of this node's waiting attempts."""
     service_us: float = 0.0
@@ -54,25 +55,25 @@
     service_tokens: float = 0.0
     """Smoothed number of tokens processed between two such answers."""
     busy_since_us: int = 0
-    """Since when the endpoint has been working on the oldest waiting attempt."""
+    """Time since which the endpoint has been working on the oldest waiting attempt."""
     projected_tokens: float = 0.0
     """Tokens of the prompts and expected outputs of this node's requests in flight at the endpoint."""
     projected_load: float = 0.0
     """`projected_tokens` divided by the endpoint's weight."""
     group: int = 0
-    """Index of its group in `EndpointTable.groups`."""
+    """Index of the endpoint's group in `EndpointTable.groups`."""
     streams: dict[int, int] = field(default_factory=dict)
-    """When each of this node's running streams began, by request id."""
+    """Start time of each running stream of this node, by request id."""
     stream_rate: StreamRate = field(default_factory=StreamRate)
     ejections: dict[EjectionScope, Ejection] = field(default_factory=dict)
     waiting: dict[int, WaitingAttempt] = field(default_factory=dict)
     """This node's waiting attempts by request id, the oldest first."""
     connection_failures: int = 0
-    """Consecutive attempts that failed because only their own connection failed."""
+    """Number of consecutive attempts whose own connection failed, but not the endpoint."""
     last_slot: int = 0
     """The last slow-start slot that this node has used."""
     no_slot_before_us: int = 0
-    """In slow start, no slot of this node becomes due before this time unless the endpoint list changes."""
+    """Time before which no slow-start slot of this node becomes due, unless the endpoint list changes."""
 
     @property
     def id(self) -> int:
--- a/tuliptrack/state/endpoint_table.py
+++ b/tuliptrack/state/endpoint_table.py
@@ -23,7 +23,8 @@
 __all__ = ["MAX_REMOVED", "AppliedUpdate", "EndpointTable"]
 
 MAX_REMOVED = 128
-"""Removed endpoints that are remembered, so one that is listed again keeps its ejections and slots."""
+"""Maximum number of removed endpoints that are remembered, so that an endpoint that is listed again keeps its
+ejections and slots."""
 MIN_WEIGHT = 1e-6
 
 
@@ -40,7 +41,8 @@
 class EndpointTable:
     """All known endpoints. Each update maintains the indexes, so queries do not examine every endpoint.
 
-    It holds the listed endpoints, up to `MAX_REMOVED` removed ones, and removed ones that are still in use.
+    The table holds the listed endpoints, up to `MAX_REMOVED` removed ones, and removed ones that are still in
+    use.
     """
 
     def __init__(self, roles: tuple[Role, ...], groups_by_zone: bool = False) -> None:
@@ -59,7 +61,7 @@
         self.loaded: dict[int, Endpoint] = {}
         """Endpoints with projected tokens of this node."""
         self.stream_rate = StreamRate()
-        """Streams at all endpoints together."""
+        """Rate at which this node's streams end, over all endpoints together."""
         self.groups: list[EndpointGroup] = []
         """Every group that ever had a ready endpoint; the index of a group never changes."""
         self.memory_shares: GroupedValues[int] = GroupedValues()
@@ -85,7 +87,7 @@
     # Endpoint list updates
 
     def apply(self, update: EndpointListUpdate, now_us: int) -> AppliedUpdate:
-        """Apply an update. Endpoints that are missing from a full list have been removed."""
+        """Apply an update. Endpoints that are missing from a full list are treated as removed."""
         changed: dict[int, Endpoint] = {}
         for info in self._entries_of(update):
             endpoint = self._apply_entry(info, now_us)
--- a/tuliptrack/state/in_flight.py
+++ b/tuliptrack/state/in_flight.py
@@ -44,24 +44,25 @@
     is_streaming: bool = False
     """Whether the first token has been forwarded."""
     is_concluded: bool = False
-    """Whether the final answer was given or the client has disconnected; then only the end of an
-    attempt is awaited."""
+    """Whether the final answer was given or the client has disconnected. A concluded request is only kept
+    until its attempt in flight has ended."""
     first_execution: Execution | None = None
     """The first attempt that may have been executed."""
     unanswered_attempts: int = 0
-    """Attempts of the current stage that ended with this node's time-out or with an error."""
+    """Number of attempts of the current stage that ended with this node's time-out or with an error."""
     connection_failures: int = 0
-    """Attempts that failed because only their own connection failed."""
+    """Number of attempts whose own connection failed, but not the endpoint."""
     ignores_recovery_ramp: bool = False
-    """Whether it may go to a recovering zone ahead of its ramp, because there is no capacity elsewhere."""
+    """Whether the request may go to a recovering zone ahead of the zone's ramp, because there is no capacity
+    elsewhere."""
     retry_after_us: int = 0
-    """If it is shed: estimated microseconds until the queue is within the limit again."""
+    """Estimated microseconds until the queue is within the limit again; 0 unless the request is shed."""
     unresponsive: list[int] = field(default_factory=list)
     """Ids of decode endpoints that could not be reached or did not answer in time."""
     excluded: list[int] = field(default_factory=list)
-    """Ids of endpoints that rejected or failed it; no further attempt is sent there."""
+    """Ids of endpoints that rejected or failed the request; no further attempt is sent to them."""
     ejection_scopes: tuple[EjectionScope, EjectionScope, EjectionScope] = field(init=False)
-    """The ejection scopes that its failures can count for."""
+    """The ejection scopes that failures of the request can count for."""
 
     def __post_init__(self) -> None:
         """Compute the ejection scopes once, because every choice of an endpoint uses them."""
--- a/tuliptrack/state/projected_loads.py
+++ b/tuliptrack/state/projected_loads.py
@@ -34,7 +34,7 @@
 
         Args:
             counts: number of endpoints in each group.
-            base_loads: load of each endpoint of a group that comes from its role.
+            base_loads: by group, the part of the load that each endpoint of the group has from its role.
             loaded: the endpoints with projected tokens of this node.
         """
         self.count = sum(counts.values())
--- a/tuliptrack/state/role_statistics.py
+++ b/tuliptrack/state/role_statistics.py
@@ -11,9 +11,10 @@
 __all__ = ["MAX_LATENCIES", "AnswerSample", "RoleStatistics"]
 
 MAX_LATENCIES = 15
-"""Number of stored latencies; their slowest fifth is three answers."""
+"""Maximum number of stored latencies. The slowest fifth of this number is three answers."""
 ASSIGNED_DECAY_US = 20_000_000
-"""Time constant, in microseconds, of the decay of assigned tokens: the time of some tens of requests."""
+"""Time constant, in microseconds, of the decay of assigned tokens: about as long as some tens of requests
+take."""
 
 
 @dataclass(slots=True)
@@ -42,11 +43,11 @@
     attempt_us: float = 0.0
     """Average latency of an attempt."""
     queued_tokens: float = 0.0
-    """Average tokens of an attempt and of those queued ahead of it."""
+    """Average sum of the tokens of an attempt and those of the attempts queued ahead of it."""
     us_per_token: float = 0.0
     """`attempt_us` / `queued_tokens`."""
     prefill_latency_us: float = 0.0
-    """Average latency of a prefill; 0 before the first."""
+    """Average latency of a prefill; 0 before the first prefill."""
     timeout_or_error_share: float = 0.0
     """Share of attempts that ended with this node's own time-out or with an error."""
     rejection_share: float = 0.0
@@ -56,7 +57,8 @@
     answered_at_us: int = 0
     """When an attempt was last answered."""
     assigned_tokens: float = 0.0
-    """Projected tokens of requests that were sent to these endpoints, decayed up to `assigned_at_us`."""
+    """Projected tokens of the requests that were sent to endpoints of the role, decayed up to
+    `assigned_at_us`."""
     assigned_at_us: int = 0
 
     @property
--- a/tuliptrack/state/slot_schedule.py
+++ b/tuliptrack/state/slot_schedule.py
@@ -13,11 +13,11 @@
     """Numbers the slots of an endpoint in slow start; their rate grows linearly up to `slots_per_us`."""
 
     slots_per_us: float
-    """The rate at the end of slow start."""
+    """Rate at which slots become due at the end of slow start."""
     initial_share: float
-    """Share of that rate at the start of the endpoint, above 0 and at most 1."""
+    """Share of `slots_per_us` at the start of the endpoint, above 0 and at most 1."""
     duration_us: int
-    """How long slow start lasts."""
+    """Duration of slow start, in microseconds."""
 
     def slots_due(self, age_us: int) -> int:
         """Return how many slots have become due when the endpoint has a certain age."""
--- a/tuliptrack/state/stream_rate.py
+++ b/tuliptrack/state/stream_rate.py
@@ -8,12 +8,12 @@
 __all__ = ["DECAY_TIME_US", "StreamRate"]
 
 DECAY_TIME_US = 6_000_000
-"""Time constant, in microseconds, of the decay of past streams: the length of a few streams."""
+"""Time constant, in microseconds, of the decay of past streams: about as long as a few streams take."""
 
 
 @dataclass(slots=True)
 class StreamRate:
-    """Streaming time and completed streams. Both decay equally, so their ratio is the mean length."""
+    """Streaming time and completed streams. Both decay equally, so their ratio is the mean stream length."""
 
     streams: int = 0
     """Number of streams that are running."""
--- a/tuliptrack/structures/grouped_values.py
+++ b/tuliptrack/structures/grouped_values.py
@@ -18,7 +18,7 @@
 
 
 class GroupedValues(Generic[G]):
-    """Maps integer keys to a group and a value. It holds the members that were put and not removed."""
+    """Maps the integer key of each member to a group and a value; holds the members put and not removed."""
 
     __slots__ = ("_groups", "_members")
 
--- a/tuliptrack/structures/heavy_hitters.py
+++ b/tuliptrack/structures/heavy_hitters.py
@@ -1,9 +1,10 @@
 """Heavy hitters in bounded memory: the names with the largest sums, out of more names than can be stored.
 
 This is the space-saving algorithm with a fixed number of counters. A new name takes over the smallest counter
-and its amount, which is the most that the new name can have had before. So an amount is never too low, and
-too high by at most total / number of counters; any name with a larger sum than that has a counter. Source:
-Metwally, Agrawal, El Abbadi, "Efficient computation of frequent and top-k elements in data streams", 2005.
+and its amount, which is the most that the new name can have had before. So an amount is never too low, and it
+is too high by at most total / number of counters. Any name whose sum exceeds this quotient has a counter.
+Source: Metwally, Agrawal, El Abbadi, "Efficient computation of frequent and top-k elements in data streams",
+2005.
 
 The paper keeps counters in linked buckets by value, for counts that grow by one. Here amounts differ, so the
 smallest counter is found with a lazily updated heap: an entry whose counter has grown is pushed back when it
--- a/tuliptrack/structures/interval_set.py
+++ b/tuliptrack/structures/interval_set.py
@@ -8,7 +8,7 @@
 
 
 class IntervalSet:
-    """Half-open intervals [start, end), neither overlapping nor adjacent; at most one per call of `add`."""
+    """Half-open intervals [start, end), neither overlapping nor adjacent; each `add` adds at most one."""
 
     def __init__(self) -> None:
         self.starts: list[int] = []
--- a/tuliptrack/structures/rendezvous.py
+++ b/tuliptrack/structures/rendezvous.py
@@ -26,9 +26,9 @@
 LANE_WORDS = 2
 """64-bit words in a lane; the lower one holds the hash."""
 HEAD_COUNT = 24
-"""Members ranked in the first step; most callers use only a few."""
+"""Number of members ranked in the first step; most callers use only the first few members of a ranking."""
 LIKELY_EXCESS = 3
-"""Expected number of members above the hash bound of `likely_top`, for each requested one."""
+"""Ratio of the expected number of members above the hash bound of `likely_top` to the number requested."""
 MAX_CACHED_RANKINGS = 1_000
 
 
--- a/tuliptrack/structures/sorted_members.py
+++ b/tuliptrack/structures/sorted_members.py
@@ -17,7 +17,7 @@
 
 
 class SortedMembers(Generic[T]):
-    """Members in ascending order of their keys, by position. It holds those that were put and not removed."""
+    """The members that were put and not removed, in ascending order of their keys."""
 
     __slots__ = ("_keys", "_members")
 
@@ -27,7 +27,7 @@
         self._members: dict[int, T] = {}
 
     def put(self, key: int, member: T) -> None:
-        """Add a member, or replace the one with this key."""
+        """Add a member, or replace the member that has this key."""
         if key not in self._members:
             self._keys.insert(bisect_left(self._keys, key), key)
         self._members[key] = member
--- a/tuliptrack/structures/timing_wheel.py
+++ b/tuliptrack/structures/timing_wheel.py
@@ -30,7 +30,7 @@
 class TimingWheel(Generic[K]):
     """Keys by the time at which they are due.
 
-    Times are integer microseconds, rounded up to ticks. It holds one entry for each scheduled key.
+    Times are integer microseconds, rounded up to ticks. The wheel holds one entry for each scheduled key.
     """
 
     def __init__(self, now_us: int, tick_us: int = DEFAULT_TICK_US) -> None:
@@ -66,9 +66,9 @@
     def _level(self, due_tick: int) -> int:
         """Return the level that holds a key of this tick.
 
-        That is the highest group of bits in which the tick differs from the current one. It only falls when
-        the current tick reaches the key's slot, and that is when the slot is spread over the finer levels; so
-        the level need not be stored.
+        The level is the highest group of `SLOT_BITS` bits in which the tick differs from the current tick. It
+        only falls when the current tick reaches the key's slot. At that moment the slot is spread over the
+        finer levels, so the level need not be stored.
         """
         highest_bit = max((due_tick ^ self.current_tick).bit_length() - 1, 0)
         return min(highest_bit // SLOT_BITS, TOP_LEVEL)
