--- a/tests/routing/test_connection_failures.py
+++ b/tests/routing/test_connection_failures.py
@@ -1,4 +1,4 @@
-"""Attempts that fail with their own connection only, and admission of requests that resume a stream."""
+"""Attempts for which only their own connection fails, and admission of requests that resume a stream."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     w.end(first, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=50 * MS)
 
     def fill(resumed: bool = False) -> int:
-        """Send requests until one is rejected. Returns how many were admitted."""
+        """Send requests until one is rejected, and return how many were admitted before."""
         for n in range(1000):
             if answers(w.ask(prompt_tokens=300.0, prefix=0, is_resumed=resumed)[1]):
                 return n
@@ -71,7 +71,7 @@
 
     assert fill() > 0
     resumed_count = fill(resumed=True)
-    assert resumed_count > 0  # up to 1.6 times the queue limit; above that they could only be late
+    assert resumed_count > 0  # up to 1.6 times the queue limit; above, they could only be late
     assert fill() == 0
 
 
@@ -86,7 +86,7 @@
         ]
     assert retry_after_us and all(0 < wait <= 500 * MS for wait in retry_after_us)
     w = world([], max_retry_after_us=500 * MS)
-    assert only(Reject, w.ask()[1]).retry_after_us == 0  # without endpoints there is no estimate
+    assert only(Reject, w.ask()[1]).retry_after_us == 0  # without endpoints, the queue time is not estimated
 
 
 def test_an_unreachable_decode_endpoint_is_not_retried_for_the_request_while_there_are_others() -> None:
--- a/tests/routing/test_idempotency.py
+++ b/tests/routing/test_idempotency.py
@@ -87,7 +87,7 @@
 def test_a_client_is_told_to_retry_only_within_the_window_of_an_attempt_that_may_have_executed(
     window_us: int, after_us: int, answer: type
 ) -> None:
-    """The decode attempt's connection breaks, and no attempt is left."""
+    """The decode attempt's connection breaks, and the request may make no further attempt."""
     world = World(Router(keyed_settings(window_us), 1))
     world.list(*fleet(), kind=UpdateKind.FULL)
     request_id, actions = world.ask()
@@ -97,7 +97,7 @@
 
 
 def test_the_window_starts_when_the_decode_attempt_is_sent() -> None:
-    """The decode attempt was sent 3 s after the request came, as its prefill took so long."""
+    """The decode attempt is sent 3 s after the request arrives, because the prefill takes so long."""
     world = World(Router(keyed_settings(NEEDED_US + 1 * S), 1))
     world.list(server(10, PREFILL), server(12, DECODE), kind=UpdateKind.FULL)
     request_id, actions = world.ask()
--- a/tests/routing/test_locality.py
+++ b/tests/routing/test_locality.py
@@ -109,7 +109,8 @@
         send = only(SendAttempt, actions)
         assert send.endpoint_id > 50
         causes.append(send.cross_zone_cause)
-        # Its KV state is in the other zone: a decode there moves the output back, one here the KV state.
+        # The KV state is in the other zone: a decode attempt in that zone moves the output to the node's
+        # zone; one in the node's zone moves the KV state.
         decode = only(
             SendAttempt, w.end(send.request_id, send.endpoint_id, Status.PREFILLED, cross_zone_bytes=6000.0)
         )
@@ -140,7 +141,7 @@
                 for a in w.end(prefill.request_id, prefill.endpoint_id, Status.PREFILLED)
                 if isinstance(a, SendAttempt)
             ]
-            used.add(sent[0].endpoint_id)  # streams stay open, so the decode engine of the own zone fills up
+            used.add(sent[0].endpoint_id)  # streams stay open and fill the local decode engine
             w.start(prefill.request_id, sent[0].endpoint_id)
         assert (12 in used) is crossing, (budget, used)
 
@@ -156,11 +157,13 @@
         w.start(prefill.request_id, 11)
         w.end(
             prefill.request_id, 11, Status.OK, is_final=True, load_report=(3.0, 0.4)
-        )  # 40 % of its memory in use, the remote ones have reported nothing
+        )  # 40 % of the endpoint's memory is in use; the remote endpoints have reported nothing
 
 
 def test_an_overload_of_the_own_zone_is_not_attributed_to_another_zone() -> None:
-    """With many nodes the load of a role is estimated from its last reports, for each zone separately."""
+    """With many nodes, the load of a role is estimated from load reports, separately for local and remote
+    zones.
+    """
     endpoints = [
         *(server(10 + n, PREFILL) for n in range(2)),
         *(server(20 + n, PREFILL, zone=1) for n in range(2)),
@@ -176,7 +179,7 @@
         _, actions = w.ask(after=30 * MS, prefix=0)
         sends = [a for a in actions if isinstance(a, SendAttempt)]
         endpoint_ids += [a.endpoint_id for a in sends] or [0]
-        if sends:  # prefills in the own zone are slow, with long queues in the load reports
+        if sends:  # local prefills are slow, with long queues in the load reports
             latency_us, load = (
                 (900 * MS, (40.0, 0.2, 60.0)) if sends[0].endpoint_id < 20 else (40 * MS, (0.0, 0.2, 0.0))
             )
@@ -202,9 +205,9 @@
 
 
 def prefills_after_recovery(w: World, near: list[EndpointInfo], busy: bool) -> list[int]:
-    """A zone's endpoints are removed, and listed again 5 s later.
+    """Remove a zone's endpoints and list them again 5 s later.
 
-    Returns how many prefills were sent there in each half-second after that.
+    Returns how many prefills were sent to them in each half-second after they were listed again.
     """
     w.list(*(replace(s, state=EndpointState.REMOVED) for s in near))
     w.now += 5 * S
@@ -242,9 +245,9 @@
     assert only(SendAttempt, actions).endpoint_id == 10
     w.list(
         server(10, PREFILL, zone=1), server(20, PREFILL)
-    )  # they swap zones while endpoint 10 holds a KV state
+    )  # the two endpoints swap zones while endpoint 10 holds a KV state
     decode = only(SendAttempt, w.end(1, 10, Status.PREFILLED))
-    assert decode.cross_zone_cause is not None  # the KV state or the output has to cross now
+    assert decode.cross_zone_cause is not None  # the KV state or the output now has to cross zones
     w.start(1, decode.endpoint_id)
     w.end(1, decode.endpoint_id, Status.OK, is_final=True, cross_zone_bytes=16_000.0)
     _, actions = w.ask(after=200 * MS)
@@ -255,7 +258,7 @@
 
 
 def test_no_request_is_rejected_for_the_budget_alone() -> None:
-    """The own zone is overloaded and the budget is empty: requests cross as forced and are not rejected."""
+    """The node's zone is overloaded and the budget is empty: requests cross zones with the cause `FORCED`."""
     endpoints = [
         server(10, PREFILL),
         server(11, DECODE),
@@ -266,7 +269,7 @@
     causes = []
     for index in range(30):
         _, actions = w.ask(after=20 * MS, prefix=0)
-        send = only(SendAttempt, actions)  # each is sent somewhere
+        send = only(SendAttempt, actions)  # each request is sent to some endpoint
         causes.append((send.endpoint_id, send.cross_zone_cause))
         if send.endpoint_id == 20 or index < 10:
             decode = only(
@@ -280,8 +283,10 @@
 
 
 def test_a_retry_after_a_connection_failed_is_booked_as_a_retry() -> None:
-    """Cross-zone bytes of a retry must not be counted as ordinary traffic of the budget. They are if only the
-    connection failed, because then the endpoint is not excluded.
+    """Cross-zone bytes of a retry must not be counted as ordinary traffic of the budget.
+
+    The router recognises a retry by the request's excluded endpoints. If only the connection failed, the
+    endpoint is not excluded, so the bytes of that retry are counted as ordinary traffic.
     """
     far = [server(60, PREFILL, zone=1), server(61, DECODE, zone=1)]
     w = world(far, **BUDGET)
--- a/tests/routing/test_many_nodes.py
+++ b/tests/routing/test_many_nodes.py
@@ -31,7 +31,7 @@
 def run_prefill(w: World, after: int = 30 * MS, **changes: object) -> tuple[int, int, int]:
     """Run one request up to its decode attempt.
 
-    Returns its id and those of its prefill and its decode endpoint.
+    Returns the ids of the request, of its prefill endpoint and of its decode endpoint.
     """
     request_id, actions = w.ask(**changes)  # type: ignore[arg-type]
     prefill_id = only(SendAttempt, actions).endpoint_id
@@ -60,8 +60,8 @@
 
 
 def test_an_unpopular_prefix_has_the_same_three_affinity_endpoints_at_all_nodes() -> None:
-    """If it had a share of the endpoints, each of hundreds of prefixes would be prefilled again at twenty of
-    them and evict others from their caches.
+    """If an unpopular prefix had affinity to a share of the endpoints, each of hundreds of prefixes would be
+    prefilled again at twenty endpoints and evict other prefixes from their caches.
     """
     endpoints = fleet(prefill=60, decode=5)
     affinity_ids: dict[int, set[int]] = {prefix: set() for prefix in range(1, 9)}
@@ -76,8 +76,8 @@
 
 
 def test_a_prefix_that_takes_long_for_its_objective_has_one_affinity_endpoint_at_all_nodes() -> None:
-    """Each affinity endpoint prefills the prefix once. There are three if three such prefills fit into half
-    of the latency objective, otherwise one.
+    """Each affinity endpoint prefills the prefix once. A prefix has three affinity endpoints if three such
+    prefills fit into half of the latency objective, otherwise one.
     """
     cls = RequestClass("plain", 1.0, 1 * S, 5 * S, inter_token_objective_us=60_000.0)
     affinity_counts: dict[tuple[float, float], int] = {}
--- a/tests/routing/test_recovery.py
+++ b/tests/routing/test_recovery.py
@@ -15,7 +15,7 @@
 def serve(
     w: World, request_id: int, prefill_id: int, prefill_us: int = 50 * MS, waiting_k: float = 0.0
 ) -> None:
-    """Answer one request from its prefill to its end.
+    """Answer one request from its prefill to the end of its stream.
 
     The prefill endpoint reports `waiting_k` thousand waiting tokens.
     """
@@ -30,8 +30,9 @@
 
 
 def test_a_prefill_has_no_attempt_time_out_without_recent_answers_to_prefills() -> None:
-    """A cache flush makes all prefills slow at once. A node with one request per second cannot tell that from
-    endpoints that do not answer, and its retries made up a third of all prefills.
+    """A cache flush makes all prefills slow at once. A node with one request per second cannot tell slow
+    prefills from endpoints that do not answer. With attempt time-outs, the retries of such nodes make up a
+    third of all prefills.
     """
     w = world(fleet(prefill=8), replicas=NODES)
     have_timeout = []
@@ -45,7 +46,9 @@
 
 
 def test_reported_queues_decay_with_time_and_not_with_the_number_of_answers() -> None:
-    """A node that sheds load gets few answers: it assumed an overload for ten seconds after its end."""
+    """A node that sheds load gets few answers. If reported queues decay only with answers, the node assumes
+    an overload for ten seconds after the overload has ended.
+    """
     w = world(fleet(prefill=8), replicas=NODES, report_fields=FIELDS)
     for _ in range(8):
         request_id, actions = w.ask(class_index=1, after=100 * MS)
@@ -61,8 +64,8 @@
 
 
 def test_a_request_whose_client_deadline_is_before_its_first_token_is_rejected_without_a_prefill() -> None:
-    """Requests of clients that gave up after half a second and retried were three quarters of all requests,
-    and none of them was served.
+    """Without the rejection, requests of clients that give up after half a second and retry make up three
+    quarters of all requests, and none of them is served.
     """
     w = world(fleet(prefill=8), replicas=NODES)
     for _ in range(6):
@@ -89,7 +92,7 @@
             break
         serve(w, request_id, 1, prefill_us=900 * MS, waiting_k=60.0)
     only(Reject, w.ask(after=100 * MS)[1])
-    for n in range(3, 40):  # Most of them are low in the rendezvous order of the prefix.
+    for n in range(3, 40):  # Most of these endpoints are low in the rendezvous order of the prefix.
         w.list(server(n, PREFILL, started_at_us=w.now))
     w.now += 2 * S
     statistics = w.router.state.statistics[Role.PREFILL, False]
@@ -134,9 +137,9 @@
 
 
 def test_one_slow_prefill_after_a_pause_does_not_make_all_endpoints_look_slow() -> None:
-    """When a queue has drained, its last prefills took long although nothing waits any more. A time per token
-    estimated from one of them is ten times too long, and the node shed load for seconds while endpoints were
-    idle.
+    """The last prefills of a queue that has drained took long, although no tokens wait any more. A time per
+    token that is estimated from one of these prefills is ten times too long. With this estimate, a node sheds
+    load for seconds while endpoints are idle.
     """
     w = world(fleet(prefill=8), replicas=NODES, report_fields=FIELDS)
     for _ in range(20):
@@ -167,7 +170,7 @@
 
 
 def prefill_endpoint_of(w: World, overloaded: set[int], session: int) -> int | None:
-    """Serve one more request with the prefix. Overloaded endpoints report their queues.
+    """Serve one more request with the prefix, while the overloaded endpoints report long queues.
 
     Returns the prefill endpoint, or None if the request is rejected.
     """
@@ -182,7 +185,7 @@
 
 
 def idle_world(nodes: int) -> World:
-    """Ten idle prefill endpoints with known speed, and a node that sheds no load."""
+    """Return a world with ten idle prefill endpoints of known speed, whose node sheds no load."""
     w = world(fleet(prefill=10, decode=6), replicas=nodes, report_fields=FIELDS)
     for prefix in range(1_000, 1_012):
         request_id, actions = w.ask(after=50 * MS, prefix=prefix)
@@ -194,7 +197,9 @@
 def test_sessions_with_overloaded_affinity_endpoints_are_served_elsewhere_while_others_are_idle(
     nodes: int,
 ) -> None:
-    """However many of the endpoints that a prefix spills over to exceed the queue limit, others are idle."""
+    """Requests are admitted as long as some endpoints are idle, even if all endpoints that the prefix spills
+    over to exceed the queue limit.
+    """
     w, overloaded = idle_world(nodes), list[int]()
     while len(overloaded) < 10:  # Each endpoint becomes overloaded as soon as the prefix is sent there.
         used = [prefill_endpoint_of(w, set(overloaded), 5_000 + session) for session in range(6)]
--- a/tests/routing/test_rules.py
+++ b/tests/routing/test_rules.py
@@ -25,7 +25,7 @@
 
 
 def send_to_decode(w: World) -> tuple[int, int]:
-    """Run one request up to its decode attempt. Returns its id and that of its decode endpoint."""
+    """Run one request up to its decode attempt; return the ids of the request and of the decode endpoint."""
     request_id, actions = w.ask()
     actions = w.end(request_id, only(SendAttempt, actions).endpoint_id, Status.PREFILLED)
     return request_id, only(SendAttempt, actions).endpoint_id
@@ -95,8 +95,8 @@
 def test_rule_2_an_abandoned_prefill_attempt_may_still_execute(
     effect: Idempotency, scope: IdempotencyScope, answer: type, after: int
 ) -> None:
-    """An engine that hangs finds the whole request in its buffer when it continues, even if the connection is
-    closed.
+    """When an engine that hung continues, it finds the whole request in its buffer, even if the connection
+    was closed meanwhile.
     """
     w = world(effect=effect, scope=scope)
     request_id, actions = w.ask()
@@ -227,8 +227,8 @@
             w.start(request_id, endpoint_id, after=2 * MS)
             w.end(request_id, endpoint_id, Status.OK, is_final=True, after=1 * MS)
     assert sent[9] >= 1, "an endpoint in slow start is not starved"
-    # In two seconds of slow start, slots become due at 2.5 / 3 of its capacity by the quotas times the ramp:
-    # a quarter to four tenths of 8 to 10 requests per second.
+    # In two seconds of slow start, slots become due at a rate of 2.5 / 3 x ramp x capacity. The ramp is a
+    # quarter to four tenths; the endpoint's capacity by the quotas is 8 to 10 requests per second.
     assert sent[9] <= 1 + 2 * 2.5 / 3 * 0.4 * 10, sent
 
 
--- a/tests/routing/test_same_decisions.py
+++ b/tests/routing/test_same_decisions.py
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Case:
-    """Parameters of one sequence."""
+    """Parameters of one sequence of events."""
 
     seed: int
     replicas: int = 350
@@ -70,7 +70,8 @@
     failure_share: float = 0.05
     """Share of the attempts that fail."""
     slowdown: float = 1.0
-    """Factor by which answers take longer in the middle third; above about twenty the fleet is overloaded."""
+    """Factor by which answers take longer in the middle third of the sequence; above a factor of about twenty
+    the fleet is overloaded."""
     max_memory_share: float = 0.5
     """Upper limit of the memory shares in load reports."""
 
@@ -109,7 +110,7 @@
 
 
 class Pair:
-    """Two routers that handle the same events; their actions are compared before they are simulated."""
+    """Two routers that handle the same events; their actions are compared and then simulated."""
 
     def __init__(self, case: Case) -> None:
         self.case, self.random, self.now = case, Random(case.seed), 100 * S
@@ -209,7 +210,7 @@
             self.schedule(length_us, replace(ended, status=Status.OK, latency_us=length_us, is_final=True))
 
     def _is_valid(self, event: Event) -> bool:
-        """Whether an event may still occur: each attempt ends once, and no stream starts after that."""
+        """Whether an event may still occur: each attempt ends once, and no stream starts after its end."""
         if isinstance(event, StreamStarted | AttemptEnded):
             if self.in_flight.get(event.request_id) != (event.attempt, event.endpoint_id):
                 return False
@@ -297,7 +298,7 @@
             self.ask()
 
     def play(self, steps: int) -> Pair:
-        """Play so many steps, with a slowdown in the middle third."""
+        """Play the given number of steps, with a slowdown in the middle third."""
         for index in range(steps):
             self.slowdown = self.case.slowdown if steps / 3 < index < 2 * steps / 3 else 1.0
             self.step()
@@ -409,7 +410,7 @@
 
 
 def test_the_load_given_to_a_role_decays_and_reverses_the_order_of_roles() -> None:
-    """A mixed endpoint that got much load is used for decode again once that load has decayed."""
+    """An endpoint of both roles that got much load is used for decode again once that load has decayed."""
     pair = Pair(Case(14, engines=30, mixed_share=0.5, failure_share=0.0, weights=(1.0, 3.0)))
     for _ in range(12):
         pair.play(40)
@@ -439,7 +440,7 @@
 def test_a_wrong_index_is_detected(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     owner, name, wrong = WRONG_INDEXES[fault]
     monkeypatch.setattr(owner, name, wrong)
-    # Decisions differ, or an endpoint is missing from an index.
+    # With the wrong method, decisions differ or an endpoint is missing from an index.
     with pytest.raises((AssertionError, LookupError)):
         for seed in range(8):
             Pair(
--- a/tests/routing/test_sequences.py
+++ b/tests/routing/test_sequences.py
@@ -37,9 +37,9 @@
 from tuliptrack.routing.router import Router
 
 ANSWER_SLACK_US = 16 * MS
-"""How late an answer may be after the client's deadline."""
+"""Maximum time from the client's deadline to the final answer."""
 NOT_EXECUTED = {Status.AT_CAPACITY, Status.CONNECT_FAILED, Status.ABANDONED, Status.PREFILLED}
-"""Statuses that prove that the request did not take effect."""
+"""Statuses that prove that the attempt did not take effect."""
 
 
 class RequestState:
@@ -47,13 +47,13 @@
 
     def __init__(self, deadline_at_us: int) -> None:
         self.deadline_at_us = deadline_at_us
-        self.attempt_in_flight: tuple[int, int] | None = None  # number, endpoint id
+        self.attempt_in_flight: tuple[int, int] | None = None  # attempt number, endpoint id
         self.attempts = 0
         self.holds_kv_state = False
         self.is_started = False
         self.is_answered = False
         self.is_disconnected = False
-        self.may_have_executed: tuple[int, int] | None = None  # time sent, endpoint id
+        self.may_have_executed: tuple[int, int] | None = None  # time of sending, endpoint id
         self.sent_at_us = 0
         self.is_cancelled = False
 
@@ -152,7 +152,9 @@
             state.is_cancelled = True
 
     def outcome(self, request_id: int, state: RequestState) -> list[Event]:
-        """Return the next event of the attempt that is in flight: the start of its stream or its end."""
+        """Return the next event of the attempt in flight: the start of its stream, or the end of the
+        attempt.
+        """
         assert state.attempt_in_flight
         attempt, endpoint_id = state.attempt_in_flight
         is_prefill = self.kind(endpoint_id) == PREFILL
@@ -202,7 +204,7 @@
         ]
 
     def events(self) -> list[Event]:
-        """Return random events for this time. Attempts past their deadline end first."""
+        """Return random events for the current time, first the ends of attempts whose deadline is over."""
         events: list[Event] = []
         choice = self.random.random()
         open_requests = [(n, state) for n, state in self.requests.items() if state.attempt_in_flight]
@@ -259,7 +261,7 @@
         return events + [TimerFired(token) for _, token in due_timers]
 
     def play(self, steps: int) -> str:
-        """Run so many random steps, then let all requests end. Returns all actions as text."""
+        """Run the given number of random steps, then let all requests end. Returns all actions as text."""
         for _ in range(steps):
             earliest = min(
                 (
--- a/tests/routing/test_short_deadlines.py
+++ b/tests/routing/test_short_deadlines.py
@@ -1,8 +1,8 @@
 """Clients with very short deadlines must not disable the protection of other clients against faults.
 
 A request that is shed only because of its client's deadline must not count as an overload of the node. For
-two seconds after an overload, no unanswered attempt is abandoned and no slow endpoint is ejected, so one such
-client per second would disable both for all clients of the node.
+two seconds after an overload, the node abandons no unanswered attempt and ejects no slow endpoint. So if such
+requests counted, one of them per second would disable both protections for all clients of the node.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 SHORT_DEADLINE_US = 20 * MS
 NODES = 40
 HANGING = 10
-"""A prefill endpoint."""
+"""Id of the prefill endpoint that hangs."""
 SLOW = 13
-"""A decode endpoint."""
+"""Id of the decode endpoint whose streams are slow."""
 
 
 def serve(node: World) -> None:
-    """One request from its prefill to the end of its stream."""
+    """Serve one request from its prefill to the end of its stream."""
     request_id, actions = node.ask(after=100 * MS)
     actions = node.end(request_id, only(SendAttempt, actions).endpoint_id, Status.PREFILLED, after=60 * MS)
     endpoint_id = only(SendAttempt, actions).endpoint_id
@@ -45,7 +45,9 @@
 
 
 def test_attempts_at_an_endpoint_that_hangs_are_abandoned_despite_clients_with_short_deadlines() -> None:
-    """Many nodes, each with one such client per second; one prefill endpoint of three hangs."""
+    """Each of many nodes gets one request with a short deadline per second; one of three prefill endpoints
+    hangs.
+    """
     outcomes: Counter[str] = Counter()
     for seed in range(1, NODES + 1):
         node = node_with_history(seed)
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,7 +1,7 @@
 """Rule 4 over all nodes: the load that they send together to an endpoint in slow start, in any window.
 
-The simulated endpoints answer after fixed times and only count attempts. Their capacity is set below, and the
-quotas in the nodes' settings are nine tenths of it. Work is measured in mean requests.
+The simulated endpoints answer after fixed times and only count attempts. `Deployment` sets their capacity,
+and the quotas in the nodes' settings are nine tenths of it. Work is measured in mean requests.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 HEAVY_COST = 3.0
 """Ratio of the tokens of the heavy class to those of the plain one, for prompts and outputs."""
 HEAVY_SHARE = 0.2
-"""Share of the heavy class in the requests that the quotas are set for, whatever the actual share."""
+"""Share of the heavy class in the requests for which the quotas are set; the actual share may differ."""
 
 
 @dataclass(frozen=True)
@@ -53,7 +53,7 @@
     initial_share: float = 0.27
     overload_factor: float = 3.0
     quota_share: float = 0.9
-    """Quotas as a share of the capacity of all endpoints that decode."""
+    """Sum of the quotas, as a share of the capacity of all endpoints that decode."""
 
     @property
     def slow_start_ids(self) -> tuple[int, ...]:
@@ -79,7 +79,9 @@
         return self.quota_share * sum(self.capacity_per_s[kind] for kind in self.kinds if kind != PREFILL)
 
     def budget(self, number: int, since: int) -> float:
-        """Return the mean requests that an endpoint in slow start can take in a window that begins then."""
+        """Return how many mean requests an endpoint in slow start can serve in a window that begins at
+        `since`.
+        """
         ramp = self.initial_share + (1 - self.initial_share) * (since - START) / self.slow_start_us
         return self.overload_factor * ramp * self.capacity_per_s[self.kinds[number - 1]] * self.window / S
 
@@ -98,9 +100,8 @@
 class Service:
     """Simulates nodes and a fleet: requests arrive at random, each attempt ends soon after it was sent.
 
-    `replicas` is the number of nodes in the settings, if it differs from the actual one. `late` is the time
-    in seconds within which each node learns of the started endpoints. `latencies_us` are the times to the end
-    of a prefill, to the first token and to the end of the stream.
+    `replicas` is the number of nodes in the settings, if it differs from the actual number. `late` is the
+    time in seconds within which all nodes learn of the started endpoints. `latencies_us` are the times to the end of a prefill, to the first token and to the end of the stream.
     """
 
     def __init__(
@@ -147,7 +148,7 @@
         heapq.heappush(self.queue, (at_us, next(self.event_numbers), lambda: callback(*args)))
 
     def schedule_list_change(self, at_us: int, endpoints: list[EndpointInfo], late: float = 0.0) -> None:
-        """Schedule a list change, which reaches one node after another."""
+        """Schedule a change of the endpoint list, which reaches one node after another."""
         for slot in range(len(self.nodes)):
             self.schedule(
                 at_us + slot + int(self.random.random() * late * S), self.update_list, slot, endpoints
@@ -243,7 +244,8 @@
                 self.schedule(START + int(since * S + part * self.deployment.window), self.ask, slot)
 
     def worst(self, number: int, allowed: Callable[[float], float] = lambda budget: budget) -> float:
-        """Return the maximum share of the allowed work that was sent in any window.
+        """Return the work sent in a window as a share of the allowed work, for the window with the largest
+        share.
 
         Each attempt counts as the mean work of its class.
         """
@@ -259,7 +261,7 @@
         return used
 
     def is_within_budget(self) -> bool:
-        """Whether no endpoint in slow start was overloaded."""
+        """Whether every endpoint in slow start got less work than it can serve, in every window."""
         return all(self.worst(number) < 1 for number in self.sent)
 
 
@@ -317,7 +319,7 @@
 
 
 def test_a_burst_of_requests_and_retries_at_every_node_gets_only_the_slots(service: Service) -> None:
-    service.rejects_half = True  # and rejected attempts are retried at once
+    service.rejects_half = True  # rejected attempts are retried at once
     for slot in range(len(service.nodes)):
         for _ in range(20):
             service.schedule(START + 3 * S, service.ask, slot)
@@ -366,12 +368,12 @@
         )
         w.now += 5 * S
         role = w.router.state.statistics[Role.PREFILL, False]
-        role.rejection_share, role.observed_at_us = 1.0, w.now  # all its recent attempts were rejected
+        role.rejection_share, role.observed_at_us = 1.0, w.now  # all recent attempts were rejected
         only(expected, w.ask()[1])
 
 
-# The same rule for all processes together: an excess of 2 x sqrt(N) + 2 over the budget of N requests is
-# within random variation.
+# The following tests apply the rule to all processes together: an excess of 2 x sqrt(N) + 2 over the budget
+# of N requests is within random variation.
 
 LARGE = Deployment(
     kinds=(PREFILL,) * 2 + (DECODE,) * 4,
@@ -384,7 +386,9 @@
 
 
 def with_bursts(service: Service) -> Service:
-    """Add bursts of more requests than there are slots, each after as much low load as a slot is valid."""
+    """Add bursts of more requests than there are slots, each after low load for as long as a slot is
+    valid.
+    """
     slots = service.deployment.budget(
         service.deployment.slow_start_ids[0], START + service.deployment.slow_start_us
     )
@@ -438,9 +442,9 @@
 def slot_limit(nodes: int) -> Callable[[float], float]:
     """Return the limit for a window that follows from the docstring of `routing/slow_start.py`.
 
-    It consists of the slots that become due in the window, a third of the budget plus the growth of the ramp
-    meanwhile; unused slots of the previous window, one for each process and at most a third of the budget;
-    and random variation in the mix of classes.
+    The limit is the sum of three parts: the slots that become due in the window, which are a third of the
+    budget plus the growth of the ramp in the window; unused slots of the previous window, which are one for
+    each process and at most a third of the budget; and random variation in the mix of classes.
     """
     return lambda n: 1.07 * n / 3 + min(n / 3, nodes) + math.sqrt(n) + 2
 
--- a/tests/routing/test_slow_streams.py
+++ b/tests/routing/test_slow_streams.py
@@ -13,17 +13,17 @@
 class Streams:
     """A world with open streams and twelve requests per second.
 
-    Each stream takes `LENGTH_US`, times the factor of its decode endpoint if that is slow.
+    Each stream takes `LENGTH_US`, multiplied by the factor of its decode endpoint if that endpoint is slow.
     """
 
     def __init__(self, decode_endpoints: int = 4, may_resume: bool = True) -> None:
         self.world = world(fleet(decode=decode_endpoints), may_resume=may_resume)
         self.open: dict[int, tuple[int, int]] = {}
-        """Open streams by request: the decode endpoint, and when the stream ends."""
+        """Decode endpoint and end time of each open stream, by request id."""
         self.handled_actions = 0
 
     def play(self, seconds: int, slow: dict[int, float]) -> tuple[list[int], dict[int, int]]:
-        """Return the requests migrated in that time, and how many attempts were sent to each endpoint.
+        """Run `seconds`; return the migrated requests, and how many attempts were sent to each endpoint.
 
         `slow` has the factor by which the streams of each slow endpoint take longer.
         """
@@ -64,7 +64,7 @@
     assert len(migrated) > 3
     _, sent = streams.play(6, {13: 8.0})
     assert sent.get(13, 0) < min(sent[n] for n in (14, 15, 16)) / 3
-    streams.play(20, {})  # it has recovered: the stream of a health check ends in time
+    streams.play(20, {})  # the endpoint has recovered: the stream of a health check completes in time
     _, sent = streams.play(6, {})
     assert sent[13] > min(sent[n] for n in (14, 15, 16)) / 2
 
@@ -115,7 +115,7 @@
     ).endpoint_id
     w.start(paused_id, decode_id, after=MS)
     w.handle_events(after=60 * MS)
-    w.router.slow_streams.checked_at_us = 0  # the next event finds a comparison due
+    w.router.slow_streams.checked_at_us = 0  # so that a comparison is due at the next event
     action_count = len(w.actions)
     w.handle_events(after=MS)
     assert not [action for action in w.actions[action_count:] if isinstance(action, MigrateStream)]
--- a/tests/routing/test_stages.py
+++ b/tests/routing/test_stages.py
@@ -202,11 +202,11 @@
 
 def test_a_slow_prefill_endpoint_loses_its_prefixes_but_not_if_all_are_slow() -> None:
     def serve(w: World, slow: set[int], prefix: int) -> int:
-        """Serve one request. Returns the endpoint of its first prefill attempt."""
+        """Serve one request, and return the endpoint of its first prefill attempt."""
         request_id, actions = w.ask(class_index=1, prefix=prefix)
         first_id = prefill_id = only(SendAttempt, actions).endpoint_id
         latency_us = 40 * MS
-        if prefill_id in slow:  # 1.5 s, or until the router abandons the attempt
+        if prefill_id in slow:  # the prefill takes 1.5 s, or until the router abandons it
             sent, latency_us = only(SendAttempt, actions), 1500 * MS
             if 0 < sent.timeout_us < latency_us:
                 actions = w.end(request_id, prefill_id, Status.TIMEOUT, after=sent.timeout_us)
