--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,11 +1,13 @@
-"""Lets the tests listed in `KNOWN-RED.txt` fail. The file holds known faults that are not fixed yet, one a line:
+"""Lets the tests listed in `KNOWN-RED.txt` fail. Each line of the file holds one known fault that is not
+fixed yet:
 
     test id | command and seed | what was seen | issue
 
-Only these tests may fail, and only with the failure that their entry names: the text in backquotes in the third
-field must occur in the report of the failure. Each listed test is printed; one that passes is printed as ready to
-be removed from the file. Entries that are not tests (a bench run, a soak seed) begin with `bench:` or `soak:` and
-are printed too. A line that is incomplete, names no test or no issue number, or repeats a test fails the run.
+Only these tests may fail, and only with the failure that their entry names: the text in backquotes in the
+third field must occur in the report of the failure. Each listed test is printed; if it passes, it is printed
+as ready to be removed from the file. Entries that are not tests (a bench run, a soak seed) begin with
+`bench:` or `soak:` and are printed too. The run fails if a line is incomplete, names no test or no issue
+number, or repeats a test.
 """
 
 from __future__ import annotations
@@ -27,7 +29,7 @@
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One entry of the file."""
+    """One entry of `KNOWN-RED.txt`."""
 
     test: str
     command: str
@@ -49,7 +51,7 @@
 
 
 def known_red(root: Path) -> dict[str, KnownRed]:
-    """Return the entries of the file by test id, or none if there is no file.
+    """Return the entries of `KNOWN-RED.txt` by test id; without the file, there are none.
 
     Raises:
         pytest.UsageError: a line is invalid; the message names it.
@@ -98,7 +100,9 @@
 
 
 def _plain_tracebacks() -> None:
-    """Log plain tracebacks, as a node does: formatting all local variables blocks the event loop for a second."""
+    """Log plain tracebacks, as a node does: formatting all local variables blocks the event loop for a
+    second.
+    """
     processors = structlog.get_config()["processors"]
     console = structlog.dev.ConsoleRenderer(colors=False, exception_formatter=structlog.dev.plain_traceback)
     structlog.configure(processors=[*processors[:-1], console])
@@ -114,7 +118,7 @@
     files = {nodeid.partition("::")[0] for nodeid in collected}
     chosen = any(
         "::" in arg for arg in config.args
-    )  # With single tests selected, the others of their file are not collected.
+    )  # If single tests are selected, pytest does not collect the other tests of their files.
     for test, known in known_red(config.rootpath).items():
         file = test.partition("::")[0]
         if not known.is_test:
--- a/tests/json_values.py
+++ b/tests/json_values.py
@@ -20,10 +20,11 @@
 
 
 NESTED_DEEPLY = _nested(5_000)
-"""Nested too deeply for Python to compare or print."""
+"""A value that is nested too deeply for Python to compare or print."""
 
 _UNPRINTABLE = {"5,000 digits": 10**5_000, "nested deeply": NESTED_DEEPLY}
-"""Strategies draw the names, because the test runner prints the values that it draws from."""
+"""Values that cannot be printed, by name. Strategies draw the names, because the test runner prints the
+values that it draws from."""
 
 
 def _unprintable(name: str) -> Any:
@@ -68,4 +69,4 @@
         max_leaves=5,
     )
 )
-"""Any JSON value; hostile ones are drawn often."""
+"""Strategy for any JSON value, which draws hostile values often."""
--- a/tests/oracle/brain.py
+++ b/tests/oracle/brain.py
@@ -56,54 +56,54 @@
     UpdateKind,
 )
 
-MAX_QUEUE_SHARE = 0.5  # share of the latency objective that a queue may take; above it requests spill over, and are shed if all are above it
-SPILL_ENDPOINTS = 3  # number of prefill endpoints to spill over to, in a prefix's hash order, counted from its last affinity endpoint on
-MAX_AFFINITY_SHARE = 0.28  # maximum share of the prefill endpoints with affinity to one prefix: nodes see little of their queues
+MAX_QUEUE_SHARE = 0.5  # maximum queue time as a share of the latency objective; above it requests spill over, and are shed if all endpoints are above it
+SPILL_ENDPOINTS = 3  # number of prefill endpoints that a request may spill over to: the last affinity endpoint of its prefix, and those that follow in the prefix's hash order
+MAX_AFFINITY_SHARE = 0.28  # maximum share of the prefill endpoints that have affinity to one prefix; limited because nodes see little of the queues at affinity endpoints
 AFFINITY_HEADROOM = 2.0  # ratio of a popular prefix's share of the prefill endpoints to its share of this node's demand
-ASSIGNED_DECAY_US = 20_000_000  # microseconds, time constant of the decay of the tokens assigned to a role: some tens of requests
+ASSIGNED_DECAY_US = 20_000_000  # time constant, in microseconds, of the decay of the tokens assigned to a role: about as long as some tens of requests take
 MAX_CACHED_RANKINGS = 1000  # keys whose hash order is cached; sessions without a prefix are keys too
-LOW_PRIORITY_FACTOR = 0.5  # share of the queue limit above which the lowest priority is shed
-TOP_PRIORITY_FACTOR = 1.6  # multiple of the queue limit above which the highest priority is shed too: most of it would only be late
+LOW_PRIORITY_FACTOR = 0.5  # multiple of the queue limit above which requests of the lowest priority are shed
+TOP_PRIORITY_FACTOR = 1.6  # multiple of the queue limit above which requests of the highest priority are shed too, because most of them would only be late
 SAMPLE_WEIGHT = 0.2  # weight of a new sample in an average: about the last five prefills, a second of traffic
-MIN_TIMEOUT_SHARE = 0.5  # minimum time-out, as a share of the latency objective: two attempts still fit into it
-TIMEOUT_RATIO = 2.5  # multiple of the latency at the start of the slowest fifth of answers at which an attempt times out
-TIMEOUT_GROWTH = 1.5  # growth of the time-out with each time-out of a request, so that a slowdown causes no retry storm
-MAX_TIMEOUT_SHARE = 0.7  # share of timed-out attempts that shows an overload, not lost answers; above it no attempt times out
+MIN_TIMEOUT_SHARE = 0.5  # minimum time-out, as a share of the latency objective: two attempts still fit into the objective
+TIMEOUT_RATIO = 2.5  # ratio of an attempt's time-out to the lowest latency among the slowest fifth of answers
+TIMEOUT_GROWTH = 1.5  # factor by which the time-out grows with each earlier time-out or error of a request, so that a slowdown causes no retry storm
+MAX_TIMEOUT_SHARE = 0.7  # share of attempts with time-outs or errors that shows an overload, not lost answers; from this share on no attempt times out
 NODE_STALL_US = 150_000  # microseconds for which a node may stall between reading its clock and sending
-EARLY_REJECTION_SHARE = 0.08  # share of the latency objective within which a rejection shows a lack of capacity; a later one throttles a tenant
-MAX_REJECTION_SHARE = 0.4  # share of early rejections above which a rejected request is not sent to another endpoint
-MAX_LATENCIES = 15  # number of stored latencies of a role, whose slowest fifth is used
-STATISTICS_MAX_AGE_US = 5_000_000  # microseconds after which role statistics no longer count, or they would not change once all requests are shed
-ROLE_QUEUE_WEIGHT = 0.9  # weight of the role's typical time to first token, times the square of the other nodes' share
+EARLY_REJECTION_SHARE = 0.08  # share of the latency objective up to which a rejection counts as early and shows a lack of capacity; a later rejection shows that a tenant is throttled
+MAX_REJECTION_SHARE = 0.4  # share of early rejections among a role's attempts above which a rejected request is not sent to another endpoint
+MAX_LATENCIES = 15  # maximum number of stored latencies of a role; the slowest fifth of them is used
+STATISTICS_MAX_AGE_US = 5_000_000  # age in microseconds from which on role statistics no longer count; without this limit they would not change once all requests are shed
+ROLE_QUEUE_WEIGHT = 0.9  # weight of the role's typical time to first token; multiplied by the square of the other nodes' share
 AGE_EXPONENT = 6  # exponent of the other nodes' share in the weight of ages: with few nodes, the node's own queue is more informative
-CHECK_INTERVAL_US = 700_000  # microseconds between health checks of an ejected endpoint, doubled with each failure, jittered
-CHECK_INTERVAL_REQUESTS = 20  # minimum interval in requests arriving at this node: each check delays one request
-MAX_CHECK_INTERVAL_US = 15_000_000  # maximum interval: faults last tens of seconds, and afterwards the capacity is needed
-NEAR_TIE_SHARE = 1.0  # share of the mean load by which a decode endpoint in the preferred cell may exceed the least load
-MEMORY_MARGIN = 0.12  # share of memory above the decode endpoints' median above which one is left out
-SLOT_RATE_SHARE = 1 / 3  # share of the overload factor at which slots become due; `_slot_for` explains why it is a third
-GOLDEN_RATIO_FRACTION = (math.sqrt(5) - 1) / 2  # its multiples by successive slots, modulo 1, are spread evenly over 0 to 1
-REQUEST_WEIGHT = 0.05  # weight of a request in the demand: about twenty requests show the mix of classes
+CHECK_INTERVAL_US = 700_000  # interval in microseconds between health checks of an ejected endpoint; doubled with each failure, then jittered
+CHECK_INTERVAL_REQUESTS = 20  # minimum interval between health checks, as the number of requests that this node receives meanwhile: each check delays one request
+MAX_CHECK_INTERVAL_US = 15_000_000  # maximum interval in microseconds between health checks: faults last tens of seconds, and afterwards the capacity is needed
+NEAR_TIE_SHARE = 1.0  # share of the mean load by which the load of a decode endpoint in the preferred cell may exceed the least load
+MEMORY_MARGIN = 0.12  # maximum excess of a decode endpoint's memory share over the median of the decode endpoints; above it the endpoint is left out
+SLOT_RATE_SHARE = 1 / 3  # rate at which slots become due, as a share of the rate that overloads the endpoint; `_slot_for` explains why the share is a third
+GOLDEN_RATIO_FRACTION = (math.sqrt(5) - 1) / 2  # its products with successive slot numbers, modulo 1, are spread evenly from 0 to 1
+REQUEST_WEIGHT = 0.05  # weight of a request in the averages of the demand: about twenty requests show the mix of classes
 BURST_S = 2.0  # bucket size in seconds of quota: absorbs random variation, but is too small to hide a burst
-MIN_BURST_REQUESTS = 4.0  # minimum bucket size in requests: at one of hundreds of nodes they arrive at random, not evenly
-REPORT_MAX_AGE_US = 2_000_000  # microseconds after which a report no longer counts: about two of the slowest report intervals
+MIN_BURST_REQUESTS = 4.0  # minimum bucket size in requests: if there are hundreds of nodes, a tenant's requests arrive at each of them at random, not evenly
+REPORT_MAX_AGE_US = 2_000_000  # age in microseconds from which on a report no longer counts: about twice the longest interval between reports
 SHEDDING_PERIOD_US = 2_000_000  # microseconds after the last shed request for which the node counts as shedding, for log and time-outs
-STREAM_DECAY_US = 6_000_000  # microseconds, time constant of the decay of stream lengths: a few streams
-STREAM_CHECK_INTERVAL_US = 250_000  # microseconds between comparisons of stream rates
-MIN_MEAN_LENGTH_US = 100_000  # microseconds, lower limit of the mean stream length: a short stall would outlast many shorter streams
-SLOWDOWN = 3.0  # factor by which the streams of a slow endpoint take longer than its peers'
+STREAM_DECAY_US = 6_000_000  # time constant, in microseconds, of the decay of past streams: about as long as a few streams take
+STREAM_CHECK_INTERVAL_US = 250_000  # minimum microseconds between two comparisons of stream rates
+MIN_MEAN_LENGTH_US = 100_000  # minimum, in microseconds, of the mean stream length used in a comparison: a short stall would outlast many shorter streams
+SLOWDOWN = 3.0  # factor by which the streams of a slow endpoint are assumed to take longer than those of its peers
 MIN_LOG_ODDS = 5.0  # minimum logarithm of the odds that an endpoint is slow: with frequent checks, lower odds occur by chance
-MIN_PEER_STREAMS = 4.0  # minimum recently completed streams of its peers, so that a general slowdown is not attributed to one endpoint
-MAX_SLOW_SHARE = 0.34  # share of the decode endpoints that may be slow at once: if more are, there is a common cause
-MAX_CONNECTION_ONLY_RETRIES = 2  # retries of a request at an endpoint where only its connection failed: the prompt is cached there
-MAX_CONNECTION_FAILURES = 4  # consecutive such failures without an answer that eject the endpoint nevertheless
-MAX_DRAWS = 64  # random draws for a suitable endpoint before all are examined
+MIN_PEER_STREAMS = 4.0  # minimum number of recently completed streams at the peers, so that a general slowdown is not attributed to one endpoint
+MAX_SLOW_SHARE = 0.34  # share of the decode endpoints that may be ejected for slow streams at once; if more of them are slow, there is a common cause
+MAX_CONNECTION_ONLY_RETRIES = 2  # maximum retries of a request at the endpoint at which only the connection failed: the prompt is cached at that endpoint
+MAX_CONNECTION_FAILURES = 4  # number of consecutive connection-only failures, without an answer in between, that eject the endpoint
+MAX_DRAWS = 64  # maximum number of random draws for a suitable endpoint; after them all endpoints are examined
 MAX_MEAN_DRAWS = 8  # inverse of the minimum share of suitable endpoints for which random draws are used
-RESUBSCRIBE_US = 500_000  # microseconds before a failed subscription is repeated, jittered
+RESUBSCRIBE_US = 500_000  # minimum delay in microseconds before a failed subscription is repeated; then jittered
 
-_NOT_EXECUTED = (Status.AT_CAPACITY, Status.CONNECT_FAILED, Status.ABANDONED, Status.PREFILLED)  # the attempt had no effect
-_CONNECTION_STATUSES = (Status.CONNECT_FAILED, Status.RESET)  # failures that count against the whole endpoint
-_ALL_REQUESTS = -1  # ejection scope of all requests to an endpoint; classes have their index, tenants the numbers above those
+_NOT_EXECUTED = (Status.AT_CAPACITY, Status.CONNECT_FAILED, Status.ABANDONED, Status.PREFILLED)  # statuses that prove that the attempt had no effect
+_CONNECTION_STATUSES = (Status.CONNECT_FAILED, Status.RESET)  # statuses of failures that count against the whole endpoint
+_ALL_REQUESTS = -1  # ejection scope of all requests to an endpoint; the scope of a class is its index; the scopes of tenants are the numbers above the class indexes
 _SLOW_STREAMS = -2  # ejection scope for slow streams
 
 
@@ -161,7 +161,7 @@
         self._observe_zones()
 
     def _observe_zones(self) -> None:
-        """Update the zone recovery with the usable endpoints of each zone, and log its changes."""
+        """Update the zone recovery with the usable endpoints of each zone, and log the zones lost and recovered."""
         if self.budgets and len({s.info.zone for s in self.endpoints.values()}) > 1:
             usable = [(s.info.zone, s.role) for s in self.endpoints.values()
                   if s.info.state is EndpointState.READY and _ALL_REQUESTS not in s.ejections]
@@ -181,7 +181,7 @@
         is_over_quota = self._is_over_quota(request) or request.is_over_token_budget
         priority = cls.priority_weight * (self.settings.over_quota_weight_factor if is_over_quota else 1.0)
         queue_factor = LOW_PRIORITY_FACTOR if priority < self.min_priority_weight else TOP_PRIORITY_FACTOR if priority >= self.max_priority_weight else 1.0
-        queue_factor = TOP_PRIORITY_FACTOR if request.is_resumed else queue_factor  # Otherwise the work done so far would be lost.
+        queue_factor = TOP_PRIORITY_FACTOR if request.is_resumed else queue_factor  # Shedding it would lose the work done so far.
         self.arrival_gap_us += SAMPLE_WEIGHT * (self.now - (self.arrived_at_us or self.now) - self.arrival_gap_us)
         self.arrived_at_us = self.now
         if self.budgets:
@@ -231,7 +231,7 @@
 
     def _time_to_first_token_us(self, in_flight: InFlightRequest, prefill_endpoint: Endpoint | None) -> float:
         """Estimate the microseconds to the first token at the endpoint where the request would go. An idle endpoint
-        that it would not be sent to does not hide an overload; an open slot at an endpoint in slow start is
+        to which the request would not be sent does not hide an overload; an open slot at an endpoint in slow start is
         capacity; waiting KV states appear late in reports.
         """
         decode_endpoint = self._choose_decode(in_flight) if prefill_endpoint and prefill_endpoint.role is Role.PREFILL else None
@@ -275,7 +275,7 @@
         return self._choose_by_score(in_flight, endpoints + remote, 1.0)
 
     def _choose_by_score(self, in_flight: InFlightRequest, endpoints: list[Endpoint], price_weight: float) -> Endpoint | None:
-        """Choose the lowest score; the price of the cross-zone traffic raises the score of a remote endpoint."""
+        """Choose an endpoint with the lowest score; the price of the cross-zone traffic raises the score of a remote endpoint."""
         def score(endpoint: Endpoint) -> float:
             return (self._in_flight_at(endpoint) + 1) * self._expected_prefill_latency_us(endpoint) * (1 + price_weight * self._price(in_flight, endpoint))
 
@@ -341,10 +341,10 @@
         return endpoint.reported_in_flight * self._report_weight(endpoint) + len(endpoint.waiting) + own_streams
 
     def _endpoint_queue_us(self, endpoint: Endpoint) -> float:
-        """Microseconds in which the endpoint processes its waiting tokens, at the speed that this node has observed.
-        So one limit fits fast and slow endpoints, long and short prompts; slowness alone is no overload.
+        """Microseconds that the endpoint needs to process its waiting tokens, at the speed that this node has observed.
+        So one limit fits fast and slow endpoints, long and short prompts; one slow endpoint is no overload.
         """
-        # Each prefill at an endpoint of both roles slows its streams, so they count like waiting prefills.
+        # Each prefill at an endpoint of both roles slows the streams there, so the streams count like waiting prefills.
         others = (self._in_flight_at(endpoint) - len(endpoint.waiting)) * endpoint.service_tokens / self.settings.replicas
         others = others if endpoint.role is Role.PREFILL_AND_DECODE else self.other_nodes_share**2 * endpoint.reported_waiting_tokens * self._report_weight(endpoint)
         return max(endpoint.waiting_tokens, others) * self._us_per_token(endpoint)
@@ -399,7 +399,7 @@
         return [s for s in self.table.ready(Role.DECODE) if s.info.cell == cell]
 
     def _random_least_loaded(self, tied: list[Endpoint]) -> Endpoint | None:
-        """Choose randomly among these. If many of them have no streams of this node, draw from all endpoints."""
+        """Choose randomly among the tied endpoints. If many of them have no streams of this node, draw from all endpoints."""
         ready = self.table.ready(Role.DECODE)
         if any(not s.projected_tokens for s in tied) and MAX_MEAN_DRAWS * len(tied) >= len(ready):
             for _ in range(MAX_DRAWS):
@@ -417,7 +417,7 @@
 
     def _projected_loads(self, endpoints: list[Endpoint]) -> dict[int, float]:
         """This node's projected tokens at each endpoint and at its whole role, each divided by the listed capacity. The
-        prefills of endpoints of both roles count too, so these take a KV state only if the decode endpoints are as loaded.
+        prefills of endpoints of both roles count too, so such an endpoint gets a KV state only if the decode endpoints are as loaded.
         """
         role_loads = {role: self.statistics[role, False].assign(0.0, self.now, ASSIGNED_DECAY_US) / self.table.capacity(role)
                  for role in {s.role for s in endpoints}}
@@ -426,7 +426,7 @@
     # Eligibility and ejection, for both stages
 
     def _first_eligible(self, endpoints: list[Endpoint], in_flight: InFlightRequest, count: int) -> list[Endpoint]:
-        """The first endpoints that the request may be sent to; ejected ones only if no other is left."""
+        """Return the first `count` endpoints that the request may be sent to; ejected ones only if no others are left."""
         usable: list[Endpoint] = []
         ejected: list[Endpoint] = []
         for endpoint in endpoints:
@@ -442,7 +442,7 @@
         return _ALL_REQUESTS, in_flight.request.class_index, len(self.settings.classes) + in_flight.request.tenant
 
     def _is_usable(self, endpoint: Endpoint, in_flight: InFlightRequest) -> bool:
-        """Whether the endpoint is not ejected for this request, or due for a check, and not in a zone that still ramps up."""
+        """Whether the endpoint is not ejected for this request or is due for a health check, and its zone's ramp admits the request."""
         if self.budgets and self.zone_recovery.is_ramping_up and not in_flight.ignores_recovery_ramp and not self.zone_recovery.admits(
                 self.now, endpoint.info.zone, endpoint.role, mix(in_flight.request.session) / 2**64):
             return False
@@ -489,8 +489,9 @@
 
     def _check_stream_rates(self) -> None:
         """Eject endpoints that answer in time but whose streams are slow: fewer streams complete per streaming time than
-        at their peers in the same seconds, so a general slowdown ejects none. Only health checks are sent there, and
-        the streams are migrated. Not while this node sheds load, because even slow capacity is needed then.
+        at their peers in the same seconds, so a general slowdown ejects none. Only health checks are sent to an
+        ejected endpoint, and its streams are migrated. While this node sheds load, none is ejected, because even slow
+        capacity is needed then.
         """
         for endpoint in self.endpoints.values():
             endpoint.advance_streams(self.now, STREAM_DECAY_US)
@@ -515,9 +516,9 @@
                 self.actions.extend(MigrateStream(request_id) for request_id in endpoint.streams)
 
     def _timeout_us(self, in_flight: InFlightRequest, endpoint: Endpoint) -> int:
-        """Time-out of an attempt: well above the latency of answers, while a retry can still be in time. 0, for none, if
-        most attempts time out, this node sheds load or, for a prefill, its role has not answered recently: these
-        indicate an overload, which retries would increase.
+        """Time-out of an attempt: well above the latency of answers, and short enough for a retry to be in time. It is 0,
+        which means no time-out, if most attempts time out, if this node sheds load or, for a prefill, if the role has not
+        answered recently: these conditions indicate an overload, which retries would increase.
         """
         statistics = endpoint.statistics
         attempts_left = self.settings.max_attempts - in_flight.attempts - (endpoint.role is Role.PREFILL)
@@ -526,7 +527,7 @@
         is_overload_likely = is_role_silent or statistics.timeout_or_error_share >= MAX_TIMEOUT_SHARE or self.now - self.shed_at_us < SHEDDING_PERIOD_US
         if attempts_left <= 0 or not retry_window_us or is_overload_likely:
             return 0
-        # The ages of the oldest attempts at the peers count as answers: a general slowdown shows there first.
+        # The ages of the oldest attempts at the peers count as answers: a general slowdown shows in these ages first.
         oldest_attempts = [attempt for s in self.table.ready(endpoint.role) if (attempt := self._oldest_waiting(s))]
         relative_latencies = sorted([*statistics.relative_latencies, *((self.now - attempt.sent_at_us) / attempt.latency_objective_us for attempt in oldest_attempts)])
         slow_latency = relative_latencies[-len(relative_latencies) // 5]
@@ -538,7 +539,7 @@
         return int(timeout_us) if self.now + 2 * timeout_us < in_flight.deadline_us and timeout_us < retry_window_us else 0
 
     def _slot_for(self, endpoint: Endpoint, in_flight: InFlightRequest) -> int | None:
-        """The slot that lets a request be sent to an endpoint: 0 if it is warm, None if there is none.
+        """The slot that lets a request be sent to an endpoint: 0 if the endpoint is warm, None if no slot is open.
 
         An endpoint in slow start fails if all nodes together send it much more in one window than N, the number that the
         settings allow; an excess of 2 x root of N + 2 is within random variation. Nodes therefore send by numbered slots,
@@ -567,7 +568,7 @@
         return slot if slot * GOLDEN_RATIO_FRACTION % 1 * cost <= 1 else None
 
     def _may_send_to(self, in_flight: InFlightRequest, endpoint: Endpoint) -> bool:
-        """Whether an attempt there, also a repeated prefill, cannot repeat the effect of an earlier attempt."""
+        """Whether an attempt at the endpoint, also a repeated prefill, cannot repeat the effect of an earlier attempt."""
         if in_flight.first_execution is None or in_flight.request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         sent_at_us, first_endpoint = in_flight.first_execution
@@ -618,7 +619,8 @@
 
     def _record_failure(self, endpoint: Endpoint, event: AttemptEnded, in_flight: InFlightRequest) -> None:
         """Record a failed attempt: a failed connection counts against the endpoint, an error or time-out against its
-        service of the class, a late rejection against that of the tenant; an early one shows a lack of capacity.
+        service of the request class, a late rejection against its service of the tenant; an early rejection shows a lack of
+        capacity and counts against the endpoint.
         """
         endpoint_scope, class_scope, tenant_scope = self._ejection_scopes(in_flight)
         is_early = event.latency_us < EARLY_REJECTION_SHARE * in_flight.latency_objective_us
--- a/tests/oracle/state.py
+++ b/tests/oracle/state.py
@@ -21,13 +21,11 @@
 )
 
 _MASK = (1 << 64) - 1
-WEIGHT_UNITS = 2**30  # weights are summed as integer multiples of its inverse
+WEIGHT_UNITS = 2**30  # units per weight of 1; weights are summed as integer numbers of units
 T = TypeVar("T")
-MAX_PREFIXES = (
-    256  # prefixes whose frequency is stored: many more than the requests that the averages reflect
-)
+MAX_PREFIXES = 256  # maximum number of stored prefixes: many more than the requests that the averages reflect
 MAX_REMOVED = (
-    128  # removed endpoints that are remembered, so that one listed again keeps its ejections and slot
+    128  # maximum number of remembered removed endpoints: one listed again keeps its ejections and slot
 )
 
 
@@ -65,13 +63,13 @@
 
 @dataclass(slots=True)
 class Ejection:
-    """Consecutive failures of one scope at one endpoint."""
+    """Consecutive failures in one ejection scope at one endpoint."""
 
     failures: int
     failed_at_us: int
-    """When the last failure was seen; attempts sent before it count as part of it."""
+    """When the last failure was seen; attempts sent before it count as part of the same failure."""
     next_check_at_us: int
-    """When the next attempt may be sent there, as a health check."""
+    """Time from which on an attempt may be sent to the endpoint again, as a health check."""
 
 
 @dataclass(slots=True)
@@ -87,7 +85,7 @@
     attempt_us: float = 0.0
     """Smoothed time from the sending of an attempt to its answer."""
     queued_tokens: float = 0.0
-    """Smoothed tokens of an attempt and of those queued ahead of it."""
+    """Smoothed sum of the tokens of an attempt and those of the attempts queued ahead of it."""
     us_per_token: float = 0.0
     """`attempt_us` divided by `queued_tokens`."""
     prefill_latency_us: float = 0.0
@@ -100,7 +98,7 @@
     answered_at_us: int = 0
     """When an attempt was last answered."""
     assigned_tokens: float = 0.0
-    """Projected tokens of requests sent to these endpoints, decayed up to `assigned_at_us`."""
+    """Projected tokens of requests sent to endpoints of the role, decayed up to `assigned_at_us`."""
     assigned_at_us: int = 0
 
     @property
@@ -136,7 +134,7 @@
             )
 
     def record_end(self, timeout_or_error: float, rejection: float, now_us: int, weight: float) -> None:
-        """Record the end of an attempt: by its own time-out or an error, by an early rejection, or neither."""
+        """Record that an attempt ended: by this node's time-out or an error, by an early rejection, or neither."""
         self.timeout_or_error_share += weight * (timeout_or_error - self.timeout_or_error_share)
         self.rejection_share += weight * (rejection - self.rejection_share)
         self.observed_at_us = now_us
@@ -157,9 +155,9 @@
     info: EndpointInfo
     role: Role
     statistics: RoleStatistics = field(init=False)
-    """Statistics of its role, in this zone or in remote ones; the router sets it at each change of the list."""
+    """Statistics of the endpoint's role, in this zone or in remote zones; set at each change of the list."""
     reported_in_flight: float = 0.0
-    """Requests in flight by the last report; 0 before the first."""
+    """Requests in flight at the endpoint, by its last report; 0 before the first report."""
     reported_at_us: int = 0
     """When the last report was received."""
     reported_waiting_tokens: float = 0.0
@@ -167,34 +165,34 @@
     reported_memory_share: float = 0.0
     """Share of memory in use, by the last report."""
     prefill_latency_us: float = 0.0
-    """Smoothed latency of a prefill, in microseconds; 0 before the first."""
+    """Smoothed latency of a prefill, in microseconds; 0 before the first prefill."""
     waiting_tokens: float = 0.0
-    """Estimated tokens that this node's waiting attempts there have to prefill or fetch."""
+    """Estimated tokens that this node's waiting attempts at the endpoint have to prefill or fetch."""
     service_us: float = 0.0
     """Smoothed time between two answers (a prefill or a first token) while own attempts are waiting."""
     service_tokens: float = 0.0
     """Smoothed number of tokens processed from one such answer to the next."""
     busy_since_us: int = 0
     projected_tokens: float = 0.0
-    """Projected tokens of this node's requests that are decoded there."""
+    """Projected tokens of this node's requests that are decoded at the endpoint."""
     streams: dict[int, int] = field(default_factory=dict)
-    """When each of this node's running streams there began, by request id."""
+    """Start time of each running stream of this node at the endpoint, by request id."""
     completed_streams: float = 0.0
     """Decayed number of completed streams."""
     streamed_us: float = 0.0
-    """Microseconds of streaming time, summed over the streams and decayed in the same way."""
+    """Streaming time in microseconds, summed over the streams and decayed like `completed_streams`."""
     streamed_until_us: int = 0
     ejections: dict[int, Ejection] = field(default_factory=dict)
     """Ejections by scope: the whole endpoint, its service of one class, or of one tenant."""
     waiting: dict[int, InFlightRequest] = field(default_factory=dict)
-    """This node's attempts there that have neither ended nor been answered, the oldest first."""
+    """This node's attempts at the endpoint that have neither ended nor been answered, the oldest first."""
     connection_failures: int = 0
-    """Consecutive attempts that failed because only their own connection failed."""
+    """Number of consecutive attempts whose own connection failed, but not the endpoint."""
     last_slot: int = 0
     """The last slow-start slot that this node has used."""
 
     def add_waiting(self, in_flight: InFlightRequest, now_us: int) -> None:
-        """Record a new attempt there."""
+        """Record a new attempt at the endpoint."""
         if not self.waiting:
             self.busy_since_us = now_us
         in_flight.endpoint, in_flight.sent_at_us = self, now_us
@@ -257,17 +255,17 @@
     """The prefill endpoint that holds the KV state."""
     is_streaming: bool = False
     is_concluded: bool = False
-    """The final answer was given, or the client has disconnected; only the end of an attempt is awaited."""
+    """Whether the final answer was given or the client has disconnected; then only the attempt's end is awaited."""
     first_execution: tuple[int, EndpointInfo] | None = None
-    """When and where the first attempt was sent that may have been executed."""
+    """Time of sending and endpoint of the first attempt that may have been executed."""
     unanswered_attempts: int = 0
-    """Attempts of this stage that ended with their own time-out or an error."""
+    """Number of attempts of the current stage that ended with this node's time-out or with an error."""
     connection_failures: int = 0
-    """Attempts that failed because only their own connection failed."""
+    """Number of attempts whose own connection failed, but not the endpoint."""
     ignores_recovery_ramp: bool = False
-    """It may go to a recovering zone ahead of its ramp, because there is no capacity elsewhere."""
+    """Whether the request may go to a recovering zone ahead of the zone's ramp, for lack of capacity elsewhere."""
     retry_after_us: int = 0
-    """If it was shed: microseconds until there may be capacity."""
+    """Estimated microseconds until there may be capacity; 0 unless the request is shed."""
     unresponsive: list[int] = field(default_factory=list)
     """Ids of decode endpoints that could not be reached or did not answer in time."""
     excluded: list[int] = field(default_factory=list)
@@ -279,7 +277,7 @@
         """Update the excluded endpoints after an attempt has ended.
 
         After a finished prefill, only unresponsive decode endpoints stay excluded, if there are others.
-        `may_return`: the next attempt may go to the same endpoint.
+        `may_return` says whether the next attempt may go to the same endpoint.
         """
         is_unresponsive = endpoint.role is not Role.PREFILL and status in (
             Status.TIMEOUT,
@@ -341,7 +339,7 @@
                 ) = {}, 0.0, 0.0, 0.0, 0
                 endpoint.streamed_us = endpoint.completed_streams = 0.0
             if info.state is EndpointState.REMOVED:
-                self.endpoints[info.id] = self.endpoints.pop(info.id)  # The last removed endpoint comes last.
+                self.endpoints[info.id] = self.endpoints.pop(info.id)  # The endpoint removed last comes last.
             endpoint.info = info
         for role in (Role.PREFILL, Role.DECODE):
             self._max_ready[role] = max(self._max_ready[role], len(self.ready(role)))
@@ -405,7 +403,7 @@
 
 class DemandStatistics:
     """Recent demand at this node: mean tokens to prefill and of output, by class and overall, and the share of each
-    prefix. It holds at most `MAX_PREFIXES` prefixes; the least recently requested one is evicted.
+    prefix. The statistics hold at most `MAX_PREFIXES` prefixes; the least recently requested one is evicted.
     """
 
     def __init__(self) -> None:
@@ -413,12 +411,12 @@
         self.mean_size = (0.0, 0.0)
         self.mean_size_by_class: dict[int, tuple[float, float]] = {}
         self._prefixes: dict[int, tuple[float, int]] = {}
-        """For each prefix: its decayed number of requests, and `request_count` at its last one."""
+        """For each prefix: its decayed number of requests, and the value of `request_count` at its last request."""
 
     def record(
         self, class_index: int, prompt_tokens: float, output_tokens: float, weight: float, prefix: int = 0
     ) -> None:
-        """Record one request; the first ones weigh more. The overall mean starts at zero, so at first each class counts
+        """Record one request; the first requests weigh more. The overall mean starts at zero, so at first each class counts
         as more costly than it is: twice as much, then one and a half times, and so on.
         """
         size = (prompt_tokens, output_tokens)
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -96,12 +96,12 @@
 
 @dataclass
 class Peer:
-    """A listener that reads complete requests and runs a script for each."""
+    """A listener that reads complete requests and runs a script for each of them."""
 
     script: Script
     all_received: list[ReceivedRequest] = field(default_factory=list)
     abandoned: list[str] = field(default_factory=list)
-    """Ids of requests whose connection the node closed before the script had ended."""
+    """Ids of the requests whose connection the node closed before the script for the request had ended."""
     address: str = ""
     connections: int = 0
     _server: asyncio.Server | None = None
@@ -166,7 +166,9 @@
 
 
 def delay_connections(patch: pytest.MonkeyPatch, delay: Callable[[int], float]) -> None:
-    """Delay each connection that this loop opens by `delay(port)` seconds, where `port` is its destination."""
+    """Delay each connection that this loop opens by `delay(port)` seconds, where `port` is its
+    destination.
+    """
     loop = asyncio.get_running_loop()
     connect: Any = loop.create_connection
 
@@ -228,7 +230,9 @@
 
 @dataclass
 class Reply:
-    """What a client got: the status (0: none), the head, the body so far, and whether it was complete."""
+    """The reply that a client got: the status (0 if there was none), the head, the part of the body that
+    arrived, and whether the reply was complete.
+    """
 
     status: int
     head: dict[str, str]
@@ -317,15 +321,16 @@
         ]
 
     def publish(self, **phases: str) -> None:
-        """Publish a new revision of the endpoint list, in which these engines have these phases."""
+        """Publish a new revision of the endpoint list, in which the given engines have the given phases."""
         self.phases |= phases
         self.revision += 1
         self.list_changed.set()
         self.list_changed = asyncio.Event()
 
     async def answer_poll(self, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        """Answer as the discovery agent, with the whole list. A watch is answered once the list is newer than its
-        revision, or after its time-out."""
+        """Answer as the discovery agent, with the whole list. A watch is answered once the list is newer than
+        the revision that the watch names, or after the time-out of the watch.
+        """
         if (since := re.search(r"since=(\d+)", received.target)) and int(since[1]) >= self.revision:
             wait = re.search(r"timeout_ms=(\d+)", received.target)
             assert wait
@@ -339,7 +344,7 @@
         return await asyncio.open_connection(host, int(port))
 
     async def send(self, data: bytes, within: float = 10.0) -> Reply:
-        """Send these bytes on a new connection and return the reply."""
+        """Send the given bytes on a new connection and return the reply."""
         reader, writer = await self.connect()
         try:
             with contextlib.suppress(OSError):
@@ -361,7 +366,9 @@
 async def platform(
     changes: dict[str, Any] | None = None, **scripts: Script | Peer
 ) -> AsyncIterator[Platform]:
-    """Run a relay with these engines. The first letter of a name is the role: `r` prefill, `w` decode, `m` both."""
+    """Run a relay with the given engines. The first letter of an engine's name is its role: `r` prefill, `w`
+    decode, `m` both.
+    """
     engines = {
         name: await (script if isinstance(script, Peer) else Peer(script)).start()
         for name, script in scripts.items()
--- a/tests/relay_process.py
+++ b/tests/relay_process.py
@@ -1,5 +1,5 @@
-"""Starts a node as a process, with the `run` command of the deploy file, as the platform does. System calls that
-the platform denies end the process."""
+"""Starts a node as a process, with the `run` command of the deploy file, as the platform does. System calls
+that the platform denies end the process."""
 
 from __future__ import annotations
 
@@ -18,8 +18,9 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 CLOSED = -100
-"""Instead of a descriptor: the process starts with standard error closed."""
-# Calls that the platform denies to a node. Here each of them ends the process at once.
+"""Value instead of a descriptor, with which the process starts with standard error closed."""
+# Code that runs at the start of a node's process: each call that the platform denies to a node ends the
+# process.
 DENIED_CALLS = """
 import os, sys
 def deny(event, args):
@@ -34,7 +35,9 @@
 
 
 class Node:
-    """The process of a node that serves. Its log is read all the time, since a full pipe would block it."""
+    """The process of a node that serves. Its log is read continuously, since a full pipe would block the
+    process.
+    """
 
     def __init__(self, process: asyncio.subprocess.Process, address: str) -> None:
         self.process, self.address = process, address
@@ -85,9 +88,11 @@
     environment: Mapping[str, str] | None = None,
     descriptors: int = 0,
 ) -> asyncio.subprocess.Process:
-    """Start a node's process with these settings; it may not serve yet. `standard_error`: a descriptor, PIPE or
-    CLOSED; `shim`: Python code that is run as it starts; `descriptors`: the system's limit on open descriptors,
-    0 for the usual one.
+    """Start a node's process with the given settings; the node may not serve yet when this function returns.
+
+    `standard_error` is a descriptor, PIPE or CLOSED. `shim` is Python code that runs at the start of the
+    process. `descriptors` is the system's limit on the open descriptors of the process, or 0 for the usual
+    limit.
     """
     path.write_text(settings)
     (path.parent / "sitecustomize.py").write_text(DENIED_CALLS + shim)
@@ -107,7 +112,7 @@
 
 
 async def start_node(agent: str, path: Path, descriptors: int = 0, **changes: Any) -> Node:
-    """Start a node with these settings and return it once it serves. `descriptors`: see `spawn_node`."""
+    """Start a node with the given settings and return it once it serves; `descriptors` as in `spawn_node`."""
     process = await spawn_node(
         path, settings_text(agent, **changes), asyncio.subprocess.PIPE, descriptors=descriptors
     )
--- a/tests/tcp_state.py
+++ b/tests/tcp_state.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class _SocketState:
-    """State of one socket: an end of a connection, or a listener."""
+    """State of one socket, which is an end of a connection or a listener."""
 
     state: int
     sent: int = 0
@@ -26,7 +26,8 @@
 
 
 def has_data_in_transit(descriptors: Iterable[int]) -> bool:
-    """Whether bytes or a connection attempt of one of these sockets have not arrived at the other end yet.
+    """Whether bytes or a connection attempt from one of the given sockets have not arrived at the other end
+    yet.
 
     Only connections with both ends among the sockets count. The close of a connection is not detected.
     """
--- a/tests/test_actions.py
+++ b/tests/test_actions.py
@@ -104,7 +104,7 @@
             w.feed.set_failing(True)
             await until(lambda: of_type(events_seen, io.EndpointListUpdate)[-1].kind is io.UpdateKind.FAILED)
             w.feed.set_failing(False)
-            # The router subscribes again after its own timer.
+            # The router subscribes again when the timer that it has set fires.
             await until(lambda: of_type(events_seen, io.EndpointListUpdate)[-1].kind is io.UpdateKind.FULL)
             carry_out(w, io.Subscribe(False))
             assert not w.node.source.is_watching
@@ -119,11 +119,11 @@
             asked = w.ask()
             await until(lambda: w.seen("call", kind="read"))
             number = next(iter(w.node.table.open))
-            carry_out(w, io.SendAttempt(number, 1))  # another attempt is in flight
+            carry_out(w, io.SendAttempt(number, 1))  # while another attempt is in flight
             w.node.dispatch(io.TimerFired(0))
             await until(lambda: of_type(events_seen, io.AttemptEnded))
             assert of_type(events_seen, io.AttemptEnded)[0].status is io.Status.ABANDONED
-            carry_out(w, io.SendAttempt(999_999, 1))  # no such request
+            carry_out(w, io.SendAttempt(999_999, 1))  # there is no request with this id
             assert asked.call
             asked.call.cancel()
             await until(lambda: not w.node.table.open)
--- a/tests/test_bills_path.py
+++ b/tests/test_bills_path.py
@@ -84,7 +84,7 @@
                     )
                     assert (await again.wait()).status.code is Code.OK
                     resumed_works.add(f"w{n}")
-            # A request that was served is sent once more.
+            # One of the served requests is sent a second time.
             served = next(n for n, one in enumerate(asked) if one.end.status.code is Code.OK)
             twice = w.ask(
                 tenant=("north", "south")[served % 2],
@@ -103,10 +103,10 @@
     assert len(bills) == 60 and {b.tenant for b in bills} == {"north", "south"}
     for tenant in ("north", "south"):
         billed = sum(b.written for b in bills if b.tenant == tenant)
-        # The difference is the tokens in transit to clients that disconnect.
+        # The billed and the written tokens differ by those in transit to clients that disconnect.
         assert abs(billed - seen[tenant]) <= longest_answer, (tenant, billed, seen)
     assert all(b.amount == 2 * b.read + b.kept + 10 * b.written for b in bills)
-    # Other bills may have several parts too, one for each commit.
+    # Bills of requests that were not resumed may have several parts too, one for each commit.
     resumed = [b for b in bills if b.work in resumed_works]
     assert len(resumed) >= 3
     assert [b for b in resumed if not (b.whole and b.parts > 1)] == []
@@ -132,7 +132,7 @@
             ledger = w.node.billing.recorder.ledger
             assert ledger
             await until(lambda: ledger.sequence >= 2)
-            # A copy of the ledger as a killed node leaves it, to be opened by a new process.
+            # The ledger is copied as a killed node leaves it; a new process opens the copy.
             (tmp_path / "killed").mkdir()
             ledger.env.copy(str(tmp_path / "killed"))
             assert one.call
@@ -168,8 +168,8 @@
             assert (
                 await w.ask(tenant="small", request_class="strict", max_tokens=20).wait()
             ).status.code is Code.OK
-            # Another class of the same tenant is served over budget while there is capacity; other tenants are
-            # not affected.
+            # Another class of the same tenant is served over budget while there is capacity; other tenants
+            # are not affected.
             for tenant in ("small", "rich"):
                 asked = [w.ask(tenant=tenant, max_tokens=20) for _ in range(8)]
                 assert {(await one.wait()).status.code for one in asked} == {Code.OK}
--- a/tests/test_full_path.py
+++ b/tests/test_full_path.py
@@ -14,8 +14,8 @@
 
 
 def test_answers_stream_token_by_token_and_end_once() -> None:
-    """The class has a long latency objective: one process runs client, node and engines, and its own delays must
-    not count as a queue.
+    """The request class has a long latency objective: one process runs client, node and engines, and the
+    delays of this process must not count as a queue.
     """
 
     async def go() -> None:
@@ -81,7 +81,8 @@
             quick.check_tokens()
             await until(lambda: any(j.unread for e in w.engines.values() for j in e.decoding))
             call = next(c for link in w.node.server.links for c in link.calls.values())
-            # The bytes that wait at the node are bounded by its limit and one window of the engine's stream.
+            # The bytes that wait at the node are at most its own limit plus one window of the engine's
+            # stream.
             assert call.link.core.pending(call.stream) < 4096 + 65_535 + 16_384
             had = len(slow.tokens)
             slow.call.resume()
@@ -123,7 +124,7 @@
                 engine.apply(lab_pb2.Trouble(lose_before=1.0))
             one = w.ask(timeout=1.5)
             end = await one.wait()
-            # The message shows that this is the node's answer, not the client's own time-out.
+            # The end is the node's answer, not the client's own time-out.
             assert (end.status.code, end.how.value) == (Code.DEADLINE_EXCEEDED, "status")
             assert end.status.message.startswith("failed")
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -30,7 +30,7 @@
         async with world("r0 w0") as w:
             w.engines["w0"].apply(lab_pb2.Trouble(pause_ms=5000))
             w.engines["w0"].params["slots"] = (
-                0  # It waits in the decode engine's queue; its KV state is held by the prefill engine.
+                0  # The request waits in the decode engine's queue; the prefill engine holds its KV state.
             )
             one = w.ask()
             await until(lambda: w.seen("call", kind="write"))
@@ -131,7 +131,7 @@
                 assert (await each.wait()).status.code is Code.OK
                 each.check_tokens()
             assert len(w.seen("call", kind="write", engine=name)) == 1
-            await until(lambda: not w.node.channels._retired)  # its channel closes after the stream has ended
+            await until(lambda: not w.node.channels._retired)  # the channel closes after the stream's end
 
     run(go, virtual=True)
 
@@ -163,7 +163,7 @@
         writers: list[asyncio.StreamWriter] = []
 
         async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            writers.append(writer)  # It accepts the connection, but neither reads nor writes.
+            writers.append(writer)  # The peer accepts the connection, but neither reads nor writes.
 
         server = await asyncio.start_server(silent, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
@@ -196,7 +196,7 @@
     exchange()
     server.send(one, b"late" * 100)
     server.send(two, b"fine")
-    client.reset(one)  # crosses the server's message
+    client.reset(one)  # the reset crosses the server's message on the way
     seen = exchange()
     assert [e.data for e in seen if hasattr(e, "data")] == [b"fine"]
     assert not client.dead and list(client.calls) == [two]
@@ -310,7 +310,7 @@
                 if r.state is RequestState.DECODING and r.client_request.request_class == "order"
             }
             await w.node.stop(0.1)
-            # A request that may have been executed is not reported as safe to retry.
+            # The answer to a request that may have been executed does not say that a retry is safe.
             for one in non_idempotent:
                 assert (await one.wait()).status.code is (
                     Code.UNKNOWN if one.prompt in decoding else Code.UNAVAILABLE
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -13,7 +13,9 @@
 
 
 def run_pytest(folder: Path, known: str, tests: str = TESTS) -> tuple[int, str]:
-    """Return the exit code and output of a run of these tests with two workers, as in the test command."""
+    """Return the exit code and output of a pytest run of the given tests with two workers, as in the test
+    command.
+    """
     shutil.copy(Path(__file__).parent / "conftest.py", folder)
     (folder / "test_some.py").write_text(tests)
     (folder / "pytest.ini").write_text("[pytest]\n")
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -26,9 +26,7 @@
 
 
 def test_decision_modules_stay_small_and_within_the_line_length() -> None:
-    """The users no longer limit the total number of lines, but each module must stay short enough to read at
-    once.
-    """
+    """The total number of lines is not limited, but each module must stay short enough to read at once."""
     for path in POLICY:
         lines = path.read_text().splitlines()
         assert sum(bool(line.strip()) for line in lines) <= 550, path.name
@@ -37,7 +35,7 @@
 
 
 def test_every_constant_of_a_routing_module_is_documented() -> None:
-    """The documentation is a string below the constant or at the end of its block of constants."""
+    """A constant is documented by a string below it or at the end of its block of constants."""
     found = 0
     for path in sorted((ROOT / "tuliptrack" / "routing").glob("*.py")):
         lines = path.read_text().splitlines()
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -42,7 +42,7 @@
 
 
 async def play(w: World, scenario: lab_pb2.Scenario, fault: Fault) -> dict[str, Any]:
-    """Run clients and a fault against the node of this world; return the judge's verdict."""
+    """Run the scenario's clients and a fault against the node of the world; return the judge's verdict."""
     config: NodeConfig = w.node.config
     list_events: list[dict[str, Any]] = [
         {"t": now_us(), "what": "entry", "id": str(n), "engine": name} for n, name in enumerate(w.engines, 1)
@@ -61,7 +61,7 @@
 
     await asyncio.gather(*(play_arrival(a) for a in planned_arrivals))
     await fault_task
-    await asyncio.sleep(0.8)  # longer than the rules allow, so that overdue actions are detected
+    await asyncio.sleep(0.8)  # longer than the rules allow an action to take, so that overdue ones are seen
     return judge(RunRecord(planned_arrivals, w.seen(), list_events, [life], classes, end=now_us()))
 
 
@@ -176,8 +176,8 @@
     verdicts: list[dict[str, Any]] = []
 
     async def go(is_guard_removed: bool) -> None:
-        # One process runs clients, node and engines, so final answers are sent early enough for a slow
-        # machine.
+        # One process runs clients, node and engines. The settings let the node send final answers earlier, so
+        # that they are in time on a slow machine.
         settings_with_margin = settings + " limits { answer_ahead_ms: 300 }"
         async with world(model=model, settings=settings_with_margin, quota=20 if rule == 4 else 1000) as w:
             if is_guard_removed:
--- a/tests/test_zones_path.py
+++ b/tests/test_zones_path.py
@@ -75,8 +75,8 @@
 
 
 async def wait_for_account(w: World, relabelled: dict[str, tuple[int, int]] | None = None) -> None:
-    """Wait until the account equals the bytes at the engines' sockets; after 12 s the assertion shows the
-    difference.
+    """Wait until the node's account equals the bytes at the engines' sockets. If they still differ after
+    12 s, the assertion fails and shows the difference.
     """
     with contextlib.suppress(AssertionError):
         await until(lambda: accounted_bytes(w) == bytes_at_engines(w, relabelled), seconds=12)
@@ -127,9 +127,9 @@
 
 
 def test_the_budget_of_each_class_holds_in_every_window_while_the_local_zone_has_capacity() -> None:
-    """The local zone has slots for all requests, so they can always be served within the budget. All cross-zone
-    bytes at the engines' sockets count. One class has a narrow budget; the other, with the same load, shows
-    how much traffic would otherwise have crossed zones.
+    """The local zone has slots for all requests, so they can always be served within the budget. All
+    cross-zone bytes at the engines' sockets count. One class has a narrow budget; the other, with the same
+    load, shows how much traffic would otherwise have crossed zones.
     """
     rate, burst, quantum = 20_000, 24_000, 12_000
     settings = f"""zones {{ name: "here" name: "there"
@@ -143,7 +143,7 @@
             zones={"w1": 1},
             model="step_ms: 8 answer_least: 150 answer_most: 150 slots: 200",
         ) as w:
-            await asyncio.sleep(1.3)  # only grants issued after the start are usable
+            await asyncio.sleep(1.3)  # a node may use only the budget grants issued after its start
             asked = []
             for _ in range(45):
                 asked += [w.ask(request_class=cls, max_tokens=400) for cls in ("summary", "order")]
@@ -173,7 +173,7 @@
         async with world(
             "r0 r1 w1 w2", settings=BUDGET, zones=dict(ZONES), model="answer_least: 60 answer_most: 60"
         ) as w:
-            # A stream breaks in one zone and is resumed in another, as a request of its own.
+            # A stream breaks in one zone and is resumed in another zone by a new request.
             for name in ("w1", "w2"):
                 w.engines[name].apply(lab_pb2.Trouble(lose_after=1.0, lose_after_tokens=9))
             one = w.ask("q-far tell me")
@@ -201,14 +201,14 @@
                 await a.wait()
             await until(lambda: not w.node.table.open)
             await wait_for_account(w, before)
-            assert len(w.engines["r1"].transfers) > before["r1"][0]  # it is in the local zone now
+            assert len(w.engines["r1"].transfers) > before["r1"][0]  # engine r1 is in the local zone now
 
     run(go, virtual=True)
 
 
 def test_each_fetch_of_a_kv_state_is_booked_once() -> None:
-    """Both decode engines fetch the state and fall silent. The node then asks the prefill engine, whose count
-    covers all bytes that it has ever sent for the state.
+    """Both decode engines fetch the KV state and then fall silent. The node then asks the prefill engine,
+    which counts all bytes that it has ever sent for the state.
     """
 
     async def go() -> None:
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -2,9 +2,10 @@
 
 The loop's clock hardly moves while callbacks are ready or sockets are readable, and jumps to the next timer
 otherwise. So the durations that a test measures depend on its timers only, not on the load of the machine.
-Sockets are real: the clock jumps only after no socket has become ready for `GRACE_S` of real time and the kernel
-holds no bytes in transit between two of them, which takes longer on a busy machine. The loop waits for threads of its
-executor. It does not wait for other threads and processes, so tests with those run on real time.
+Sockets are real: the clock jumps only after no socket has become ready for `GRACE_S` of real time and the
+kernel holds no bytes in transit between two of them, which takes longer on a busy machine. The loop waits for
+threads of its executor. It does not wait for other threads and processes, so tests that use such threads or
+processes run on real time.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class Stuck(AssertionError):
-    """The real-time limit is exceeded."""
+    """The loop has run for longer than its limit in real time."""
 
 
 class _VirtualSelector(selectors.EpollSelector):
@@ -62,7 +63,7 @@
         """Return the ready descriptors after no more bytes are in transit and no executor call is running."""
         ready: list[tuple[selectors.SelectorKey, int]] = []
         while self.executor_calls and not ready and time.monotonic() <= self._real_deadline:
-            ready = super().select(EXECUTOR_POLL_S)  # The end of a thread wakes the loop.
+            ready = super().select(EXECUTOR_POLL_S)  # The end of the executor call wakes the loop.
         deadline = time.monotonic() + MAX_TRANSIT_S
         while not (ready := ready or super().select(GRACE_S)):
             descriptors = [key.fd for key in self.get_map().values()]
--- a/tests/world.py
+++ b/tests/world.py
@@ -43,7 +43,7 @@
 def run(make: Callable[[], Coroutine[Any, Any, None]], seconds: float = 30, virtual: bool = False) -> None:
     """Run a test's coroutine and check that no task is left over.
 
-    With `virtual` it runs on virtual time, see `virtual_time`.
+    If `virtual` is true, the coroutine runs on virtual time, as described in `virtual_time.py`.
     """
 
     async def run_and_check() -> None:
@@ -63,7 +63,7 @@
 
 
 async def until(condition: Callable[[], object], seconds: float = 10) -> None:
-    """Wait until a condition holds; AssertionError if it does not within so many seconds."""
+    """Wait until a condition holds; AssertionError if it does not hold within `seconds`."""
     for _ in range(int(seconds * 200)):
         if condition():
             return
@@ -116,7 +116,7 @@
 
     @property
     def rest(self) -> str:
-        """Address of the REST listener, if the settings have one."""
+        """Address of the REST listener; the settings must have one."""
         return self.node.listeners[0].server.address  # type: ignore[attr-defined,no-any-return]
 
     def seen(self, what: str = "", **fields: object) -> list[dict[str, Any]]:
@@ -142,7 +142,7 @@
         )
 
     async def list_at(self, addresses: dict[str, str]) -> None:
-        """List these engines at other addresses, and wait until the node has the new list."""
+        """List the given engines at other addresses, and wait until the node has the new list."""
         entries = [self.entry(name) for name in addresses]
         for entry, address in zip(entries, addresses.values(), strict=True):
             entry.address = address
@@ -186,13 +186,13 @@
     """Start engines, a feed and a node, and stop them at the end.
 
     Args:
-        engines: names of the engines; the first letter is the kind (`KINDS`).
+        engines: names of the engines; the first letter of a name is the engine's kind (`KINDS`).
         settings: text to append to the settings.
         model: changes to the engine model, in text format.
         start: whether to start the node.
         quota: requests per second of each tenant's quota.
         zones: zones of engines that are not in zone 0.
-        models: model and version of engines that serve a named model.
+        models: model and version by engine, for the engines that serve a named model.
     """
     new_world = World()
     new_world.zones, new_world.models = zones or {}, models or {}
