--- a/tuliptrack/routing/admission.py
+++ b/tuliptrack/routing/admission.py
@@ -84,7 +84,7 @@
         # time-out, and slow endpoints would not be ejected, for all clients of the node.
         if shed_reason is ShedReason.OVERLOAD:
             state.shed_at_us = state.now_us
-        # The estimated time until the queue has shrunk to the limit.
+        # The advised delay is the estimated time until the queue has shrunk to the limit.
         request.retry_after_us = (
             max(int(placement.time_to_first_token_us - limit_us), 0) if shed_reason else 0
         )
@@ -98,7 +98,7 @@
         weight = settings.classes[request.class_index].priority_weight
         if is_over_quota or request.is_over_token_budget:
             weight *= settings.over_quota_weight_factor
-        if request.is_resumed:  # Shedding it would waste the work already done.
+        if request.is_resumed:  # Shedding a resumed request would waste the work already done.
             return TOP_PRIORITY_FACTOR
         if weight < self._min_priority_weight:
             return LOW_PRIORITY_FACTOR
--- a/tuliptrack/routing/outlier_detection.py
+++ b/tuliptrack/routing/outlier_detection.py
@@ -38,7 +38,7 @@
 """Share of the latency objective up to which a rejection counts as early. An early rejection shows a lack of
 capacity, a later one throttling."""
 MAX_CONNECTION_FAILURES = 4
-"""Consecutive failures of single connections, with no answer in between, that eject the endpoint."""
+"""Number of consecutive connection-only failures, with no answer in between, that eject the endpoint."""
 CONNECTION_STATUSES = (Status.CONNECT_FAILED, Status.RESET)
 """Statuses that are caused by the connection, not by the service behind it."""
 
@@ -123,7 +123,7 @@
     def _record_ejection(self, endpoint: Endpoint, scope: EjectionScope, sent_at_us: int) -> None:
         previous = endpoint.ejections.get(scope)
         if previous and sent_at_us < previous.failed_at_us:
-            return  # When a process dies, many attempts fail at once; they count as one failure.
+            return  # When a process dies, many attempts fail at once; all of them count as one failure.
         self.eject(endpoint, scope, previous.failures + 1 if previous else 1)
         if scope == ALL_REQUESTS:
             self._locality.observe_zones()
--- a/tuliptrack/routing/prefill_placement.py
+++ b/tuliptrack/routing/prefill_placement.py
@@ -1,9 +1,9 @@
 """Decides which prefill endpoint gets a new request: by prefix affinity, spilling over to other endpoints.
 
 Each prefix has affinity endpoints, the first in its rendezvous order, where its prompts are likely to be
-cached. A session stays at one of them, whichever node its requests arrive at. If the queue there exceeds the
-limit, the request spills over to the eligible endpoint with the lowest score: (requests in flight + 1) x
-prefill latency, raised by the price of crossing zones. Times are microseconds.
+cached. A session stays at one of these endpoints, whichever node its requests arrive at. If the queue at that
+endpoint exceeds the queue limit, the request spills over to the eligible endpoint with the lowest score:
+(requests in flight + 1) x prefill latency, raised by the price of crossing zones. Times are microseconds.
 """
 
 from __future__ import annotations
--- a/tuliptrack/routing/retry.py
+++ b/tuliptrack/routing/retry.py
@@ -17,7 +17,7 @@
 
 MAX_CONNECTION_ONLY_RETRIES = 2
 """Number of connection-only failures of a request, over all endpoints, up to which the endpoint of the last
-one is not excluded."""
+failure is not excluded."""
 MAX_REJECTION_SHARE = 0.4
 """Share of early rejections among a role's attempts above which rejected requests are not retried."""
 
--- a/tuliptrack/routing/router.py
+++ b/tuliptrack/routing/router.py
@@ -325,7 +325,7 @@
 
 
 def _expected_output_tokens(request: Request, inter_token_objective_us: float) -> float:
-    """Return the expected output, from the client's hint on its duration or else half of the maximum."""
+    """Return the expected output tokens, from the client's hint on the duration or else half the maximum."""
     if request.stream_time_hint_us is None or not inter_token_objective_us:
         return request.max_tokens / 2
     return request.stream_time_hint_us / inter_token_objective_us
--- a/tuliptrack/routing/slow_start.py
+++ b/tuliptrack/routing/slow_start.py
@@ -1,10 +1,10 @@
 """Limits the load of an endpoint in slow start, over all nodes together, without communication between them.
 
 A warming endpoint fails if all nodes together send it much more than N requests in one window, where N is the
-number that the settings allow in that time; an excess of 2 x sqrt(N) + 2 is within random variation. Nodes
-therefore send by numbered slots. A slot becomes due whenever the ramp of the endpoint allows one more
-request, at the rate of `SLOT_RATE_SHARE` x `slow_start_overload_factor` x the endpoint's share of the
-capacity. Slot k belongs to the node whose replica index is k modulo the number of replicas; the id of the
+number of requests that the settings allow in a window; an excess of 2 x sqrt(N) + 2 is within random
+variation. Nodes therefore send by numbered slots. A slot becomes due whenever the ramp of the endpoint allows
+one more request, at the rate of `SLOT_RATE_SHARE` x `slow_start_overload_factor` x the endpoint's share of
+the capacity. Slot k belongs to the node whose replica index is k modulo the number of replicas; the id of the
 endpoint shifts this assignment. A slot is valid for one attempt and expires after one window.
 
 In any window the usable slots are those that became due in it (a third of N), unused ones of the previous
@@ -49,7 +49,8 @@
     def slot_for(self, endpoint: Endpoint, request: InFlightRequest) -> int | None:
         """Return the slot that lets a request be sent to an endpoint.
 
-        It is `WARM` if the endpoint is not in slow start, and None if no slot of this node is open for it.
+        The result is `WARM` if the endpoint is not in slow start, and None if no slot of this node is open
+        for the request.
         """
         started_at_us = endpoint.info.started_at_us
         if not started_at_us:
--- a/tuliptrack/routing/tenant_quota.py
+++ b/tuliptrack/routing/tenant_quota.py
@@ -35,7 +35,7 @@
         self.buckets: dict[int, TokenBucket] = {}
 
     def is_over_quota(self, request: Request, now_us: int) -> bool:
-        """Return whether the tenant's bucket is empty; if it is not, take one token.
+        """Return whether the tenant's bucket is empty; if the bucket is not empty, take one token.
 
         Retries and resumed streams take no token, because their first attempt did.
         """
--- a/tuliptrack/state/endpoint.py
+++ b/tuliptrack/state/endpoint.py
@@ -110,8 +110,8 @@
     def in_flight(self, now_us: int, are_streams_reported: bool) -> float:
         """Estimate the requests in flight at the endpoint from its last load report and this node's attempts.
 
-        At an endpoint of both roles, each prefill slows all streams down, so its streams count as well. If
-        its reports include them (`are_streams_reported`), they are not added again.
+        At an endpoint of both roles, each prefill slows all streams down, so the streams count as well. If
+        the load reports include the streams (`are_streams_reported`), they are not added again.
         """
         own_streams = (
             len(self.streams) if self.role is Role.PREFILL_AND_DECODE and not are_streams_reported else 0
--- a/tuliptrack/state/endpoint_table.py
+++ b/tuliptrack/state/endpoint_table.py
@@ -131,7 +131,7 @@
     def _replace_entry(self, endpoint: Endpoint, info: EndpointInfo, now_us: int) -> None:
         """Replace the entry of a known endpoint.
 
-        A later start time means a new process: its ejections, slots and most averages are reset.
+        A later start time means a new process: the endpoint's ejections, slots and most averages are reset.
         """
         self._remove_from_indexes(endpoint)
         self.capacity.change_weight(endpoint.role, endpoint.info.weight, info.weight)
@@ -288,7 +288,8 @@
     def started_since(self, role: Role, since_us: int) -> Collection[Endpoint]:
         """Return the ready endpoints of a role that started after `since_us`, sorted by id.
 
-        All others count as warm from then on, so `since_us` must not decrease from call to call.
+        All other endpoints count as warm from this call on, so `since_us` must not decrease from call to
+        call.
         """
         if self._earliest_start_us <= since_us:
             self._drop_started_by(since_us)
@@ -372,7 +373,7 @@
 
 
 def _first_tied(endpoints: Iterable[Endpoint], score: Callable[[Endpoint], float]) -> list[Endpoint]:
-    """Return the first endpoint, and those directly after it with the same score."""
+    """Return the first endpoint, and the endpoints directly after it that have the same score."""
     found: list[Endpoint] = []
     for endpoint in endpoints:
         if found and score(endpoint) != score(found[0]):
--- a/tuliptrack/state/role_statistics.py
+++ b/tuliptrack/state/role_statistics.py
@@ -86,8 +86,8 @@
     def record_end(self, now_us: int, timeout_or_error: float = 0.0, rejection: float = 0.0) -> None:
         """Record that an attempt ended with an answer, a time-out, an error or a rejection.
 
-        `timeout_or_error` and `rejection` are 1 if it ended that way, else 0. Connection failures are not
-        recorded, because they say nothing about load.
+        `timeout_or_error` and `rejection` are 1 if the attempt ended that way, else 0. Connection failures
+        are not recorded, because they say nothing about load.
         """
         self.timeout_or_error_share = smoothed(self.timeout_or_error_share, timeout_or_error)
         self.rejection_share = smoothed(self.rejection_share, rejection)
--- a/tuliptrack/state/slot_schedule.py
+++ b/tuliptrack/state/slot_schedule.py
@@ -27,7 +27,7 @@
         return int(self.slots_per_us * age_us * mean_share)
 
     def age_before(self, slot: int) -> int:
-        """Return an age in microseconds that is slightly below the one at which a slot becomes due."""
+        """Return an age in microseconds that is slightly below the age at which a slot becomes due."""
         initial_rate = self.slots_per_us * self.initial_share
         growth = self.slots_per_us * (1 - self.initial_share) / (2 * self.duration_us)
         if growth:
