--- a/tuliptrack/routing/tenant_quota.py
+++ b/tuliptrack/routing/tenant_quota.py
@@ -13,9 +13,10 @@
 __all__ = ["TenantQuotas", "TokenBucket"]
 
 BURST_S = 2.0
-"""Bucket size, in seconds of quota: absorbs random variation, but is too small to hide a burst."""
+"""Bucket size, in seconds of quota. It absorbs random variation, but is too small to hide a burst."""
 MIN_BURST_REQUESTS = 4.0
-"""Minimum bucket size, in requests: at one of hundreds of nodes, a tenant's requests arrive at random."""
+"""Minimum bucket size, in requests: if there are hundreds of nodes, a tenant's requests arrive at each of
+them at random."""
 
 
 @dataclass(slots=True)
@@ -34,7 +35,7 @@
         self.buckets: dict[int, TokenBucket] = {}
 
     def is_over_quota(self, request: Request, now_us: int) -> bool:
-        """Return whether the tenant's bucket is empty; if it is not, take one token.
+        """Return whether the tenant's bucket is empty; if the bucket is not empty, take one token.
 
         Retries and resumed streams take no token, because their first attempt did.
         """
--- a/tuliptrack/state/endpoint_table.py
+++ b/tuliptrack/state/endpoint_table.py
@@ -23,7 +23,8 @@
 __all__ = ["MAX_REMOVED", "AppliedUpdate", "EndpointTable"]
 
 MAX_REMOVED = 128
-"""Removed endpoints that are remembered, so one that is listed again keeps its ejections and slots."""
+"""Maximum number of removed endpoints that are remembered, so that an endpoint that is listed again keeps its
+ejections and slots."""
 MIN_WEIGHT = 1e-6
 
 
@@ -40,7 +41,8 @@
 class EndpointTable:
     """All known endpoints. Each update maintains the indexes, so queries do not examine every endpoint.
 
-    It holds the listed endpoints, up to `MAX_REMOVED` removed ones, and removed ones that are still in use.
+    The table holds the listed endpoints, up to `MAX_REMOVED` removed ones, and removed ones that are still in
+    use.
     """
 
     def __init__(self, roles: tuple[Role, ...], groups_by_zone: bool = False) -> None:
@@ -59,7 +61,7 @@
         self.loaded: dict[int, Endpoint] = {}
         """Endpoints with projected tokens of this node."""
         self.stream_rate = StreamRate()
-        """Streams at all endpoints together."""
+        """Rate at which this node's streams end, over all endpoints together."""
         self.groups: list[EndpointGroup] = []
         """Every group that ever had a ready endpoint; the index of a group never changes."""
         self.memory_shares: GroupedValues[int] = GroupedValues()
@@ -85,7 +87,7 @@
     # Endpoint list updates
 
     def apply(self, update: EndpointListUpdate, now_us: int) -> AppliedUpdate:
-        """Apply an update. Endpoints that are missing from a full list have been removed."""
+        """Apply an update. Endpoints that are missing from a full list are treated as removed."""
         changed: dict[int, Endpoint] = {}
         for info in self._entries_of(update):
             endpoint = self._apply_entry(info, now_us)
@@ -129,7 +131,7 @@
     def _replace_entry(self, endpoint: Endpoint, info: EndpointInfo, now_us: int) -> None:
         """Replace the entry of a known endpoint.
 
-        A later start time means a new process: its ejections, slots and most averages are reset.
+        A later start time means a new process: the endpoint's ejections, slots and most averages are reset.
         """
         self._remove_from_indexes(endpoint)
         self.capacity.change_weight(endpoint.role, endpoint.info.weight, info.weight)
@@ -286,7 +288,8 @@
     def started_since(self, role: Role, since_us: int) -> Collection[Endpoint]:
         """Return the ready endpoints of a role that started after `since_us`, sorted by id.
 
-        All others count as warm from then on, so `since_us` must not decrease from call to call.
+        All other endpoints count as warm from this call on, so `since_us` must not decrease from call to
+        call.
         """
         if self._earliest_start_us <= since_us:
             self._drop_started_by(since_us)
@@ -370,7 +373,7 @@
 
 
 def _first_tied(endpoints: Iterable[Endpoint], score: Callable[[Endpoint], float]) -> list[Endpoint]:
-    """Return the first endpoint, and those directly after it with the same score."""
+    """Return the first endpoint, and the endpoints directly after it that have the same score."""
     found: list[Endpoint] = []
     for endpoint in endpoints:
         if found and score(endpoint) != score(found[0]):
--- a/tuliptrack/state/slot_schedule.py
+++ b/tuliptrack/state/slot_schedule.py
@@ -13,11 +13,11 @@
     """Numbers the slots of an endpoint in slow start; their rate grows linearly up to `slots_per_us`."""
 
     slots_per_us: float
-    """The rate at the end of slow start."""
+    """Rate at which slots become due at the end of slow start."""
     initial_share: float
-    """Share of that rate at the start of the endpoint, above 0 and at most 1."""
+    """Share of `slots_per_us` at the start of the endpoint, above 0 and at most 1."""
     duration_us: int
-    """How long slow start lasts."""
+    """Duration of slow start, in microseconds."""
 
     def slots_due(self, age_us: int) -> int:
         """Return how many slots have become due when the endpoint has a certain age."""
@@ -27,7 +27,7 @@
         return int(self.slots_per_us * age_us * mean_share)
 
     def age_before(self, slot: int) -> int:
-        """Return an age in microseconds that is slightly below the one at which a slot becomes due."""
+        """Return an age in microseconds that is slightly below the age at which a slot becomes due."""
         initial_rate = self.slots_per_us * self.initial_share
         growth = self.slots_per_us * (1 - self.initial_share) / (2 * self.duration_us)
         if growth:
